--- a/crates/control/src/input.rs
+++ b/crates/control/src/input.rs
@@ -2,7 +2,7 @@
 
 use threadledge_membership::MachineList;
 use threadledge_types::objects::{BackEndObject, KeyedServiceObject};
-use threadledge_types::session::{LeaseOrder, LeaseResponse};
+use threadledge_types::session::{LeaseResponse, LeaseSequence};
 use threadledge_types::validation::Problem;
 use threadledge_types::{BackEndId, Generation};
 
@@ -31,7 +31,7 @@
         /// The back end asked.
         back_end: BackEndId,
         /// Order of the request.
-        order: LeaseOrder,
+        order: LeaseSequence,
     },
     /// Answer to [`crate::Output::ReadGroupObject`].
     GroupObject(GroupObjectState),
--- a/crates/coordination/src/holders.rs
+++ b/crates/coordination/src/holders.rs
@@ -298,7 +298,7 @@
         if later == name {
             return None;
         }
-        later.succeeds(name).then_some(&registered.owner)
+        later.is_restart_of(name).then_some(&registered.owner)
     }
 
     /// Whether an order to `owner` would tell which of several processes runs
--- a/crates/coordination/src/occupancy.rs
+++ b/crates/coordination/src/occupancy.rs
@@ -111,8 +111,8 @@
         let known = self.ended.len();
         let before = there.iter().filter(|each| each.known_after < order.id);
         // The next life answers for the one before it.
-        let others =
-            before.filter(|each| each.name != order.to.name && !each.name.succeeds(&order.to.name));
+        let others = before
+            .filter(|each| each.name != order.to.name && !each.name.is_restart_of(&order.to.name));
         self.ended.extend(others.map(|each| each.name.clone()));
         self.ended.len() > known
     }
--- a/crates/coordination/tests/simulation/world.rs
+++ b/crates/coordination/tests/simulation/world.rs
@@ -198,7 +198,7 @@
     pub fn add_back_end(&mut self, address: u16) -> BackEndName {
         self.registrations += 1;
         let id = format!("b{address}-{}", self.registrations);
-        let name = BackEndName::of_life(&id, self.lives.then_some(1));
+        let name = BackEndName::new(&id, self.lives.then_some(1));
         let entry = BackEnd {
             name: name.clone(),
             service: ServiceName::from(SERVICE),
@@ -224,7 +224,7 @@
         ended.crash();
         let mut entry = ended.entry.clone();
         let started = name.started_ms().unwrap_or_default() + 1;
-        entry.name = BackEndName::of_life(name.id(), Some(started));
+        entry.name = BackEndName::new(name.id(), Some(started));
         let life = entry.name.clone();
         let slow = self.random(3);
         self.back_ends
--- a/crates/dispatch/src/exchange.rs
+++ b/crates/dispatch/src/exchange.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use threadledge_suspects::RequestIdentity;
-use threadledge_types::deployment::{BackEndName, Places, Route, ServiceName, ShardKey};
+use threadledge_types::deployment::{BackEndName, Route, ServiceName, ShardKey, Topology};
 use threadledge_types::{RegionName, Timestamp, ZoneName};
 
 use crate::budget::Permit;
@@ -74,7 +74,7 @@
     }
 
     /// Whether back ends of a zone may have it.
-    pub(crate) fn may_run_in(&self, zone: &ZoneName, places: &Places) -> bool {
+    pub(crate) fn may_run_in(&self, zone: &ZoneName, places: &Topology) -> bool {
         let allowed = self.allowed_regions.as_ref();
         allowed.is_none_or(|allowed| places.is_within(zone, allowed))
     }
--- a/crates/dispatch/src/settings.rs
+++ b/crates/dispatch/src/settings.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use threadledge_types::deployment::{Configuration, Places, ServiceName};
+use threadledge_types::deployment::{Configuration, ServiceName, Topology};
 
 use crate::cold::mean_rate;
 
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Where this router is.
-    pub places: Places,
+    pub places: Topology,
     /// Part of a route's target latency that a back end of another zone must
     /// be better by to be taken. One of another region is taken only where
     /// none of the own region answers within the target.
@@ -57,7 +57,7 @@
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            places: Places::default(),
+            places: Topology::default(),
             zone_penalty: 0.6,
             patience: 0.22,
             moving_patience: 0.7,
--- a/crates/dispatch/tests/dispatcher/cold.rs
+++ b/crates/dispatch/tests/dispatcher/cold.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use threadledge_dispatch::{Begun, Call, Dispatcher, Outcome, RequestFacts, Settings, Step};
 use threadledge_types::Timestamp;
-use threadledge_types::deployment::{BackEnd, Configuration, Places};
+use threadledge_types::deployment::{BackEnd, Configuration, Topology};
 
 use super::support::{HOST, Station, answered, back_end, configuration, identity, route};
 
@@ -57,7 +57,7 @@
         let configuration = Arc::new(with_cold_back_ends(&["plain"]));
         let router = |number: usize| {
             let settings = Settings {
-                places: Places::new("near".into(), None, BTreeMap::new()),
+                places: Topology::new("near".into(), None, BTreeMap::new()),
                 ..Settings::default()
             };
             let mut router = Dispatcher::new(settings, seed * 1_000 + number as u64);
--- a/crates/dispatch/tests/dispatcher/limited.rs
+++ b/crates/dispatch/tests/dispatcher/limited.rs
@@ -16,7 +16,7 @@
     Signals, Step, ToldLimit,
 };
 use threadledge_types::Timestamp;
-use threadledge_types::deployment::{BackEnd, KeyRange, Places, ServiceName, ShardKey};
+use threadledge_types::deployment::{BackEnd, KeyRange, ServiceName, ShardKey, Topology};
 
 use super::support::{
     HOST, Station, answered, back_end, configuration, identity, is_refused, route,
@@ -80,7 +80,7 @@
         let back_ends: Vec<BackEnd> = vec![back_end("limited", service, "near", 1)];
         let router = |number: usize| {
             let settings = Settings {
-                places: Places::new("near".into(), None, BTreeMap::new()),
+                places: Topology::new("near".into(), None, BTreeMap::new()),
                 ..Settings::default()
             };
             let mut router = Dispatcher::new(settings, seed * 1_000 + number as u64);
--- a/crates/dispatch/tests/dispatcher/regions.rs
+++ b/crates/dispatch/tests/dispatcher/regions.rs
@@ -7,7 +7,7 @@
 use threadledge_dispatch::dispatcher::Verdict;
 use threadledge_dispatch::{Fault, Outcome, RefusalReason, Step};
 use threadledge_types::RegionName;
-use threadledge_types::deployment::{KeyDigest, Places, Route, Tenant};
+use threadledge_types::deployment::{KeyDigest, Route, Tenant, Topology};
 
 use super::support::{Station, answered, back_end, configuration, fault, is_refused, route};
 
@@ -21,7 +21,7 @@
         ("farther", "away"),
     ];
     let regions = regions.map(|(zone, region)| (zone.into(), region.into()));
-    let places = Places::new(zone.into(), None, BTreeMap::from(regions));
+    let places = Topology::new(zone.into(), None, BTreeMap::from(regions));
     let mut station = Station::at(places, 1);
     station
         .back_ends
--- a/crates/dispatch/tests/dispatcher/signals.rs
+++ b/crates/dispatch/tests/dispatcher/signals.rs
@@ -103,7 +103,7 @@
 fn next_life_of_a_back_end_that_left_gets_requests() {
     let mut station = Station::new();
     hear_leaving(&mut station);
-    let next = BackEndName::of_life("k-1", Some(5_000));
+    let next = BackEndName::new("k-1", Some(5_000));
     station
         .back_ends
         .push(back_end(next.as_str(), "keyed", "near", 3));
--- a/crates/dispatch/tests/dispatcher/support.rs
+++ b/crates/dispatch/tests/dispatcher/support.rs
@@ -17,7 +17,7 @@
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{
     BackEnd, CallerLimits, Configuration, ConfigurationVersion, Destination, KeyDigest, KeyRange,
-    Places, Route, Service, ShardKey,
+    Route, Service, ShardKey, Topology,
 };
 
 pub const HOST: &str = "host.example";
@@ -99,11 +99,11 @@
 
     /// The same, of a router that draws other random numbers.
     pub fn with_seed(seed: u64) -> Self {
-        Station::at(Places::new("near".into(), None, BTreeMap::new()), seed)
+        Station::at(Topology::new("near".into(), None, BTreeMap::new()), seed)
     }
 
     /// The same, of a router elsewhere.
-    pub fn at(places: Places, seed: u64) -> Self {
+    pub fn at(places: Topology, seed: u64) -> Self {
         let settings = Settings {
             places,
             retry_slack: 100,
--- a/crates/dispatch/tests/model/gateways.rs
+++ b/crates/dispatch/tests/model/gateways.rs
@@ -13,8 +13,8 @@
 use threadledge_suspects::{IdentityBuilder, RequestIdentity};
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{
-    BackEnd, BackEndName, CallerLimits, Configuration, ConfigurationVersion, Destination, Places,
-    Route, Service,
+    BackEnd, BackEndName, CallerLimits, Configuration, ConfigurationVersion, Destination, Route,
+    Service, Topology,
 };
 
 use super::fleet::{Choice, End, Fleet, Gateways, Load};
@@ -42,7 +42,7 @@
         let configuration = Arc::new(configuration(fleet));
         let gateway = |number: usize| {
             let settings = Settings {
-                places: Places::new("zone".into(), None, BTreeMap::new()),
+                places: Topology::new("zone".into(), None, BTreeMap::new()),
                 retry_slack: 100,
                 ..Settings::default()
             };
--- a/crates/lab/src/load/direct.rs
+++ b/crates/lab/src/load/direct.rs
@@ -11,8 +11,8 @@
 use async_std::task;
 use http_types::{Body, Method, Request, Url};
 use threadledge_types::session::{
-    EPOCH_HEADER, Grant, GrantsUpdate, GrantsVersion, LEASE_PATH, LeaseOrder, LeaseRequest,
-    LeaseResponse, POINT_HEADER, SERVICE_HEADER,
+    EPOCH_HEADER, Grant, GrantsUpdate, GrantsVersion, LEASE_PATH, LeaseRequest, LeaseResponse,
+    LeaseSequence, POINT_HEADER, SERVICE_HEADER,
 };
 use threadledge_types::{Epoch, Generation, GroupId, Revision, Slice, Timestamp, hash_key};
 
@@ -127,7 +127,7 @@
         group: DIRECT_GROUP,
         back_end: direct.back_end.clone(),
         incarnation: None,
-        order: LeaseOrder {
+        order: LeaseSequence {
             generation: GENERATION,
             term: 1,
             sequence,
--- a/crates/lab/src/rig/deployment.rs
+++ b/crates/lab/src/rig/deployment.rs
@@ -8,7 +8,7 @@
 use threadledge_types::objects::{
     BACK_END_KIND, BackEndObject, KEYED_SERVICE_KIND, KeyedServiceObject,
 };
-use threadledge_types::validation::selector_of;
+use threadledge_types::validation::compile_selector;
 use threadledge_types::{BackEndId, RegionName, ServiceId, ZoneName};
 
 use crate::stand_in::object_api::seed::{SeedError, read_objects};
@@ -89,7 +89,7 @@
         let labels = back_end.metadata.labels.clone().unwrap_or_default();
         let mut services = self.services.iter();
         let selects = |object: &KeyedServiceObject| {
-            selector_of(&object.spec.back_end_selector)
+            compile_selector(&object.spec.back_end_selector)
                 .is_ok_and(|selector| selector.matches(&labels))
         };
         services
--- a/crates/lab/src/stand_in/object_api/seed.rs
+++ b/crates/lab/src/stand_in/object_api/seed.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use serde_json::Value;
-use threadledge_types::validation::objects_of_document;
+use threadledge_types::validation::split_document;
 
 use super::operation::{Write, metadata_text};
 use super::path::{Collection, Resource};
@@ -54,7 +54,7 @@
             source,
         })?;
         let of_file = |object| (path.clone(), object);
-        objects.extend(objects_of_document(value).into_iter().map(of_file));
+        objects.extend(split_document(value).into_iter().map(of_file));
     }
     Ok(objects)
 }
--- a/crates/lab/tests/back_end.rs
+++ b/crates/lab/tests/back_end.rs
@@ -16,8 +16,8 @@
     BackEnd, BackEndSettings, ColdStart, LAB_REQUEST_HEADER, ServiceTimeSettings, Serving, serve,
 };
 use threadledge_types::session::{
-    DEADLINE_HEADER, EPOCH_HEADER, Grant, GrantsUpdate, GrantsVersion, LEASE_PATH, LeaseOrder,
-    LeaseRequest, LeaseResponse, POINT_HEADER, REFUSAL_HEADER, SERVICE_HEADER,
+    DEADLINE_HEADER, EPOCH_HEADER, Grant, GrantsUpdate, GrantsVersion, LEASE_PATH, LeaseRequest,
+    LeaseResponse, LeaseSequence, POINT_HEADER, REFUSAL_HEADER, SERVICE_HEADER,
 };
 use threadledge_types::{
     BackEndId, Epoch, Generation, GroupId, Incarnation, Point, Revision, ServiceId, Slice,
@@ -82,7 +82,7 @@
         group: GroupId(0),
         back_end: BackEndId::new("kauri", "order-1"),
         incarnation: Some(INCARNATION),
-        order: LeaseOrder {
+        order: LeaseSequence {
             generation: Generation(1),
             term: 1,
             sequence,
--- a/crates/lab/tests/platform/examples.rs
+++ b/crates/lab/tests/platform/examples.rs
@@ -19,7 +19,7 @@
         let added = set.add(object);
         assert!(added.is_ok(), "{}: {added:?}", path.display());
     }
-    assert_eq!(set.problems_of_the_whole(), []);
+    assert_eq!(set.cross_object_problems(), []);
     let mut store = ObjectStore::new();
     create_objects(&mut store, objects, "2026-01-01T00:00:00Z").expect("conventional");
     set
--- a/crates/ownership/src/command.rs
+++ b/crates/ownership/src/command.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use threadledge_types::records::{BackEndRecord, ServiceRecord};
-use threadledge_types::session::LeaseOrder;
+use threadledge_types::session::LeaseSequence;
 use threadledge_types::{
     BackEndId, Epoch, Generation, Point, Revision, ServiceId, SessionId, Slice,
 };
@@ -20,8 +20,8 @@
 
 impl LeaderTerm {
     /// Order of the request with number `sequence` of this term.
-    pub fn order(self, sequence: u64) -> LeaseOrder {
-        LeaseOrder {
+    pub fn order(self, sequence: u64) -> LeaseSequence {
+        LeaseSequence {
             generation: self.generation,
             term: self.term,
             sequence,
--- a/crates/ownership/src/grantor/exchange.rs
+++ b/crates/ownership/src/grantor/exchange.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use threadledge_types::session::{Grant, GrantsUpdate, LeaseOrder, LeaseRequest, LeaseResponse};
+use threadledge_types::session::{Grant, GrantsUpdate, LeaseRequest, LeaseResponse, LeaseSequence};
 use threadledge_types::{BackEndId, SessionId, Timestamp};
 
 use super::contact::{Outstanding, Reading};
@@ -127,7 +127,7 @@
         }
     }
 
-    pub(super) fn take_failure(&mut self, now: Timestamp, id: &BackEndId, order: LeaseOrder) {
+    pub(super) fn take_failure(&mut self, now: Timestamp, id: &BackEndId, order: LeaseSequence) {
         let retry = self.settings.retry;
         let Some(contact) = self.contacts.get_mut(id) else {
             return;
--- a/crates/ownership/src/grantor/message.rs
+++ b/crates/ownership/src/grantor/message.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use threadledge_types::records::{RecordChange, SliceKey};
-use threadledge_types::session::{Grant, LeaseOrder, LeaseRequest, LeaseResponse, LoadReport};
+use threadledge_types::session::{Grant, LeaseRequest, LeaseResponse, LeaseSequence, LoadReport};
 use threadledge_types::{BackEndId, SessionId, Timing};
 
 use crate::command::Command;
@@ -55,7 +55,7 @@
         /// The back end the request went to.
         back_end: BackEndId,
         /// Order of the request.
-        order: LeaseOrder,
+        order: LeaseSequence,
     },
     /// Entries of the log were applied to the state machine.
     Applied(Vec<RecordChange>),
--- a/crates/ownership/src/holder/mod.rs
+++ b/crates/ownership/src/holder/mod.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 
 use threadledge_types::session::{
-    Grant, GrantsUpdate, GrantsVersion, LeaseOrder, LeaseRequest, LeaseResponse, LoadReport,
+    Grant, GrantsUpdate, GrantsVersion, LeaseRequest, LeaseResponse, LeaseSequence, LoadReport,
     Refusal,
 };
 use threadledge_types::{BackEndId, Epoch, GroupId, Incarnation, Point, ServiceId, Timestamp};
@@ -28,7 +28,7 @@
     incarnation: Incarnation,
     /// Group of the first request taken.
     group: Option<GroupId>,
-    highest: LeaseOrder,
+    highest: LeaseSequence,
     version: Option<GrantsVersion>,
     holdings: Holdings,
     permits: Permits,
@@ -47,7 +47,7 @@
             back_end,
             incarnation,
             group: None,
-            highest: LeaseOrder::default(),
+            highest: LeaseSequence::default(),
             version: None,
             holdings: Holdings::default(),
             permits: Permits::default(),
--- a/crates/ownership/tests/simulation/world.rs
+++ b/crates/ownership/tests/simulation/world.rs
@@ -9,7 +9,7 @@
     Command, Grantor, GrantorInput, GrantorOutput, GrantorSettings, Holder, LeaderTerm,
     Observation, StateMachine,
 };
-use threadledge_types::session::{LeaseOrder, LeaseRequest, LeaseResponse};
+use threadledge_types::session::{LeaseRequest, LeaseResponse, LeaseSequence};
 use threadledge_types::{
     BackEndId, Epoch, Generation, Incarnation, Point, Revision, ServiceId, Timing,
 };
@@ -43,7 +43,7 @@
     RequestFailed {
         router: usize,
         back_end: BackEndId,
-        order: LeaseOrder,
+        order: LeaseSequence,
     },
     Append {
         term: LeaderTerm,
--- a/crates/router/src/check/objects.rs
+++ b/crates/router/src/check/objects.rs
@@ -5,7 +5,7 @@
 
 use serde::Deserialize;
 use serde_json::Value;
-use threadledge_types::validation::{self, ObjectSet, objects_of_document};
+use threadledge_types::validation::{self, ObjectSet, split_document};
 
 use super::{CheckProblem, CheckProblemKind};
 
@@ -37,7 +37,7 @@
             empty = false;
             match document {
                 Ok(document) => {
-                    for object in objects_of_document(document) {
+                    for object in split_document(document) {
                         problems.extend(self.add_object(file, &object));
                     }
                 }
@@ -77,7 +77,7 @@
     /// Problems that only all files together show.
     pub(super) fn finish(&self) -> Vec<CheckProblem> {
         self.objects
-            .problems_of_the_whole()
+            .cross_object_problems()
             .into_iter()
             .map(|found| problem(self.file_of(&found), CheckProblemKind::Object(found)))
             .collect()
--- a/crates/router/src/control_shell/explain.rs
+++ b/crates/router/src/control_shell/explain.rs
@@ -5,7 +5,7 @@
 use threadledge_routing::{HeaderLookup, Matched, RequestHead, RoutingTable};
 use threadledge_types::objects::{KeySource, RouteRule};
 use threadledge_types::records::{RecordChange, RecordDelta, ServiceRecord, SliceRecord};
-use threadledge_types::validation::selector_of;
+use threadledge_types::validation::compile_selector;
 use threadledge_types::{GroupId, NotRunReason, Revision};
 
 use super::status::selected_back_ends;
@@ -145,7 +145,7 @@
 }
 
 fn selector_text(record: &ServiceRecord) -> String {
-    selector_of(&record.spec.back_end_selector)
+    compile_selector(&record.spec.back_end_selector)
         .map(|selector| selector.to_string())
         .unwrap_or_default()
 }
--- a/crates/router/src/control_shell/status.rs
+++ b/crates/router/src/control_shell/status.rs
@@ -7,7 +7,7 @@
 use threadledge_control::ControlNode;
 use threadledge_membership::MemberState as KnownState;
 use threadledge_types::records::{ServiceRecord, SliceRecord};
-use threadledge_types::validation::selector_of;
+use threadledge_types::validation::compile_selector;
 use threadledge_types::{BackEndId, Timestamp};
 
 use crate::operations::{
@@ -118,7 +118,7 @@
 /// Back ends that the service's selector selects.
 pub fn selected_back_ends(node: &ControlNode, record: &ServiceRecord) -> Vec<BackEndId> {
     use kube_core::SelectorExt;
-    let Ok(selector) = selector_of(&record.spec.back_end_selector) else {
+    let Ok(selector) = compile_selector(&record.spec.back_end_selector) else {
         return Vec::new();
     };
     let back_ends = node.replica().back_ends();
--- a/crates/router/src/gateway/changes.rs
+++ b/crates/router/src/gateway/changes.rs
@@ -11,7 +11,7 @@
     CallerLimits, Configuration, ConfigurationVersion, KeyRange, Route, RouteName, Service,
     ServiceName, ShardKey, Tenant, TenantName,
 };
-use threadledge_types::{Difference, differences};
+use threadledge_types::{EntryDiff, diff_maps};
 
 /// Changes of a kind that are remembered.
 const REMEMBERED: usize = 16;
@@ -110,7 +110,7 @@
 ) -> (BTreeMap<N, V>, Vec<N>) {
     let mut changed = BTreeMap::new();
     let mut gone = Vec::new();
-    for Difference { name, new, .. } in differences(old, new) {
+    for EntryDiff { name, new, .. } in diff_maps(old, new) {
         match new {
             Some(value) => {
                 changed.insert(name.clone(), value.clone());
--- a/crates/router/src/gateway/coordination.rs
+++ b/crates/router/src/gateway/coordination.rs
@@ -16,7 +16,7 @@
 use threadledge_net::{StopSignal, timer};
 use threadledge_ports::Ports;
 use threadledge_relay::Source;
-use threadledge_types::deployment::{Configuration, Places, ServiceName};
+use threadledge_types::deployment::{Configuration, ServiceName, Topology};
 use threadledge_types::{RegionName, Timestamp};
 
 use super::calls::{Ended, call, written};
@@ -75,7 +75,7 @@
     /// Added to the time after which this gateway takes over.
     pub(super) patience: Duration,
     /// Where this gateway is.
-    pub(super) places: Places,
+    pub(super) places: Topology,
     /// Speaks to other gateways.
     pub(super) peers: PeerClient,
     /// Where this gateway learns from.
--- a/crates/router/src/gateway/key_regions.rs
+++ b/crates/router/src/gateway/key_regions.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use threadledge_types::RegionName;
-use threadledge_types::deployment::{BackEnd, Configuration, Places, Route, ServiceName};
+use threadledge_types::deployment::{BackEnd, Configuration, Route, ServiceName, Topology};
 
 /// The only regions in which keys of a service may be held, for each service of
 /// which that is said.
@@ -43,7 +43,7 @@
 pub fn holders_within(
     back_ends: &Arc<[BackEnd]>,
     regions: Option<&BTreeSet<RegionName>>,
-    places: &Places,
+    places: &Topology,
 ) -> Arc<[BackEnd]> {
     let Some(regions) = regions else {
         return back_ends.clone();
--- a/crates/router/src/gateway/registry.rs
+++ b/crates/router/src/gateway/registry.rs
@@ -280,7 +280,7 @@
             Err(malformed) => return self.put_malformed(&entry.name, entry.revision, malformed),
         };
         let before = self.registered.get(&entry.name);
-        if before.is_some_and(|before| before.back_end.name.succeeds(&back_end.name)) {
+        if before.is_some_and(|before| before.back_end.name.is_restart_of(&back_end.name)) {
             return Vec::new();
         }
         if back_end.cold_for.is_zero() {
@@ -299,7 +299,7 @@
         match before.or(awaited.map(|awaited| awaited.known)) {
             None => vec![Learned::Registered(back_end)],
             // It holds and knows nothing of before.
-            Some(before) if back_end.name.succeeds(&before.back_end.name) => {
+            Some(before) if back_end.name.is_restart_of(&before.back_end.name) => {
                 vec![
                     Learned::Gone(before.back_end),
                     Learned::Registered(back_end),
--- a/crates/router/src/gateway/relay.rs
+++ b/crates/router/src/gateway/relay.rs
@@ -14,7 +14,7 @@
 use threadledge_ports::{Entry, Ports};
 use threadledge_relay::{Action, Followed, Member, RelayRecord};
 use threadledge_types::Timestamp;
-use threadledge_types::deployment::Places;
+use threadledge_types::deployment::Topology;
 
 use super::directory::Directory;
 use super::dispatch::Dispatch;
@@ -44,7 +44,7 @@
     pub(super) tier: Tier,
     /// Name of the record.
     pub(super) record: String,
-    pub(super) places: Places,
+    pub(super) places: Topology,
     pub(super) seat: Seat,
     pub(super) member: Member,
     pub(super) ports: Ports,
--- a/crates/router/src/gateway/relay_records.rs
+++ b/crates/router/src/gateway/relay_records.rs
@@ -7,7 +7,7 @@
 use threadledge_coordination::action::Versioned;
 use threadledge_ports::Entry;
 use threadledge_relay::RelayRecord;
-use threadledge_types::deployment::{Distance, Places};
+use threadledge_types::deployment::{Distance, Topology};
 use threadledge_types::{RegionName, ZoneName};
 
 /// Start of the names of regions' records, which lie beside those of zones.
@@ -32,7 +32,7 @@
 
 impl Records {
     /// Reads all records; `own` names the one that is looked for.
-    pub fn of(entries: Vec<Entry<RelayRecord>>, own: &str, places: &Places) -> Records {
+    pub fn of(entries: Vec<Entry<RelayRecord>>, own: &str, places: &Topology) -> Records {
         let mut records = Records::default();
         // Relays of other regions; of one whose own relay is not known yet,
         // those of its zones.
--- a/crates/router/src/gateway/run.rs
+++ b/crates/router/src/gateway/run.rs
@@ -388,7 +388,7 @@
         }
         let zone = self.settings.zone.clone();
         let places = self.settings.places();
-        let region = places.region().filter(|_| places.has_relays_of_regions());
+        let region = places.region().filter(|_| places.has_region_relays());
         let Some(region) = region else {
             let settings = threadledge_relay::Settings::default();
             self.relaying(Tier::Zone, zone, settings, directory).start();
--- a/crates/router/src/gateway/settings/cores.rs
+++ b/crates/router/src/gateway/settings/cores.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use threadledge_types::deployment::Places;
+use threadledge_types::deployment::Topology;
 use threadledge_types::{RegionName, ZoneName};
 
 use super::{GatewaySettings, seconds};
@@ -45,13 +45,13 @@
     }
 
     /// Where this gateway is, and which zone lies in which region.
-    pub fn places(&self) -> Places {
+    pub fn places(&self) -> Topology {
         let region = self.region.as_deref().map(RegionName::from);
         let zones = self.zones.iter();
         let regions = zones
             .map(|(zone, region)| (zone.as_str().into(), region.as_str().into()))
             .collect();
-        Places::new(self.zone.as_str().into(), region, regions)
+        Topology::new(self.zone.as_str().into(), region, regions)
     }
 
     /// Settings of the limits of tenants.
--- a/crates/router/tests/gateway/changes.rs
+++ b/crates/router/tests/gateway/changes.rs
@@ -217,7 +217,7 @@
         fence: Fence(1_000_000),
         state: SliceState::Owned {
             owner: Owner {
-                name: BackEndName::of_life(&format!("i-{number:010x}"), Some(1_764_000_000_000)),
+                name: BackEndName::new(&format!("i-{number:010x}"), Some(1_764_000_000_000)),
                 address: ([10, 200, 100, number as u8], 18_080).into(),
             },
             handover: Some(HandoverToken("5c0e7a21d94b36f8".to_owned())),
--- a/crates/router/tests/gateway/in_use.rs
+++ b/crates/router/tests/gateway/in_use.rs
@@ -43,7 +43,7 @@
     let id = format!("b-{}", random.random_range(0..12));
     let started = random.random_range(1..4);
     let mut drawn = back_end(&id, random.random_bool(0.2));
-    drawn.name = BackEndName::of_life(&id, Some(started));
+    drawn.name = BackEndName::new(&id, Some(started));
     drawn.zone = if random.random_bool(0.5) { "a" } else { "b" }.into();
     drawn
 }
@@ -57,7 +57,7 @@
             let mut entries: Vec<_> = entries.collect();
             for entry in &mut entries {
                 let drawn = entry.value.as_mut().expect("it can be read");
-                drawn.name = BackEndName::of_life(&entry.name, Some(at));
+                drawn.name = BackEndName::new(&entry.name, Some(at));
             }
             return Update::Listed(Listing { entries, at });
         }
--- a/crates/router/tests/gateway/key_regions.rs
+++ b/crates/router/tests/gateway/key_regions.rs
@@ -7,7 +7,8 @@
 use threadledge::gateway::key_regions::{holders_within, key_regions};
 use threadledge_types::RegionName;
 use threadledge_types::deployment::{
-    BackEnd, CallerLimits, Configuration, ConfigurationVersion, Destination, Places, Route, Service,
+    BackEnd, CallerLimits, Configuration, ConfigurationVersion, Destination, Route, Service,
+    Topology,
 };
 
 use super::samples::back_end;
@@ -87,7 +88,7 @@
 fn back_ends_outside_the_regions_get_no_keys() {
     let zones = [("a", "home"), ("b", "away")];
     let zones = zones.map(|(zone, region)| (zone.into(), region.into()));
-    let places = Places::new("a".into(), None, BTreeMap::from(zones));
+    let places = Topology::new("a".into(), None, BTreeMap::from(zones));
     let in_zone = |name, zone: &str| BackEnd {
         zone: zone.into(),
         ..back_end(name, false)
--- a/crates/router/tests/gateway/lives.rs
+++ b/crates/router/tests/gateway/lives.rs
@@ -14,7 +14,7 @@
 
 fn life(id: &str, started: u64) -> BackEnd {
     BackEnd {
-        name: BackEndName::of_life(id, Some(started)),
+        name: BackEndName::new(id, Some(started)),
         ..back_end(id, false)
     }
 }
--- a/crates/router/tests/gateway/relay_records.rs
+++ b/crates/router/tests/gateway/relay_records.rs
@@ -7,7 +7,7 @@
 use threadledge_coordination::NodeIdentity;
 use threadledge_ports::Entry;
 use threadledge_relay::RelayRecord;
-use threadledge_types::deployment::Places;
+use threadledge_types::deployment::Topology;
 use threadledge_types::{Incarnation, MachineName};
 
 use super::samples::entry;
@@ -26,10 +26,10 @@
 }
 
 /// In zone `a` of two regions with two zones each.
-fn places() -> Places {
+fn places() -> Topology {
     let regions = [("a", "home"), ("b", "home"), ("c", "away"), ("d", "away")];
     let regions = regions.map(|(zone, region)| (zone.into(), region.into()));
-    Places::new("a".into(), None, BTreeMap::from(regions))
+    Topology::new("a".into(), None, BTreeMap::from(regions))
 }
 
 fn zones() -> Vec<Entry<RelayRecord>> {
@@ -62,7 +62,7 @@
 fn relays_of_all_zones_are_told_of_a_region_without_a_relay_of_its_own() {
     let records = Records::of(zones(), "a", &places());
     assert_eq!(records.beside, [address(2), address(3), address(4)]);
-    let one_region = Places::new("a".into(), None, BTreeMap::new());
+    let one_region = Topology::new("a".into(), None, BTreeMap::new());
     let records = Records::of(zones(), "a", &one_region);
     assert_eq!(records.beside, [address(2), address(3), address(4)]);
 }
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -67,7 +67,7 @@
     /// Back ends that were ever granted a slice of a service.
     grantees: BTreeMap<ServiceId, BTreeSet<BackEndIndex>>,
     traffic: Traffic,
-    exchanges: BTreeMap<u64, threadledge_types::session::LeaseOrder>,
+    exchanges: BTreeMap<u64, threadledge_types::session::LeaseSequence>,
     lease_back_end: BTreeMap<u64, BackEndId>,
     next_exchange: u64,
     tables: BTreeMap<RouterIndex, RoutingTable>,
--- a/crates/tenants/src/index.rs
+++ b/crates/tenants/src/index.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use threadledge_types::deployment::{KeyDigest, RateLimit, Tenant, TenantName};
-use threadledge_types::{Difference, RegionName, differences};
+use threadledge_types::{EntryDiff, RegionName, diff_maps};
 
 /// A tenant as requests meet it: without its keys.
 #[derive(Clone, Debug, PartialEq)]
@@ -74,16 +74,16 @@
         new: &BTreeMap<TenantName, Tenant>,
     ) -> KeyChanges {
         let mut changes = KeyChanges::default();
-        let found = differences(old, new);
+        let found = diff_maps(old, new);
         // Keys are taken away before any is added: one may go from a tenant
         // to another.
-        for Difference { old, new, .. } in &found {
+        for EntryDiff { old, new, .. } in &found {
             for key in old.iter().flat_map(|tenant| &tenant.keys) {
                 self.callers.remove(key);
                 changes.taken += usize::from(!holds(*new, key));
             }
         }
-        for Difference { name, old, new } in &found {
+        for EntryDiff { name, old, new } in &found {
             let Some(tenant) = new else {
                 continue;
             };
--- a/crates/types/src/deployment/back_end.rs
+++ b/crates/types/src/deployment/back_end.rs
@@ -25,7 +25,7 @@
     /// The life of the back end `id` that began at `started`, in milliseconds of
     /// the back end's time of day. `None`: each of its lives has an id of its
     /// own.
-    pub fn of_life(id: &str, started: Option<u64>) -> Self {
+    pub fn new(id: &str, started: Option<u64>) -> Self {
         match started {
             Some(started) => format!("{id}{LIFE_MARK}{started}").into(),
             None => id.into(),
@@ -49,7 +49,7 @@
     }
 
     /// Whether this is a life of the same back end that began after `other`.
-    pub fn succeeds(&self, other: &BackEndName) -> bool {
+    pub fn is_restart_of(&self, other: &BackEndName) -> bool {
         self.id() == other.id() && self.started_ms() > other.started_ms()
     }
 
--- a/crates/types/src/deployment/mod.rs
+++ b/crates/types/src/deployment/mod.rs
@@ -8,8 +8,8 @@
 mod configuration;
 mod key;
 mod name;
-mod places;
 mod tenant;
+mod topology;
 mod zone;
 
 pub use back_end::{BackEnd, BackEndName};
@@ -18,6 +18,6 @@
 };
 pub use key::{KeyRange, ShardKey};
 pub use name::{RouteName, ServiceName, TenantName};
-pub use places::{Distance, Places};
 pub use tenant::{KeyDigest, RateLimit, Tenant};
+pub use topology::{Distance, Topology};
 pub use zone::DrainedZone;
--- a/crates/types/src/deployment/places.rs
+++ b/crates/types/src/deployment/topology.rs
@@ -36,13 +36,13 @@
 
 /// The zone and region of a gateway, and the regions of all zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Places {
+pub struct Topology {
     zone: ZoneName,
     region: Option<RegionName>,
     regions: BTreeMap<ZoneName, RegionName>,
 }
 
-impl Places {
+impl Topology {
     /// A gateway in `zone`; `regions` names the region of each zone, and
     /// `region` its own where they do not.
     pub fn new(
@@ -51,7 +51,7 @@
         regions: BTreeMap<ZoneName, RegionName>,
     ) -> Self {
         let region = region.or_else(|| regions.get(&zone).cloned());
-        Places {
+        Topology {
             zone,
             region,
             regions,
@@ -90,7 +90,7 @@
 
     /// Whether the relays of the zones of a region share one: there are several
     /// regions, and this one has several zones.
-    pub fn has_relays_of_regions(&self) -> bool {
+    pub fn has_region_relays(&self) -> bool {
         let distance = |zone: &ZoneName| self.distance(zone);
         let zones = || self.regions.keys();
         let others = zones().any(|zone| distance(zone) == Distance::OtherRegion);
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -7,10 +7,10 @@
 
 pub mod acceptance;
 pub mod deployment;
-mod differences;
 pub mod epoch;
 pub mod ids;
 pub mod key;
+mod map_diff;
 pub mod objects;
 pub mod outcome;
 pub mod records;
@@ -19,13 +19,13 @@
 pub mod timing;
 pub mod validation;
 
-pub use differences::{Difference, differences};
 pub use epoch::{Epoch, Generation, Revision};
 pub use ids::{
     BackEndId, GroupId, Incarnation, MachineName, RegionName, RouterId, RouterIdentity, ServiceId,
     SessionId, ZoneName,
 };
 pub use key::{Point, Slice, hash_key};
+pub use map_diff::{EntryDiff, diff_maps};
 pub use outcome::{NotRunReason, Outcome, UnknownReason};
 pub use time::Timestamp;
 pub use timing::Timing;
--- a/crates/types/src/differences.rs
+++ b/crates/types/src/map_diff.rs
@@ -5,7 +5,7 @@
 
 /// An entry that differs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Difference<'a, N, V> {
+pub struct EntryDiff<'a, N, V> {
     /// Its name.
     pub name: &'a N,
     /// What it was; `None`: it is new.
@@ -17,10 +17,10 @@
 /// The entries that differ, by name. One walk over both tables: a version that
 /// changes one of 10,000 tenants is followed in 0.9 ms, and in 6.4 ms where
 /// each name is looked up in the other table (one core, measured).
-pub fn differences<'a, N: Ord, V: PartialEq>(
+pub fn diff_maps<'a, N: Ord, V: PartialEq>(
     old: &'a BTreeMap<N, V>,
     new: &'a BTreeMap<N, V>,
-) -> Vec<Difference<'a, N, V>> {
+) -> Vec<EntryDiff<'a, N, V>> {
     let mut before = old.iter().peekable();
     let mut after = new.iter().peekable();
     let mut found = Vec::new();
@@ -39,7 +39,7 @@
         let old = was.map(|(_, value)| value);
         let new = is.map(|(_, value)| value);
         if old != new {
-            found.push(Difference { name, old, new });
+            found.push(EntryDiff { name, old, new });
         }
     }
 }
--- a/crates/types/src/session.rs
+++ b/crates/types/src/session.rs
@@ -106,7 +106,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct LeaseOrder {
+pub struct LeaseSequence {
     /// Founding of the group.
     pub generation: Generation,
     /// Consensus term of the leader.
@@ -173,7 +173,7 @@
     /// another life takes nothing from the request and answers with its own.
     pub incarnation: Option<Incarnation>,
     /// Order among requests.
-    pub order: LeaseOrder,
+    pub order: LeaseSequence,
     /// Reading of the holder's clock from its latest response; the lease is
     /// renewed to `echo + lease_ms`. `None` renews nothing.
     pub echo: Option<Timestamp>,
@@ -228,11 +228,11 @@
     /// Life of its process.
     pub incarnation: Incarnation,
     /// Order of the request this answers.
-    pub order: LeaseOrder,
+    pub order: LeaseSequence,
     /// Whether the request was taken. If not, `highest` says why.
     pub taken: bool,
     /// Highest order the back end has taken.
-    pub highest: LeaseOrder,
+    pub highest: LeaseSequence,
     /// The holder's clock when it answered, to be echoed.
     pub holder_time: Timestamp,
     /// Version of its grants; `None` when it holds none or lost track.
--- a/crates/types/src/validation/back_end.rs
+++ b/crates/types/src/validation/back_end.rs
@@ -19,7 +19,7 @@
 ///
 /// Every problem of the object, in the order of its fields.
 pub fn validate_back_end(object: &BackEndObject) -> Result<BackEndRecord, Vec<Problem>> {
-    let reference = ObjectReference::of(BACK_END_KIND, &object.metadata);
+    let reference = ObjectReference::from_metadata(BACK_END_KIND, &object.metadata);
     let mut problems = ProblemList::new(reference);
     let metadata = check_metadata(&object.metadata, &mut problems);
     check_spec(&object.spec, &mut problems);
--- a/crates/types/src/validation/mod.rs
+++ b/crates/types/src/validation/mod.rs
@@ -26,11 +26,11 @@
 pub use addresses::AddressClaims;
 pub use back_end::{MAX_CONNECTIONS, MAX_SLOTS, validate_back_end};
 pub use hosts::HostClaims;
-pub use object_set::{ObjectSet, objects_of_document};
+pub use object_set::{ObjectSet, split_document};
 pub use parse::parse_object;
 pub use problem::{ObjectReference, Problem, ProblemKind};
 pub use route::{MAX_DEADLINE_MS, MAX_PATH_SEGMENT, MIN_DEADLINE_MS};
-pub use selector::{selector_of, validate_selector};
+pub use selector::{compile_selector, validate_selector};
 pub use service::{
     MAX_HOSTS, MAX_ROUTES, MAX_SLICES_PER_BACK_END, MAX_TOLERATED_IMBALANCE, is_for_region,
     validate_service,
--- a/crates/types/src/validation/object_set.rs
+++ b/crates/types/src/validation/object_set.rs
@@ -12,7 +12,7 @@
 use super::hosts::HostClaims;
 use super::parse::{parse_object, reference_of};
 use super::problem::{ObjectReference, Problem, ProblemKind, ProblemList};
-use super::selector::selector_of;
+use super::selector::compile_selector;
 use super::service::validate_service;
 use crate::ids::{BackEndId, ServiceId};
 use crate::objects::{
@@ -21,7 +21,7 @@
 use crate::records::{BackEndRecord, ServiceRecord};
 
 /// The objects of one JSON document: itself, or the `items` of a list.
-pub fn objects_of_document(document: Value) -> Vec<Value> {
+pub fn split_document(document: Value) -> Vec<Value> {
     match document {
         Value::Object(mut fields) => match fields.remove("items") {
             Some(Value::Array(items)) => items,
@@ -92,7 +92,7 @@
         &'a self,
         service: &'a ServiceRecord,
     ) -> impl Iterator<Item = &'a BackEndRecord> {
-        let selector = selector_of(&service.spec.back_end_selector).ok();
+        let selector = compile_selector(&service.spec.back_end_selector).ok();
         self.back_ends.values().filter(move |back_end| {
             let selects = |selector: &kube_core::Selector| selector.matches(&back_end.labels);
             back_end.id.namespace == service.id.namespace && selector.as_ref().is_some_and(selects)
@@ -101,7 +101,7 @@
 
     /// Problems that show only once every object was added: services without
     /// any back end.
-    pub fn problems_of_the_whole(&self) -> Vec<Problem> {
+    pub fn cross_object_problems(&self) -> Vec<Problem> {
         let without = |service: &&ServiceRecord| self.selected(service).next().is_none();
         self.services()
             .filter(without)
--- a/crates/types/src/validation/problem.rs
+++ b/crates/types/src/validation/problem.rs
@@ -30,7 +30,7 @@
     }
 
     /// Refers to the object that carries `metadata`.
-    pub fn of(kind: &str, metadata: &ObjectMeta) -> Self {
+    pub fn from_metadata(kind: &str, metadata: &ObjectMeta) -> Self {
         let namespace = metadata.namespace.as_deref().unwrap_or_default();
         let name = metadata.name.as_deref().unwrap_or_default();
         ObjectReference::new(kind, namespace, name)
--- a/crates/types/src/validation/selector.rs
+++ b/crates/types/src/validation/selector.rs
@@ -14,7 +14,7 @@
 /// # Errors
 ///
 /// The selector cannot be evaluated; objects that were accepted never fail.
-pub fn selector_of(selector: &LabelSelector) -> Result<Selector, ProblemKind> {
+pub fn compile_selector(selector: &LabelSelector) -> Result<Selector, ProblemKind> {
     Selector::try_from(selector.clone())
         .map_err(|error| ProblemKind::InvalidSelector(error.to_string()))
 }
--- a/crates/types/src/validation/service.rs
+++ b/crates/types/src/validation/service.rs
@@ -25,7 +25,7 @@
 ///
 /// Every problem of the object, in the order of its fields.
 pub fn validate_service(object: &KeyedServiceObject) -> Result<ServiceRecord, Vec<Problem>> {
-    let reference = ObjectReference::of(KEYED_SERVICE_KIND, &object.metadata);
+    let reference = ObjectReference::from_metadata(KEYED_SERVICE_KIND, &object.metadata);
     let mut problems = ProblemList::new(reference);
     let metadata = check_metadata(&object.metadata, &mut problems);
     check_spec(&object.spec, &mut problems);
--- a/crates/types/tests/validation.rs
+++ b/crates/types/tests/validation.rs
@@ -3,8 +3,8 @@
 use serde_json::{Value, json};
 use threadledge_types::objects::{BackEndObject, KeyedServiceObject};
 use threadledge_types::validation::{
-    AddressClaims, HostClaims, ObjectSet, Problem, ProblemKind, is_for_region, objects_of_document,
-    parse_object, validate_back_end, validate_service,
+    AddressClaims, HostClaims, ObjectSet, Problem, ProblemKind, is_for_region, parse_object,
+    split_document, validate_back_end, validate_service,
 };
 use threadledge_types::{RegionName, ServiceId};
 
@@ -365,14 +365,14 @@
     let mut set = ObjectSet::new();
     set.add(&back_end()).expect("valid");
     set.add(&service()).expect("valid");
-    assert_eq!(set.problems_of_the_whole(), []);
+    assert_eq!(set.cross_object_problems(), []);
     let twice = set.add(&back_end()).expect_err("the same name");
     assert_eq!(summary(&twice), [("metadata.name", "Duplicate")]);
     let mut other = with(service(), "/metadata/name", json!("other"));
     other["spec"]["hosts"] = json!(["other.example.org"]);
     other["spec"]["backEndSelector"] = json!({ "matchLabels": { "app": "other" } });
     set.add(&other).expect("valid by itself");
-    let whole = set.problems_of_the_whole();
+    let whole = set.cross_object_problems();
     assert_eq!(
         summary(&whole),
         [("spec.backEndSelector", "NothingSelected")]
@@ -397,9 +397,9 @@
 
 #[test]
 fn document_holds_one_object_or_a_list() {
-    assert_eq!(objects_of_document(service()), [service()]);
+    assert_eq!(split_document(service()), [service()]);
     let list = json!({ "kind": "List", "items": [service(), back_end()] });
-    assert_eq!(objects_of_document(list), [service(), back_end()]);
+    assert_eq!(split_document(list), [service(), back_end()]);
 }
 
 #[test]
