--- a/crates/router/tests/gateway/crashing.rs
+++ b/crates/router/tests/gateway/crashing.rs
@@ -18,7 +18,7 @@
 
 use async_std::task::block_on;
 use threadledge_net::HttpClient;
-use threadledge_platform_stand_in::{Crashing, Fault, StandInBackEnd};
+use threadledge_platform_stand_in::{CrashTrigger, Fault, StandInBackEnd};
 
 use super::process::{Ask, Gateway, TIMEOUT, World, eventually};
 
@@ -37,7 +37,7 @@
     others: Vec<Gateway>,
     running: Vec<StandInBackEnd>,
     ended: Vec<StandInBackEnd>,
-    crashing: Crashing,
+    crashing: CrashTrigger,
     started: usize,
     tries: usize,
 }
@@ -59,7 +59,7 @@
             others: Vec::new(),
             running: Vec::new(),
             ended: Vec::new(),
-            crashing: Crashing {
+            crashing: CrashTrigger {
                 target: CRASHES.to_owned(),
                 cookie: cookie.map(str::to_owned),
             },
@@ -93,7 +93,7 @@
     fn replace_ended(&mut self) {
         let (ended, running): (Vec<_>, Vec<_>) = std::mem::take(&mut self.running)
             .into_iter()
-            .partition(StandInBackEnd::has_ended);
+            .partition(StandInBackEnd::has_crashed);
         self.running = running;
         for back_end in ended {
             self.world.store.remove("servers", &back_end.id);
@@ -103,8 +103,8 @@
             self.started += 1;
             let id = format!("crashing-{}", self.started);
             let back_end = block_on(StandInBackEnd::start(&id, false)).expect("a back end");
-            back_end.set_crashes_on(self.crashing.clone());
-            let entry = back_end.entry("plain", "ready");
+            back_end.set_crash_trigger(self.crashing.clone());
+            let entry = back_end.registration("plain", "ready");
             self.world.store.put("servers", &id, entry);
             self.running.push(back_end);
         }
@@ -304,7 +304,7 @@
     });
     // The back ends are mended.
     for back_end in &fleet.running {
-        back_end.set_crashes_on(Crashing {
+        back_end.set_crash_trigger(CrashTrigger {
             target: "/none".to_owned(),
             cookie: None,
         });
--- a/crates/router/tests/gateway/leaving.rs
+++ b/crates/router/tests/gateway/leaving.rs
@@ -81,7 +81,7 @@
 }
 
 fn at_work(world: &World) -> usize {
-    world.plain.iter().map(StandInBackEnd::at_work).sum()
+    world.plain.iter().map(StandInBackEnd::in_flight).sum()
 }
 
 /// Requests that ran whose id begins so.
@@ -152,7 +152,7 @@
     }
     let ran = runs_of_kind(&world, "left-");
     for back_end in &world.plain {
-        back_end.set_behaviour(Behaviour::Sound);
+        back_end.set_behaviour(Behaviour::Healthy);
     }
     for index in 0..20 {
         let id = format!("stays-{index}");
--- a/crates/router/tests/gateway/limited.rs
+++ b/crates/router/tests/gateway/limited.rs
@@ -42,7 +42,7 @@
         target: "/k/x",
         ..Ask::default()
     };
-    limited.set_limit(Some(&LIMIT.to_string()));
+    limited.set_rate_limit(Some(&LIMIT.to_string()));
     let named = Instant::now();
     let counted = CONTACT..CONTACT + WINDOW * 2;
     let Outcomes { served, others } = fleet.press(&ask, &keys, counted);
@@ -56,7 +56,7 @@
 fn back_ends_that_all_name_a_limit_get_more_from_all_gateways_together() {
     let fleet = Fleet::start();
     for back_end in &fleet.world.plain {
-        back_end.set_limit(Some(&LIMIT.to_string()));
+        back_end.set_rate_limit(Some(&LIMIT.to_string()));
     }
     let named = Instant::now();
     let counted = CONTACT..CONTACT + WINDOW * 2;
--- a/crates/router/tests/gateway/peers.rs
+++ b/crates/router/tests/gateway/peers.rs
@@ -10,7 +10,7 @@
 #[test]
 fn gateway_that_the_store_refuses_follows_by_its_peers() {
     let world = World::start();
-    let door = block_on(world.store.open_another()).expect("another address");
+    let door = block_on(world.store.open_endpoint()).expect("another address");
     let mut refused = Gateway::start_named("router-2", door.address());
     refused.await_ready();
     let shows = |gateway: &Gateway, version: u64| {
@@ -30,9 +30,11 @@
     world.store.put("config", "main", configuration(2));
     eventually(|| shows(&refused, 2));
     let leaving = &world.plain[0];
-    world
-        .store
-        .put("servers", &leaving.id, leaving.entry("plain", "draining"));
+    world.store.put(
+        "servers",
+        &leaving.id,
+        leaving.registration("plain", "draining"),
+    );
     world.store.remove("servers", &world.plain[1].id);
     eventually(|| {
         let line = "threadledge_gateway_back_ends 3\n";
--- a/crates/router/tests/gateway/pipelined.rs
+++ b/crates/router/tests/gateway/pipelined.rs
@@ -74,7 +74,7 @@
 }
 
 fn at_work(world: &World) -> usize {
-    world.plain.iter().map(StandInBackEnd::at_work).sum()
+    world.plain.iter().map(StandInBackEnd::in_flight).sum()
 }
 
 #[test]
@@ -121,7 +121,7 @@
     caller.send(&[safe("first")]);
     // With the second attempt beside the first, which also stays silent.
     eventually(|| (world.runs_of("first") == 2).then_some(()));
-    set_all(&world, Behaviour::Sound);
+    set_all(&world, Behaviour::Healthy);
     let behind = ids("behind");
     let requests: Vec<String> = behind.iter().map(|id| safe(id)).collect();
     caller.send(&requests);
--- a/crates/router/tests/gateway/process.rs
+++ b/crates/router/tests/gateway/process.rs
@@ -70,10 +70,18 @@
         let keyed = vec![start("k-1", true), start("k-2", true)];
         let plain = vec![start("p-1", false), start("p-2", false)];
         for back_end in &keyed {
-            store.put("servers", &back_end.id, back_end.entry("keyed", "ready"));
+            store.put(
+                "servers",
+                &back_end.id,
+                back_end.registration("keyed", "ready"),
+            );
         }
         for back_end in &plain {
-            store.put("servers", &back_end.id, back_end.entry("plain", "ready"));
+            store.put(
+                "servers",
+                &back_end.id,
+                back_end.registration("plain", "ready"),
+            );
         }
         let gateway = Gateway::start(store.address());
         World {
--- a/crates/router/tests/gateway/regions.rs
+++ b/crates/router/tests/gateway/regions.rs
@@ -79,7 +79,7 @@
     let mut first = start("zone-a", "router-2", store.address());
     first.await_ready();
     eventually(|| store.get("threadledge-relays", "region.home"));
-    let door = block_on(store.open_another()).expect("another address");
+    let door = block_on(store.open_endpoint()).expect("another address");
     let mut second = start("zone-b", "router-3", door.address());
     second.await_ready();
     eventually(|| follows(&second));
@@ -102,7 +102,7 @@
     let world = World::start_without_configuration();
     drop(world.gateway);
     let outside = &world.keyed[1];
-    let entry = outside.entry_at(outside.address(), "zone-c", "keyed", "ready");
+    let entry = outside.registration_at(outside.address(), "zone-c", "keyed", "ready");
     world.store.put("servers", &outside.id, entry);
     let mut wanted = configuration(1);
     wanted["Routes"]["keyed"]["AllowedRegions"] = json!(["home"]);
--- a/crates/router/tests/gateway/relay.rs
+++ b/crates/router/tests/gateway/relay.rs
@@ -21,7 +21,7 @@
 #[test]
 fn followers_learn_from_the_relay_and_do_not_watch_the_store() {
     let world = World::start();
-    let door = block_on(world.store.open_another()).expect("another address");
+    let door = block_on(world.store.open_endpoint()).expect("another address");
     let mut follower = Gateway::start_named("router-2", door.address());
     follower.await_ready();
     eventually(|| follows(&follower));
@@ -31,7 +31,7 @@
         eventually(|| shows(&follower, &version(number)));
     }
     let leaving = &world.plain[0];
-    let entry = leaving.entry("plain", "draining");
+    let entry = leaving.registration("plain", "draining");
     world.store.put("servers", &leaving.id, entry);
     world.store.remove("servers", &world.plain[1].id);
     let count = "threadledge_gateway_back_ends 3\n";
@@ -61,7 +61,7 @@
 #[test]
 fn relay_that_the_store_refuses_is_replaced() {
     let world = World::start();
-    let door = block_on(world.store.open_another()).expect("another address");
+    let door = block_on(world.store.open_endpoint()).expect("another address");
     let mut second = Gateway::start_named("router-2", door.address());
     second.await_ready();
     eventually(|| follows(&second));
--- a/crates/router/tests/gateway/requests.rs
+++ b/crates/router/tests/gateway/requests.rs
@@ -114,7 +114,7 @@
 #[test]
 fn answer_of_another_request_or_without_the_mark_reaches_nobody() {
     let world = World::start();
-    for behaviour in [Behaviour::Confused, Behaviour::Unmarked] {
+    for behaviour in [Behaviour::WrongRequestId, Behaviour::NoStamp] {
         for back_end in &world.plain {
             back_end.set_behaviour(behaviour);
         }
@@ -161,9 +161,11 @@
 fn draining_and_vanished_back_ends_get_nothing_new() {
     let world = World::start();
     let leaving = &world.plain[0];
-    world
-        .store
-        .put("servers", &leaving.id, leaving.entry("plain", "draining"));
+    world.store.put(
+        "servers",
+        &leaving.id,
+        leaving.registration("plain", "draining"),
+    );
     eventually(|| {
         let ask = Ask::default();
         let answer = ask.send(&world.gateway);
@@ -248,9 +250,11 @@
     let shows = |version: &str| world.gateway.metrics().contains(version).then_some(());
     eventually(|| shows("configuration_version 9"));
     world.store.put("config", "main", configuration(4));
-    world
-        .store
-        .put("servers", "p-9", world.plain[0].entry("plain", "draining"));
+    world.store.put(
+        "servers",
+        "p-9",
+        world.plain[0].registration("plain", "draining"),
+    );
     eventually(|| shows("threadledge_gateway_back_ends 5"));
     assert!(shows("configuration_version 9").is_some());
 }
--- a/crates/router/tests/gateway/rest.rs
+++ b/crates/router/tests/gateway/rest.rs
@@ -20,7 +20,7 @@
 
 fn ask_for_rest(back_ends: &[&StandInBackEnd]) {
     for back_end in back_ends {
-        back_end.set_rest(Some("3"));
+        back_end.set_retry_after(Some("3"));
     }
 }
 
@@ -85,7 +85,7 @@
         .map(|name| block_on(StandInBackEnd::start(name, true)).expect("one"))
         .into();
     for back_end in &more {
-        let entry = back_end.entry("keyed", "ready");
+        let entry = back_end.registration("keyed", "ready");
         fleet.world.store.put("servers", &back_end.id, entry);
     }
     let held = || more.iter().all(|back_end| back_end.grants() > 0);
--- a/crates/router/tests/gateway/silence.rs
+++ b/crates/router/tests/gateway/silence.rs
@@ -49,7 +49,7 @@
         for back_end in &back_ends {
             let service = if back_end.keyed { "keyed" } else { "plain" };
             let way = SwallowingProxy::start(back_end.address());
-            let entry = back_end.entry_at(way.address(), "zone-a", service, "ready");
+            let entry = back_end.registration_at(way.address(), "zone-a", service, "ready");
             store.put("servers", &back_end.id, entry);
             ways.push(way);
         }
--- a/crates/router/tests/gateway/tenants.rs
+++ b/crates/router/tests/gateway/tenants.rs
@@ -152,7 +152,7 @@
 fn gateway_that_the_store_turns_away_hears_from_others_of_a_key_taken_away() {
     for zone in ["zone-a", "zone-b"] {
         let world = start();
-        let door = block_on(world.store.open_another()).expect("another address");
+        let door = block_on(world.store.open_endpoint()).expect("another address");
         let mut away = Gateway::start_in(zone, "router-2", door.address());
         away.await_ready();
         eventually(|| (status(&away, ALPHA) == 200).then_some(()));
@@ -166,7 +166,7 @@
 #[test]
 fn gateway_that_restarts_takes_no_key_before_it_knows_a_configuration() {
     let world = start();
-    let door = block_on(world.store.open_another()).expect("another address");
+    let door = block_on(world.store.open_endpoint()).expect("another address");
     door.set_fault(Fault::Silent);
     let away = Gateway::start_in("zone-c", "router-3", door.address());
     eventually(|| away.readiness());
@@ -194,7 +194,7 @@
         ),
     ] {
         let world = start();
-        let door = block_on(world.store.open_another()).expect("another address");
+        let door = block_on(world.store.open_endpoint()).expect("another address");
         let mut alone = Gateway::start_with("zone-b", "router-2", door.address(), more);
         alone.await_ready();
         eventually(|| (status(&alone, ALPHA) == 200).then_some(()));
@@ -274,7 +274,7 @@
 #[test]
 fn no_key_stands_in_anything_that_a_gateway_writes_or_tells() {
     let world = start();
-    let door = block_on(world.store.open_another()).expect("another address");
+    let door = block_on(world.store.open_endpoint()).expect("another address");
     let everything = [("log.level", "trace")];
     let mut second = Gateway::start_with("zone-a", "router-2", door.address(), &everything);
     second.await_ready();
--- a/crates/router/tests/gateway/uploads.rs
+++ b/crates/router/tests/gateway/uploads.rs
@@ -184,7 +184,7 @@
         .collect();
     eventually(|| (metric(&world.gateway, "running") == SLOTS - 1).then_some(()));
     let hasty = Hasty::start();
-    let entry = world.plain[0].entry_at(hasty.address, "zone-a", "plain", "ready");
+    let entry = world.plain[0].registration_at(hasty.address, "zone-a", "plain", "ready");
     world.store.put("servers", "hasty", entry);
     let all = world.keyed.len() + world.plain.len() + 1;
     eventually(|| (metric(&world.gateway, "back_ends") == all).then_some(()));
--- a/crates/router/tests/gateway/zones.rs
+++ b/crates/router/tests/gateway/zones.rs
@@ -205,7 +205,7 @@
     let (near, far) = (&world.plain[0], &world.plain[1]);
     let (keeps, leaves) = (&world.keyed[0], &world.keyed[1]);
     for (service, each) in [("plain", far), ("keyed", leaves)] {
-        let mut entry = each.entry(service, "ready");
+        let mut entry = each.registration(service, "ready");
         entry["Zone"] = json!("zone-b");
         world.store.put("servers", &each.id, entry);
     }
--- a/crates/soak/src/backpressure.rs
+++ b/crates/soak/src/backpressure.rs
@@ -46,9 +46,11 @@
     /// It begins to say so.
     pub fn begin(back_end: StandInBackEnd, said: Backpressure) -> Self {
         match said {
-            Backpressure::Limit(rate) => back_end.set_limit(Some(&rate.to_string())),
+            Backpressure::Limit(rate) => back_end.set_rate_limit(Some(&rate.to_string())),
             Backpressure::Leaving => back_end.set_leaving(true),
-            Backpressure::Rest(rest) => back_end.set_rest(Some(&rest.as_secs_f64().to_string())),
+            Backpressure::Rest(rest) => {
+                back_end.set_retry_after(Some(&rest.as_secs_f64().to_string()))
+            }
         }
         Episode {
             back_end,
@@ -61,15 +63,15 @@
     /// Whether a back end says something of this kind now.
     pub fn says(&self, back_end: &StandInBackEnd, said: Backpressure) -> bool {
         let same_kind = std::mem::discriminant(&self.said) == std::mem::discriminant(&said);
-        same_kind && self.until.is_none() && self.back_end.life() == back_end.life()
+        same_kind && self.until.is_none() && self.back_end.incarnation() == back_end.incarnation()
     }
 
     /// It says so no more. One that leaves does until its end.
     pub fn end(&mut self) {
         match self.said {
-            Backpressure::Limit(_) => self.back_end.set_limit(None),
+            Backpressure::Limit(_) => self.back_end.set_rate_limit(None),
             Backpressure::Leaving => {}
-            Backpressure::Rest(_) => self.back_end.set_rest(None),
+            Backpressure::Rest(_) => self.back_end.set_retry_after(None),
         }
         self.until.get_or_insert_with(Instant::now);
     }
@@ -115,7 +117,7 @@
         };
         let found = found.filter(|((requests, _), allowed)| requests > allowed);
         let violation = found.map(|((requests, at), allowed)| Violation::Unwanted {
-            back_end: self.back_end.life(),
+            back_end: self.back_end.incarnation(),
             said: format!("{:?}", self.said),
             requests,
             allowed,
--- a/crates/soak/src/crashing.rs
+++ b/crates/soak/src/crashing.rs
@@ -7,7 +7,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use threadledge_net::{StopSignal, timer};
-use threadledge_platform_stand_in::Crashing;
+use threadledge_platform_stand_in::CrashTrigger;
 
 use crate::caller::{self, Kind};
 use crate::check::Violation;
@@ -31,9 +31,9 @@
 pub const KINDS: [Kind; 2] = [Kind::Keyed, Kind::Safe];
 
 /// The requests that end a back end of a service.
-pub fn crashing(keyed: bool) -> Crashing {
+pub fn crashing(keyed: bool) -> CrashTrigger {
     let kind = if keyed { Kind::Keyed } else { Kind::Safe };
-    Crashing {
+    CrashTrigger {
         target: target(kind),
         cookie: None,
     }
--- a/crates/soak/src/ownership.rs
+++ b/crates/soak/src/ownership.rs
@@ -96,7 +96,7 @@
         KeyChange::Granted { first, last, .. } | KeyChange::Released { first, last } => {
             Some((first, last))
         }
-        KeyChange::Ended => None,
+        KeyChange::Crashed => None,
     }
 }
 
@@ -129,7 +129,7 @@
         let KeyChange::Granted { fence, hold, .. } = change.what else {
             if let Some(running) = self.running(change) {
                 running.until = change.at;
-                if change.what == KeyChange::Ended {
+                if change.what == KeyChange::Crashed {
                     running.lease = change.at;
                 }
             }
--- a/crates/soak/src/run/inject.rs
+++ b/crates/soak/src/run/inject.rs
@@ -47,7 +47,7 @@
             Kind::Reload(gw) => self.world.gateways[gw].signal(Signal::HUP)?,
             Kind::StoreSilent => self.world.store.set_fault(StoreFault::Silent),
             Kind::StoreBusy => self.world.store.set_fault(StoreFault::Busy),
-            Kind::StoreLosesAnswers => self.world.store.set_fault(StoreFault::LosesAnswers),
+            Kind::StoreLosesAnswers => self.world.store.set_fault(StoreFault::LosesResponses),
             Kind::StoreForgets => self.world.store.compact(),
             Kind::StoreCut(gw) => self.world.doors[gw].set(Mode::Cut),
             Kind::StoreDeaf(gw) => self.world.doors[gw].set(Mode::Deaf),
@@ -96,7 +96,7 @@
             }
             Kind::LateGrants { back_end, lateness } => {
                 let inner = &self.world.back_ends[back_end].inner;
-                inner.set_lateness(Some(lateness));
+                inner.set_grant_delay(Some(lateness));
             }
         }
         if kind.cuts_off() {
@@ -211,7 +211,7 @@
             Kind::Cold(be) => self.world.turn_cold(be, Duration::ZERO),
             Kind::NamesLimit { .. } | Kind::AsksRest { .. } => self.unsay(began),
             Kind::LateGrants { back_end, .. } => {
-                self.world.back_ends[back_end].inner.set_lateness(None);
+                self.world.back_ends[back_end].inner.set_grant_delay(None);
             }
             _ => {}
         }
--- a/crates/soak/src/run/look.rs
+++ b/crates/soak/src/run/look.rs
@@ -59,10 +59,10 @@
     fn look_at_crashes(&mut self) {
         for index in 0..self.world.back_ends.len() {
             let inner = &self.world.back_ends[index].inner;
-            if !inner.has_ended() || self.away.contains(&inner.life()) {
+            if !inner.has_crashed() || self.away.contains(&inner.incarnation()) {
                 continue;
             }
-            let crashed = inner.life();
+            let crashed = inner.incarnation();
             self.away.insert(crashed.clone());
             let back = Instant::now() + crashing::AWAY;
             let come_back = Step::ComeBack {
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -125,10 +125,10 @@
         self.started += 1;
         let id = id.unwrap_or_else(|| format!("{service}-{}", self.started));
         let started = self.lives.then_some(self.started as u64);
-        let inner = StandInBackEnd::start_life(&id, started, service == "keyed").await?;
-        inner.set_work(WORK);
+        let inner = StandInBackEnd::start_incarnation(&id, started, service == "keyed").await?;
+        inner.set_max_work(WORK);
         if self.crashing {
-            inner.set_crashes_on(crashing::crashing(inner.keyed));
+            inner.set_crash_trigger(crashing::crashing(inner.keyed));
         }
         Ok(inner)
     }
@@ -153,7 +153,11 @@
 
     /// The registration of a process that is gone is written, again or late.
     pub fn register_late(&self, life: &str) {
-        let Some(left) = self.left.iter().find(|left| left.inner.life() == life) else {
+        let Some(left) = self
+            .left
+            .iter()
+            .find(|left| left.inner.incarnation() == life)
+        else {
             return;
         };
         self.register(left, "ready");
@@ -167,11 +171,11 @@
     /// A registration that nobody renews goes.
     pub fn lapse(&self, life: &str) {
         let all = self.back_ends.iter().chain(&self.left);
-        let Some(gone) = all.clone().find(|each| each.inner.life() == life) else {
+        let Some(gone) = all.clone().find(|each| each.inner.incarnation() == life) else {
             return;
         };
         let id = gone.inner.id.as_str();
-        let renewed = |each: &BackEnd| each.inner.id == id && !each.inner.has_ended();
+        let renewed = |each: &BackEnd| each.inner.id == id && !each.inner.has_crashed();
         let another = self.lives && all.clone().any(renewed);
         if !another && self.store.get("servers", id).is_some() {
             self.store.remove("servers", id);
@@ -181,11 +185,11 @@
     /// A back end crashes. Which of its lives, unless it had ended before.
     pub fn crash(&self, index: usize) -> Option<String> {
         let inner = &self.back_ends[index].inner;
-        if inner.has_ended() {
+        if inner.has_crashed() {
             return None;
         }
         inner.crash();
-        Some(inner.life())
+        Some(inner.incarnation())
     }
 
     /// Another process serves at the address of the one that crashed, unless
@@ -196,7 +200,7 @@
     /// A port cannot be listened on.
     pub async fn come_back(&mut self, index: usize, crashed: &str) -> eyre::Result<()> {
         let before = &self.back_ends[index];
-        if before.inner.life() != crashed {
+        if before.inner.incarnation() != crashed {
             return Ok(());
         }
         let (proxy, zone, service) = (before.proxy.clone(), before.zone.clone(), before.service);
@@ -218,8 +222,8 @@
     /// A back end that runs says how long it stays slow.
     pub fn turn_cold(&self, index: usize, remaining: Duration) {
         let back_end = &self.back_ends[index];
-        if !back_end.inner.has_ended() {
-            let entry = StandInBackEnd::cold(back_end.entry("ready"), remaining);
+        if !back_end.inner.has_crashed() {
+            let entry = StandInBackEnd::with_cold_remaining(back_end.entry("ready"), remaining);
             self.store.put("servers", &back_end.inner.id, entry);
         }
     }
@@ -229,7 +233,7 @@
         for back_end in self.back_ends.iter().chain(&self.left) {
             back_end.proxy.set(Mode::Sound);
             back_end.proxy.heal(Duration::ZERO);
-            back_end.inner.set_lateness(None);
+            back_end.inner.set_grant_delay(None);
         }
     }
 
@@ -237,7 +241,7 @@
     pub fn judge_ownership(&self, start: Instant, tolerance: Duration) -> Vec<Violation> {
         let inners = self.back_ends.iter().chain(&self.left);
         let inners: Vec<(String, &StandInBackEnd)> = inners
-            .map(|back_end| (back_end.inner.life(), &back_end.inner))
+            .map(|back_end| (back_end.inner.incarnation(), &back_end.inner))
             .collect();
         let mut changes = Vec::new();
         let mut begun = Vec::new();
@@ -277,7 +281,7 @@
         let service = self.back_ends[index].service;
         let next = self.start_back_end(service).await?;
         let leaving = std::mem::replace(&mut self.back_ends[index], next);
-        if !leaving.inner.has_ended() {
+        if !leaving.inner.has_crashed() {
             self.register(&leaving, "draining");
         }
         self.left.push(leaving);
@@ -287,7 +291,7 @@
     /// Back ends that have been leaving for a while are gone.
     pub fn forget_left(&self) {
         for left in &self.left {
-            self.lapse(&left.inner.life());
+            self.lapse(&left.inner.incarnation());
         }
     }
 
@@ -342,7 +346,12 @@
         let all = self.back_ends.iter().chain(&self.left);
         let keyed = all.filter(|back_end| back_end.inner.keyed);
         keyed
-            .map(|back_end| (back_end.inner.life(), back_end.inner.held(&looked_at())))
+            .map(|back_end| {
+                (
+                    back_end.inner.incarnation(),
+                    back_end.inner.held(&looked_at()),
+                )
+            })
             .collect()
     }
 }
@@ -350,7 +359,7 @@
 impl BackEnd {
     fn entry(&self, state: &str) -> Value {
         self.inner
-            .entry_at(self.proxy.address(), &self.zone, self.service, state)
+            .registration_at(self.proxy.address(), &self.zone, self.service, state)
     }
 }
 
--- a/crates/soak/tests/back_end.rs
+++ b/crates/soak/tests/back_end.rs
@@ -20,10 +20,10 @@
 
 /// Sends a grant of all keys and hangs up at once, as one that gave it up.
 fn give_up_grant(back_end: &StandInBackEnd, fence: u64) {
-    let body = StandInBackEnd::order(0, u16::MAX, fence, Duration::from_secs(60));
+    let body = StandInBackEnd::grant_body(0, u16::MAX, fence, Duration::from_secs(60));
     let text = format!(
         "POST {} HTTP/1.1\r\nhost: b\r\ncontent-type: application/json\r\ncontent-length: {}\r\n\r\n{body}",
-        StandInBackEnd::GRANTS,
+        StandInBackEnd::GRANT_PATH,
         body.len(),
     );
     let mut stream = TcpStream::connect(back_end.address()).expect("a connection");
@@ -47,7 +47,7 @@
 #[test]
 fn late_grant_is_carried_out_though_nobody_waits() {
     let back_end = start();
-    back_end.set_lateness(Some(Duration::from_millis(50)));
+    back_end.set_grant_delay(Some(Duration::from_millis(50)));
     give_up_grant(&back_end, 3);
     eventually(|| back_end.holds(7));
     let events = back_end.key_events();
@@ -60,11 +60,15 @@
 #[test]
 fn crashed_back_end_takes_no_more_grants() {
     let back_end = start();
-    back_end.set_lateness(Some(Duration::from_millis(50)));
+    back_end.set_grant_delay(Some(Duration::from_millis(50)));
     give_up_grant(&back_end, 3);
     back_end.crash();
     task::block_on(task::sleep(Duration::from_millis(200)));
     assert!(!back_end.holds(7));
     let events = back_end.key_events();
-    assert!(events.iter().all(|event| event.change == KeyChange::Ended));
+    assert!(
+        events
+            .iter()
+            .all(|event| event.change == KeyChange::Crashed)
+    );
 }
--- a/crates/soak/tests/ownership.rs
+++ b/crates/soak/tests/ownership.rs
@@ -78,7 +78,7 @@
         release("a", 2_000, (500, 999)),
         grant("b", 2_001, (500, 999), 3),
         grant("c", 3_600, (1_500, 1_999), 4),
-        change("c", 3_700, KeyChange::Ended),
+        change("c", 3_700, KeyChange::Crashed),
         grant("d", 3_701, (1_500, 1_999), 5),
         // What a crashed one is told later ends nothing of others.
         release("c", 3_800, (0, 1_999)),
@@ -155,7 +155,7 @@
     assert_eq!(found(&given_on(2_000), &never_ends), []);
     let crashed = [
         grant("a", 0, (0, 99), 1),
-        change("a", 500, KeyChange::Ended),
+        change("a", 500, KeyChange::Crashed),
         grant("b", 600, (0, 99), 2),
     ];
     assert_eq!(found(&crashed, &never_ends), []);
@@ -166,7 +166,7 @@
 fn next_life_under_the_same_fence_is_found() {
     let changes = [
         grant("a-1", 0, (0, 99), 3),
-        change("a-1", 500, KeyChange::Ended),
+        change("a-1", 500, KeyChange::Crashed),
         grant("a-2", 1_000, (0, 99), 3),
     ];
     assert_eq!(found(&changes, &[]), [("low fence", (0, 99))]);
