--- a/crates/types/src/acceptance.rs
+++ b/crates/types/src/acceptance.rs
@@ -1,4 +1,4 @@
-//! The `Accepted` condition of configuration objects.
+//! Builds the `Accepted` condition in the status of configuration objects.
 
 use k8s_openapi::apimachinery::pkg::apis::meta::v1::{Condition, Time};
 
@@ -6,19 +6,21 @@
 use crate::objects::{ACCEPTED_CONDITION, AcceptanceStatus};
 use crate::validation::Problem;
 
-/// Reason of an `Accepted` condition that is true.
+/// Reason of an `Accepted` condition whose status is true.
 pub const ACCEPTED_REASON: &str = "Accepted";
-/// Longest message of a condition, by the rules of the object API.
+/// Longest message of a condition, in bytes, that the Kubernetes API
+/// conventions allow.
 pub const MAX_MESSAGE_LENGTH: usize = 32_768;
 
 const TRUE: &str = "True";
 const FALSE: &str = "False";
 
-/// Builds the `Accepted` condition: true without problems, false with them.
+/// Builds the `Accepted` condition: true if `problems` is empty, false
+/// otherwise.
 ///
-/// `observed_generation` is the `metadata.generation` that was judged, and
-/// `now` the wall time. The transition time of `previous` stays while the
-/// condition's status stays.
+/// `observed_generation` is the `metadata.generation` that was validated, and
+/// `now` the wall-clock time. The transition time of `previous` is kept if the
+/// condition's status did not change.
 pub fn accepted_condition(
     observed_generation: i64,
     problems: &[Problem],
@@ -41,9 +43,11 @@
     }
 }
 
-/// Status of an object after it was judged: `revision` is the revision at
-/// which it is in force. A refused object keeps the revision of its last
-/// accepted form, which stays in force.
+/// Returns the status of an object after validation.
+///
+/// `revision` is the revision at which the object took effect. Pass `None` for
+/// a rejected object: it keeps the revision of its last accepted version, which
+/// stays in effect.
 pub fn acceptance_status(
     previous: Option<&AcceptanceStatus>,
     condition: Condition,
@@ -59,7 +63,7 @@
     status
 }
 
-/// The `Accepted` condition within a status.
+/// Returns the `Accepted` condition of a status.
 pub fn find_accepted(status: &AcceptanceStatus) -> Option<&Condition> {
     let is_accepted = |condition: &&Condition| condition.type_ == ACCEPTED_CONDITION;
     status.conditions.iter().find(is_accepted)
@@ -82,7 +86,8 @@
     message
 }
 
-/// The object stands above its own condition, so it isn't named again.
+/// Formats one problem without the object's name, since the condition is part
+/// of that object.
 fn describe(problem: &Problem) -> String {
     let remedy = problem.kind.remedy();
     format!("{}: {}; {remedy}", problem.field, problem.kind)
--- a/crates/types/src/deployment/back_end.rs
+++ b/crates/types/src/deployment/back_end.rs
@@ -1,4 +1,4 @@
-//! Back ends as their own registrations describe them.
+//! Back ends, as described by their own registrations.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,51 +10,55 @@
 use super::name::ServiceName;
 use crate::ids::ZoneName;
 
-/// One life of one back end process: the id under which it registers and, where
-/// a process may start again under the id that it had, the time of its start.
-/// Two lives never have one name.
+/// Unique name of a back end process.
+///
+/// It consists of the id under which the process registers and, if processes
+/// may restart under the same id, the start time. Two processes never have the
+/// same name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "String", into = "String")]
 pub struct BackEndName(Arc<str>);
 
-/// Stands between the id and the time of the start. No id holds one: ids are
-/// parts of paths.
-const LIFE_MARK: char = '/';
+/// Separates the id from the start time. Ids are path segments, so they cannot
+/// contain it.
+const START_TIME_SEPARATOR: char = '/';
 
 impl BackEndName {
-    /// The life of the back end `id` that began at `started`, in milliseconds of
-    /// the back end's time of day. `None`: each of its lives has an id of its
-    /// own.
+    /// Builds the name of the process of back end `id` that started at
+    /// `started`, in milliseconds by the back end's wall clock. Pass `None` if
+    /// each process has its own id.
     pub fn new(id: &str, started: Option<u64>) -> Self {
         match started {
-            Some(started) => format!("{id}{LIFE_MARK}{started}").into(),
+            Some(started) => format!("{id}{START_TIME_SEPARATOR}{started}").into(),
             None => id.into(),
         }
     }
 
-    /// The name as text.
+    /// Returns the name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// The id under which this life registers, and those before and after it.
+    /// Returns the id under which the process registers, which its restarts
+    /// share.
     pub fn id(&self) -> &str {
         self.parts().0
     }
 
-    /// When this life began, in milliseconds of the back end's time of day, if
-    /// it says so.
+    /// Returns the start time of the process in milliseconds by the back end's
+    /// wall clock, if the name contains it.
     pub fn started_ms(&self) -> Option<u64> {
         self.parts().1?.parse().ok()
     }
 
-    /// Whether this is a life of the same back end that began after `other`.
+    /// Returns true if this process has the same id as `other` and started
+    /// later.
     pub fn is_restart_of(&self, other: &BackEndName) -> bool {
         self.id() == other.id() && self.started_ms() > other.started_ms()
     }
 
     fn parts(&self) -> (&str, Option<&str>) {
-        match self.0.split_once(LIFE_MARK) {
+        match self.0.split_once(START_TIME_SEPARATOR) {
             Some((id, started)) => (id, Some(started)),
             None => (&self.0, None),
         }
@@ -88,20 +92,21 @@
 /// One registered back end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackEnd {
-    /// This life of it.
+    /// Unique name of the process.
     pub name: BackEndName,
-    /// The service that it serves.
+    /// Service that it serves.
     pub service: ServiceName,
-    /// Where it takes requests.
+    /// Address that takes requests.
     pub address: SocketAddr,
-    /// Zone of its machine.
+    /// Zone of the machine.
     pub zone: ZoneName,
-    /// Requests that it works on at once, at least 1.
+    /// Number of requests that it runs concurrently, at least 1.
     pub slots: u32,
-    /// It is leaving and takes no new requests.
+    /// True if it is shutting down and takes no new requests.
     pub draining: bool,
-    /// How much longer it stays cold, from when this is told.
+    /// Remaining time of its cold start, counted from the moment of this
+    /// report.
     pub cold_for: Duration,
-    /// Number of its registration; a later one is larger.
+    /// Number of its registration; later registrations have larger numbers.
     pub registration: u64,
 }
--- a/crates/types/src/deployment/configuration.rs
+++ b/crates/types/src/deployment/configuration.rs
@@ -1,4 +1,4 @@
-//! One version of what operators want.
+//! The operators' configuration of gateways.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -11,7 +11,7 @@
 use super::tenant::Tenant;
 use crate::ids::RegionName;
 
-/// Number of a configuration; a later one is larger.
+/// Version number of a configuration; later versions have larger numbers.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -24,48 +24,49 @@
     }
 }
 
-/// One whole version of the configuration.
+/// A complete version of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Its number.
+    /// Version number.
     pub version: ConfigurationVersion,
-    /// Every route, in no order.
+    /// All routes, in no particular order.
     #[serde(with = "shared_routes")]
     pub routes: Vec<Arc<Route>>,
-    /// Every service.
+    /// All services by name.
     pub services: BTreeMap<ServiceName, Service>,
-    /// Bounds on callers.
+    /// Limits on requests and connections of callers.
     pub limits: CallerLimits,
-    /// Every tenant; where there is none, callers need no key.
+    /// All tenants by name. If there are none, callers need no API key.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub tenants: BTreeMap<TenantName, Tenant>,
 }
 
-/// Where requests of one host and path go, and how.
+/// Destinations and settings for the requests of one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: RouteName,
-    /// Host, in lower case and without a port.
+    /// Host name, in lower case and without port.
     pub host: String,
-    /// Start of the paths, beginning and ending with a slash.
+    /// Path prefix, which begins and ends with a slash.
     pub path_prefix: String,
-    /// A request may run more than once.
+    /// True if a request may run more than once (is idempotent).
     pub repeatable: bool,
-    /// Longest time that a request is held.
+    /// Longest time that the gateway holds a request.
     pub timeout: Duration,
-    /// Time within which an answer is worth most.
+    /// Latency that answers should stay within.
     pub target_latency: Duration,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is served first.
     pub priority: u32,
-    /// Back ends to which one request may be sent, at least 1.
+    /// Number of back ends that one request may be sent to, at least 1.
     pub max_attempts: u32,
-    /// Services that share the requests, at least one with a weight.
+    /// Services that share the requests by weight; at least one weight is above
+    /// 0.
     pub destinations: Vec<Destination>,
-    /// Callers need no key, also where there are tenants.
+    /// True if callers need no API key even though there are tenants.
     #[serde(default, skip_serializing_if = "is_false")]
     pub public: bool,
-    /// The only regions in which its requests may be served; `None`: all.
+    /// Regions in which its requests may be served; `None` allows all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub allowed_regions: Option<BTreeSet<RegionName>>,
 }
@@ -74,48 +75,49 @@
     !value
 }
 
-/// One service's part of a route.
+/// A service that serves requests of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Destination {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its share relative to the others'.
+    /// Weight relative to the other destinations.
     pub weight: u32,
 }
 
-/// One service.
+/// Settings of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Path on which back ends tell their health.
+    /// Path of the health check on back ends.
     pub health_path: String,
-    /// Connections that one back end takes from all callers together.
+    /// Number of connections that one back end accepts from all callers
+    /// together.
     pub max_connections: u32,
-    /// Each key has one owner among the back ends.
+    /// True if each key is owned by one back end.
     pub keyed: bool,
-    /// How long a back end is cold after its start: slow, and easily
+    /// Duration of the cold start, in which a new back end is slow and easily
     /// overloaded.
     #[serde(default)]
     pub cold_start: Duration,
-    /// Requests that a cold back end bears, per second; `None`: as many as a
-    /// warm one.
+    /// Requests per second that a back end can handle during its cold start;
+    /// `None` if as many as afterwards.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cold_rate: Option<f64>,
 }
 
-/// Bounds on what callers may send and how long they may take.
+/// Size and time limits for requests of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Largest head, in bytes.
+    /// Largest request head, in bytes.
     pub max_header_bytes: u64,
-    /// Largest body, in bytes.
+    /// Largest request body, in bytes.
     pub max_body_bytes: u64,
-    /// Longest time for a head.
+    /// Longest time to receive a request head.
     pub header_timeout: Duration,
-    /// Longest rest of a connection.
+    /// Longest time that a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
-/// Routes are shared in memory and written one by one.
+/// Serializes shared routes as a plain list of routes.
 mod shared_routes {
     use std::sync::Arc;
 
--- a/crates/types/src/deployment/key.rs
+++ b/crates/types/src/deployment/key.rs
@@ -1,11 +1,11 @@
-//! Keys of services that are divided by key.
+//! Keys of keyed services, in which each key is owned by one back end.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A key, as requests carry it: the key space of a service is small and
-/// ordered, so that ranges of it can be owned.
+/// A key, as given in a request. The key space of a service is small and
+/// ordered, so that back ends can own ranges of keys.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -22,13 +22,14 @@
 }
 
 impl KeyRange {
-    /// Every key.
+    /// The range of all keys.
     pub const ALL: KeyRange = KeyRange {
         first: ShardKey(0),
         last: ShardKey(u16::MAX),
     };
 
-    /// The range from `first` to `last`, if it is not upside down.
+    /// Returns the range from `first` to `last`, or `None` if `first` is above
+    /// `last`.
     pub fn new(first: u16, last: u16) -> Option<Self> {
         (first <= last).then_some(KeyRange {
             first: ShardKey(first),
@@ -36,22 +37,23 @@
         })
     }
 
-    /// Number of keys, at least 1.
+    /// Returns the number of keys, at least 1.
     pub fn len(&self) -> u32 {
         u32::from(self.last.0) - u32::from(self.first.0) + 1
     }
 
-    /// Never: a range holds at least one key.
+    /// Returns false: a range holds at least one key.
     pub const fn is_empty(&self) -> bool {
         false
     }
 
-    /// Whether `key` lies in the range.
+    /// Returns true if `key` lies in the range.
     pub fn contains(&self, key: ShardKey) -> bool {
         self.first <= key && key <= self.last
     }
 
-    /// Cuts the range after `keys` keys; `None` when one side would be empty.
+    /// Splits the range after its first `keys` keys. Returns `None` if one side
+    /// would be empty.
     pub fn split_after(&self, keys: u32) -> Option<(KeyRange, KeyRange)> {
         if keys == 0 || keys >= self.len() {
             return None;
--- a/crates/types/src/deployment/mod.rs
+++ b/crates/types/src/deployment/mod.rs
@@ -1,8 +1,8 @@
-//! What operators and back ends tell a gateway: routes, services, tenants,
-//! limits and back ends, in the product's own terms.
+//! Routes, services, tenants, limits and back ends of a gateway deployment.
 //!
-//! Adapters translate the form in which a platform keeps these into the types
-//! here; everything else of the product sees these types only.
+//! These types are independent of the platform that stores them. Adapters
+//! convert the platform's representation to these types; all other crates use
+//! only these.
 
 mod back_end;
 mod configuration;
--- a/crates/types/src/deployment/name.rs
+++ b/crates/types/src/deployment/name.rs
@@ -1,4 +1,4 @@
-//! Names that operators give, cheap to clone.
+//! Names of services, routes and tenants, which are cheap to clone.
 
 use std::fmt;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
--- a/crates/types/src/deployment/tenant.rs
+++ b/crates/types/src/deployment/tenant.rs
@@ -1,4 +1,4 @@
-//! Tenants: who may send requests, how many, and where they are served.
+//! Tenants: API keys, rate limits and allowed regions of groups of callers.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,49 +8,50 @@
 
 use crate::ids::RegionName;
 
-/// A tenant's part of a configuration.
+/// Settings of a tenant.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Tenant {
-    /// Digests of the keys that its callers show.
+    /// Digests of the API keys of its callers.
     pub keys: BTreeSet<KeyDigest>,
-    /// Rank of its requests, before that of the route; 0 goes first.
+    /// Priority of its requests, which overrides that of the route; 0 is served
+    /// first.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub priority: Option<u32>,
-    /// What it may send to all gateways together; `None`: as much as it likes.
+    /// Rate limit over all gateways together; `None` for no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limit: Option<RateLimit>,
-    /// The only regions in which its requests may be served; `None`: all.
+    /// Regions in which its requests may be served; `None` allows all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub allowed_regions: Option<BTreeSet<RegionName>>,
 }
 
-/// How many requests a tenant may send to all gateways together.
+/// Rate limit of a tenant over all gateways together.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct RateLimit {
-    /// Requests a second, above 0.
+    /// Requests per second, above 0.
     pub rate: f64,
-    /// Requests besides, in any window.
+    /// Requests allowed in any time window on top of the rate.
     pub burst: f64,
 }
 
-/// SHA-256 of a caller's key. The key itself is kept nowhere: neither memory
-/// nor a message between gateways gives it away.
+/// SHA-256 digest of an API key. The key itself is not kept, so that neither
+/// memory nor messages between gateways reveal it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
-/// Length of a digest, in bytes.
+/// Length of a SHA-256 digest, in bytes.
 const DIGEST_BYTES: usize = 32;
 const HEX: &[u8; 16] = b"0123456789abcdef";
 
 impl KeyDigest {
-    /// The digest of `key`.
+    /// Computes the digest of `key`.
     pub fn of(key: &[u8]) -> Self {
         KeyDigest(Sha256::digest(key).into())
     }
 
-    /// The digest that `text` writes in hexadecimal digits.
+    /// Parses a digest from 64 hexadecimal digits.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.bytes().all(|byte| byte.is_ascii_hexdigit());
         if text.len() != 2 * DIGEST_BYTES || !digits {
@@ -64,7 +65,8 @@
     }
 }
 
-/// Logs never show a digest: it would tell which requests share a key.
+/// Hides the digest, because logs would otherwise reveal which requests share a
+/// key.
 impl fmt::Debug for KeyDigest {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("KeyDigest(..)")
--- a/crates/types/src/deployment/topology.rs
+++ b/crates/types/src/deployment/topology.rs
@@ -1,30 +1,32 @@
-//! Where a gateway is, and which zone lies in which region.
+//! Location of a gateway, and the region of each zone.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::{RegionName, ZoneName};
 
-/// How far a zone is. The nearer, the less: bytes between regions cost several
-/// times those between zones, take longer, and share one narrow link.
+/// Distance of a zone from this gateway, ordered from near to far.
+///
+/// Traffic between regions costs several times as much as traffic between
+/// zones, has a higher latency and shares one link of low bandwidth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Distance {
-    /// The zone of this gateway.
+    /// The gateway's own zone.
     SameZone,
-    /// Another zone of its region, or one of which no region is known.
+    /// Another zone of the gateway's region, or a zone whose region is unknown.
     SameRegion,
-    /// A zone of another region.
+    /// A zone in another region.
     OtherRegion,
 }
 
 impl Distance {
-    /// Every distance, the nearest first.
+    /// All distances, nearest first.
     pub const ALL: [Distance; 3] = [
         Distance::SameZone,
         Distance::SameRegion,
         Distance::OtherRegion,
     ];
 
-    /// Name in metrics.
+    /// Returns the name used in metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Distance::SameZone => "same-zone",
@@ -34,7 +36,7 @@
     }
 }
 
-/// The zone and region of a gateway, and the regions of all zones.
+/// Zone and region of a gateway, and the regions of all zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Topology {
     zone: ZoneName,
@@ -43,8 +45,10 @@
 }
 
 impl Topology {
-    /// A gateway in `zone`; `regions` names the region of each zone, and
-    /// `region` its own where they do not.
+    /// Builds the topology for a gateway in `zone`.
+    ///
+    /// `regions` gives the region of each zone. `region` is the gateway's
+    /// region; if it is `None`, it is looked up in `regions`.
     pub fn new(
         zone: ZoneName,
         region: Option<RegionName>,
@@ -58,17 +62,17 @@
         }
     }
 
-    /// The zone of this gateway.
+    /// Returns the zone of the gateway.
     pub fn zone(&self) -> &ZoneName {
         &self.zone
     }
 
-    /// The region of this gateway, if it is known.
+    /// Returns the region of the gateway, if known.
     pub fn region(&self) -> Option<&RegionName> {
         self.region.as_ref()
     }
 
-    /// The region of a zone, if it is known.
+    /// Returns the region of a zone, if known.
     pub fn region_of(&self, zone: &ZoneName) -> Option<&RegionName> {
         if *zone == self.zone {
             return self.region();
@@ -76,8 +80,8 @@
         self.regions.get(zone)
     }
 
-    /// How far a zone is. Without regions, every other zone is as far as the
-    /// next.
+    /// Returns the distance of a zone. If no regions are known, all other zones
+    /// are at distance [`Distance::SameRegion`].
     pub fn distance(&self, zone: &ZoneName) -> Distance {
         if *zone == self.zone {
             return Distance::SameZone;
@@ -88,8 +92,9 @@
         }
     }
 
-    /// Whether the relays of the zones of a region share one: there are several
-    /// regions, and this one has several zones.
+    /// Returns true if the zone relays of the gateway's region share one region
+    /// relay. This is so if there are several regions and this one has several
+    /// zones.
     pub fn has_region_relays(&self) -> bool {
         let distance = |zone: &ZoneName| self.distance(zone);
         let zones = || self.regions.keys();
@@ -97,9 +102,9 @@
         others && zones().any(|zone| distance(zone) == Distance::SameRegion)
     }
 
-    /// Whether a zone lies in one of the regions. One of which no region is
-    /// known does not: what must not leave a region goes nowhere else by
-    /// mistake.
+    /// Returns true if a zone lies in one of the regions. A zone whose region
+    /// is unknown does not, so that data that must stay in a region never
+    /// leaves it by mistake.
     pub fn is_within(&self, zone: &ZoneName, allowed: &BTreeSet<RegionName>) -> bool {
         let region = self.region_of(zone);
         region.is_some_and(|region| allowed.contains(region))
--- a/crates/types/src/epoch.rs
+++ b/crates/types/src/epoch.rs
@@ -1,38 +1,40 @@
-//! Fencing epochs and revisions: the two numbers that only ever grow.
+//! Group generations, revisions and fencing epochs, all of which only increase.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// Number of times a group was founded. Each founding is one conditional
-/// write on the platform's group object, so no two foundings share a number.
+/// Number of times a consensus group was bootstrapped.
+///
+/// Each bootstrap is one conditional write to the platform's group object, so
+/// no two bootstraps have the same number.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Generation(pub u32);
 
-/// Position in one group's replicated history: generation first, then log
+/// Position in a group's replicated history, ordered by generation, then by log
 /// index. A router never goes back to a lower revision.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Revision {
-    /// Founding of the group.
+    /// Generation of the group.
     pub generation: Generation,
-    /// Index in the log of that founding.
+    /// Index in the log of that generation.
     pub index: u64,
 }
 
 impl Revision {
-    /// The revision before any history.
+    /// Revision before the first log entry.
     pub const NONE: Revision = Revision {
         generation: Generation(0),
         index: 0,
     };
 
-    /// Builds a revision from its parts.
+    /// Builds a revision from a generation and a log index.
     pub const fn new(generation: Generation, index: u64) -> Self {
         Revision { generation, index }
     }
@@ -44,10 +46,10 @@
     }
 }
 
-/// Fencing token of one assignment: the revision of the log entry that made
-/// it. Epochs of a slice never repeat and only grow, because revisions do.
+/// Fencing token of one assignment: the revision of the log entry that made it.
 ///
-/// Text form, used in the `threadledge-epoch` header: `generation.index`.
+/// The epochs of a slice strictly increase, because revisions do. The text
+/// form, used in the `threadledge-epoch` header, is `generation.index`.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -60,7 +62,7 @@
     }
 }
 
-/// The text is not `generation.index`.
+/// Error for text that is not of the form `generation.index`.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("'{0}' is not an epoch; write generation.index, for example 1.42")]
 pub struct ParseEpochError(String);
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -1,4 +1,5 @@
-//! Identifiers.
+//! Identifiers of regions, zones, machines, routers, services, back ends and
+//! sessions.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -35,12 +36,12 @@
     ZoneName
 );
 text_id!(
-    /// Name of a machine in the platform's list. A machine that is replaced
-    /// under the same name runs a process with another [`RouterId`].
+    /// Name of a machine in the platform's machine list. The router on a
+    /// machine that was replaced under the same name has another [`RouterId`].
     MachineName
 );
 
-/// One consensus group within a region.
+/// Number of a consensus group within a region.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -53,16 +54,18 @@
     }
 }
 
-/// One life of a process: a number drawn at its start, larger than that of
-/// every earlier life of the same name (milliseconds of wall time at start).
+/// Number that tells the successive processes of one name apart.
+///
+/// It is the wall-clock time of the process start in milliseconds, so that it
+/// is larger than that of every earlier process of the same name.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// One router process. Drawn at random at process start and never used again:
-/// a process that restarts is another router.
+/// Id of a router process, drawn at random at its start and never reused. A
+/// restarted process is a different router.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -75,26 +78,26 @@
     }
 }
 
-/// What routers tell each other about themselves.
+/// Description of a router, exchanged between routers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RouterIdentity {
-    /// This process.
+    /// Id of the process.
     pub id: RouterId,
-    /// The machine it runs on.
+    /// Machine that the router runs on.
     pub machine: MachineName,
-    /// Which life of that machine's router this is.
+    /// Incarnation of the router on that machine.
     pub incarnation: Incarnation,
     /// Region of the machine.
     pub region: RegionName,
     /// Zone of the machine.
     pub zone: ZoneName,
-    /// Address on which other routers reach it.
+    /// Address for other routers.
     pub peer_address: SocketAddr,
-    /// Address on which callers reach it.
+    /// Address for callers.
     pub caller_address: SocketAddr,
 }
 
-/// A namespaced object name: one partner owns each namespace.
+/// Id of a service: its namespace and name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct ServiceId {
@@ -104,7 +107,7 @@
     pub name: String,
 }
 
-/// A namespaced back end name.
+/// Id of a back end: its namespace and name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct BackEndId {
@@ -114,7 +117,7 @@
     pub name: String,
 }
 
-/// The text is not `namespace/name`.
+/// Error for text that is not of the form `namespace/name`.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("'{0}' is not a namespaced name; write namespace/name")]
 pub struct ParseNameError(String);
@@ -122,7 +125,7 @@
 macro_rules! namespaced {
     ($name:ident) => {
         impl $name {
-            /// Builds the identifier from its parts.
+            /// Builds the id from a namespace and a name.
             pub fn new(namespace: impl Into<String>, name: impl Into<String>) -> Self {
                 $name {
                     namespace: namespace.into(),
@@ -159,12 +162,12 @@
 namespaced!(ServiceId);
 namespaced!(BackEndId);
 
-/// One session: a back end process in one of its lives.
+/// Id of a session, which belongs to one incarnation of a back end.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionId {
-    /// The back end.
+    /// Back end of the session.
     pub back_end: BackEndId,
-    /// Which life of its process.
+    /// Incarnation of the back end's process.
     pub incarnation: Incarnation,
 }
 
--- a/crates/types/src/key.rs
+++ b/crates/types/src/key.rs
@@ -1,17 +1,17 @@
-//! Keys, points and slices.
+//! Key hashing and ranges of the hash space.
 //!
-//! A key hashes to a [`Point`] with XXH3-64 and seed 0 over the key's bytes.
-//! The hash is part of the contract with back ends and never changes. A
-//! [`Slice`] is an inclusive range of points and the unit of ownership.
+//! A key hashes to a [`Point`] with XXH3-64, seed 0, over the key's bytes. Back
+//! ends compute the same hash, so the function must never change. A [`Slice`]
+//! is an inclusive range of points and the unit of ownership.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Position of a key on the hash line.
+/// Hash of a key: its position in the 64-bit hash space.
 ///
-/// On the wire a point is a string of 16 hexadecimal digits, because JSON
-/// numbers lose precision above 2^53 in many readers.
+/// On the wire a point is a string of 16 hexadecimal digits, because many JSON
+/// parsers lose precision on numbers above 2^53.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -30,7 +30,7 @@
     }
 }
 
-/// The text is not 16 hexadecimal digits.
+/// Error for text that is not 16 hexadecimal digits.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("'{0}' is not a point; write 16 hexadecimal digits")]
 pub struct ParsePointError(String);
@@ -46,44 +46,45 @@
     }
 }
 
-/// Hashes a key's bytes to its point.
+/// Returns the point of a key.
 pub fn hash_key(key: &[u8]) -> Point {
     Point(xxhash_rust::xxh3::xxh3_64(key))
 }
 
-/// An inclusive range of points: the unit of ownership.
+/// An inclusive range of points, owned by at most one back end at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Slice {
     /// First point.
     pub first: Point,
-    /// Last point, at least `first`.
+    /// Last point, not below `first`.
     pub last: Point,
 }
 
 impl Slice {
-    /// Every point.
+    /// The slice of all points.
     pub const ALL: Slice = Slice {
         first: Point(0),
         last: Point(u64::MAX),
     };
 
-    /// Whether `point` lies in the slice.
+    /// Returns true if `point` lies in the slice.
     pub fn contains(&self, point: Point) -> bool {
         self.first <= point && point <= self.last
     }
 
-    /// Whether the two slices share a point.
+    /// Returns true if the two slices have a point in common.
     pub fn overlaps(&self, other: &Slice) -> bool {
         self.first <= other.last && other.first <= self.last
     }
 
-    /// Share of the whole line, between 0 and 1.
+    /// Returns the fraction of the hash space that the slice covers, between 0
+    /// and 1.
     pub fn share(&self) -> f64 {
         ((self.last.0 - self.first.0) as f64 + 1.0) / (u64::MAX as f64 + 1.0)
     }
 
-    /// Splits into the points below `at` and those from `at` on, or `None`
-    /// when one side would be empty.
+    /// Splits the slice into the points below `at` and the points from `at` on.
+    /// Returns `None` if one side would be empty.
     pub fn split_at(&self, at: Point) -> Option<(Slice, Slice)> {
         if at <= self.first || at > self.last {
             return None;
@@ -99,7 +100,8 @@
         Some((low, high))
     }
 
-    /// Divides the whole line into `count` slices of nearly equal length.
+    /// Divides the hash space into `count` slices of nearly equal length; a
+    /// `count` of 0 gives one slice.
     pub fn divide(count: u32) -> Vec<Slice> {
         let count = u64::from(count.max(1));
         let step = u64::MAX / count;
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,9 +1,9 @@
-//! Shared vocabulary of threadledge: identifiers, key hashing, slices, epochs,
-//! configuration objects, replicated records and the messages that cross
-//! process borders.
+//! Types that the other threadledge crates share: identifiers, key hashing,
+//! slices, epochs, configuration objects, replicated records and the messages
+//! exchanged between processes.
 //!
-//! This crate holds data and arithmetic only. It opens no sockets and reads no
-//! clock, so that every core crate can depend on it.
+//! This crate holds data types and pure functions only. It opens no sockets and
+//! reads no clock, so that every core crate can depend on it.
 
 pub mod acceptance;
 pub mod deployment;
--- a/crates/types/src/map_diff.rs
+++ b/crates/types/src/map_diff.rs
@@ -1,22 +1,24 @@
-//! What differs between two versions of a table.
+//! Difference between two versions of a sorted map.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// An entry that differs.
+/// An entry that was added, removed or changed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EntryDiff<'a, N, V> {
-    /// Its name.
+    /// Key of the entry.
     pub name: &'a N,
-    /// What it was; `None`: it is new.
+    /// Old value; `None` if the entry was added.
     pub old: Option<&'a V>,
-    /// What it is; `None`: it is gone.
+    /// New value; `None` if the entry was removed.
     pub new: Option<&'a V>,
 }
 
-/// The entries that differ, by name. One walk over both tables: a version that
-/// changes one of 10,000 tenants is followed in 0.9 ms, and in 6.4 ms where
-/// each name is looked up in the other table (one core, measured).
+/// Returns the entries that differ between `old` and `new`, sorted by key.
+///
+/// Walks both maps once in parallel, because a lookup per key is slower: with
+/// 10,000 tenants of which one changed, the walk takes 0.9 ms and the lookups
+/// 6.4 ms on one core.
 pub fn diff_maps<'a, N: Ord, V: PartialEq>(
     old: &'a BTreeMap<N, V>,
     new: &'a BTreeMap<N, V>,
--- a/crates/types/src/objects.rs
+++ b/crates/types/src/objects.rs
@@ -1,14 +1,15 @@
-//! Configuration objects, in the conventions of the Kubernetes object API.
+//! Configuration objects, following the conventions of the Kubernetes API.
 //!
-//! A namespace belongs to one partner. A [`BackEndObject`] carries the labels
-//! an operator put on one server; a [`KeyedServiceObject`] carries the
-//! selector that says which labelled back ends may serve which traffic.
+//! Each namespace belongs to one partner organisation. A [`BackEndObject`]
+//! describes one server and carries its labels; a
+//! [`KeyedServiceObject`] selects back ends by label and lists the routes that
+//! they serve.
 
 use std::net::SocketAddr;
 
 use k8s_openapi::apimachinery::pkg::apis::meta::v1::{Condition, LabelSelector};
 pub use kube_core::ObjectMeta;
-/// The library's object types, re-exported for crates that handle objects.
+/// Object types of `kube_core`, re-exported for crates that handle objects.
 pub use kube_core::object;
 use kube_core::object::Object;
 use serde::{Deserialize, Serialize};
@@ -17,9 +18,9 @@
 
 /// `apiVersion` of every threadledge object.
 pub const API_VERSION: &str = "threadledge.dev/v1";
-/// API group part of [`API_VERSION`].
+/// API group of [`API_VERSION`].
 pub const API_GROUP: &str = "threadledge.dev";
-/// Version part of [`API_VERSION`].
+/// Version within [`API_GROUP`].
 pub const API_GROUP_VERSION: &str = "v1";
 /// `kind` of a [`BackEndObject`].
 pub const BACK_END_KIND: &str = "BackEnd";
@@ -35,75 +36,75 @@
 pub const ROUTER_GROUP_PLURAL: &str = "routergroups";
 /// Namespace of the objects that the routers themselves write.
 pub const SYSTEM_NAMESPACE: &str = "threadledge-system";
-/// Condition type that tells whether an object is accepted.
+/// Type of the condition that reports whether an object was accepted.
 pub const ACCEPTED_CONDITION: &str = "Accepted";
 
-/// One server as its operators describe it.
+/// A server, described by its operators.
 pub type BackEndObject = Object<BackEndSpec, AcceptanceStatus>;
-/// One selector with the traffic it covers.
+/// A service: a selector for back ends and the routes they serve.
 pub type KeyedServiceObject = Object<KeyedServiceSpec, AcceptanceStatus>;
-/// The founding record of one consensus group, written by routers.
+/// Record of who bootstrapped a consensus group, written by routers.
 pub type RouterGroupObject = Object<RouterGroupSpec, AcceptanceStatus>;
 
 /// Addresses and capacity of one server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct BackEndSpec {
-    /// Where requests go.
+    /// Address that takes requests.
     pub address: SocketAddr,
-    /// Where leases, health and load are exchanged.
+    /// Address that takes lease, health and load requests.
     pub control_address: SocketAddr,
     /// Zone of the server.
     pub zone: ZoneName,
-    /// Requests it carries out at once.
+    /// Number of requests the server runs concurrently.
     pub slots: u32,
-    /// Connections it accepts, over all routers.
+    /// Number of connections the server accepts from all routers together.
     pub connections: u32,
 }
 
-/// Which back ends serve which traffic.
+/// Hosts, routes and back ends of one service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct KeyedServiceSpec {
-    /// Home region: its routers decide ownership.
+    /// Home region, whose routers assign the ownership of keys.
     pub region: RegionName,
-    /// Host names this service answers to, without port. A host belongs to
-    /// the namespace whose claim was accepted first.
+    /// Host names of the service, without port. If several services name a
+    /// host, it belongs to the one that was accepted first.
     pub hosts: Vec<String>,
-    /// Which labelled back ends of the same namespace may serve.
+    /// Selector for the back ends of the same namespace that serve requests.
     pub back_end_selector: LabelSelector,
-    /// Routes, tried in order; the first match wins.
+    /// Routes, in matching order; the first match is used.
     pub routes: Vec<RouteRule>,
-    /// Exchange between imbalance and churn.
+    /// Trade-off between load imbalance and moved keys.
     #[serde(default)]
     pub placement: PlacementPolicy,
 }
 
-/// One kind of request within a service.
+/// Matching rule and settings for one kind of request of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct RouteRule {
-    /// Name in logs, metrics and `explain`.
+    /// Name of the route in logs, metrics and `explain` output.
     pub name: String,
-    /// Path prefix, matched on whole segments; `/` matches everything.
+    /// Path prefix, compared by whole segments; `/` matches every path.
     pub path_prefix: String,
-    /// Methods; empty matches every method.
+    /// Methods that match; an empty list matches every method.
     #[serde(default)]
     pub methods: Vec<String>,
-    /// Where the key stands in a request.
+    /// Part of the request that holds the key.
     pub key: KeySource,
-    /// Whether a request may be carried out more than once. By default GET,
-    /// HEAD and OPTIONS may and others may not.
+    /// True if a request may be executed more than once (is idempotent). By
+    /// default this holds for GET, HEAD and OPTIONS only.
     #[serde(default)]
     pub repeatable: Option<bool>,
-    /// Order under contention.
+    /// Priority under contention.
     #[serde(default)]
     pub priority: Priority,
-    /// Longest time until the caller has its outcome, in milliseconds.
+    /// Longest time until the caller gets an outcome, in milliseconds.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
-    /// Whether a request may wait for a slot until its deadline. Requests
-    /// that may not wait are refused early under overload.
+    /// True if a request may wait for a slot until its deadline. Other requests
+    /// are rejected early under overload.
     #[serde(default)]
     pub may_queue: bool,
 }
@@ -115,44 +116,44 @@
     DEFAULT_DEADLINE_MS
 }
 
-/// Where the key of a request stands.
+/// Part of a request that holds the key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub enum KeySource {
     /// Value of a header.
     Header(String),
-    /// Path segment by number, the first after the leading `/` being 0.
+    /// Path segment by index; the first segment after the leading `/` is 0.
     PathSegment(u32),
     /// Value of a query parameter, percent-decoded.
     QueryParameter(String),
 }
 
-/// Order of requests under contention.
+/// Priority of requests under contention.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "camelCase")]
 pub enum Priority {
-    /// Waits for spare capacity.
+    /// Served only with spare capacity.
     Background,
-    /// The default.
+    /// Default priority.
     #[default]
     Normal,
-    /// Served before the others.
+    /// Served before all other requests.
     Critical,
 }
 
-/// Exchange between imbalance and churn for one service.
+/// Limits on load imbalance and on moved keys (churn) of one service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", default, deny_unknown_fields)]
 pub struct PlacementPolicy {
-    /// Ratio of the busiest back end's load to the mean that is tolerated
-    /// before slices move, for example 1.10.
+    /// Ratio of the busiest back end's load to the mean load above which slices
+    /// are moved, for example 1.10.
     pub tolerated_imbalance: f64,
-    /// Largest share of all keys that balancing may move in one minute.
-    /// Losses and drains are not counted.
+    /// Largest fraction of all keys that load balancing may move per minute.
+    /// Moves caused by lost or drained back ends do not count.
     pub churn_budget_per_minute: f64,
-    /// Slices for each back end at first, before splits.
+    /// Initial number of slices per back end, before any split.
     pub slices_per_back_end: u32,
 }
 
@@ -166,15 +167,15 @@
     }
 }
 
-/// Founding of one consensus group.
+/// Record of the latest bootstrap of one consensus group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct RouterGroupSpec {
-    /// How many times the group was founded.
+    /// Number of times the group was bootstrapped.
     pub generation: u32,
-    /// The router that founded it, in hexadecimal.
+    /// Id of the router that bootstrapped it, in hexadecimal.
     pub founder: String,
-    /// Peer address of the founder.
+    /// Peer address of that router.
     pub founder_address: SocketAddr,
 }
 
@@ -182,10 +183,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct AcceptanceStatus {
-    /// Standard conditions; `Accepted` is the one threadledge writes.
+    /// Kubernetes conditions; threadledge writes `Accepted`.
     #[serde(default)]
     pub conditions: Vec<Condition>,
-    /// Revision at which the object is in force, `generation.index`.
+    /// Revision at which the object took effect, as `generation.index`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<String>,
 }
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -1,38 +1,38 @@
-//! The one outcome of each request, as callers see it.
+//! The outcome of a request, as reported to the caller.
 //!
-//! Every response of a router carries [`OUTCOME_HEADER`]. Its value is
+//! Every response of a router carries [`OUTCOME_HEADER`] with the value
 //! `answered`, `not-run` or `unknown`; for the latter two [`REASON_HEADER`]
-//! carries the reason. `not-run` promises that nothing of the request was
-//! carried out, so that it is safe to send it again.
+//! carries the reason. `not-run` guarantees that no part of the request was
+//! executed, so that it is safe to retry.
 
 use serde::{Deserialize, Serialize};
 
 use crate::session::Refusal;
 
-/// Response header that carries the outcome.
+/// Response header with the outcome.
 pub const OUTCOME_HEADER: &str = "threadledge-outcome";
-/// Response header that carries the reason of an outcome.
+/// Response header with the reason of an outcome other than `answered`.
 pub const REASON_HEADER: &str = "threadledge-reason";
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// A back end answered and the caller got its whole answer.
+    /// A back end answered and its whole response was passed on.
     Answered,
-    /// Nothing of the request was carried out; it is safe to send it again.
+    /// No part of the request was executed; it is safe to retry.
     NotRun(NotRunReason),
-    /// The request may have been carried out.
+    /// The request may have been executed.
     Unknown(UnknownReason),
 }
 
-/// Why a request was not run.
+/// Reason why a request was not executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NotRunReason {
     /// The request is malformed.
     Malformed,
-    /// Head or body is larger than allowed.
+    /// The head or body exceeds its size limit.
     TooLarge,
     /// The caller sent its request too slowly.
     TooSlow,
@@ -40,38 +40,38 @@
     NoRoute,
     /// The route's key is missing from the request.
     MissingKey,
-    /// The key's slice has no owner now.
+    /// The key's slice currently has no owner.
     NoOwner,
-    /// The owner could not be connected to.
+    /// No connection to the owner could be opened.
     Unreachable,
-    /// The last back end asked did not own the key.
+    /// The last back end that was tried did not own the key.
     WrongOwner,
-    /// Limits are reached; come back after `Retry-After`.
+    /// A capacity limit was reached; the caller can retry after `Retry-After`.
     Overloaded,
-    /// The partner's share of the router is used up.
+    /// The namespace has used up its share of this router's capacity.
     ShareExhausted,
     /// The deadline passed before the request was sent to a back end.
     DeadlinePassed,
-    /// This router is stopping or has no confirmed configuration.
+    /// This router is shutting down or has no confirmed configuration.
     NotReady,
 }
 
-/// Why it is unknown whether a request was run.
+/// Reason why it is unknown whether a request was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum UnknownReason {
-    /// The connection broke after some of the request was sent.
+    /// The connection broke after part of the request was sent.
     ConnectionLost,
-    /// The deadline passed while the back end had the request.
+    /// The deadline passed while the back end was handling the request.
     DeadlinePassed,
-    /// The back end's answer was cut short or malformed.
+    /// The back end's response was truncated or malformed.
     BadAnswer,
-    /// The back end's session ended while it had the request.
+    /// The back end's session ended while it was handling the request.
     OwnerLost,
 }
 
 impl Outcome {
-    /// Value of [`OUTCOME_HEADER`].
+    /// Returns the value of [`OUTCOME_HEADER`].
     pub const fn as_str(self) -> &'static str {
         match self {
             Outcome::Answered => "answered",
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Value of [`REASON_HEADER`], if the outcome has one.
+    /// Returns the value of [`REASON_HEADER`], if the outcome has a reason.
     pub const fn reason(self) -> Option<&'static str> {
         match self {
             Outcome::Answered => None,
@@ -91,7 +91,7 @@
 }
 
 impl NotRunReason {
-    /// Every reason.
+    /// All reasons.
     pub const ALL: [NotRunReason; 12] = [
         NotRunReason::Malformed,
         NotRunReason::TooLarge,
@@ -107,7 +107,7 @@
         NotRunReason::NotReady,
     ];
 
-    /// Header form.
+    /// Returns the value of [`REASON_HEADER`].
     pub const fn as_str(self) -> &'static str {
         match self {
             NotRunReason::Malformed => "malformed",
@@ -125,7 +125,7 @@
         }
     }
 
-    /// HTTP status of the router's own answer.
+    /// Returns the HTTP status of the router's response.
     pub const fn status(self) -> u16 {
         match self {
             NotRunReason::Malformed | NotRunReason::MissingKey => 400,
@@ -142,7 +142,7 @@
         }
     }
 
-    /// What the caller can do about it.
+    /// Returns advice for the caller, to be sent with the response.
     pub const fn remedy(self) -> &'static str {
         match self {
             NotRunReason::Malformed => "send a well-formed HTTP/1.1 request",
@@ -166,7 +166,7 @@
 }
 
 impl UnknownReason {
-    /// Every reason.
+    /// All reasons.
     pub const ALL: [UnknownReason; 4] = [
         UnknownReason::ConnectionLost,
         UnknownReason::DeadlinePassed,
@@ -174,7 +174,7 @@
         UnknownReason::OwnerLost,
     ];
 
-    /// Header form.
+    /// Returns the value of [`REASON_HEADER`].
     pub const fn as_str(self) -> &'static str {
         match self {
             UnknownReason::ConnectionLost => "connection-lost",
@@ -184,7 +184,7 @@
         }
     }
 
-    /// HTTP status of the router's own answer.
+    /// Returns the HTTP status of the router's response.
     pub const fn status(self) -> u16 {
         match self {
             UnknownReason::ConnectionLost | UnknownReason::BadAnswer | UnknownReason::OwnerLost => {
--- a/crates/types/src/records.rs
+++ b/crates/types/src/records.rs
@@ -1,4 +1,4 @@
-//! Records of a group's replicated state, as routers receive them.
+//! Records of a consensus group's replicated state, as sent to routers.
 
 use std::collections::BTreeMap;
 
@@ -12,11 +12,11 @@
 /// An accepted service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceRecord {
-    /// Which service.
+    /// Id of the service.
     pub id: ServiceId,
-    /// Its accepted specification.
+    /// Specification that was accepted.
     pub spec: KeyedServiceSpec,
-    /// Version of the object that was accepted.
+    /// `metadata.resourceVersion` of the object that was accepted.
     pub resource_version: u64,
     /// `metadata.generation` of the object that was accepted.
     pub object_generation: i64,
@@ -25,53 +25,53 @@
 /// An accepted back end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BackEndRecord {
-    /// Which back end.
+    /// Id of the back end.
     pub id: BackEndId,
-    /// Its labels.
+    /// Labels of the object.
     pub labels: BTreeMap<String, String>,
-    /// Its accepted specification.
+    /// Specification that was accepted.
     pub spec: BackEndSpec,
-    /// Version of the object that was accepted.
+    /// `metadata.resourceVersion` of the object that was accepted.
     pub resource_version: u64,
     /// `metadata.generation` of the object that was accepted.
     pub object_generation: i64,
 }
 
-/// An open session. A session that ended has no record.
+/// An open session. The record is removed when the session ends.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionRecord {
-    /// Which session.
+    /// Id of the session.
     pub id: SessionId,
-    /// The back end announced that it is leaving; it gets no new work.
+    /// True if the back end announced that it is leaving; it gets no new work.
     pub draining: bool,
 }
 
-/// Who owns one slice of one service.
+/// Ownership of one slice of one service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SliceRecord {
-    /// Which service.
+    /// Service that the slice belongs to.
     pub service: ServiceId,
-    /// Which slice. The slices of a service cover all points without overlap.
+    /// The slice. The slices of a service cover all points without overlap.
     pub slice: Slice,
-    /// Session that owns it, if any. Without an owner nobody may serve it.
+    /// Session that owns the slice. Without an owner no back end may serve it.
     pub owner: Option<SessionId>,
-    /// Fencing token of the last assignment; stays when the owner goes.
+    /// Fencing token of the last assignment; kept when the owner is lost.
     pub epoch: Epoch,
-    /// Back end that is being prepared to take over.
+    /// Back end that is preparing to take over the slice.
     pub next: Option<BackEndId>,
 }
 
-/// Identifies a slice by where it starts.
+/// Identifies a slice by its service and first point.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SliceKey {
-    /// Which service.
+    /// Service that the slice belongs to.
     pub service: ServiceId,
     /// First point of the slice.
     pub first: Point,
 }
 
 impl SliceRecord {
-    /// The record's identity.
+    /// Returns the identity of the slice.
     pub fn key(&self) -> SliceKey {
         SliceKey {
             service: self.service.clone(),
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Life of the owning back end's process, if owned.
+    /// Returns the incarnation of the owning back end, if the slice has an
+    /// owner.
     pub fn owner_incarnation(&self) -> Option<Incarnation> {
         self.owner.as_ref().map(|session| session.incarnation)
     }
@@ -91,11 +92,11 @@
 pub enum RecordChange {
     /// A service was accepted or changed.
     Service(Box<ServiceRecord>),
-    /// A service is gone, with all its slices.
+    /// A service was removed, with all its slices.
     ServiceRemoved(ServiceId),
     /// A back end was accepted or changed.
     BackEnd(Box<BackEndRecord>),
-    /// A back end is gone.
+    /// A back end was removed.
     BackEndRemoved(BackEndId),
     /// A session opened or changed.
     Session(SessionRecord),
@@ -103,22 +104,22 @@
     SessionRemoved(SessionId),
     /// A slice changed its owner, epoch, end point or next owner.
     Slice(SliceRecord),
-    /// A slice was merged into the one before it.
+    /// A slice was merged into the preceding one.
     SliceRemoved(SliceKey),
 }
 
-/// Changes that bring a copy from one revision to a later one.
+/// Changes that bring a copy of the state from one revision to a later one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecordDelta {
-    /// Group whose state this is.
+    /// Group that the state belongs to.
     pub group: GroupId,
-    /// Revision the copy must have; [`Revision::NONE`] together with `full`
-    /// replaces whatever the copy held.
+    /// Revision that the copy must have; [`Revision::NONE`] together with
+    /// `full` replaces the copy whatever its revision.
     pub from: Revision,
-    /// Revision the copy has afterwards.
+    /// Revision that the copy has afterwards.
     pub to: Revision,
-    /// The changes describe the whole state rather than a difference.
+    /// True if the changes are a snapshot of the whole state, not a difference.
     pub full: bool,
-    /// The changes, to be applied in order.
+    /// Changes, to be applied in order.
     pub changes: Vec<RecordChange>,
 }
--- a/crates/types/src/session.rs
+++ b/crates/types/src/session.rs
@@ -1,14 +1,15 @@
-//! Messages between a group leader and a back end's control address.
+//! Lease protocol between a group leader (the grantor) and a back end (the
+//! holder), spoken on the back end's control address.
 //!
-//! The leader posts a [`LeaseRequest`] to [`LEASE_PATH`] every renewal
-//! interval and whenever the set of grants changes; the back end answers with
-//! a [`LeaseResponse`].
+//! The leader posts a [`LeaseRequest`] to [`LEASE_PATH`] at every renewal
+//! interval and whenever the set of grants changes. The back end answers with a
+//! [`LeaseResponse`].
 //!
-//! Lease arithmetic: every response carries the holder's own clock reading.
-//! The next request echoes it, and the holder's lease then runs from the
-//! echoed reading. The reading was taken before the leader sent the request,
-//! so whatever delay the request met, the holder's lease ends no later than
-//! the leader expects (up to clock drift, which the leader adds).
+//! Each response carries a reading of the holder's clock. The next request
+//! echoes the reading, and the holder's lease runs from it. Since the reading
+//! was taken before the leader sent the request, the holder's lease ends no
+//! later than the leader expects, however long the request was delayed (apart
+//! from clock drift, which the leader adds).
 
 use serde::{Deserialize, Serialize};
 
@@ -17,49 +18,48 @@
 use crate::key::Slice;
 use crate::time::Timestamp;
 
-/// Path of the lease exchange on a back end's control address.
+/// Path of lease requests on a back end's control address.
 pub const LEASE_PATH: &str = "/threadledge/v1/lease";
 /// Path of the health endpoint on a back end's control address.
 pub const HEALTH_PATH: &str = "/threadledge/v1/health";
 /// Path of the load endpoint on a back end's control address.
 pub const LOAD_PATH: &str = "/threadledge/v1/load";
 
-/// Request header: epoch under which the router believes the slice is owned.
+/// Request header: epoch of the slice's assignment as known to the router.
 pub const EPOCH_HEADER: &str = "threadledge-epoch";
-/// Request header: service, `namespace/name`.
+/// Request header: service, as `namespace/name`.
 pub const SERVICE_HEADER: &str = "threadledge-service";
-/// Request header: point of the key, 16 hexadecimal digits.
+/// Request header: point of the key, as 16 hexadecimal digits.
 pub const POINT_HEADER: &str = "threadledge-point";
 /// Request header: time left for the request, in milliseconds.
 pub const DEADLINE_HEADER: &str = "threadledge-deadline-ms";
-/// Request header: number that names one request of one caller, the same on
-/// every attempt.
+/// Request header: id of the caller's request, the same on every attempt.
 pub const REQUEST_ID_HEADER: &str = "threadledge-request-id";
-/// Response header with which a back end says that it did not run a request;
-/// its value is a [`Refusal`] in kebab case.
+/// Response header by which a back end reports that it did not execute the
+/// request; its value is a [`Refusal`] in kebab case.
 pub const REFUSAL_HEADER: &str = "threadledge-refusal";
 
-/// Why a back end did not run a request. A response that carries it promises
-/// that nothing of the request was carried out.
+/// Reason why a back end did not execute a request. A response that carries it
+/// guarantees that no part of the request was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
-    /// It does not own the key under the epoch of the request.
+    /// The back end does not own the key under the epoch of the request.
     WrongOwner,
-    /// It owns the key but its lease has lapsed.
+    /// The back end owns the key but its lease has expired.
     LeaseLapsed,
-    /// All its slots and its queue are taken.
+    /// All slots of the back end are busy and its queue is full.
     Overloaded,
-    /// It is leaving.
+    /// The back end is shutting down.
     Draining,
-    /// The deadline passed before it began.
+    /// The deadline passed before execution began.
     DeadlinePassed,
-    /// The router's request lacked a header it needs.
+    /// The router's request lacked a required header.
     Malformed,
 }
 
 impl Refusal {
-    /// Every refusal.
+    /// All refusals.
     pub const ALL: [Refusal; 6] = [
         Refusal::WrongOwner,
         Refusal::LeaseLapsed,
@@ -69,7 +69,7 @@
         Refusal::Malformed,
     ];
 
-    /// Header form.
+    /// Returns the value of [`REFUSAL_HEADER`].
     pub const fn as_str(self) -> &'static str {
         match self {
             Refusal::WrongOwner => "wrong-owner",
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Reads the header form.
+    /// Parses a value of [`REFUSAL_HEADER`].
     pub fn parse(text: &str) -> Option<Refusal> {
         Refusal::ALL
             .into_iter()
@@ -89,162 +89,166 @@
     }
 }
 
-/// Permission to serve one slice under one epoch, for as long as the session
-/// lease lasts.
+/// Permission to serve a slice under an epoch while the session's lease is
+/// valid.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Grant {
-    /// Which service.
+    /// Service that the slice belongs to.
     pub service: ServiceId,
-    /// Which slice.
+    /// Slice that may be served.
     pub slice: Slice,
-    /// Fencing token.
+    /// Fencing token of the assignment.
     pub epoch: Epoch,
 }
 
-/// Order of lease requests: a holder refuses one that is not above the last
-/// it took.
+/// Sequence number of a lease request. A holder rejects a request whose number
+/// is not above the last one that it accepted.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct LeaseSequence {
-    /// Founding of the group.
+    /// Generation of the group.
     pub generation: Generation,
     /// Consensus term of the leader.
     pub term: u64,
-    /// Number of the request within the term, counted for each session.
+    /// Number of the request within the term, counted per session.
     pub sequence: u64,
 }
 
-/// Number of a state of one session's grants, counted by the leader from 1
-/// within its term. A holder that lost track reports `None`.
+/// Version of the set of grants of one session.
+///
+/// The leader counts versions from 1 within its term. A holder that does not
+/// know its version reports `None`.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct GrantsVersion {
-    /// Founding of the group.
+    /// Generation of the group.
     pub generation: Generation,
     /// Consensus term of the leader.
     pub term: u64,
-    /// Number of the state within the term.
+    /// Number of the version within the term.
     pub number: u64,
 }
 
-/// What a holder shall hold after a request.
+/// Change to the grants of a holder, carried by a lease request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum GrantsUpdate {
-    /// Exactly these grants; every other one is to be released.
+    /// Replaces all grants; the holder releases every grant not listed.
     Full {
-        /// Version of this state.
+        /// Version of the new set.
         version: GrantsVersion,
-        /// The grants.
+        /// All grants of the new set.
         grants: Vec<Grant>,
     },
-    /// A difference to an earlier version; a holder that is not at `base`
-    /// ignores it and reports the version it is at.
+    /// Changes an earlier version. A holder that is not at `base` ignores the
+    /// change and reports its own version.
     Delta {
-        /// Version the difference starts from.
+        /// Version that the change applies to.
         base: GrantsVersion,
-        /// Version of the state afterwards.
+        /// Version after the change.
         version: GrantsVersion,
-        /// Grants to take.
+        /// Grants to add.
         add: Vec<Grant>,
         /// Grants to release.
         remove: Vec<Grant>,
     },
-    /// The holder is at this version already.
+    /// The holder already has this version.
     Unchanged {
-        /// The version.
+        /// Current version.
         version: GrantsVersion,
     },
-    /// No grant is touched: the first contact of a term, sent to learn the
-    /// holder's incarnation, clock reading and grants.
+    /// Changes nothing. The first request of a term, sent to learn the holder's
+    /// incarnation, clock reading and grants.
     Inquire,
 }
 
-/// Leader to back end.
+/// Request from the leader to a back end to renew its lease and update its
+/// grants.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// Group of the leader.
     pub group: GroupId,
-    /// Back end meant.
+    /// Back end that the request is for.
     pub back_end: BackEndId,
-    /// Life of its process meant; `None` when not yet known. A back end in
-    /// another life takes nothing from the request and answers with its own.
+    /// Incarnation that the request is for; `None` if not yet known. A back end
+    /// with another incarnation ignores the request and answers with its own.
     pub incarnation: Option<Incarnation>,
-    /// Order among requests.
+    /// Sequence number of the request.
     pub order: LeaseSequence,
-    /// Reading of the holder's clock from its latest response; the lease is
-    /// renewed to `echo + lease_ms`. `None` renews nothing.
+    /// Reading of the holder's clock from its latest response. The lease is
+    /// extended to `echo + lease_ms`; `None` does not renew it.
     pub echo: Option<Timestamp>,
-    /// Length of the lease in milliseconds, by the holder's clock.
+    /// Length of the lease by the holder's clock, in milliseconds.
     pub lease_ms: u64,
-    /// Grants after this request.
+    /// Change to the grants.
     pub grants: GrantsUpdate,
-    /// Slices the holder should make itself ready to own.
+    /// Slices that the holder should prepare to own.
     pub prepare: Vec<Grant>,
 }
 
-/// Load and health as the back end reports them; both may lag or mislead.
+/// Load as reported by a back end; it may be out of date or wrong.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests being carried out now.
+    /// Requests running now.
     pub running: u32,
-    /// Requests waiting.
+    /// Requests queued now.
     pub queued: u32,
-    /// Requests a second, for each held slice that had any, averaged over the
-    /// last seconds: service, first point of the slice as text, rate.
+    /// Request rate of each held slice that had requests, averaged over the
+    /// last seconds.
     pub slice_rates: Vec<SliceRate>,
 }
 
-/// Rate of requests to one slice.
+/// Request rate of one slice.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SliceRate {
-    /// Which service.
+    /// Service that the slice belongs to.
     pub service: ServiceId,
-    /// Which slice.
+    /// Slice that was requested.
     pub slice: Slice,
-    /// Requests a second.
+    /// Requests per second.
     pub per_second: f64,
-    /// Point of the busiest key in the slice, where one stands out, with its
-    /// requests a second.
+    /// Hot key of the slice; `None` if no key dominates.
     pub hottest: Option<HotPoint>,
 }
 
-/// A single key that stands out.
+/// A hot key: one that gets far more requests than the others of its slice.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HotPoint {
-    /// Its point.
+    /// Point of the key.
     pub point: crate::key::Point,
-    /// Requests a second.
+    /// Requests per second.
     pub per_second: f64,
 }
 
-/// Back end to leader.
+/// Response of a back end to a [`LeaseRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseResponse {
-    /// The back end that answers.
+    /// Back end that responds.
     pub back_end: BackEndId,
-    /// Life of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Order of the request this answers.
+    /// Sequence number of the request that this responds to.
     pub order: LeaseSequence,
-    /// Whether the request was taken. If not, `highest` says why.
+    /// True if the request was accepted. If not, `highest` shows why.
     pub taken: bool,
-    /// Highest order the back end has taken.
+    /// Highest sequence number that the back end has accepted.
     pub highest: LeaseSequence,
-    /// The holder's clock when it answered, to be echoed.
+    /// Reading of the holder's clock at the time of the response, to be echoed.
     pub holder_time: Timestamp,
-    /// Version of its grants; `None` when it holds none or lost track.
+    /// Version of its grants; `None` if it has no grants or does not know the
+    /// version.
     pub version: Option<GrantsVersion>,
-    /// Grants taken away that still have requests running.
+    /// Revoked grants that still have running requests.
     pub releasing: Vec<Grant>,
-    /// Slices that it is ready to own, out of those it was told to prepare.
+    /// Slices of the request's `prepare` list that it is ready to own.
     pub ready: Vec<Grant>,
-    /// All grants it holds; sent only in answer to `Inquire`.
+    /// All grants that it holds; sent only in response to
+    /// [`GrantsUpdate::Inquire`].
     pub held: Option<Vec<Grant>>,
-    /// It is leaving.
+    /// True if the back end is shutting down.
     pub draining: bool,
-    /// Load, sent with every answer.
+    /// Load, sent with every response.
     pub load: LoadReport,
 }
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,15 +1,15 @@
-//! Monotonic time as the cores see it.
+//! Monotonic time, passed to the core crates as data.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// A reading of one process's monotonic clock, in microseconds since an
-/// arbitrary origin of that process.
+/// A reading of a process's monotonic clock, in microseconds since an arbitrary
+/// origin of that process.
 ///
-/// Readings of different processes are not comparable. A timestamp may cross
-/// the wire only to be echoed back to the process that issued it.
+/// Readings of different processes are not comparable. A timestamp may be sent
+/// to another process only to be echoed back to its sender.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -20,27 +20,28 @@
     /// The origin of the clock.
     pub const ZERO: Timestamp = Timestamp(0);
 
-    /// A timestamp `micros` microseconds after the origin.
+    /// Returns the timestamp `micros` microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Timestamp(micros)
     }
 
-    /// A timestamp `millis` milliseconds after the origin.
+    /// Returns the timestamp `millis` milliseconds after the origin.
     pub const fn from_millis(millis: u64) -> Self {
         Timestamp(millis * 1_000)
     }
 
-    /// Microseconds since the origin.
+    /// Returns the microseconds since the origin.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Whole milliseconds since the origin.
+    /// Returns the whole milliseconds since the origin.
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// Time passed since `earlier`; zero if `earlier` lies in the future.
+    /// Returns the time since `earlier`, or zero if `earlier` is later than
+    /// this.
     pub fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/types/src/timing.rs
+++ b/crates/types/src/timing.rs
@@ -1,12 +1,12 @@
-//! The durations that safety depends on, in one place.
+//! Intervals and timeouts that the safety of leases and elections depends on.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Durations shared by every router of a deployment.
+/// Intervals and timeouts, the same on every router of a deployment.
 ///
-/// `lease` and `drift_percent` are safety settings: grantor and holder must
+/// `lease_ms` and `drift_percent` are safety settings: grantor and holder must
 /// agree on them, so the grantor sends the lease length with each renewal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
@@ -15,7 +15,8 @@
     pub renewal_ms: u64,
     /// Length of a session lease, in milliseconds.
     pub lease_ms: u64,
-    /// Largest difference in rate between two machines' clocks, in percent.
+    /// Largest difference in rate between the clocks of two machines, in
+    /// percent.
     pub drift_percent: u64,
     /// Shortest election timeout, in milliseconds.
     pub election_min_ms: u64,
@@ -23,11 +24,11 @@
     pub election_max_ms: u64,
     /// Interval between leader heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Interval at which a router confirms its revision with its parent, in
-    /// milliseconds.
+    /// Interval at which a router confirms its revision with its parent in the
+    /// distribution tree, in milliseconds.
     pub confirm_ms: u64,
-    /// A router that could not confirm its revision for this long stops
-    /// taking new work, in milliseconds.
+    /// Time without confirmation after which a router stops taking new
+    /// requests, in milliseconds.
     pub confirm_bound_ms: u64,
 }
 
@@ -47,49 +48,51 @@
 }
 
 impl Timing {
-    /// Interval between session renewals.
+    /// Returns the interval between session renewals.
     pub fn renewal(&self) -> Duration {
         Duration::from_millis(self.renewal_ms)
     }
 
-    /// Lease length as the holder counts it.
+    /// Returns the lease length by the holder's clock.
     pub fn lease(&self) -> Duration {
         Duration::from_millis(self.lease_ms)
     }
 
-    /// Lease length as the grantor counts it: the holder's clock may run slow
-    /// by `drift_percent`, so the grantor waits that much longer.
+    /// Returns the lease length by the grantor's clock. The holder's clock may
+    /// run slower by `drift_percent`, so the grantor waits that much longer.
     pub fn lease_with_drift(&self) -> Duration {
         Duration::from_micros(self.lease_ms * 10 * (100 + self.drift_percent))
     }
 
-    /// Shortest election timeout.
+    /// Returns the shortest election timeout.
     pub fn election_min(&self) -> Duration {
         Duration::from_millis(self.election_min_ms)
     }
 
-    /// Longest election timeout.
+    /// Returns the longest election timeout.
     pub fn election_max(&self) -> Duration {
         Duration::from_millis(self.election_max_ms)
     }
 
-    /// Length of the leader lease that a quorum of heartbeat answers gives,
-    /// counted by the leader from before it sent the heartbeats.
+    /// Returns the length of the leader lease that a quorum of heartbeat
+    /// responses gives. The leader counts it from the time before it sent the
+    /// heartbeats.
     pub fn leader_lease(&self) -> Duration {
         Duration::from_micros(self.election_min_ms * 10 * (100 - self.drift_percent))
     }
 
-    /// Interval between leader heartbeats.
+    /// Returns the interval between leader heartbeats.
     pub fn heartbeat(&self) -> Duration {
         Duration::from_millis(self.heartbeat_ms)
     }
 
-    /// Interval between revision confirmations.
+    /// Returns the interval between revision confirmations.
     pub fn confirm(&self) -> Duration {
         Duration::from_millis(self.confirm_ms)
     }
 
-    /// Longest time without confirmation during which new work is taken.
+    /// Returns the time without confirmation after which a router stops taking
+    /// new requests.
     pub fn confirm_bound(&self) -> Duration {
         Duration::from_millis(self.confirm_bound_ms)
     }
--- a/crates/types/src/validation/addresses.rs
+++ b/crates/types/src/validation/addresses.rs
@@ -1,4 +1,4 @@
-//! Which back end has which address.
+//! Ownership of addresses by back ends.
 
 use std::net::SocketAddr;
 
@@ -8,57 +8,60 @@
 use crate::objects::BACK_END_KIND;
 use crate::records::BackEndRecord;
 
-/// Addresses of all accepted back ends. The claim that was accepted first
-/// holds, so no partner can put another partner's server under its own
-/// selectors, and no server is leased to under two names.
+/// Addresses of all accepted back ends, each owned by the first that claimed
+/// it.
+///
+/// This prevents a partner from registering another partner's server for its
+/// own selectors, and a server from being granted leases under two names.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AddressClaims {
     table: ClaimTable<SocketAddr, BackEndId>,
 }
 
 impl AddressClaims {
-    /// Without any claim.
+    /// Returns an empty set of claims.
     pub fn new() -> Self {
         AddressClaims::default()
     }
 
-    /// Tells whether [`AddressClaims::claim`] would succeed.
+    /// Checks whether [`AddressClaims::claim`] would succeed.
     ///
     /// # Errors
     ///
-    /// One problem for each address that another back end has.
+    /// Returns one problem for each address that another back end owns.
     pub fn check(&self, back_end: &BackEndRecord) -> Result<(), Vec<Problem>> {
         let id = &back_end.id;
         let reference = ObjectReference::new(BACK_END_KIND, &id.namespace, &id.name);
         let mut problems = ProblemList::new(reference);
         for (field, address) in addresses(back_end) {
-            if let Some(holder) = self.table.other_holder(&address, id) {
-                let holder = holder.clone();
+            if let Some(owner) = self.table.other_owner(&address, id) {
+                let holder = owner.clone();
                 problems.add(field, ProblemKind::AddressClaimed { address, holder });
             }
         }
         problems.into_result(())
     }
 
-    /// Claims the addresses of a back end and gives up its earlier ones.
+    /// Claims the addresses of a back end and releases its previous ones.
     ///
     /// # Errors
     ///
-    /// One problem for each address that another back end has; nothing
-    /// changes.
+    /// Returns one problem for each address that another back end owns; no
+    /// claim changes then.
     pub fn claim(&mut self, back_end: &BackEndRecord) -> Result<(), Vec<Problem>> {
         self.check(back_end)?;
-        let things = addresses(back_end).map(|(_, address)| address);
-        self.table.set(&back_end.id, things.to_vec());
+        let addresses = addresses(back_end).map(|(_, address)| address);
+        self.table.set(&back_end.id, addresses.to_vec());
         Ok(())
     }
 
-    /// Gives up the addresses of a back end that is gone.
+    /// Releases the addresses of a removed back end.
     pub fn release(&mut self, back_end: &BackEndId) {
         self.table.release(back_end);
     }
 }
 
+/// Returns the addresses of a back end with their field names.
 fn addresses(back_end: &BackEndRecord) -> [(&'static str, SocketAddr); 2] {
     [
         ("spec.address", back_end.spec.address),
--- a/crates/types/src/validation/back_end.rs
+++ b/crates/types/src/validation/back_end.rs
@@ -8,16 +8,16 @@
 use crate::objects::{BACK_END_KIND, BackEndObject, BackEndSpec};
 use crate::records::BackEndRecord;
 
-/// Most slots of one back end.
+/// Largest number of slots of one back end.
 pub const MAX_SLOTS: u32 = 10_000;
-/// Most connections of one back end.
+/// Largest number of connections of one back end.
 pub const MAX_CONNECTIONS: u32 = 100_000;
 
-/// Turns a back end object into its record.
+/// Validates a back end object and converts it to a record.
 ///
 /// # Errors
 ///
-/// Every problem of the object, in the order of its fields.
+/// Returns all problems of the object, in the order of its fields.
 pub fn validate_back_end(object: &BackEndObject) -> Result<BackEndRecord, Vec<Problem>> {
     let reference = ObjectReference::from_metadata(BACK_END_KIND, &object.metadata);
     let mut problems = ProblemList::new(reference);
@@ -38,7 +38,7 @@
     check_name("spec.zone", &spec.zone.0, problems);
     problems.check_range("spec.slots", spec.slots, 1, MAX_SLOTS);
     problems.check_range("spec.connections", spec.connections, 1, MAX_CONNECTIONS);
-    // Zero connections is reported above; a second problem would say no more.
+    // Zero connections is reported above already.
     if spec.connections > 0 && spec.connections < spec.slots {
         let kind = ProblemKind::FewerConnectionsThanSlots {
             connections: spec.connections,
--- a/crates/types/src/validation/claims.rs
+++ b/crates/types/src/validation/claims.rs
@@ -1,47 +1,48 @@
-//! Who has what, first come first served.
+//! Exclusive claims on resources, granted to the first claimant.
 
 use std::collections::BTreeMap;
 
-/// Claims of holders on things that only one of them can have.
+/// Maps each resource to its only owner, and each owner to its resources.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct ClaimTable<Thing, Holder> {
-    holders: BTreeMap<Thing, Holder>,
-    things: BTreeMap<Holder, Vec<Thing>>,
+pub(crate) struct ClaimTable<Resource, Owner> {
+    owners: BTreeMap<Resource, Owner>,
+    resources: BTreeMap<Owner, Vec<Resource>>,
 }
 
-impl<Thing, Holder> Default for ClaimTable<Thing, Holder> {
+impl<Resource, Owner> Default for ClaimTable<Resource, Owner> {
     fn default() -> Self {
         ClaimTable {
-            holders: BTreeMap::new(),
-            things: BTreeMap::new(),
+            owners: BTreeMap::new(),
+            resources: BTreeMap::new(),
         }
     }
 }
 
-impl<Thing: Ord + Clone, Holder: Ord + Clone> ClaimTable<Thing, Holder> {
-    /// The holder of a thing.
-    pub(crate) fn holder(&self, thing: &Thing) -> Option<&Holder> {
-        self.holders.get(thing)
+impl<Resource: Ord + Clone, Owner: Ord + Clone> ClaimTable<Resource, Owner> {
+    /// Returns the owner of a resource.
+    pub(crate) fn owner(&self, resource: &Resource) -> Option<&Owner> {
+        self.owners.get(resource)
     }
 
-    /// The holder of a thing, unless it is `claimant` itself.
-    pub(crate) fn other_holder(&self, thing: &Thing, claimant: &Holder) -> Option<&Holder> {
-        self.holder(thing).filter(|holder| *holder != claimant)
+    /// Returns the owner of a resource, unless it is `claimant`.
+    pub(crate) fn other_owner(&self, resource: &Resource, claimant: &Owner) -> Option<&Owner> {
+        self.owner(resource).filter(|owner| *owner != claimant)
     }
 
-    /// Makes `things`, which nobody else may hold, all that `claimant` holds.
-    pub(crate) fn set(&mut self, claimant: &Holder, things: Vec<Thing>) {
+    /// Replaces the resources of `claimant`. No other owner may have any of
+    /// `resources`; callers check this first.
+    pub(crate) fn set(&mut self, claimant: &Owner, resources: Vec<Resource>) {
         self.release(claimant);
-        for thing in &things {
-            self.holders.insert(thing.clone(), claimant.clone());
+        for resource in &resources {
+            self.owners.insert(resource.clone(), claimant.clone());
         }
-        self.things.insert(claimant.clone(), things);
+        self.resources.insert(claimant.clone(), resources);
     }
 
-    /// Gives up everything that a holder has.
-    pub(crate) fn release(&mut self, holder: &Holder) {
-        for thing in self.things.remove(holder).unwrap_or_default() {
-            self.holders.remove(&thing);
+    /// Releases all resources of an owner.
+    pub(crate) fn release(&mut self, owner: &Owner) {
+        for resource in self.resources.remove(owner).unwrap_or_default() {
+            self.owners.remove(&resource);
         }
     }
 }
--- a/crates/types/src/validation/mod.rs
+++ b/crates/types/src/validation/mod.rs
@@ -1,15 +1,14 @@
-//! Turns configuration objects into records, reporting every problem.
+//! Validates configuration objects and converts them to records.
 //!
-//! Nothing here does input or output, so that the control core, the router's
-//! `check` subcommand and the tests all judge an object the same way. Each
-//! function reports all the problems of an object rather than the first only,
-//! so that an operator mends them in one edit.
+//! The functions do no input or output, so that the control core, the router's
+//! `check` subcommand and the tests apply the same rules. Each reports all
+//! problems of an object, not only the first, so that an operator can fix them
+//! in one edit.
 //!
-//! What can be told from one object alone is checked by [`validate_back_end`]
-//! and [`validate_service`]; what depends on the other objects (a host that
-//! another service has, an address that
-//! another back end has) by [`HostClaims`] and [`AddressClaims`], and of a
-//! whole deployment by [`ObjectSet`].
+//! [`validate_back_end`] and [`validate_service`] check an object by itself.
+//! [`HostClaims`] and [`AddressClaims`] check rules that depend on other
+//! objects: a host owned by another service, an address owned by another back
+//! end. [`ObjectSet`] checks all objects of a deployment together.
 
 mod addresses;
 mod back_end;
--- a/crates/types/src/validation/names.rs
+++ b/crates/types/src/validation/names.rs
@@ -1,4 +1,4 @@
-//! Names, labels and versions by the rules of the object API.
+//! Checks of names, labels and versions by the rules of the Kubernetes API.
 
 use std::collections::BTreeMap;
 
@@ -7,12 +7,12 @@
 use super::problem::{ProblemKind, ProblemList};
 use crate::objects::SYSTEM_NAMESPACE;
 
-/// Longest name, label value and label key after its prefix.
+/// Longest name, label value and label key without its prefix.
 const MAX_NAME_LENGTH: usize = 63;
-/// Longest DNS name, in hosts and in prefixes of label keys.
+/// Longest DNS name, used for hosts and prefixes of label keys.
 const MAX_DNS_NAME_LENGTH: usize = 253;
 
-/// What [`check_metadata`] found in an object's metadata.
+/// Metadata of an object, as returned by [`check_metadata`].
 pub(crate) struct CheckedMetadata {
     pub(crate) namespace: String,
     pub(crate) name: String,
@@ -21,8 +21,9 @@
     pub(crate) labels: BTreeMap<String, String>,
 }
 
-/// Checks name, namespace, version and labels. The values of fields with a
-/// problem are defaults; the caller returns the problems instead of them.
+/// Checks the name, namespace, version and labels of an object. Invalid fields
+/// may get default values; the caller then returns the problems and discards
+/// the metadata.
 pub(crate) fn check_metadata(metadata: &ObjectMeta, problems: &mut ProblemList) -> CheckedMetadata {
     let namespace = metadata.namespace.clone().unwrap_or_default();
     let name = metadata.name.clone().unwrap_or_default();
@@ -52,7 +53,8 @@
     }
 }
 
-/// An object from a file has no version yet; one from the store has a number.
+/// Returns the version of an object. An object read from a file has no version
+/// yet and gets 0; one from the store must have a number.
 fn check_version(metadata: &ObjectMeta, problems: &mut ProblemList) -> u64 {
     let Some(text) = &metadata.resource_version else {
         return 0;
@@ -73,7 +75,8 @@
     }
 }
 
-/// Lower-case letters, digits and `-`, at most 63, letter or digit at the ends.
+/// Returns true for 1 to 63 lower-case letters, digits and `-` that begin and
+/// end with a letter or digit.
 pub(crate) fn is_dns_label(text: &str) -> bool {
     let inner = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
     let edge = |byte: &u8| *byte != b'-';
@@ -83,12 +86,12 @@
         && text.as_bytes().last().is_some_and(edge)
 }
 
-/// DNS labels joined by dots, at most 253 bytes.
+/// Returns true for DNS labels joined by dots, at most 253 bytes in total.
 pub(crate) fn is_dns_name(text: &str) -> bool {
     text.len() <= MAX_DNS_NAME_LENGTH && text.split('.').all(is_dns_label)
 }
 
-/// A label's key, with or without a DNS prefix.
+/// Returns true for a valid label key, with or without a DNS prefix.
 pub(crate) fn is_label_key(key: &str) -> bool {
     match key.split_once('/') {
         Some((prefix, name)) => is_dns_name(prefix) && is_qualified_name(name),
@@ -96,7 +99,7 @@
     }
 }
 
-/// A label's value, which may be empty.
+/// Returns true for a valid label value, which may be empty.
 pub(crate) fn is_label_value(value: &str) -> bool {
     value.is_empty() || is_qualified_name(value)
 }
--- a/crates/types/src/validation/object_set.rs
+++ b/crates/types/src/validation/object_set.rs
@@ -1,5 +1,5 @@
-//! Judges the objects of a whole deployment together, as the router's `check`
-//! subcommand does with files.
+//! Validates all objects of a deployment together, as the router's `check`
+//! subcommand does for files.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -20,7 +20,8 @@
 };
 use crate::records::{BackEndRecord, ServiceRecord};
 
-/// The objects of one JSON document: itself, or the `items` of a list.
+/// Returns the objects of a JSON document: the `items` if it is a list, the
+/// document itself otherwise.
 pub fn split_document(document: Value) -> Vec<Value> {
     match document {
         Value::Object(mut fields) => match fields.remove("items") {
@@ -35,7 +36,7 @@
     }
 }
 
-/// Objects that were added one by one, without those that have a problem.
+/// The valid objects of a deployment. Objects with problems are not added.
 #[derive(Clone, Debug, Default)]
 pub struct ObjectSet {
     services: BTreeMap<ServiceId, ServiceRecord>,
@@ -45,17 +46,17 @@
 }
 
 impl ObjectSet {
-    /// Without any object.
+    /// Returns an empty set.
     pub fn new() -> Self {
         ObjectSet::default()
     }
 
-    /// Adds one object.
+    /// Validates an object and adds it.
     ///
     /// # Errors
     ///
-    /// Every problem of the object, also those with objects added before; it
-    /// is not added then.
+    /// Returns all problems of the object, including conflicts with objects
+    /// added before. The object is not added then.
     pub fn add(&mut self, object: &Value) -> Result<(), Vec<Problem>> {
         let kind = object["kind"].as_str().unwrap_or_default();
         let reference = reference_of(kind, object);
@@ -77,17 +78,17 @@
         }
     }
 
-    /// The services that were added.
+    /// Returns the services of the set.
     pub fn services(&self) -> impl Iterator<Item = &ServiceRecord> {
         self.services.values()
     }
 
-    /// The back ends that were added.
+    /// Returns the back ends of the set.
     pub fn back_ends(&self) -> impl Iterator<Item = &BackEndRecord> {
         self.back_ends.values()
     }
 
-    /// The back ends of its own namespace that a service selects.
+    /// Returns the back ends that a service selects in its own namespace.
     pub fn selected<'a>(
         &'a self,
         service: &'a ServiceRecord,
@@ -99,8 +100,8 @@
         })
     }
 
-    /// Problems that show only once every object was added: services without
-    /// any back end.
+    /// Returns the problems that can be found only after all objects were
+    /// added: services that select no back end.
     pub fn cross_object_problems(&self) -> Vec<Problem> {
         let without = |service: &&ServiceRecord| self.selected(service).next().is_none();
         self.services()
@@ -115,7 +116,7 @@
         match self.back_ends.entry(record.id.clone()) {
             Entry::Occupied(entry) => {
                 let id = entry.key();
-                Err(twice(BACK_END_KIND, &id.namespace, &id.name))
+                Err(duplicate_object(BACK_END_KIND, &id.namespace, &id.name))
             }
             Entry::Vacant(entry) => {
                 self.addresses.claim(&record)?;
@@ -131,7 +132,11 @@
         match self.services.entry(record.id.clone()) {
             Entry::Occupied(entry) => {
                 let id = entry.key();
-                Err(twice(KEYED_SERVICE_KIND, &id.namespace, &id.name))
+                Err(duplicate_object(
+                    KEYED_SERVICE_KIND,
+                    &id.namespace,
+                    &id.name,
+                ))
             }
             Entry::Vacant(entry) => {
                 self.hosts.claim(&record)?;
@@ -142,7 +147,7 @@
     }
 }
 
-fn twice(kind: &str, namespace: &str, name: &str) -> Vec<Problem> {
+fn duplicate_object(kind: &str, namespace: &str, name: &str) -> Vec<Problem> {
     vec![Problem {
         object: ObjectReference::new(kind, namespace, name),
         field: "metadata.name".to_owned(),
--- a/crates/types/src/validation/parse.rs
+++ b/crates/types/src/validation/parse.rs
@@ -1,4 +1,4 @@
-//! Reads one object out of JSON.
+//! Parsing of configuration objects from JSON.
 
 use std::net::SocketAddr;
 
@@ -7,18 +7,18 @@
 
 use super::problem::{ObjectReference, Problem, ProblemKind};
 
-/// Fields that hold an IP address with a port.
+/// Fields of `spec` that hold an IP address with a port.
 const ADDRESS_FIELDS: [&str; 3] = ["address", "controlAddress", "founderAddress"];
 
-/// Reads an object out of JSON. Objects of a list are read one by one, so
-/// that an object of one partner that cannot be read hides no other.
+/// Parses one object. Objects of a list are parsed one by one, so that a
+/// malformed object of one partner does not hide the others.
 ///
 /// # Errors
 ///
-/// The first field that cannot be read; the parser stops there.
+/// Returns a problem with the first field that cannot be parsed.
 pub fn parse_object<K: DeserializeOwned>(kind: &str, value: &Value) -> Result<K, Box<Problem>> {
     let object = reference_of(kind, value);
-    if let Some((field, address)) = not_an_address(value) {
+    if let Some((field, address)) = find_invalid_address(value) {
         let kind = ProblemKind::NotAnAddress(address);
         return Err(Problem::boxed(object, field, kind));
     }
@@ -29,7 +29,7 @@
     })
 }
 
-/// Names an object by what its metadata holds.
+/// Builds a reference to an object from its JSON metadata.
 pub(crate) fn reference_of(kind: &str, value: &Value) -> ObjectReference {
     let text = |name: &str| {
         let field = &value["metadata"][name];
@@ -38,7 +38,9 @@
     ObjectReference::new(kind, text("namespace"), text("name"))
 }
 
-fn not_an_address(value: &Value) -> Option<(String, String)> {
+/// Returns the path and value of the first address field that is not an IP
+/// address with a port.
+fn find_invalid_address(value: &Value) -> Option<(String, String)> {
     ADDRESS_FIELDS.iter().find_map(|name| {
         let text = value["spec"].get(name)?.as_str()?;
         match text.parse::<SocketAddr>() {
--- a/crates/types/src/validation/problem.rs
+++ b/crates/types/src/validation/problem.rs
@@ -1,4 +1,4 @@
-//! One thing that is wrong with an object, where it stands, and the remedy.
+//! Validation problems: the object, the field, the error and a remedy.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,19 +8,19 @@
 
 use crate::ids::{BackEndId, ServiceId};
 
-/// Names the object that a [`Problem`] is about.
+/// Reference to the object that has a [`Problem`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ObjectReference {
-    /// Kind, for example `BackEnd`.
+    /// Kind of the object, for example `BackEnd`.
     pub kind: String,
-    /// Namespace; empty if the object has none.
+    /// Namespace of the object, or empty if it has none.
     pub namespace: String,
-    /// Name; empty if the object has none.
+    /// Name of the object, or empty if it has none.
     pub name: String,
 }
 
 impl ObjectReference {
-    /// Builds a reference from its parts.
+    /// Builds a reference from a kind, a namespace and a name.
     pub fn new(kind: &str, namespace: &str, name: &str) -> Self {
         ObjectReference {
             kind: kind.to_owned(),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Refers to the object that carries `metadata`.
+    /// Builds a reference to the object with this metadata.
     pub fn from_metadata(kind: &str, metadata: &ObjectMeta) -> Self {
         let namespace = metadata.namespace.as_deref().unwrap_or_default();
         let name = metadata.name.as_deref().unwrap_or_default();
@@ -43,125 +43,125 @@
     }
 }
 
-/// One thing that is wrong with an object.
+/// A validation error in one field of an object.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 #[error("{object}: {field}: {kind}; {}", kind.remedy())]
 pub struct Problem {
-    /// Which object.
+    /// Object that has the problem.
     pub object: ObjectReference,
     /// Path of the field, for example `spec.routes[2].key`.
     pub field: String,
-    /// What is wrong with it.
+    /// Kind of the problem.
     pub kind: ProblemKind,
 }
 
-/// What is wrong with a field.
+/// Kind of validation error.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ProblemKind {
-    /// The field does not parse.
+    /// The field cannot be parsed.
     #[error("cannot be read: {0}")]
     Unreadable(String),
-    /// A field that must have a value has none.
+    /// A required field is missing or empty.
     #[error("is missing or empty")]
     Empty,
-    /// Not a name by the rules of the object API.
+    /// The name breaks the rules of the Kubernetes API.
     #[error("'{0}' is not a valid name")]
     InvalidName(String),
-    /// The namespace belongs to the routers.
+    /// The namespace is reserved for the routers.
     #[error("namespace '{0}' belongs to the routers")]
     ReservedNamespace(String),
     /// The store's version of the object is not a number.
     #[error("'{0}' is not a version of the store")]
     InvalidVersion(String),
-    /// A label's key or value breaks the rules of the object API.
+    /// The key or value of a label breaks the rules of the Kubernetes API.
     #[error("'{0}' is not a valid label")]
     InvalidLabel(String),
-    /// A selector that cannot be evaluated.
+    /// The selector cannot be evaluated.
     #[error("the selector cannot be evaluated: {0}")]
     InvalidSelector(String),
-    /// Not an IP address with a port.
+    /// The text is not an IP address with a port.
     #[error("'{0}' is not an IP address with a port")]
     NotAnAddress(String),
-    /// An address that no request can be sent to.
+    /// The address cannot be a destination of requests.
     #[error("no request can be sent to '{0}'")]
     UnusableAddress(String),
-    /// A number outside its range.
+    /// The number is outside its range.
     #[error("{value} is outside {least} to {most}")]
     OutOfRange {
-        /// The number.
+        /// Value of the field.
         value: String,
-        /// Least allowed.
+        /// Smallest allowed value.
         least: String,
-        /// Most allowed.
+        /// Largest allowed value.
         most: String,
     },
-    /// More entries than allowed.
+    /// The list has more entries than allowed.
     #[error("{count} entries are more than {most}")]
     TooMany {
-        /// Entries there are.
+        /// Number of entries.
         count: usize,
-        /// Most allowed.
+        /// Largest allowed number.
         most: usize,
     },
-    /// Fewer connections than slots.
+    /// The back end has fewer connections than slots.
     #[error("{connections} connections cannot fill {slots} slots")]
     FewerConnectionsThanSlots {
-        /// Connections of the back end.
+        /// Number of connections.
         connections: u32,
-        /// Slots of the back end.
+        /// Number of slots.
         slots: u32,
     },
-    /// Not a host name in lower case without port.
+    /// The text is not a host name in lower case without port.
     #[error("'{0}' is not a host name in lower case without port")]
     InvalidHost(String),
     /// The host belongs to another service.
     #[error("host '{host}' belongs to {holder}")]
     HostClaimed {
-        /// The host.
+        /// Host name.
         host: String,
-        /// Service whose claim was accepted first.
+        /// Service that claimed it first.
         holder: ServiceId,
     },
     /// The address belongs to another back end.
     #[error("address {address} belongs to {holder}")]
     AddressClaimed {
-        /// The address.
+        /// Address of the back end.
         address: SocketAddr,
-        /// Back end whose claim was accepted first.
+        /// Back end that claimed it first.
         holder: BackEndId,
     },
-    /// No back end of the namespace has the labels.
+    /// The selector matches no back end of the namespace.
     #[error("no back end of the namespace is selected")]
     NothingSelected,
-    /// Not the version of the object API that is served.
+    /// `apiVersion` is not the supported one.
     #[error("{0} is not threadledge.dev/v1")]
     UnknownVersion(String),
-    /// Not a kind of threadledge object.
+    /// `kind` is not a kind of threadledge object.
     #[error("'{0}' is not a kind of threadledge object")]
     UnknownKind(String),
-    /// The same value stands twice.
-    #[error("'{0}' stands more than once")]
+    /// The value occurs more than once.
+    #[error("'{0}' occurs more than once")]
     Duplicate(String),
-    /// Not an absolute path prefix.
+    /// The text is not an absolute path prefix.
     #[error("'{0}' is not a path prefix")]
     InvalidPathPrefix(String),
-    /// Not an HTTP method.
+    /// The text is not an HTTP method.
     #[error("'{0}' is not an HTTP method")]
     InvalidMethod(String),
-    /// Not a header name, or one that does not reach a back end.
+    /// The text is not a header name, or the header is not passed to back ends.
     #[error("'{0}' is not a header that can carry a key")]
     InvalidHeader(String),
-    /// An earlier route takes every request of this one.
-    #[error("route '{earlier}' takes every request of this one")]
+    /// An earlier route matches every request of this one.
+    #[error("route '{earlier}' matches every request of this one")]
     ShadowedRoute {
-        /// The earlier route.
+        /// Name of the earlier route.
         earlier: String,
     },
 }
 
 impl ProblemKind {
-    /// Reason of the `Accepted` condition, in CamelCase.
+    /// Returns the reason for the `Accepted` condition, in CamelCase.
     pub const fn reason(&self) -> &'static str {
         match self {
             ProblemKind::Unreadable(_) => "Unreadable",
@@ -190,10 +190,10 @@
         }
     }
 
-    /// What an operator does about it.
+    /// Returns advice for the operator on how to fix the problem.
     pub const fn remedy(&self) -> &'static str {
         match self {
-            ProblemKind::Unreadable(_) => "correct the field by docs/operators/configuration.md",
+            ProblemKind::Unreadable(_) => "correct the field; see docs/operators/configuration.md",
             ProblemKind::Empty => "give it a value",
             ProblemKind::InvalidName(_) => {
                 "use 1 to 63 lower-case letters, digits and '-', beginning and ending with a \
@@ -207,26 +207,28 @@
             }
             ProblemKind::InvalidSelector(_) => {
                 "use matchLabels, or matchExpressions with In or NotIn and values, or Exists or \
-                 DoesNotExist without"
+                 DoesNotExist without values"
             }
             ProblemKind::NotAnAddress(_) => "write it as 10.1.2.3:8080 or [2001:db8::1]:8080",
             ProblemKind::UnusableAddress(_) => {
                 "use the unicast address and the port, not 0, that the server listens on"
             }
             ProblemKind::OutOfRange { .. } => "choose a value within the range",
-            ProblemKind::TooMany { .. } => "divide the object into several",
+            ProblemKind::TooMany { .. } => "split the object into several",
             ProblemKind::FewerConnectionsThanSlots { .. } => {
                 "raise connections to at least slots, or lower slots"
             }
-            ProblemKind::InvalidHost(_) => "write the name alone, for example quote.example.org",
+            ProblemKind::InvalidHost(_) => {
+                "write only the host name, for example quote.example.org"
+            }
             ProblemKind::HostClaimed { .. } => {
-                "use another host, or remove it from the service that has it"
+                "use another host, or remove it from the service that owns it"
             }
             ProblemKind::AddressClaimed { .. } => {
                 "use the address of this back end, or remove the other one first"
             }
             ProblemKind::NothingSelected => {
-                "correct the selector, or add the labels to the back ends meant"
+                "correct the selector, or add the labels to the intended back ends"
             }
             ProblemKind::UnknownVersion(_) => "set apiVersion to threadledge.dev/v1",
             ProblemKind::UnknownKind(_) => "use BackEnd, KeyedService or RouterGroup",
@@ -238,8 +240,7 @@
                 "use GET, HEAD, POST, PUT, PATCH, DELETE or OPTIONS, in upper case"
             }
             ProblemKind::InvalidHeader(_) => {
-                "name a header of the request that is neither of the connection nor threadledge's \
-                 own"
+                "name a request header that is neither hop-by-hop nor reserved for threadledge"
             }
             ProblemKind::ShadowedRoute { .. } => "move it before the earlier route, or remove it",
         }
@@ -256,7 +257,7 @@
     }
 }
 
-/// Collects the problems of one object.
+/// List of the problems of one object.
 pub(crate) struct ProblemList {
     object: ObjectReference,
     problems: Vec<Problem>,
@@ -278,24 +279,25 @@
         });
     }
 
-    /// Adds a problem unless `value` lies in `least..=most`.
-    pub(crate) fn check_range<T>(&mut self, field: impl Into<String>, value: T, least: T, most: T)
+    /// Adds a problem unless `value` lies in `min..=max`.
+    pub(crate) fn check_range<T>(&mut self, field: impl Into<String>, value: T, min: T, max: T)
     where
         T: PartialOrd + fmt::Display,
     {
-        // A NaN is in no range, which the positive form of the test says.
-        let in_range = value >= least && value <= most;
+        // Negating the test for being inside also rejects NaN, which is in no
+        // range.
+        let in_range = value >= min && value <= max;
         if !in_range {
             let kind = ProblemKind::OutOfRange {
                 value: value.to_string(),
-                least: least.to_string(),
-                most: most.to_string(),
+                least: min.to_string(),
+                most: max.to_string(),
             };
             self.add(field, kind);
         }
     }
 
-    /// Gives `value` if there was no problem, the problems otherwise.
+    /// Returns `value` if the list is empty, the problems otherwise.
     pub(crate) fn into_result<T>(self, value: T) -> Result<T, Vec<Problem>> {
         if self.problems.is_empty() {
             Ok(value)
--- a/crates/types/src/validation/route.rs
+++ b/crates/types/src/validation/route.rs
@@ -1,4 +1,4 @@
-//! Validation of one service's routes.
+//! Validation of the routes of a service.
 
 use std::collections::BTreeSet;
 
@@ -10,11 +10,12 @@
 pub const MIN_DEADLINE_MS: u64 = 10;
 /// Longest deadline of a route, in milliseconds.
 pub const MAX_DEADLINE_MS: u64 = 600_000;
-/// Highest number of a path segment that can carry a key.
+/// Highest index of a path segment that can hold a key.
 pub const MAX_PATH_SEGMENT: u32 = 31;
 
 const METHODS: [&str; 7] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"];
-/// Headers of one connection, which mean nothing to a back end behind it.
+/// Hop-by-hop headers and `host`, which are not passed to back ends and so
+/// cannot hold a key.
 const CONNECTION_HEADERS: [&str; 9] = [
     "connection",
     "content-length",
@@ -26,7 +27,7 @@
     "upgrade",
     "host",
 ];
-/// Prefix of the headers that routers set themselves.
+/// Prefix of the headers that routers set.
 const OWN_HEADER_PREFIX: &str = "threadledge-";
 const MAX_PATH_PREFIX_LENGTH: usize = 1_024;
 
@@ -89,7 +90,7 @@
 
 fn check_key(field: &str, key: &KeySource, problems: &mut ProblemList) {
     match key {
-        KeySource::Header(name) if !can_carry_key(name) => {
+        KeySource::Header(name) if !can_hold_key(name) => {
             let field = format!("{field}.key.header");
             problems.add(field, ProblemKind::InvalidHeader(name.clone()));
         }
@@ -104,7 +105,9 @@
     }
 }
 
-fn can_carry_key(header: &str) -> bool {
+/// Returns true for a valid header name that is passed to back ends and not set
+/// by routers.
+fn can_hold_key(header: &str) -> bool {
     let lower = header.to_ascii_lowercase();
     let token = |byte: u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte);
     !header.is_empty()
@@ -119,23 +122,26 @@
         return false;
     };
     let trimmed = rest.strip_suffix('/').unwrap_or(rest);
-    let whole_segments = |segment: &str| !matches!(segment, "" | "." | "..");
+    let is_plain_segment = |segment: &str| !matches!(segment, "" | "." | "..");
     prefix.len() <= MAX_PATH_PREFIX_LENGTH
         && prefix.bytes().all(allowed)
-        && (rest.is_empty() || trimmed.split('/').all(whole_segments))
+        && (rest.is_empty() || trimmed.split('/').all(is_plain_segment))
 }
 
-/// Whether every request of `later` matches `earlier` too.
+/// Returns true if every request that `later` matches is also matched by
+/// `earlier`.
 fn shadows(earlier: &RouteRule, later: &RouteRule) -> bool {
-    let every_method = earlier.methods.is_empty();
+    let all_methods = earlier.methods.is_empty();
     let methods_covered = !later.methods.is_empty()
         && later
             .methods
             .iter()
             .all(|method| earlier.methods.contains(method));
-    covers_path(&earlier.path_prefix, &later.path_prefix) && (every_method || methods_covered)
+    covers_path(&earlier.path_prefix, &later.path_prefix) && (all_methods || methods_covered)
 }
 
+/// Returns true if every path below prefix `narrow` is also below prefix
+/// `wide`.
 fn covers_path(wide: &str, narrow: &str) -> bool {
     let wide = wide.trim_end_matches('/');
     let narrow = narrow.trim_end_matches('/');
--- a/crates/types/src/validation/selector.rs
+++ b/crates/types/src/validation/selector.rs
@@ -1,4 +1,4 @@
-//! Label selectors, evaluated by library.
+//! Validation and compilation of label selectors.
 
 use k8s_openapi::apimachinery::pkg::apis::meta::v1::{LabelSelector, LabelSelectorRequirement};
 use kube_core::Selector;
@@ -8,18 +8,19 @@
 
 const FIELD: &str = "spec.backEndSelector";
 
-/// Compiles a selector that was validated. An empty selector selects every
-/// back end of its namespace, as everywhere in the object API.
+/// Compiles a validated selector. An empty selector selects every back end of
+/// the namespace, as in the Kubernetes API.
 ///
 /// # Errors
 ///
-/// The selector cannot be evaluated; objects that were accepted never fail.
+/// Returns [`ProblemKind::InvalidSelector`] if the selector cannot be
+/// evaluated, which never happens for accepted objects.
 pub fn compile_selector(selector: &LabelSelector) -> Result<Selector, ProblemKind> {
     Selector::try_from(selector.clone())
         .map_err(|error| ProblemKind::InvalidSelector(error.to_string()))
 }
 
-/// What is wrong with a selector, with the field of each problem.
+/// Returns the problems of a selector, each with its field.
 pub fn validate_selector(selector: &LabelSelector) -> Vec<(String, ProblemKind)> {
     let mut found = Vec::new();
     for (key, value) in selector.match_labels.iter().flatten() {
--- a/crates/types/src/validation/service.rs
+++ b/crates/types/src/validation/service.rs
@@ -10,20 +10,21 @@
 use crate::objects::{KEYED_SERVICE_KIND, KeyedServiceObject, KeyedServiceSpec, PlacementPolicy};
 use crate::records::ServiceRecord;
 
-/// Most hosts of one service.
+/// Largest number of hosts of one service.
 pub const MAX_HOSTS: usize = 64;
-/// Most routes of one service.
+/// Largest number of routes of one service.
 pub const MAX_ROUTES: usize = 256;
-/// Largest tolerated ratio of the busiest back end's load to the mean.
+/// Largest value of `toleratedImbalance`, the ratio of the busiest back end's
+/// load to the mean load.
 pub const MAX_TOLERATED_IMBALANCE: f64 = 10.0;
-/// Most slices for each back end before splits.
+/// Largest initial number of slices per back end.
 pub const MAX_SLICES_PER_BACK_END: u32 = 4_096;
 
-/// Turns a keyed service object into its record.
+/// Validates a keyed service object and converts it to a record.
 ///
 /// # Errors
 ///
-/// Every problem of the object, in the order of its fields.
+/// Returns all problems of the object, in the order of its fields.
 pub fn validate_service(object: &KeyedServiceObject) -> Result<ServiceRecord, Vec<Problem>> {
     let reference = ObjectReference::from_metadata(KEYED_SERVICE_KIND, &object.metadata);
     let mut problems = ProblemList::new(reference);
@@ -37,8 +38,9 @@
     })
 }
 
-/// Whether routers of `region` decide the ownership of this service. An
-/// object of another region is no error: its own region accepts it.
+/// Returns true if `region` is the home region of the service, whose routers
+/// assign its slices. A service of another region is not an error; it is
+/// accepted there.
 pub fn is_for_region(spec: &KeyedServiceSpec, region: &RegionName) -> bool {
     spec.region == *region
 }
@@ -49,18 +51,18 @@
     check_hosts(&spec.hosts, problems);
     check_selector(&spec.back_end_selector, problems);
     check_count("spec.routes", spec.routes.len(), MAX_ROUTES, problems);
-    // Comparing routes pairwise is bounded by the limit on their number.
+    // Routes are compared pairwise, so their number must be bounded.
     if spec.routes.len() <= MAX_ROUTES {
         check_routes(&spec.routes, problems);
     }
     check_placement(&spec.placement, problems);
 }
 
-fn check_count(field: &str, count: usize, most: usize, problems: &mut ProblemList) {
+fn check_count(field: &str, count: usize, max: usize, problems: &mut ProblemList) {
     if count == 0 {
         problems.add(field, ProblemKind::Empty);
-    } else if count > most {
-        problems.add(field, ProblemKind::TooMany { count, most });
+    } else if count > max {
+        problems.add(field, ProblemKind::TooMany { count, most: max });
     }
 }
 
--- a/crates/types/tests/acceptance.rs
+++ b/crates/types/tests/acceptance.rs
@@ -1,4 +1,4 @@
-//! The `Accepted` condition follows the conventions.
+//! Tests of the `Accepted` condition against the Kubernetes API conventions.
 
 use k8s_openapi::apimachinery::pkg::apis::meta::v1::Time;
 use k8s_openapi::jiff::Timestamp;
@@ -7,7 +7,7 @@
 use threadledge_types::{Generation, Revision};
 
 fn at(seconds: i64) -> Time {
-    Time(Timestamp::from_second(seconds).expect("in range"))
+    Time(Timestamp::from_second(seconds).expect("a valid time"))
 }
 
 fn problem(field: &str) -> Problem {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn condition_names_every_problem_with_its_remedy() {
+fn condition_message_lists_every_problem_with_its_remedy() {
     let problems = [problem("spec.zone"), problem("spec.hosts")];
     let condition = accepted_condition(4, &problems, None, at(10));
     assert_eq!(condition.status, "False");
@@ -31,30 +31,30 @@
 }
 
 #[test]
-fn transition_time_moves_only_with_the_status() {
+fn transition_time_changes_only_with_the_status() {
     let first = accepted_condition(1, &[], None, at(10));
     let same = accepted_condition(2, &[], Some(&first), at(20));
     assert_eq!(same.last_transition_time, at(10));
     assert_eq!(same.observed_generation, Some(2));
-    let refused = accepted_condition(3, &[problem("spec")], Some(&same), at(30));
-    assert_eq!(refused.last_transition_time, at(30));
+    let rejected = accepted_condition(3, &[problem("spec")], Some(&same), at(30));
+    assert_eq!(rejected.last_transition_time, at(30));
 }
 
 #[test]
-fn refused_object_keeps_the_revision_in_force() {
+fn rejected_object_keeps_the_revision_of_its_accepted_version() {
     let revision = Revision::new(Generation(1), 7);
     let accepted = accepted_condition(1, &[], None, at(10));
     let status = acceptance_status(None, accepted, Some(revision));
-    let refused = accepted_condition(2, &[problem("spec")], None, at(20));
-    let status = acceptance_status(Some(&status), refused, None);
+    let rejected = accepted_condition(2, &[problem("spec")], None, at(20));
+    let status = acceptance_status(Some(&status), rejected, None);
     assert_eq!(status.revision.as_deref(), Some("1.7"));
     assert_eq!(status.conditions.len(), 1);
-    let condition = find_accepted(&status).expect("written");
+    let condition = find_accepted(&status).expect("an Accepted condition");
     assert_eq!(condition.status, "False");
 }
 
 #[test]
-fn message_stays_within_the_conventions_bound() {
+fn message_is_truncated_to_the_length_limit() {
     let many: Vec<Problem> = (0..2_000).map(|_| problem("spec.ünïcödé")).collect();
     let condition = accepted_condition(1, &many, None, at(0));
     assert!(condition.message.len() <= 32_768);
--- a/crates/types/tests/documented_reasons.rs
+++ b/crates/types/tests/documented_reasons.rs
@@ -1,13 +1,14 @@
-//! The operators' page names every reason of a refusal.
+//! Checks that the operators' documentation lists every reason why an object
+//! can be rejected.
 
 use threadledge_types::validation::ProblemKind;
 use threadledge_types::{BackEndId, ServiceId};
 
-const PAGE: &str = include_str!("../../../docs/operators/configuration.md");
+const DOCUMENTATION: &str = include_str!("../../../docs/operators/configuration.md");
 
-/// One problem of each kind. A kind that is added fails to compile in
-/// [`is_listed`] until it is added here too.
-fn every_kind() -> Vec<ProblemKind> {
+/// Returns one value of each kind. When a kind is added, [`is_listed`] does not
+/// compile until the kind is added there; add it here at the same time.
+fn all_kinds() -> Vec<ProblemKind> {
     let text = String::new;
     vec![
         ProblemKind::Unreadable(text()),
@@ -49,7 +50,8 @@
     ]
 }
 
-/// Without a wildcard, so that the compiler asks for each new kind.
+/// Matches without a wildcard, so that the compiler rejects a kind that is
+/// missing here.
 fn is_listed(kind: &ProblemKind) -> bool {
     match kind {
         ProblemKind::Unreadable(_)
@@ -79,18 +81,18 @@
 }
 
 #[test]
-fn every_reason_stands_on_the_operators_page() {
-    for kind in every_kind() {
+fn every_reason_is_documented() {
+    for kind in all_kinds() {
         assert!(is_listed(&kind));
         let row = format!("`{}`", kind.reason());
-        assert!(PAGE.contains(&row), "{row} is not documented");
+        assert!(DOCUMENTATION.contains(&row), "{row} is not documented");
         assert!(!kind.remedy().is_empty());
     }
 }
 
 #[test]
-fn reasons_differ() {
-    let kinds = every_kind();
+fn reasons_are_unique() {
+    let kinds = all_kinds();
     let mut reasons: Vec<&str> = kinds.iter().map(ProblemKind::reason).collect();
     reasons.sort_unstable();
     reasons.dedup();
--- a/crates/types/tests/validation.rs
+++ b/crates/types/tests/validation.rs
@@ -1,4 +1,5 @@
-//! Objects are judged whole, each problem with its field.
+//! Tests of object validation: all problems of an object are reported, each
+//! with its field.
 
 use serde_json::{Value, json};
 use threadledge_types::objects::{BackEndObject, KeyedServiceObject};
@@ -37,7 +38,7 @@
     })
 }
 
-/// `object` with the value at a JSON pointer replaced.
+/// Returns `object` with the value at a JSON pointer replaced.
 fn with(mut object: Value, pointer: &str, value: Value) -> Value {
     let (parent, field) = pointer.rsplit_once('/').expect("a pointer");
     let parent = object.pointer_mut(parent).expect("the parent exists");
@@ -49,16 +50,17 @@
 }
 
 fn back_end_problems(object: &Value) -> Vec<Problem> {
-    let object: BackEndObject = parse_object("BackEnd", object).expect("readable");
+    let object: BackEndObject = parse_object("BackEnd", object).expect("an object that parses");
     validate_back_end(&object).err().unwrap_or_default()
 }
 
 fn service_problems(object: &Value) -> Vec<Problem> {
-    let object: KeyedServiceObject = parse_object("KeyedService", object).expect("readable");
+    let object: KeyedServiceObject =
+        parse_object("KeyedService", object).expect("an object that parses");
     validate_service(&object).err().unwrap_or_default()
 }
 
-/// Fields and reasons of problems, in their order.
+/// Returns the field and reason of each problem, in order.
 fn summary(problems: &[Problem]) -> Vec<(&str, &str)> {
     let pair = |problem| {
         let Problem { field, kind, .. }: &Problem = problem;
@@ -68,8 +70,9 @@
 }
 
 #[test]
-fn valid_back_end_becomes_its_record() {
-    let object: BackEndObject = parse_object("BackEnd", &back_end()).expect("readable");
+fn valid_back_end_is_converted_to_a_record() {
+    let object: BackEndObject =
+        parse_object("BackEnd", &back_end()).expect("an object that parses");
     let record = validate_back_end(&object).expect("valid");
     assert_eq!(record.id.to_string(), "kauri/quote-01");
     assert_eq!(record.labels["app"], "quote");
@@ -77,7 +80,7 @@
 }
 
 #[test]
-fn every_problem_of_a_back_end_is_reported_at_once() {
+fn all_problems_of_a_back_end_are_reported() {
     let mut object = back_end();
     object["metadata"]["name"] = json!("Quote_01");
     object["metadata"]["labels"] = json!({ "app": "a b" });
@@ -108,7 +111,7 @@
 }
 
 #[test]
-fn objects_in_the_routers_namespace_are_refused() {
+fn objects_in_the_reserved_namespace_are_rejected() {
     let object = with(
         back_end(),
         "/metadata/namespace",
@@ -119,7 +122,7 @@
 }
 
 #[test]
-fn unreadable_object_names_its_field() {
+fn parse_error_names_the_field() {
     let host_name = with(back_end(), "/spec/address", json!("db.example.org:80"));
     let problem = parse_object::<BackEndObject>("BackEnd", &host_name).expect_err("no IP");
     assert_eq!(problem.field, "spec.address");
@@ -134,8 +137,9 @@
 }
 
 #[test]
-fn valid_service_takes_defaults() {
-    let object: KeyedServiceObject = parse_object("KeyedService", &service()).expect("readable");
+fn valid_service_gets_default_values() {
+    let object: KeyedServiceObject =
+        parse_object("KeyedService", &service()).expect("an object that parses");
     let record = validate_service(&object).expect("valid");
     assert_eq!(record.spec.routes[0].deadline_ms, 2_000);
     assert!(is_for_region(&record.spec, &RegionName::from("nz-north")));
@@ -305,7 +309,7 @@
 }
 
 #[test]
-fn route_behind_a_wider_one_is_reported() {
+fn route_shadowed_by_an_earlier_one_is_reported() {
     let key = json!({ "header": "x-id" });
     let routes = json!([
         { "name": "reads", "pathPrefix": "/v1", "methods": ["GET"], "key": key },
@@ -323,8 +327,9 @@
 }
 
 #[test]
-fn host_belongs_to_the_first_accepted_claim_until_released() {
-    let object: KeyedServiceObject = parse_object("KeyedService", &service()).expect("readable");
+fn host_belongs_to_the_first_claim_until_released() {
+    let object: KeyedServiceObject =
+        parse_object("KeyedService", &service()).expect("an object that parses");
     let first = validate_service(&object).expect("valid");
     let mut second = first.clone();
     second.id = ServiceId::new("other", "quote");
@@ -332,19 +337,20 @@
     claims.claim(&first).expect("free");
     let problems = claims.claim(&second).expect_err("taken");
     assert_eq!(summary(&problems), [("spec.hosts[0]", "HostClaimed")]);
-    claims.claim(&first).expect("its own");
+    claims.claim(&first).expect("already its own");
     let mut moved = first.clone();
     moved.spec.hosts = vec!["new.example.org".to_owned()];
     claims.claim(&moved).expect("free");
-    claims.claim(&second).expect("given up by the first");
+    claims.claim(&second).expect("released by the first");
     claims.release(&second.id);
-    assert_eq!(claims.holder("quote.example.org"), None);
-    assert_eq!(claims.holder("new.example.org"), Some(&first.id));
+    assert_eq!(claims.owner("quote.example.org"), None);
+    assert_eq!(claims.owner("new.example.org"), Some(&first.id));
 }
 
 #[test]
-fn address_of_another_back_end_is_refused() {
-    let object: BackEndObject = parse_object("BackEnd", &back_end()).expect("readable");
+fn address_of_another_back_end_is_rejected() {
+    let object: BackEndObject =
+        parse_object("BackEnd", &back_end()).expect("an object that parses");
     let first = validate_back_end(&object).expect("valid");
     let mut second = first.clone();
     second.id.namespace = "other".to_owned();
@@ -357,24 +363,24 @@
         [("spec.controlAddress", "AddressClaimed")]
     );
     claims.release(&first.id);
-    claims.claim(&second).expect("given up");
+    claims.claim(&second).expect("released");
 }
 
 #[test]
-fn object_set_reports_what_only_shows_together() {
+fn object_set_reports_conflicts_between_objects() {
     let mut set = ObjectSet::new();
     set.add(&back_end()).expect("valid");
     set.add(&service()).expect("valid");
     assert_eq!(set.cross_object_problems(), []);
-    let twice = set.add(&back_end()).expect_err("the same name");
-    assert_eq!(summary(&twice), [("metadata.name", "Duplicate")]);
+    let duplicate = set.add(&back_end()).expect_err("the same name");
+    assert_eq!(summary(&duplicate), [("metadata.name", "Duplicate")]);
     let mut other = with(service(), "/metadata/name", json!("other"));
     other["spec"]["hosts"] = json!(["other.example.org"]);
     other["spec"]["backEndSelector"] = json!({ "matchLabels": { "app": "other" } });
     set.add(&other).expect("valid by itself");
-    let whole = set.cross_object_problems();
+    let problems = set.cross_object_problems();
     assert_eq!(
-        summary(&whole),
+        summary(&problems),
         [("spec.backEndSelector", "NothingSelected")]
     );
     let unknown = set.add(&json!({ "apiVersion": "v2", "kind": "Pod" }));
@@ -396,14 +402,14 @@
 }
 
 #[test]
-fn document_holds_one_object_or_a_list() {
+fn document_is_split_into_its_objects() {
     assert_eq!(split_document(service()), [service()]);
     let list = json!({ "kind": "List", "items": [service(), back_end()] });
     assert_eq!(split_document(list), [service(), back_end()]);
 }
 
 #[test]
-fn every_problem_says_its_remedy() {
+fn problem_text_ends_with_the_remedy() {
     let problem = Problem {
         object: threadledge_types::validation::ObjectReference::new("BackEnd", "a", "b"),
         field: "spec.zone".to_owned(),
