--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -20,8 +20,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use threadledge_coordination::{LoadReport, OwnershipView};
-use threadledge_suspects::{Break, Suspects, Unconfirmed};
-use threadledge_tenants::{Admission, Caller, KeyChanges, KeyIndex};
+use threadledge_suspects::{BrokenAttempt, Suspects, UnconfirmedCrashes};
+use threadledge_tenants::{Admission, TenantPolicy, KeyChanges, KeyIndex};
 use threadledge_types::deployment::{
     BackEnd, BackEndName, Configuration, ConfigurationVersion, Route, RouteName, ServiceName,
 };
@@ -50,7 +50,7 @@
     /// The service that it goes to.
     pub service: ServiceName,
     /// Whose caller sends it, by the configuration in force.
-    pub caller: Option<Arc<Caller>>,
+    pub caller: Option<Arc<TenantPolicy>>,
     /// When it must have been answered.
     pub deadline: Timestamp,
     /// It must not leave certain regions, and this router is in none of them:
@@ -112,8 +112,8 @@
     /// Requests that crash back ends, as all routers know them.
     suspects: Suspects,
     /// Attempts that broke, while it is open whether their process ended.
-    unconfirmed: Unconfirmed,
-    confirmed: Vec<Break>,
+    unconfirmed: UnconfirmedCrashes,
+    confirmed: Vec<BrokenAttempt>,
     to_look_at: Vec<Look>,
 }
 
@@ -150,7 +150,7 @@
             fleet_known: None,
             slack_until: None,
             suspects: Suspects::default(),
-            unconfirmed: Unconfirmed::default(),
+            unconfirmed: UnconfirmedCrashes::default(),
             confirmed: Vec::new(),
             to_look_at: Vec::new(),
         }
@@ -319,9 +319,13 @@
 
     fn start(&mut self, now: Timestamp, facts: &RequestFacts<'_>) -> Result<Begun, Refusal> {
         let admission = self.admitted(now, &facts.call)?;
-        let rank = admission.rank();
+        let rank = admission.priority();
         let allowed_regions = admission.allowed_regions();
-        let Admission { route, caller, .. } = admission;
+        let Admission {
+            route,
+            tenant: caller,
+            ..
+        } = admission;
         let starts = &mut self.starts;
         let dealer = self
             .dealers
--- a/crates/dispatch/src/dispatcher/admitting.rs
+++ b/crates/dispatch/src/dispatcher/admitting.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use threadledge_tenants::{Admission, Caller, Denied, KeyChanges, admit};
+use threadledge_tenants::{Admission, TenantPolicy, AuthError, KeyChanges, authorize};
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{Configuration, KeyDigest};
 
@@ -38,7 +38,7 @@
     }
 
     /// The tenant that holds a key, by the configuration in force.
-    pub fn holder(&self, key: &KeyDigest) -> Option<&Caller> {
+    pub fn holder(&self, key: &KeyDigest) -> Option<&TenantPolicy> {
         self.keys.find(key).map(AsRef::as_ref)
     }
 
@@ -50,10 +50,10 @@
             return Err(refusal(RefusalReason::NoRoute));
         };
         let asks_keys = !configuration.tenants.is_empty();
-        let caller = admit(&self.keys, asks_keys, route, call.api_key);
+        let caller = authorize(&self.keys, asks_keys, route, call.api_key);
         let unsure = self.keys_unsure(now);
         let caller = match caller {
-            Err(Denied::UnknownKey) if unsure => Err(RefusalReason::KeysOutOfDate),
+            Err(AuthError::UnknownKey) if unsure => Err(RefusalReason::KeysOutOfDate),
             Err(denied) => Err(reason(denied)),
             Ok(Some(_)) if unsure && self.settings.fail_closed => Err(RefusalReason::KeysOutOfDate),
             Ok(caller) => Ok(caller),
@@ -62,7 +62,7 @@
         let admission = Admission {
             version: configuration.version,
             route: route.clone(),
-            caller: caller.cloned(),
+            tenant: caller.cloned(),
         };
         let regions = admission.allowed_regions();
         if regions.is_some_and(|regions| regions.is_empty()) {
@@ -87,13 +87,13 @@
         let none = BTreeMap::new();
         let known = self.configuration.as_ref();
         let known = known.map_or(&none, |known| &known.tenants);
-        self.keys.follow(known, &later.tenants)
+        self.keys.update(known, &later.tenants)
     }
 }
 
-fn reason(denied: Denied) -> RefusalReason {
+fn reason(denied: AuthError) -> RefusalReason {
     match denied {
-        Denied::NoKey => RefusalReason::MissingApiKey,
-        Denied::UnknownKey => RefusalReason::UnknownApiKey,
+        AuthError::MissingKey => RefusalReason::MissingApiKey,
+        AuthError::UnknownKey => RefusalReason::UnknownApiKey,
     }
 }
--- a/crates/dispatch/src/dispatcher/crashes.rs
+++ b/crates/dispatch/src/dispatcher/crashes.rs
@@ -7,7 +7,7 @@
 
 use std::net::SocketAddr;
 
-use threadledge_suspects::{Break, CRASHES_UNTIL_HELD, RequestHash, SuspectNews, Suspects};
+use threadledge_suspects::{BrokenAttempt, CRASHES_UNTIL_HELD, RequestHash, SuspectUpdate, Suspects};
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::BackEndName;
 
@@ -43,8 +43,8 @@
 
     /// Takes what another router knows of requests under suspicion. Says
     /// whether any of it was new.
-    pub fn take_suspects(&mut self, now: Timestamp, news: &SuspectNews) -> bool {
-        let new = self.suspects.take_news(news, now);
+    pub fn take_suspects(&mut self, now: Timestamp, news: &SuspectUpdate) -> bool {
+        let new = self.suspects.merge(news, now);
         if new {
             self.presume_open();
             self.serve_all(now);
@@ -58,13 +58,13 @@
     }
 
     /// Crashes that were confirmed or presumed here since this was asked last.
-    pub fn take_crashes(&mut self) -> Vec<Break> {
+    pub fn take_crashes(&mut self) -> Vec<BrokenAttempt> {
         std::mem::take(&mut self.confirmed)
     }
 
     /// Whether it is still open what became of a process.
     pub fn is_open(&self, process: &BackEndName) -> bool {
-        self.unconfirmed.has(process)
+        self.unconfirmed.contains(process)
     }
 
     /// Whether [`Dispatcher::take_crashes`] has any.
@@ -80,22 +80,22 @@
     /// Nobody answers at the address of a process, or another process does: it
     /// has ended.
     pub fn process_ended(&mut self, process: &BackEndName) {
-        for found in self.unconfirmed.ended(process) {
-            let Break {
+        for found in self.unconfirmed.remove_ended(process) {
+            let BrokenAttempt {
                 identity,
                 label,
                 at,
                 ..
             } = &found;
             // It was answered elsewhere meanwhile: nothing to tell anybody.
-            if self.suspects.answered_since(*at, identity) {
+            if self.suspects.succeeded_since(*at, identity) {
                 continue;
             }
-            let new = self.suspects.crashed(*at, identity, process, label);
+            let new = self.suspects.record_crash(*at, identity, process, label);
             if new || found.presumed {
                 self.counters.crashes += 1;
                 let presumed = false;
-                self.confirmed.push(Break { presumed, ..found });
+                self.confirmed.push(BrokenAttempt { presumed, ..found });
             }
         }
         self.presume_open();
@@ -104,14 +104,14 @@
     /// Looks at the breaks that were open when the crash before the last became
     /// known.
     fn presume_open(&mut self) {
-        let open = self.unconfirmed.uncounted();
+        let open = self.unconfirmed.unpresumed();
         let last = open.filter(|found| self.suspects.crashes_of(&found.identity) >= CAREFUL_FROM);
-        let last: Vec<Break> = last.cloned().collect();
+        let last: Vec<BrokenAttempt> = last.cloned().collect();
         for mut found in last {
             self.presume(&mut found);
             if found.presumed {
                 self.unconfirmed
-                    .count_as_crash(&found.process, &found.identity);
+                    .mark_presumed(&found.process, &found.identity);
             }
         }
     }
@@ -123,18 +123,18 @@
     /// a registration tells, 2.5 s later. Until then other gateways sent the
     /// request on, and what was open was lost with all gateways: 6 and 4 runs
     /// too late where 3 are allowed (soak seeds 3509, 3511).
-    fn presume(&mut self, found: &mut Break) {
+    fn presume(&mut self, found: &mut BrokenAttempt) {
         if self.suspects.crashes_of(&found.identity) < CAREFUL_FROM {
             return;
         }
-        let Break {
+        let BrokenAttempt {
             identity,
             label,
             process,
             at,
             ..
         } = &*found;
-        if self.suspects.crashed(*at, identity, process, label) {
+        if self.suspects.record_crash(*at, identity, process, label) {
             found.presumed = true;
             self.confirmed.push(found.clone());
         }
@@ -155,8 +155,8 @@
             AttemptEnd::Answered { .. } => {
                 self.process_answered(in_flight.chosen_at, process);
                 if let Some(exchange) = self.exchanges.get(&id) {
-                    self.unconfirmed.succeeded(&exchange.identity);
-                    self.suspects.succeeded(now, &exchange.identity);
+                    self.unconfirmed.on_success(&exchange.identity);
+                    self.suspects.record_success(now, &exchange.identity);
                 }
             }
             AttemptEnd::NotRun {
@@ -182,8 +182,8 @@
 
     /// The process answered what was sent to it at `sent`.
     pub fn process_answered(&mut self, sent: Timestamp, process: &BackEndName) {
-        self.unconfirmed.answered(sent, process);
-        self.suspects.answered(sent, process);
+        self.unconfirmed.on_response(sent, process);
+        self.suspects.record_response(sent, process);
     }
 
     /// Processes that are not registered any more, or at whose address another
@@ -207,7 +207,7 @@
         let Some(exchange) = self.exchanges.get(&id) else {
             return;
         };
-        let mut found = Break {
+        let mut found = BrokenAttempt {
             identity: exchange.identity,
             label: exchange.label.chars().take(LABEL).collect(),
             process: process.clone(),
@@ -215,7 +215,7 @@
             presumed: false,
         };
         self.presume(&mut found);
-        if self.unconfirmed.broke(found) {
+        if self.unconfirmed.add(found) {
             let look = self.look(process, silent);
             self.to_look_at.extend(look);
         }
@@ -239,7 +239,7 @@
     pub(super) fn step_of_suspect(&mut self, now: Timestamp, id: ExchangeId) -> Option<Step> {
         let exchange = self.exchanges.get(&id)?;
         let crashes = self.suspects.crashes_of(&exchange.identity);
-        let open = self.unconfirmed.count(&exchange.identity);
+        let open = self.unconfirmed.possible_crashes(&exchange.identity);
         if crashes >= CRASHES_UNTIL_HELD {
             return Some(self.finish_held(now, id));
         }
--- a/crates/dispatch/tests/dispatcher/crashes.rs
+++ b/crates/dispatch/tests/dispatcher/crashes.rs
@@ -6,7 +6,7 @@
 use threadledge_dispatch::{
     Attempt, AttemptEnd, Begun, Call, Fault, Outcome, Refusal, RefusalReason, RequestFacts, Step,
 };
-use threadledge_suspects::{RequestIdentity, Scope};
+use threadledge_suspects::{RequestIdentity, UpdateScope};
 
 use super::support::{HOST, Station, answered, back_end, fault, identity, not_run};
 
@@ -201,7 +201,7 @@
     station.end(&begun, &attempt, fault(Fault::Broken));
     assert!(is_held(begin(&mut station, "safe", bad)));
     let told = station.dispatcher.suspects();
-    let told = told.news_since(0, Scope::Repeated, station.now);
+    let told = told.updates_since(0, UpdateScope::Repeated, station.now);
     let mut other = Station::with_seed(8);
     other.dispatcher.take_suspects(other.now, &told);
     assert!(other.dispatcher.suspects().is_held(&bad));
@@ -333,7 +333,7 @@
     let news = other
         .dispatcher
         .suspects()
-        .news_since(0, Scope::All, other.now);
+        .updates_since(0, UpdateScope::All, other.now);
     assert!(station.dispatcher.take_suspects(station.now, &news));
     assert!(
         !station
--- a/crates/dispatch/tests/dispatcher/tenants.rs
+++ b/crates/dispatch/tests/dispatcher/tenants.rs
@@ -45,7 +45,7 @@
     };
     let admission = station.dispatcher.admission(station.now, &call);
     let admission = admission.map_err(|refusal| refusal.reason)?;
-    Ok(admission.tenant().map(ToString::to_string))
+    Ok(admission.tenant_name().map(ToString::to_string))
 }
 
 #[test]
--- a/crates/limits/src/ledger.rs
+++ b/crates/limits/src/ledger.rs
@@ -21,7 +21,7 @@
 use threadledge_types::deployment::{RateLimit, TenantName};
 use threadledge_types::{MachineName, Timestamp};
 
-use crate::messages::{Answer, Ask, Echo, HolderRecord, Share, TenantAsk, TenantGrant};
+use crate::messages::{QuotaResponse, QuotaRequest, Echo, HolderRecord, Share, TenantQuotaRequest, TenantGrant};
 use crate::settings::{LONGEST_PAUSE, Settings};
 use account::Account;
 use claim::Claim;
@@ -30,7 +30,7 @@
 
 /// How a ledger came into office.
 #[derive(Clone, Debug)]
-pub struct Office {
+pub struct LedgerElection {
     /// Its term.
     pub term: Term,
     /// Who may have kept the ledger until now.
@@ -62,7 +62,7 @@
 
 impl Ledger {
     /// A ledger that takes its office `now`.
-    pub fn new(now: Timestamp, settings: Settings, office: Office) -> Self {
+    pub fn new(now: Timestamp, settings: Settings, office: LedgerElection) -> Self {
         let claim = Claim::begin(now, &settings, office.predecessor, office.found);
         let free = claim.free(now);
         Ledger {
@@ -84,8 +84,8 @@
     }
 
     /// Whether the whole of each rate is this ledger's to give.
-    pub fn is_whole(&self) -> bool {
-        self.claim.is_whole()
+    pub fn has_full_rate(&self) -> bool {
+        self.claim.has_full_rate()
     }
 
     /// Takes the limits of the configuration in force.
@@ -116,7 +116,7 @@
     }
 
     /// Whether the store should keep another record of holders.
-    pub fn needs_record(&self, now: Timestamp) -> bool {
+    pub fn needs_record_update(&self, now: Timestamp) -> bool {
         self.record(now) != self.listed
     }
 
@@ -138,7 +138,7 @@
     fn record(&self, now: Timestamp) -> HolderRecord {
         let mut machines: BTreeSet<MachineName> = self.members.keys().cloned().collect();
         machines.insert(self.machine.clone());
-        if !self.is_whole() {
+        if !self.has_full_rate() {
             machines.extend(self.listed.machines.iter().cloned());
         }
         let ledgers = match self.claim.is_alone(now) {
@@ -153,32 +153,32 @@
     }
 
     /// The store keeps this record now.
-    pub fn recorded(&mut self, record: HolderRecord) {
+    pub fn on_record_written(&mut self, record: HolderRecord) {
         self.listed = record;
     }
 
     /// Answers an ask that arrived `now`.
-    pub fn answer(&mut self, now: Timestamp, ask: &Ask) -> Answer {
+    pub fn answer(&mut self, now: Timestamp, ask: &QuotaRequest) -> QuotaResponse {
         self.advance(now);
         let echo = ask.echo.filter(|echo| echo.term == self.term);
         let tenants = match echo {
             None => Vec::new(),
             Some(echo) => match self.take(now, ask, echo) {
                 Some(tenants) => tenants,
-                None => return Answer::Elsewhere,
+                None => return QuotaResponse::NotLeader,
             },
         };
-        Answer::Ledger {
+        QuotaResponse::Ledger {
             term: self.term,
             at: now,
             tenants,
-            ailing: false,
+            lease_at_risk: false,
         }
     }
 
     /// `None`: the ask is older than what is known of its sender.
-    fn take(&mut self, now: Timestamp, ask: &Ask, echo: Echo) -> Option<Vec<TenantGrant>> {
-        let sent = echo.at + Duration::from_micros(echo.passed_us);
+    fn take(&mut self, now: Timestamp, ask: &QuotaRequest, echo: Echo) -> Option<Vec<TenantGrant>> {
+        let sent = echo.at + Duration::from_micros(echo.elapsed_us);
         self.meet(now, ask, sent.min(now))?;
         let mut grants = Vec::with_capacity(ask.tenants.len());
         for tenant in &ask.tenants {
@@ -188,7 +188,7 @@
     }
 
     /// Takes in who asks and what it holds.
-    fn meet(&mut self, now: Timestamp, ask: &Ask, sent: Timestamp) -> Option<()> {
+    fn meet(&mut self, now: Timestamp, ask: &QuotaRequest, sent: Timestamp) -> Option<()> {
         if let Some(member) = self.members.get_mut(&ask.from) {
             if !member.accepts(ask) {
                 return None;
@@ -197,8 +197,8 @@
             self.deadlines.remove(&deadline);
         }
         let known = self.members.remove(&ask.from);
-        let is_new = known.as_ref().is_none_or(|known| known.life != ask.life);
-        let mut member = known.unwrap_or_else(|| Member::new(ask.life));
+        let is_new = known.as_ref().is_none_or(|known| known.incarnation != ask.incarnation);
+        let mut member = known.unwrap_or_else(|| Member::new(ask.incarnation));
         self.forget_holdings(now, &member);
         member.hear(ask, sent);
         for tenant in &ask.tenants {
@@ -211,11 +211,11 @@
                 continue;
             };
             account.refill(now);
-            if is_new && !self.claim.is_whole() {
+            if is_new && !self.claim.has_full_rate() {
                 account.hand_in(tenant.share, self.free);
             }
             account.count(holding, false);
-            account.put(tenant.back);
+            account.put(tenant.returned);
         }
         let deadline = (member.deadline, ask.from.clone());
         self.deadlines.insert(deadline);
@@ -238,26 +238,26 @@
         }
     }
 
-    fn grant(&mut self, now: Timestamp, from: &MachineName, ask: &TenantAsk) -> TenantGrant {
+    fn grant(&mut self, now: Timestamp, from: &MachineName, ask: &TenantQuotaRequest) -> TenantGrant {
         let name = ask.name.clone();
         let Some(account) = self.accounts.get_mut(&name) else {
             // By this configuration the tenant has no limit.
             return TenantGrant {
                 name,
-                tokens: ask.need + ask.want,
+                tokens: ask.need + ask.prefetch,
                 share: Share::default(),
-                none_ms: 0,
-                over: false,
+                retry_after_ms: 0,
+                over_limit: false,
             };
         };
         account.refill(now);
         let needed = account.take_needed(ask.need);
-        let tokens = needed + account.take_wanted(ask.want);
-        let none_ms = match needed < ask.need {
+        let tokens = needed + account.take_wanted(ask.prefetch);
+        let retry_after_ms = match needed < ask.need {
             true => millis(account.pause()),
             false => 0,
         };
-        let over = none_ms > 0 && account.is_over();
+        let over_limit = retry_after_ms > 0 && account.is_over();
         let listed = self.listed.machines.contains(from);
         let share = match self.members.get_mut(from) {
             Some(member) if listed => account.offer(member, &name),
@@ -267,8 +267,8 @@
             name,
             tokens,
             share,
-            none_ms,
-            over,
+            retry_after_ms,
+            over_limit,
         }
     }
 
@@ -316,7 +316,7 @@
 
     /// What operators see of one tenant: its limit, tokens at hand, requests a
     /// second that gateways report.
-    pub fn view(&self, tenant: &TenantName) -> Option<(RateLimit, f64, f64)> {
+    pub fn tenant_load(&self, tenant: &TenantName) -> Option<(RateLimit, f64, f64)> {
         let account = self.accounts.get(tenant)?;
         Some((account.limit, account.level(), account.reported_rate()))
     }
--- a/crates/limits/src/ledger/claim.rs
+++ b/crates/limits/src/ledger/claim.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Predecessor {
     /// It has surely handed out its last token and share by then.
-    pub office_end: Timestamp,
+    pub lease_end: Timestamp,
 }
 
 /// Most of a tenant's rate that one gateway has as its share. A machine that
@@ -29,7 +29,7 @@
         /// Everything that was handed out before has run out by then.
         until: Timestamp,
         /// No ledger before this one gives anything from then on.
-        office_end: Timestamp,
+        lease_end: Timestamp,
         /// Machines of such ledgers that have not asked yet.
         ledgers: BTreeSet<MachineName>,
         /// Machines that may hold shares and have not asked yet.
@@ -44,15 +44,15 @@
         predecessor: Option<Predecessor>,
         found: Option<HolderRecord>,
     ) -> Self {
-        let office_end = predecessor.map_or(now, |earlier| earlier.office_end);
+        let lease_end = predecessor.map_or(now, |earlier| earlier.lease_end);
         match (predecessor, found) {
             // A ledger begins only after its record was written: there was
             // none. An office may have been won before, or seem so where the
             // answer to the first write was lost.
             (_, None) => Claim::Whole,
             (_, Some(found)) => Claim::Part {
-                until: settings.share_end(office_end),
-                office_end,
+                until: settings.share_end(lease_end),
+                lease_end,
                 ledgers: found.ledgers,
                 missing: found.machines,
             },
@@ -83,9 +83,9 @@
             Claim::Whole => true,
             Claim::Part {
                 ledgers,
-                office_end,
+                lease_end,
                 ..
-            } => *office_end <= now || ledgers.is_empty(),
+            } => *lease_end <= now || ledgers.is_empty(),
         }
     }
 
--- a/crates/limits/src/ledger/member.rs
+++ b/crates/limits/src/ledger/member.rs
@@ -5,7 +5,7 @@
 use threadledge_types::deployment::TenantName;
 use threadledge_types::{Incarnation, Timestamp};
 
-use crate::messages::{Ask, Share};
+use crate::messages::{QuotaRequest, Share};
 use crate::settings::{RESERVED_AFTER, Settings};
 
 /// Earlier lives of a machine's gateway that are remembered: their asks may
@@ -23,7 +23,7 @@
 /// A gateway that has asked.
 #[derive(Debug)]
 pub(super) struct Member {
-    pub(super) life: Incarnation,
+    pub(super) incarnation: Incarnation,
     former: VecDeque<Incarnation>,
     number: u64,
     /// It sent its last ask at that time or later.
@@ -36,9 +36,9 @@
 }
 
 impl Member {
-    pub(super) fn new(life: Incarnation) -> Self {
+    pub(super) fn new(incarnation: Incarnation) -> Self {
         Member {
-            life,
+            incarnation,
             former: VecDeque::new(),
             number: 0,
             heard: Timestamp::ZERO,
@@ -49,10 +49,10 @@
     }
 
     /// Whether this is news of it, and not an ask that was long on its way.
-    pub(super) fn accepts(&self, ask: &Ask) -> bool {
-        match ask.life == self.life {
+    pub(super) fn accepts(&self, ask: &QuotaRequest) -> bool {
+        match ask.incarnation == self.incarnation {
             true => ask.number > self.number,
-            false => !self.former.contains(&ask.life),
+            false => !self.former.contains(&ask.incarnation),
         }
     }
 
@@ -60,11 +60,11 @@
     ///
     /// Another life of the same machine proves that the one before is gone,
     /// with its shares.
-    pub(super) fn hear(&mut self, ask: &Ask, sent: Timestamp) {
-        if ask.life != self.life {
-            self.former.push_front(self.life);
+    pub(super) fn hear(&mut self, ask: &QuotaRequest, sent: Timestamp) {
+        if ask.incarnation != self.incarnation {
+            self.former.push_front(self.incarnation);
             self.former.truncate(FORMER_LIVES);
-            self.life = ask.life;
+            self.incarnation = ask.incarnation;
             self.heard = sent;
         }
         self.number = ask.number;
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,7 +1,7 @@
 //! Limits of tenants, held over all gateways together.
 //!
 //! One gateway at a time, elected through the store, keeps the [`Ledger`]: a
-//! token bucket for each tenant. Every gateway keeps a [`Spender`], which asks
+//! token bucket for each tenant. Every gateway keeps a [`RateLimiter`], which asks
 //! the ledger for a few tokens at a time and spends one on each request.
 //! Tokens end by themselves after a short life, so that the requests of any
 //! window stay within the limit, the overage and the slack of [`Settings`],
@@ -17,9 +17,9 @@
 pub mod ledger;
 pub mod messages;
 pub mod settings;
-pub mod spender;
+pub mod rate_limiter;
 
 pub use ledger::{Ledger, Predecessor};
-pub use messages::{Answer, Ask, HolderRecord, Share, TenantAsk, TenantGrant};
+pub use messages::{QuotaResponse, QuotaRequest, HolderRecord, Share, TenantQuotaRequest, TenantGrant};
 pub use settings::Settings;
-pub use spender::{Admission, RefusedWhy, Spender};
+pub use rate_limiter::{Admission, RefusalReason, RateLimiter};
--- a/crates/limits/src/messages.rs
+++ b/crates/limits/src/messages.rs
@@ -31,11 +31,12 @@
 /// A gateway asks for tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Ask {
+pub struct QuotaRequest {
     /// The machine that asks.
     pub from: MachineName,
     /// Which life of its gateway.
-    pub life: Incarnation,
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
     /// Raised by each ask of one life.
     pub number: u64,
     /// Proof of an earlier answer; without it the ask only greets, and changes
@@ -44,7 +45,7 @@
     pub echo: Option<Echo>,
     /// The tenants that it is about.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub tenants: Vec<TenantAsk>,
+    pub tenants: Vec<TenantQuotaRequest>,
 }
 
 /// Tells the ledger when an ask was sent, by the ledger's own clock: not
@@ -60,25 +61,26 @@
     pub at: Timestamp,
     /// From the arrival of that answer until this ask was sent, in
     /// microseconds.
-    pub passed_us: u64,
+    #[serde(rename = "passed-us")]
+    pub elapsed_us: u64,
 }
 
 /// What a gateway asks for one tenant. All figures of several gateways may be
 /// added up, so that one may ask for others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct TenantAsk {
+pub struct TenantQuotaRequest {
     /// The tenant.
     pub name: TenantName,
     /// Requests that wait.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub need: u32,
     /// Tokens that will be needed besides before the next ask.
-    #[serde(default, skip_serializing_if = "is_zero")]
-    pub want: u32,
+    #[serde(rename = "want", default, skip_serializing_if = "is_zero")]
+    pub prefetch: u32,
     /// Tokens that were not used, or whose requests surely did not run.
-    #[serde(default, skip_serializing_if = "is_zero")]
-    pub back: u32,
+    #[serde(rename = "back", default, skip_serializing_if = "is_zero")]
+    pub returned: u32,
     /// Requests that arrive lately, in thousandths a second.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub rate: u32,
@@ -94,7 +96,7 @@
 /// The answer to an ask.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
-pub enum Answer {
+pub enum QuotaResponse {
     /// The ledger of this term answers.
     Ledger {
         /// Its term.
@@ -105,11 +107,12 @@
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         tenants: Vec<TenantGrant>,
         /// The store has not confirmed its office for a while.
-        #[serde(default, skip_serializing_if = "is_false")]
-        ailing: bool,
+        #[serde(rename = "ailing", default, skip_serializing_if = "is_false")]
+        lease_at_risk: bool,
     },
     /// This gateway does not keep the ledger.
-    Elsewhere,
+    #[serde(rename = "elsewhere")]
+    NotLeader,
 }
 
 /// What one tenant gets at one gateway.
@@ -126,12 +129,12 @@
     pub share: Share,
     /// Time until there is a token again, in milliseconds, where not all that
     /// was needed could be had.
-    #[serde(default, skip_serializing_if = "is_zero")]
-    pub none_ms: u32,
+    #[serde(rename = "none-ms", default, skip_serializing_if = "is_zero")]
+    pub retry_after_ms: u32,
     /// The tenant sends more than its limit: requests that find no token are
     /// refused at once. Of others they wait, since a token will soon be there.
-    #[serde(default, skip_serializing_if = "is_false")]
-    pub over: bool,
+    #[serde(rename = "over", default, skip_serializing_if = "is_false")]
+    pub over_limit: bool,
 }
 
 fn is_false(value: &bool) -> bool {
--- a/crates/limits/src/spender.rs
+++ b/crates/limits/src/rate_limiter.rs
@@ -12,10 +12,10 @@
 use threadledge_types::{Incarnation, MachineName, Timestamp};
 
 use crate::bucket::Flow;
-use crate::messages::{Answer, Ask, TenantAsk, TenantGrant};
+use crate::messages::{QuotaResponse, QuotaRequest, TenantQuotaRequest, TenantGrant};
 use crate::settings::{
-    ASK_INTERVAL, FORGOTTEN_AFTER, LONGEST_PAUSE, LONGEST_WAIT, SHORTEST_PAUSE, STARTING_WAIT,
-    Settings, URGENT_INTERVAL,
+    QUOTA_REQUEST_INTERVAL, FORGOTTEN_AFTER, LONGEST_PAUSE, MAX_WAIT, SHORTEST_PAUSE, STARTING_WAIT,
+    Settings, URGENT_REQUEST_INTERVAL,
 };
 use allowance::Allowance;
 use contact::Contact;
@@ -32,7 +32,7 @@
     /// It does not run.
     Refused {
         /// Why not.
-        why: RefusedWhy,
+        why: RefusalReason,
         /// Time until there is room again.
         wait: Duration,
     },
@@ -40,7 +40,7 @@
 
 /// Why a request does not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RefusedWhy {
+pub enum RefusalReason {
     /// All gateways together have used the tenant's limit up.
     OverLimit,
     /// The ledger cannot be reached, and this gateway's share is used up.
@@ -49,20 +49,20 @@
     NoLedger,
 }
 
-impl RefusedWhy {
+impl RefusalReason {
     /// The reason in a word.
     pub const fn as_str(self) -> &'static str {
         match self {
-            RefusedWhy::OverLimit => "tenant-over-limit",
-            RefusedWhy::OverShare => "tenant-over-share",
-            RefusedWhy::NoLedger => "tenant-limit-unknown",
+            RefusalReason::OverLimit => "tenant-over-limit",
+            RefusalReason::OverShare => "tenant-over-share",
+            RefusalReason::NoLedger => "tenant-limit-unknown",
         }
     }
 }
 
 /// What operators see of one tenant at this gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TenantView {
+pub struct TenantUsage {
     /// Its limit over all gateways.
     pub limit: RateLimit,
     /// Requests a second that arrive here lately, refused ones included.
@@ -72,14 +72,14 @@
     /// This gateway's share of the rate without the ledger, as a part.
     pub share: f64,
     /// Time for which requests are refused without asking.
-    pub none_for: Duration,
+    pub retry_after: Duration,
 }
 
 /// Spends the tokens of one gateway.
 #[derive(Debug)]
-pub struct Spender {
+pub struct RateLimiter {
     machine: MachineName,
-    life: Incarnation,
+    incarnation: Incarnation,
     settings: Settings,
     limits: BTreeMap<TenantName, RateLimit>,
     allowances: BTreeMap<TenantName, Allowance>,
@@ -90,12 +90,12 @@
     next_urgent: Timestamp,
 }
 
-impl Spender {
+impl RateLimiter {
     /// A gateway that has just started, and holds nothing.
-    pub fn new(machine: MachineName, life: Incarnation, settings: Settings) -> Self {
-        Spender {
+    pub fn new(machine: MachineName, incarnation: Incarnation, settings: Settings) -> Self {
+        RateLimiter {
             machine,
-            life,
+            incarnation,
             settings,
             limits: BTreeMap::new(),
             allowances: BTreeMap::new(),
@@ -113,20 +113,20 @@
     }
 
     /// Whether any tenant has a limit.
-    pub fn is_in_use(&self) -> bool {
+    pub fn has_limits(&self) -> bool {
         !self.limits.is_empty()
     }
 
     /// The ledger of this term keeps the office, as the store or another
     /// gateway tells.
-    pub fn hear_of(&mut self, now: Timestamp, term: Term) {
-        self.contact.hear_of(now, term);
+    pub fn observe_term(&mut self, now: Timestamp, term: Term) {
+        self.contact.observe_term(now, term);
     }
 
     /// A request arrives.
-    pub fn arrive(&mut self, now: Timestamp, tenant: &TenantName) -> Admission {
+    pub fn admit_new(&mut self, now: Timestamp, tenant: &TenantName) -> Admission {
         if !self.limits.contains_key(tenant) {
-            return Admission::Free;
+            return Admission::Unlimited;
         }
         let allowance = self.allowances.entry(tenant.clone()).or_default();
         allowance.arrived(now);
@@ -136,12 +136,12 @@
     /// A request that arrived at `since` and waits asks again.
     pub fn admit(&mut self, now: Timestamp, tenant: &TenantName, since: Timestamp) -> Admission {
         let Some(limit) = self.limits.get(tenant).copied() else {
-            return Admission::Free;
+            return Admission::Unlimited;
         };
         let fallback = self.contact.fallback_since(now, &self.settings);
         let allowance = self.allowances.entry(tenant.clone()).or_default();
         if allowance.spend(now) {
-            return Admission::Spent;
+            return Admission::Admitted;
         }
         if let Some(begun) = fallback.filter(|_| !allowance.share.is_none()) {
             let flow = Flow {
@@ -149,23 +149,23 @@
                 depth: allowance.share.of(self.settings.depth(limit)).max(1.0),
             };
             return match allowance.spend_share(now, begun, flow) {
-                Ok(()) => Admission::Spent,
+                Ok(()) => Admission::Admitted,
                 Err(wait) => {
-                    let until = since.max(begun) + LONGEST_WAIT;
+                    let until = since.max(begun) + MAX_WAIT;
                     let may_wait = allowance.rate() <= flow.rate && now + wait < until;
                     match may_wait {
                         true => Admission::Wait(now + wait),
-                        false => refused(RefusedWhy::OverShare, wait),
+                        false => refused(RefusalReason::OverShare, wait),
                     }
                 }
             };
         }
-        let mut until = since + LONGEST_WAIT;
+        let mut until = since + MAX_WAIT;
         if now < allowance.none_until {
-            let soon = !allowance.over && allowance.none_until < until;
+            let soon = !allowance.over_limit && allowance.none_until < until;
             return match soon {
                 true => Admission::Wait(allowance.none_until),
-                false => refused(RefusedWhy::OverLimit, allowance.none_until.since(now)),
+                false => refused(RefusalReason::OverLimit, allowance.none_until.since(now)),
             };
         }
         if self.contact.is_lost() {
@@ -173,14 +173,14 @@
             match self.contact.fallback_at(now, &self.settings) {
                 Some(at) if has_share => until = until.max(at),
                 _ if self.contact.is_starting(now) => until = since + STARTING_WAIT,
-                _ => return refused(RefusedWhy::NoLedger, LONGEST_PAUSE),
+                _ => return refused(RefusalReason::NoLedger, LONGEST_PAUSE),
             }
         }
         if now >= until {
             let why = match self.contact.is_lost() {
-                true => RefusedWhy::NoLedger,
+                true => RefusalReason::NoLedger,
                 // It answers others of this gateway, or will soon.
-                false => RefusedWhy::OverLimit,
+                false => RefusalReason::OverLimit,
             };
             return refused(why, LONGEST_PAUSE);
         }
@@ -199,13 +199,13 @@
             return;
         }
         if let Some(allowance) = self.allowances.get_mut(tenant) {
-            allowance.back += 1;
+            allowance.returned += 1;
         }
     }
 
     /// The ask to send now, if any. One is under way at a time, and each must
-    /// be followed by [`Spender::on_answer`] or [`Spender::on_silence`].
-    pub fn poll(&mut self, now: Timestamp) -> Option<Ask> {
+    /// be followed by [`RateLimiter::on_response`] or [`RateLimiter::on_timeout`].
+    pub fn poll(&mut self, now: Timestamp) -> Option<QuotaRequest> {
         if !self.is_due(now) {
             return None;
         }
@@ -218,12 +218,12 @@
         let number = self.contact.sent(now, echo);
         if echo.is_some() {
             self.urgent = false;
-            self.next_ask = now + ASK_INTERVAL;
-            self.next_urgent = now + URGENT_INTERVAL;
+            self.next_ask = now + QUOTA_REQUEST_INTERVAL;
+            self.next_urgent = now + URGENT_REQUEST_INTERVAL;
         }
-        Some(Ask {
+        Some(QuotaRequest {
             from: self.machine.clone(),
-            life: self.life,
+            incarnation: self.incarnation,
             number,
             echo,
             tenants,
@@ -234,10 +234,10 @@
         self.next_wake().is_some_and(|wake| wake <= now)
     }
 
-    /// When [`Spender::poll`] has something to send, unless something arrives
+    /// When [`RateLimiter::poll`] has something to send, unless something arrives
     /// before.
     pub fn next_wake(&self) -> Option<Timestamp> {
-        if self.contact.is_under_way() || !self.is_in_use() {
+        if self.contact.is_under_way() || !self.has_limits() {
             return None;
         }
         let to_introduce = self.contact.has_to_introduce();
@@ -263,13 +263,13 @@
         let before = self.allowances.len();
         let idle = |allowance: &Allowance| now.since(allowance.last_seen()) >= FORGOTTEN_AFTER;
         self.allowances
-            .retain(|_, allowance| !idle(allowance) || allowance.back > 0);
+            .retain(|_, allowance| !idle(allowance) || allowance.returned > 0);
         if self.allowances.len() < before {
             self.contact.introduce();
         }
     }
 
-    fn tenant_asks(&mut self, now: Timestamp) -> Vec<TenantAsk> {
+    fn tenant_asks(&mut self, now: Timestamp) -> Vec<TenantQuotaRequest> {
         let can_hand_in = self.contact.can_hand_in(now, &self.settings);
         let mut asks = Vec::with_capacity(self.allowances.len());
         for (name, allowance) in &mut self.allowances {
@@ -282,18 +282,18 @@
     }
 
     /// The ask of this number was answered. What waits should ask again.
-    pub fn on_answer(&mut self, now: Timestamp, number: u64, answer: Answer) {
+    pub fn on_response(&mut self, now: Timestamp, number: u64, answer: QuotaResponse) {
         self.forget_needs();
         let Some(sent) = self.contact.answered(now, number, &answer) else {
             return;
         };
-        if let Answer::Ledger { tenants, .. } = answer {
+        if let QuotaResponse::Ledger { tenants, .. } = answer {
             self.take(now, sent, tenants);
         }
     }
 
     /// The ask of this number was not answered in time.
-    pub fn on_silence(&mut self, now: Timestamp, number: u64) {
+    pub fn on_timeout(&mut self, now: Timestamp, number: u64) {
         self.forget_needs();
         self.contact.unanswered(now, number);
     }
@@ -318,26 +318,26 @@
             };
             allowance.put(grant.tokens, ends);
             allowance.share = grant.share;
-            if grant.none_ms > 0 {
-                let pause = Duration::from_millis(grant.none_ms.into());
-                let shortest = match grant.over {
+            if grant.retry_after_ms > 0 {
+                let pause = Duration::from_millis(grant.retry_after_ms.into());
+                let shortest = match grant.over_limit {
                     true => SHORTEST_PAUSE,
-                    false => URGENT_INTERVAL,
+                    false => URGENT_REQUEST_INTERVAL,
                 };
                 allowance.none_until = now + pause.clamp(shortest, LONGEST_PAUSE);
-                allowance.over = grant.over;
+                allowance.over_limit = grant.over_limit;
             }
         }
     }
 
     /// For how long no ledger has answered; `None` while one does or nothing
     /// is asked.
-    pub fn lost_for(&self, now: Timestamp) -> Option<Duration> {
-        self.contact.lost_for(now)
+    pub fn unreachable_for(&self, now: Timestamp) -> Option<Duration> {
+        self.contact.unreachable_for(now)
     }
 
     /// Whether the ledger says that its office may end.
-    pub fn is_ledger_ailing(&self) -> bool {
+    pub fn is_ledger_lease_at_risk(&self) -> bool {
         self.contact.is_ailing()
     }
 
@@ -352,18 +352,18 @@
     }
 
     /// Tenants that were seen here lately.
-    pub fn tenants(&self, now: Timestamp) -> Vec<(TenantName, TenantView)> {
+    pub fn tenants(&self, now: Timestamp) -> Vec<(TenantName, TenantUsage)> {
         let mut views = Vec::with_capacity(self.allowances.len());
         for (name, allowance) in &self.allowances {
             let Some(limit) = self.limits.get(name).copied() else {
                 continue;
             };
-            let view = TenantView {
+            let view = TenantUsage {
                 limit,
                 rate: allowance.rate(),
                 tokens: allowance.tokens(now),
                 share: allowance.share.of(1.0),
-                none_for: allowance.none_until.since(now),
+                retry_after: allowance.none_until.since(now),
             };
             views.push((name.clone(), view));
         }
@@ -371,7 +371,7 @@
     }
 }
 
-fn refused(why: RefusedWhy, wait: Duration) -> Admission {
+fn refused(why: RefusalReason, wait: Duration) -> Admission {
     let wait = wait.clamp(SHORTEST_PAUSE, LONGEST_PAUSE);
     Admission::Refused { why, wait }
 }
--- a/crates/limits/src/spender/allowance.rs
+++ b/crates/limits/src/rate_limiter/allowance.rs
@@ -7,8 +7,8 @@
 use threadledge_types::deployment::TenantName;
 
 use crate::bucket::{Bucket, Flow};
-use crate::messages::{Share, TenantAsk};
-use crate::settings::{ASK_INTERVAL, LONGEST_PAUSE};
+use crate::messages::{Share, TenantQuotaRequest};
+use crate::settings::{QUOTA_REQUEST_INTERVAL, LONGEST_PAUSE};
 
 /// Time over which arrivals are averaged, in seconds.
 const AVERAGE_S: f64 = 1.0;
@@ -31,12 +31,12 @@
     /// Requests that wait, since the last ask.
     pub(super) need: u32,
     /// Tokens to be given back with the next ask.
-    pub(super) back: u32,
+    pub(super) returned: u32,
     pub(super) share: Share,
     /// There is no token to be had before.
     pub(super) none_until: Timestamp,
     /// Its callers send more than the limit.
-    pub(super) over: bool,
+    pub(super) over_limit: bool,
     /// Its share's tokens, and since when it is used.
     fallback: Option<(Timestamp, Bucket)>,
     /// Requests since the last ask.
@@ -96,7 +96,7 @@
     /// The ledger answers again: what is left of the share goes back.
     pub(super) fn end_fallback(&mut self) {
         if let Some((_, bucket)) = self.fallback.take() {
-            self.back += bucket.whole();
+            self.returned += bucket.whole();
         }
     }
 
@@ -118,25 +118,25 @@
                 return;
             }
             self.batches.pop_front();
-            self.back += batch.tokens;
+            self.returned += batch.tokens;
         }
     }
 
     /// What to ask for now.
-    pub(super) fn ask(&mut self, now: Timestamp, name: &TenantName) -> TenantAsk {
+    pub(super) fn ask(&mut self, now: Timestamp, name: &TenantName) -> TenantQuotaRequest {
         self.average(now);
         // Those that end before the next ask are exchanged with this one.
-        self.end_batches(now + ASK_INTERVAL);
-        let expected = (self.rate * ASK_INTERVAL.as_secs_f64()).min(MOST_ASKED);
+        self.end_batches(now + QUOTA_REQUEST_INTERVAL);
+        let expected = (self.rate * QUOTA_REQUEST_INTERVAL.as_secs_f64()).min(MOST_ASKED);
         let wanted = match expected < LEAST_EXPECTED {
             true => 0,
             false => expected.ceil() as u32,
         };
-        TenantAsk {
+        TenantQuotaRequest {
             name: name.clone(),
             need: std::mem::take(&mut self.need),
-            want: wanted.saturating_sub(self.tokens(now)),
-            back: std::mem::take(&mut self.back),
+            prefetch: wanted.saturating_sub(self.tokens(now)),
+            returned: std::mem::take(&mut self.returned),
             rate: (self.rate * 1_000.0) as u32,
             share: self.share,
         }
--- a/crates/limits/src/spender/contact.rs
+++ b/crates/limits/src/rate_limiter/contact.rs
@@ -5,7 +5,7 @@
 use threadledge_coordination::Term;
 use threadledge_types::Timestamp;
 
-use crate::messages::{Answer, Echo};
+use crate::messages::{QuotaResponse, Echo};
 use crate::settings::{FALLBACK_AFTER, STARTING, Settings};
 
 /// Time between two greetings of a ledger that does not answer.
@@ -52,12 +52,12 @@
     /// Since when nothing was answered after an ask that failed.
     lost: Option<Timestamp>,
     /// The ledger says that its office may end.
-    ailing: bool,
+    lease_at_risk: bool,
     next_greeting: Timestamp,
 }
 
 impl Contact {
-    pub(super) fn hear_of(&mut self, now: Timestamp, term: Term) {
+    pub(super) fn observe_term(&mut self, now: Timestamp, term: Term) {
         if self.term.is_some_and(|known| known >= term) {
             return;
         }
@@ -94,12 +94,12 @@
     }
 
     /// For how long no ledger has answered.
-    pub(super) fn lost_for(&self, now: Timestamp) -> Option<Duration> {
+    pub(super) fn unreachable_for(&self, now: Timestamp) -> Option<Duration> {
         self.lost.map(|since| now.since(since))
     }
 
     pub(super) fn is_ailing(&self) -> bool {
-        self.ailing
+        self.lease_at_risk
     }
 
     /// When to greet; `None` where asks may be sent.
@@ -116,7 +116,7 @@
         Some(Echo {
             term: answered.term,
             at: answered.at,
-            passed_us: u64::try_from(passed.as_micros()).unwrap_or(u64::MAX),
+            elapsed_us: u64::try_from(passed.as_micros()).unwrap_or(u64::MAX),
         })
     }
 
@@ -141,10 +141,10 @@
         &mut self,
         now: Timestamp,
         number: u64,
-        answer: &Answer,
+        answer: &QuotaResponse,
     ) -> Option<Timestamp> {
-        let Answer::Ledger {
-            term, at, ailing, ..
+        let QuotaResponse::Ledger {
+            term, at, lease_at_risk, ..
         } = answer
         else {
             self.unanswered(now, number);
@@ -167,7 +167,7 @@
             received: now,
         });
         self.lost = None;
-        self.ailing = *ailing;
+        self.lease_at_risk = *lease_at_risk;
         let echo = flight.echo?;
         if echo.term != *term {
             self.to_introduce = true;
@@ -208,6 +208,6 @@
         let Some(confirmed) = self.confirmed else {
             return false;
         };
-        settings.office_end(now) < confirmed + settings.share_life()
+        settings.lease_end(now) < confirmed + settings.share_life()
     }
 }
--- a/crates/limits/src/settings.rs
+++ b/crates/limits/src/settings.rs
@@ -21,7 +21,7 @@
     /// Requests beyond the limit of a window that are borne besides.
     pub slack: f64,
     /// How long the office of the ledger may be held without confirmation.
-    pub office: Duration,
+    pub lease: Duration,
 }
 
 /// Part of the overage that tokens use up by living on after they were
@@ -45,8 +45,8 @@
 impl Settings {
     /// How long a token may be used, from when the gateway asked for it.
     pub fn token_life(&self) -> Duration {
-        let life = self.window.mul_f64(self.overage * LIFE_PART);
-        life.max(SHORTEST_LIFE)
+        let lifetime = self.window.mul_f64(self.overage * LIFE_PART);
+        lifetime.max(SHORTEST_LIFE)
     }
 
     /// Tokens that a tenant's bucket holds at the most.
@@ -63,7 +63,7 @@
     /// that asks another ledger hands it in only while the office of the one
     /// before ends first.
     pub(crate) fn share_life(&self) -> Duration {
-        slowest(self.office) + HAND_IN_TIME
+        slowest(self.lease) + HAND_IN_TIME
     }
 
     /// When a share that was last renewed at `heard` has surely ended.
@@ -72,8 +72,8 @@
     }
 
     /// How long an office lasts by the slowest clock.
-    pub(crate) fn office_end(&self, from: Timestamp) -> Timestamp {
-        from + slowest(self.office)
+    pub(crate) fn lease_end(&self, from: Timestamp) -> Timestamp {
+        from + slowest(self.lease)
     }
 }
 
@@ -88,15 +88,15 @@
 /// shorter than [`FALLBACK_AFTER`] by any clock.
 pub(crate) const RESERVED_AFTER: Duration = Duration::from_millis(400);
 /// Time between two asks of a gateway that has tokens to renew.
-pub const ASK_INTERVAL: Duration = Duration::from_millis(250);
+pub const QUOTA_REQUEST_INTERVAL: Duration = Duration::from_millis(250);
 /// Time between two asks for requests that wait: those of one moment are
 /// asked for together.
-pub const URGENT_INTERVAL: Duration = Duration::from_millis(20);
+pub const URGENT_REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest wait for an answer.
-pub const ASK_TIMEOUT: Duration = Duration::from_millis(300);
+pub const QUOTA_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 /// Longest wait of a request for the ledger: a quarter of the shortest target
 /// that the users state; a refusal is not late by then.
-pub const LONGEST_WAIT: Duration = Duration::from_millis(250);
+pub const MAX_WAIT: Duration = Duration::from_millis(250);
 /// Longest wait of a request for the first ledger that a gateway that has just
 /// started finds. After a restart of all a ledger was elected 0.3 s after the
 /// first requests; those that were refused came back a second later.
--- a/crates/limits/tests/limits/steps.rs
+++ b/crates/limits/tests/limits/steps.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use threadledge_coordination::Term;
-use threadledge_limits::ledger::Office;
+use threadledge_limits::ledger::LedgerElection;
 use threadledge_limits::messages::Echo;
 use threadledge_limits::{
-    Admission, Answer, Ask, HolderRecord, Ledger, Predecessor, RefusedWhy, Share, Spender,
-    TenantAsk, TenantGrant,
+    Admission, QuotaResponse, QuotaRequest, HolderRecord, Ledger, Predecessor, RefusalReason, Share, RateLimiter,
+    TenantQuotaRequest, TenantGrant,
 };
 use threadledge_types::deployment::{RateLimit, TenantName};
 use threadledge_types::{Incarnation, MachineName, Timestamp};
@@ -51,9 +51,9 @@
     written.machines.insert(machine("l"));
     written.ledgers.insert(machine("l"));
     let predecessor = Some(Predecessor {
-        office_end: at(6_000),
+        lease_end: at(6_000),
     });
-    let office = Office {
+    let office = LedgerElection {
         term: Term(2),
         predecessor,
         found: Some(record(1, machines, ledgers)),
@@ -67,7 +67,7 @@
 
 /// A ledger that is the first one.
 fn first() -> Ledger {
-    let office = Office {
+    let office = LedgerElection {
         term: Term(1),
         predecessor: None,
         found: None,
@@ -81,7 +81,7 @@
 
 struct Asking<'a> {
     from: &'a str,
-    life: u64,
+    incarnation: u64,
     number: u64,
     need: u32,
     share: u32,
@@ -89,33 +89,33 @@
 
 /// Lets one ask that was sent at `sent` arrive at `arrives`.
 fn ask(ledger: &mut Ledger, sent: u64, arrives: u64, asking: &Asking<'_>) -> Option<TenantGrant> {
-    let ask = Ask {
+    let ask = QuotaRequest {
         from: machine(asking.from),
-        life: Incarnation(asking.life),
+        incarnation: Incarnation(asking.incarnation),
         number: asking.number,
         echo: Some(Echo {
             term: ledger.term(),
             at: at(0),
-            passed_us: sent * 1_000,
+            elapsed_us: sent * 1_000,
         }),
-        tenants: vec![TenantAsk {
+        tenants: vec![TenantQuotaRequest {
             name: tenant(),
             need: asking.need,
-            want: 0,
-            back: 0,
+            prefetch: 0,
+            returned: 0,
             rate: 50_000,
             share: Share(asking.share),
         }],
     };
     match ledger.answer(at(arrives), &ask) {
-        Answer::Ledger { tenants, .. } => tenants.into_iter().next(),
-        Answer::Elsewhere => None,
+        QuotaResponse::Ledger { tenants, .. } => tenants.into_iter().next(),
+        QuotaResponse::NotLeader => None,
     }
 }
 
 const A: Asking<'_> = Asking {
     from: "a",
-    life: 1,
+    incarnation: 1,
     number: 1,
     need: 10,
     share: 0,
@@ -128,7 +128,7 @@
 #[test]
 fn ledger_begins_with_empty_buckets() {
     let mut ledger = first();
-    assert!(ledger.is_whole());
+    assert!(ledger.has_full_rate());
     assert_eq!(tokens(ask(&mut ledger, 0, 0, &A)), 0);
     let later = Asking { number: 2, ..A };
     // A hundred a second: five by then.
@@ -153,19 +153,19 @@
     };
     // A fifth of the rate, for three tenths of a second.
     assert_eq!(tokens(ask(&mut ledger, 1_300, 1_300, &again)), 6);
-    assert!(!ledger.is_whole());
+    assert!(!ledger.has_full_rate());
 }
 
 #[test]
 fn successor_is_whole_when_every_machine_has_asked() {
     let mut ledger = successor(&["a", "b"], &["b"]);
     ask(&mut ledger, 10, 10, &A);
-    assert!(!ledger.is_whole());
+    assert!(!ledger.has_full_rate());
     // One that the record does not name holds nothing.
     ask(&mut ledger, 20, 20, &Asking { from: "c", ..A });
-    assert!(!ledger.is_whole());
+    assert!(!ledger.has_full_rate());
     ask(&mut ledger, 30, 30, &Asking { from: "b", ..A });
-    assert!(ledger.is_whole());
+    assert!(ledger.has_full_rate());
 }
 
 #[test]
@@ -200,7 +200,7 @@
     // It is silent: seven tenths are left.
     assert_eq!(tokens(ask(&mut ledger, 2_300, 2_300, &b(2))), 21);
     let reborn = Asking {
-        life: 2,
+        incarnation: 2,
         need: 0,
         ..A
     };
@@ -241,7 +241,7 @@
     assert_eq!(granted.share, Share(0));
     let wanted = ledger.record_to_write(at(1_000)).expect("it is missing");
     assert!(wanted.machines.contains(&machine("s")));
-    ledger.recorded(wanted);
+    ledger.on_record_written(wanted);
     let again = Asking {
         number: 2,
         ..stranger
@@ -251,42 +251,42 @@
 }
 
 /// A gateway in contact, at 10 ms, with so many tokens and a share.
-fn spender(tokens: u32, share: u32) -> Spender {
-    let mut spender = Spender::new(machine("a"), Incarnation(1), settings());
+fn spender(tokens: u32, share: u32) -> RateLimiter {
+    let mut spender = RateLimiter::new(machine("a"), Incarnation(1), settings());
     spender.set_limits(limits());
-    spender.hear_of(at(0), Term(1));
+    spender.observe_term(at(0), Term(1));
     answer(&mut spender, 0, Vec::new());
     assert!(matches!(
-        spender.arrive(at(0), &tenant()),
+        spender.admit_new(at(0), &tenant()),
         Admission::Wait(_)
     ));
     let grant = TenantGrant {
         name: tenant(),
         tokens,
         share: Share(share),
-        none_ms: 0,
-        over: false,
+        retry_after_ms: 0,
+        over_limit: false,
     };
     answer(&mut spender, 10, vec![grant]);
     spender
 }
 
-fn answer(spender: &mut Spender, millis: u64, tenants: Vec<TenantGrant>) {
+fn answer(spender: &mut RateLimiter, millis: u64, tenants: Vec<TenantGrant>) {
     let ask = spender.poll(at(millis)).expect("it asks");
-    let answer = Answer::Ledger {
+    let answer = QuotaResponse::Ledger {
         term: Term(1),
         at: at(7),
         tenants,
-        ailing: false,
+        lease_at_risk: false,
     };
-    spender.on_answer(at(millis), ask.number, answer);
+    spender.on_response(at(millis), ask.number, answer);
 }
 
 #[test]
 fn token_ends_by_itself() {
     let mut spender = spender(2, 0);
-    assert_eq!(spender.arrive(at(400), &tenant()), Admission::Spent);
-    let late = spender.arrive(at(411), &tenant());
+    assert_eq!(spender.admit_new(at(400), &tenant()), Admission::Admitted);
+    let late = spender.admit_new(at(411), &tenant());
     assert!(matches!(late, Admission::Wait(_)), "{late:?}");
 }
 
@@ -294,7 +294,7 @@
 fn share_is_used_only_between_silence_and_its_end() {
     let mut spender = spender(0, 300_000);
     let ask = spender.poll(at(300)).expect("it asks");
-    spender.on_silence(at(600), ask.number);
+    spender.on_timeout(at(600), ask.number);
     assert!(!spender.in_fallback(at(760)));
     assert!(spender.in_fallback(at(770)));
     // Thirty a second, from an empty bucket.
@@ -302,13 +302,13 @@
         spender.admit(at(790), &tenant(), at(790)),
         Admission::Wait(_)
     ));
-    assert_eq!(spender.admit(at(810), &tenant(), at(790)), Admission::Spent);
+    assert_eq!(spender.admit(at(810), &tenant(), at(790)), Admission::Admitted);
     // It lasts from the last ask that was answered, and not for ever.
     let over = spender.admit(at(10) + settings_life(), &tenant(), at(0));
     assert!(matches!(
         over,
         Admission::Refused {
-            why: RefusedWhy::NoLedger,
+            why: RefusalReason::NoLedger,
             ..
         }
     ));
@@ -316,7 +316,7 @@
 
 /// Longer than any share lasts.
 fn settings_life() -> Duration {
-    settings().office * 3
+    settings().lease * 3
 }
 
 #[test]
@@ -324,18 +324,18 @@
     let mut spender = spender(0, 300_000);
     let ask = spender.poll(at(300)).expect("it asks");
     assert!(ask.echo.is_some());
-    spender.on_silence(at(600), ask.number);
+    spender.on_timeout(at(600), ask.number);
     let greeting = spender.poll(at(800)).expect("it greets");
     assert_eq!(greeting.echo, None);
     assert_eq!(greeting.tenants, Vec::new());
     // Whatever arrives of the earlier ask now counts for nothing.
-    let late = Answer::Ledger {
+    let late = QuotaResponse::Ledger {
         term: Term(1),
         at: at(8),
         tenants: Vec::new(),
-        ailing: false,
+        lease_at_risk: false,
     };
-    spender.on_answer(at(810), ask.number, late);
+    spender.on_response(at(810), ask.number, late);
     assert!(spender.in_fallback(at(811)));
 }
 
@@ -343,16 +343,16 @@
 fn old_share_is_not_handed_in() {
     for (millis, handed_in) in [(5_000, true), (12_000, false)] {
         let mut spender = spender(0, 300_000);
-        let _ = spender.arrive(at(millis), &tenant());
-        spender.hear_of(at(millis), Term(2));
+        let _ = spender.admit_new(at(millis), &tenant());
+        spender.observe_term(at(millis), Term(2));
         let greeting = spender.poll(at(millis)).expect("it greets");
-        let answer = Answer::Ledger {
+        let answer = QuotaResponse::Ledger {
             term: Term(2),
             at: at(1),
             tenants: Vec::new(),
-            ailing: false,
+            lease_at_risk: false,
         };
-        spender.on_answer(at(millis), greeting.number, answer);
+        spender.on_response(at(millis), greeting.number, answer);
         let ask = spender.poll(at(millis)).expect("it asks");
         let shares: BTreeSet<Share> = ask.tenants.iter().map(|tenant| tenant.share).collect();
         assert_eq!(shares.contains(&Share(300_000)), handed_in, "{millis}");
@@ -362,39 +362,39 @@
 #[test]
 fn refund_goes_back_with_the_next_ask() {
     let mut spender = spender(1, 0);
-    assert_eq!(spender.arrive(at(20), &tenant()), Admission::Spent);
+    assert_eq!(spender.admit_new(at(20), &tenant()), Admission::Admitted);
     spender.refund(at(200), &tenant(), at(20));
     let ask = spender.poll(at(300)).expect("it asks");
-    assert_eq!(ask.tenants[0].back, 1);
+    assert_eq!(ask.tenants[0].returned, 1);
 }
 
 /// It would come on top of what was gained since.
 #[test]
 fn refund_of_a_token_that_has_ended_does_not_go_back() {
     let mut spender = spender(1, 0);
-    assert_eq!(spender.arrive(at(20), &tenant()), Admission::Spent);
+    assert_eq!(spender.admit_new(at(20), &tenant()), Admission::Admitted);
     spender.refund(at(620), &tenant(), at(20));
     let ask = spender.poll(at(620)).expect("it asks");
-    assert_eq!(ask.tenants[0].back, 0);
+    assert_eq!(ask.tenants[0].returned, 0);
 }
 
 #[test]
 fn gateway_that_has_just_started_waits_for_a_ledger_and_later_refuses_at_once() {
-    let mut spender = Spender::new(machine("a"), Incarnation(1), settings());
+    let mut spender = RateLimiter::new(machine("a"), Incarnation(1), settings());
     spender.set_limits(limits());
-    let first = spender.arrive(at(0), &tenant());
+    let first = spender.admit_new(at(0), &tenant());
     assert!(matches!(first, Admission::Wait(_)), "{first:?}");
     let greeting = spender.poll(at(0)).expect("it greets");
-    spender.on_silence(at(0), greeting.number);
+    spender.on_timeout(at(0), greeting.number);
     assert_eq!(
         spender.admit(at(100), &tenant(), at(0)),
         Admission::Wait(at(500))
     );
-    let late = spender.arrive(at(1_500), &tenant());
+    let late = spender.admit_new(at(1_500), &tenant());
     assert!(matches!(
         late,
         Admission::Refused {
-            why: RefusedWhy::NoLedger,
+            why: RefusalReason::NoLedger,
             ..
         }
     ));
@@ -404,6 +404,6 @@
 fn ledger_that_has_nothing_yet_is_asked_again_soon() {
     let mut ledger = successor(&["a", "b"], &["b"]);
     let granted = ask(&mut ledger, 0, 0, &A).expect("taken in");
-    assert_eq!((granted.tokens, granted.over), (0, false));
-    assert!((1..250).contains(&granted.none_ms), "{}", granted.none_ms);
+    assert_eq!((granted.tokens, granted.over_limit), (0, false));
+    assert!((1..250).contains(&granted.retry_after_ms), "{}", granted.retry_after_ms);
 }
--- a/crates/limits/tests/limits/world.rs
+++ b/crates/limits/tests/limits/world.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use threadledge_coordination::Term;
-use threadledge_limits::ledger::Office;
+use threadledge_limits::ledger::LedgerElection;
 use threadledge_limits::{
-    Admission, Answer, Ask, HolderRecord, Ledger, Predecessor, Settings, Spender,
+    Admission, QuotaResponse, QuotaRequest, HolderRecord, Ledger, Predecessor, Settings, RateLimiter,
 };
 use threadledge_types::deployment::{RateLimit, TenantName};
 use threadledge_types::{Incarnation, MachineName, Timestamp};
@@ -23,14 +23,14 @@
         window: Duration::from_secs(5),
         overage: 0.1,
         slack: 20.0,
-        office: Duration::from_secs(10),
+        lease: Duration::from_secs(10),
     }
 }
 
 pub struct Node {
-    pub spender: Spender,
+    pub spender: RateLimiter,
     pub ledger: Option<Ledger>,
-    life: u64,
+    incarnation: u64,
     confirmed_us: u64,
     pub down_until: u64,
     pub frozen_until: u64,
@@ -46,15 +46,15 @@
 }
 
 enum Message {
-    Ask(Ask),
-    Answer(u64, Answer),
+    QuotaRequest(QuotaRequest),
+    QuotaResponse(u64, QuotaResponse),
 }
 
 struct InFlight {
     due: u64,
     from: usize,
     to: usize,
-    life: u64,
+    incarnation: u64,
     message: Message,
 }
 
@@ -116,14 +116,14 @@
     }
 
     fn start(&mut self, index: usize) -> Node {
-        let life = self.random(u64::MAX);
+        let incarnation = self.random(u64::MAX);
         let machine = MachineName(format!("m-{index}"));
-        let mut spender = Spender::new(machine, Incarnation(life), settings());
+        let mut spender = RateLimiter::new(machine, Incarnation(incarnation), settings());
         spender.set_limits(self.limits.clone());
         Node {
             spender,
             ledger: None,
-            life,
+            incarnation,
             confirmed_us: 0,
             down_until: 0,
             frozen_until: 0,
@@ -169,14 +169,14 @@
         }
         let tenant = TenantName::from(tenant);
         let now = self.local(node);
-        let admission = self.nodes[node].spender.arrive(now, &tenant);
+        let admission = self.nodes[node].spender.admit_new(now, &tenant);
         self.decide(node, tenant, now, admission);
     }
 
     fn decide(&mut self, node: usize, tenant: TenantName, since: Timestamp, admission: Admission) {
         match admission {
-            Admission::Free => unreachable!("every tenant has a limit"),
-            Admission::Spent => {
+            Admission::Unlimited => unreachable!("every tenant has a limit"),
+            Admission::Admitted => {
                 // One in sixteen is refused by back ends without having run.
                 if self.random(16) == 0 && self.trouble > 0 {
                     let now = self.local(node);
@@ -251,7 +251,7 @@
         let now = self.local(node);
         let term = Term(self.office.as_ref().map_or(1, |office| office.term.0 + 1));
         let predecessor = self.office.as_ref().map(|_| Predecessor {
-            office_end: now + settings().office * 102 / 100,
+            lease_end: now + settings().lease * 102 / 100,
         });
         let found = self.record.take();
         let mut written = HolderRecord {
@@ -262,7 +262,7 @@
         written.machines.insert(machine.clone());
         written.ledgers.insert(machine.clone());
         self.record = Some(written.clone());
-        let office = Office {
+        let office = LedgerElection {
             term,
             predecessor,
             found,
@@ -288,7 +288,7 @@
         if let Some((number, _)) = late {
             self.nodes[node].asked = None;
             let now = self.local(node);
-            self.nodes[node].spender.on_silence(now, number);
+            self.nodes[node].spender.on_timeout(now, number);
             self.wake(node);
         }
         let now = self.local(node);
@@ -296,7 +296,7 @@
             self.asks += 1;
             self.nodes[node].asked = Some((ask.number, self.now));
             if let Some((to, _)) = self.nodes[node].told {
-                self.send(node, to, Message::Ask(ask));
+                self.send(node, to, Message::QuotaRequest(ask));
             }
         }
         // Whoever waits looks again when its time is over.
@@ -313,7 +313,7 @@
             let now = self.local(node);
             let one = &mut self.nodes[node];
             one.told = Some((office.node, office.term));
-            one.spender.hear_of(now, office.term);
+            one.spender.observe_term(now, office.term);
             let held = one.ledger.as_ref().map(Ledger::term);
             if held.is_some_and(|held| held < office.term) {
                 one.ledger = None;
@@ -326,7 +326,7 @@
                 return;
             }
             if let Some(record) = ledger.record_to_write(now) {
-                ledger.recorded(record.clone());
+                ledger.on_record_written(record.clone());
                 self.record = Some(record);
             }
         }
@@ -351,20 +351,20 @@
             }
         }
         for copy in 0..copies {
-            let life = match &message {
-                Message::Ask(_) => 0,
-                Message::Answer(..) => self.nodes[to].life,
+            let incarnation = match &message {
+                Message::QuotaRequest(_) => 0,
+                Message::QuotaResponse(..) => self.nodes[to].incarnation,
             };
             let message = match &message {
-                Message::Ask(ask) => Message::Ask(ask.clone()),
-                Message::Answer(number, answer) => Message::Answer(*number, answer.clone()),
+                Message::QuotaRequest(ask) => Message::QuotaRequest(ask.clone()),
+                Message::QuotaResponse(number, answer) => Message::QuotaResponse(*number, answer.clone()),
             };
             let due = due + copy * self.random(SECOND_US);
             self.network.push(InFlight {
                 due,
                 from,
                 to,
-                life,
+                incarnation,
                 message,
             });
         }
@@ -394,33 +394,33 @@
     fn arrive(&mut self, sent: InFlight) {
         let now = self.local(sent.to);
         match sent.message {
-            Message::Ask(ask) => {
+            Message::QuotaRequest(ask) => {
                 let answer = self.answer(sent.to, now, &ask);
-                self.send(sent.to, sent.from, Message::Answer(ask.number, answer));
+                self.send(sent.to, sent.from, Message::QuotaResponse(ask.number, answer));
             }
-            Message::Answer(number, answer) => {
-                if self.nodes[sent.to].life != sent.life {
+            Message::QuotaResponse(number, answer) => {
+                if self.nodes[sent.to].incarnation != sent.incarnation {
                     return;
                 }
                 let one = &mut self.nodes[sent.to];
                 // The shell waits for one answer, and no longer than it says.
                 if one.asked.is_some_and(|(asked, _)| asked == number) {
                     one.asked = None;
-                    one.spender.on_answer(now, number, answer);
+                    one.spender.on_response(now, number, answer);
                     self.wake(sent.to);
                 }
             }
         }
     }
 
-    fn answer(&mut self, node: usize, now: Timestamp, ask: &Ask) -> Answer {
-        let office_us = settings().office.as_micros() as u64;
+    fn answer(&mut self, node: usize, now: Timestamp, ask: &QuotaRequest) -> QuotaResponse {
+        let office_us = settings().lease.as_micros() as u64;
         let time = self.now;
         let one = &mut self.nodes[node];
         let acts = time < one.confirmed_us + office_us;
         match &mut one.ledger {
             Some(ledger) if acts => ledger.answer(now, ask),
-            _ => Answer::Elsewhere,
+            _ => QuotaResponse::NotLeader,
         }
     }
 
--- a/crates/ports/src/grants.rs
+++ b/crates/ports/src/grants.rs
@@ -3,7 +3,7 @@
 use threadledge_coordination::{Order, OrderFault, OrderReply};
 use threadledge_net::Instant;
 
-use crate::Call;
+use crate::PortFuture;
 
 /// Carries orders to back ends.
 pub trait GrantTransport: Send + Sync {
@@ -14,5 +14,5 @@
         &'a self,
         order: &'a Order,
         deadline: Instant,
-    ) -> Call<'a, Result<OrderReply, OrderFault>>;
+    ) -> PortFuture<'a, Result<OrderReply, OrderFault>>;
 }
--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -7,7 +7,7 @@
 
 pub mod grants;
 pub mod store;
-pub mod wording;
+pub mod header_codec;
 
 use std::future::Future;
 use std::pin::Pin;
@@ -23,10 +23,10 @@
 pub use store::{
     Change, Changes, Collection, Entry, Listing, Malformed, Page, RecordStore, StoreError,
 };
-pub use wording::{AnswerHead, CallerHead, Wording};
+pub use header_codec::{ResponseMetadata, RequestMetadata, HeaderCodec};
 
 /// A call under way.
-pub type Call<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
+pub type PortFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
 /// Everything that a gateway needs of its platform.
 #[derive(Clone)]
@@ -50,5 +50,5 @@
     /// Orders to back ends.
     pub grants: Arc<dyn GrantTransport>,
     /// The wording of headers.
-    pub wording: Arc<dyn Wording>,
+    pub header_codec: Arc<dyn HeaderCodec>,
 }
--- a/crates/ports/src/store.rs
+++ b/crates/ports/src/store.rs
@@ -6,7 +6,7 @@
     Condition, Freshness, ReadResult, StoreRevision, WriteResult,
 };
 
-use crate::Call;
+use crate::PortFuture;
 
 /// Why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -116,12 +116,12 @@
         &'a self,
         after: &'a str,
         freshness: Freshness,
-    ) -> Call<'a, Result<Page<T>, StoreError>>;
+    ) -> PortFuture<'a, Result<Page<T>, StoreError>>;
 
     /// Every object. A list that may be stale, or that takes several pages,
     /// may mix states of several moments; a watch from its revision on makes
     /// up for it.
-    fn list(&self, freshness: Freshness) -> Call<'_, Result<Listing<T>, StoreError>> {
+    fn list(&self, freshness: Freshness) -> PortFuture<'_, Result<Listing<T>, StoreError>> {
         Box::pin(async move {
             let mut listing = Listing::default();
             let mut after = Some(String::new());
@@ -137,13 +137,13 @@
         &self,
         after: StoreRevision,
         wait: Duration,
-    ) -> Call<'_, Result<Changes<T>, StoreError>>;
+    ) -> PortFuture<'_, Result<Changes<T>, StoreError>>;
 }
 
 /// Objects of one kind that are written on a condition.
 pub trait RecordStore<T: Send>: Collection<T> {
     /// Reads one object.
-    fn read<'a>(&'a self, name: &'a str, freshness: Freshness) -> Call<'a, ReadResult<T>>;
+    fn read<'a>(&'a self, name: &'a str, freshness: Freshness) -> PortFuture<'a, ReadResult<T>>;
 
     /// Writes one object if the condition holds.
     fn write<'a>(
@@ -151,5 +151,5 @@
         name: &'a str,
         value: &'a T,
         condition: Condition,
-    ) -> Call<'a, WriteResult<T>>;
+    ) -> PortFuture<'a, WriteResult<T>>;
 }
--- a/crates/relay/src/held.rs
+++ b/crates/relay/src/held.rs
@@ -17,7 +17,7 @@
 /// time between two looks of a relay at the store, so that each of those
 /// reaches the last follower; not much below, so that an answer that comes
 /// between them costs no further round.
-pub const FRESHER_BY: Duration = Duration::from_millis(300);
+pub const MIN_FRESHNESS_GAIN: Duration = Duration::from_millis(300);
 
 /// A poll that is held.
 #[derive(Clone, Copy, Debug)]
@@ -45,6 +45,6 @@
     /// Whether it is to be answered though there is no news, now that the
     /// store has surely answered at `seen`.
     pub fn is_due(&self, now: Timestamp, seen: Timestamp) -> bool {
-        now >= self.until || seen.since(self.seen) >= FRESHER_BY
+        now >= self.until || seen.since(self.seen) >= MIN_FRESHNESS_GAIN
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -24,7 +24,7 @@
 use threadledge_coordination::NodeIdentity;
 
 pub use held::HeldPoll;
-pub use member::{Action, Followed, Member, Source};
+pub use member::{Action, PollOutcome, Member, Source};
 pub use settings::Settings;
 
 fn one() -> u32 {
--- a/crates/relay/src/member.rs
+++ b/crates/relay/src/member.rs
@@ -26,12 +26,12 @@
     /// Write the zone's record.
     Claim(RelayRecord, Condition),
     /// Poll the gateway at this address.
-    Follow(SocketAddr),
+    Poll(SocketAddr),
 }
 
 /// What became of a poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Followed {
+pub enum PollOutcome {
     /// It was answered.
     Answered {
         /// The store surely answered the relay at that time.
@@ -40,9 +40,9 @@
         news: bool,
     },
     /// It was given up at [`Member::poll_deadline`].
-    Late,
+    TimedOut,
     /// It has followers enough; these are some of them.
-    Full(Vec<SocketAddr>),
+    AtCapacity(Vec<SocketAddr>),
     /// It does not serve, or did not answer.
     Failed,
 }
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// It has just started and looks for a relay.
-    Settling {
+    Starting {
         /// It watches the store from then on.
         until: Timestamp,
     },
@@ -64,7 +64,7 @@
     Store,
     /// Neither the store answers it nor a relay that the store answers: what
     /// is known stays, and both are tried.
-    Waiting,
+    Unavailable,
     /// Its relay tells it.
     Relay {
         /// What it is told may be too old from then on.
@@ -114,7 +114,7 @@
             me,
             settings,
             patience,
-            settled: now + settings.settle,
+            settled: now + settings.startup_timeout,
             random: ChaCha8Rng::seed_from_u64(seed),
             state: State::Searching(Searching::at(now)),
             calling: false,
@@ -136,7 +136,7 @@
         match &self.state {
             State::Searching(searching) => self.searching_source(now, searching),
             State::Following(following) => self.following_source(now, following),
-            State::Cut(_) => Source::Waiting,
+            State::Cut(_) => Source::Unavailable,
             State::Relaying(_) | State::Left => Source::Store,
         }
     }
@@ -159,7 +159,7 @@
     }
 
     /// Whether the record names this member, as far as it knows.
-    pub fn relays(&self) -> bool {
+    pub fn is_relay(&self) -> bool {
         matches!(self.state, State::Relaying(_))
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// The gateway that tells this member what is new.
-    pub fn informant(&self) -> Option<SocketAddr> {
+    pub fn active_upstream(&self) -> Option<SocketAddr> {
         match &self.state {
             State::Following(following) if following.joined => Some(following.upstream.address),
             _ => None,
@@ -218,9 +218,9 @@
                     Action::Claim(self.record(members), condition)
                 }
             },
-            State::Following(following) => Action::Follow(following.upstream.address),
+            State::Following(following) => Action::Poll(following.upstream.address),
             State::Cut(cut) if now >= cut.next_look => Action::Read,
-            State::Cut(cut) => Action::Follow(cut.upstream.address),
+            State::Cut(cut) => Action::Poll(cut.upstream.address),
             State::Relaying(relaying) if relaying.miscounts(now, self.members) => {
                 let record = self.record(self.members);
                 Action::Claim(record, Condition::Revision(relaying.revision))
--- a/crates/relay/src/member/claims.rs
+++ b/crates/relay/src/member/claims.rs
@@ -24,16 +24,16 @@
         };
         self.state = match result {
             WriteResult::Accepted(revision) => {
-                let due = now + self.settings.probe;
+                let due = now + self.settings.probe_interval;
                 let value = self.record(self.members.max(self.told));
-                let recount_at = now + self.settings.recount;
+                let recount_at = now + self.settings.recount_interval;
                 let claimed = Versioned { value, revision };
                 State::Relaying(searching.relay(due, claimed, recount_at))
             }
             WriteResult::Conflict(Some(found)) => self.found(now, searching, found),
             WriteResult::Conflict(None) | WriteResult::NotDone | WriteResult::Unknown => {
                 State::Searching(Searching {
-                    due: now + self.settings.retry,
+                    due: now + self.settings.retry_delay,
                     step: Step::Look,
                     ..searching
                 })
@@ -48,8 +48,8 @@
         relaying: Relaying,
         result: WriteResult<RelayRecord>,
     ) -> State {
-        let due = now + self.settings.probe;
-        let recount_at = now + self.settings.recount;
+        let due = now + self.settings.probe_interval;
+        let recount_at = now + self.settings.recount_interval;
         match result {
             WriteResult::Accepted(revision) => State::Relaying(Relaying {
                 due,
--- a/crates/relay/src/member/polls.rs
+++ b/crates/relay/src/member/polls.rs
@@ -5,12 +5,12 @@
 use rand::RngExt;
 use threadledge_types::Timestamp;
 
-use super::{Followed, Member, State};
+use super::{PollOutcome, Member, State};
 use crate::state::{Cut, Following, Upstream};
 
 impl Member {
     /// A poll was answered, or was not.
-    pub fn on_follow(&mut self, now: Timestamp, followed: Followed) {
+    pub fn on_poll(&mut self, now: Timestamp, followed: PollOutcome) {
         self.calling = false;
         self.state = match self.take_state() {
             State::Following(following) => self.followed(now, following, followed),
@@ -19,10 +19,10 @@
         };
     }
 
-    fn followed(&mut self, now: Timestamp, following: Following, followed: Followed) -> State {
+    fn followed(&mut self, now: Timestamp, following: Following, followed: PollOutcome) -> State {
         let claim_from = now + self.patience;
         match followed {
-            Followed::Answered { seen, news } if now < self.outdated_at(seen) => {
+            PollOutcome::Answered { seen, news } if now < self.outdated_at(seen) => {
                 State::Following(Following {
                     due: self.next_poll(now, news),
                     seen: following.seen.max(Some(seen)),
@@ -30,40 +30,40 @@
                     ..following
                 })
             }
-            Followed::Full(others) => match self.choose(following.upstream.address, &others) {
+            PollOutcome::AtCapacity(others) => match self.choose(following.upstream.address, &others) {
                 Some(address) => State::Following(following.redirect(now, address)),
-                None => State::Searching(following.crowded_out(now + self.settings.retry)),
+                None => State::Searching(following.crowded_out(now + self.settings.retry_delay)),
             },
             // A gateway that has not joined its relay yet has nothing to tell.
-            Followed::Answered { .. } if !following.joined => {
-                let due = now + self.settings.look;
+            PollOutcome::Answered { .. } if !following.joined => {
+                let due = now + self.settings.recheck_interval;
                 State::Searching(following.outdated(due, claim_from))
             }
-            Followed::Answered { .. } | Followed::Late => {
+            PollOutcome::Answered { .. } | PollOutcome::TimedOut => {
                 State::Searching(following.outdated(now, claim_from))
             }
-            Followed::Failed => {
+            PollOutcome::Failed => {
                 let fresh_until = following.seen.map(|seen| self.outdated_at(seen));
                 State::Searching(following.lose(now, claim_from, fresh_until))
             }
         }
     }
 
-    fn followed_while_cut(&mut self, now: Timestamp, cut: Cut, followed: Followed) -> State {
+    fn followed_while_cut(&mut self, now: Timestamp, cut: Cut, followed: PollOutcome) -> State {
         match followed {
-            Followed::Answered { seen, news } if now < self.outdated_at(seen) => {
+            PollOutcome::Answered { seen, news } if now < self.outdated_at(seen) => {
                 State::Following(cut.rejoin(self.next_poll(now, news), seen))
             }
-            Followed::Answered { news, .. } => State::Cut(Cut {
+            PollOutcome::Answered { news, .. } => State::Cut(Cut {
                 due: self.next_poll(now, news),
                 ..cut
             }),
-            Followed::Full(others) => {
+            PollOutcome::AtCapacity(others) => {
                 let chosen = self.choose(cut.upstream.address, &others);
                 let address = chosen.unwrap_or(cut.upstream.address);
                 let due = match chosen {
                     Some(_) => now,
-                    None => now + self.settings.retry,
+                    None => now + self.settings.retry_delay,
                 };
                 let relay = cut.upstream.relay;
                 let upstream = Upstream { address, relay };
@@ -73,8 +73,8 @@
                     ..cut
                 })
             }
-            Followed::Failed | Followed::Late => {
-                let due = now + self.settings.retry;
+            PollOutcome::Failed | PollOutcome::TimedOut => {
+                let due = now + self.settings.retry_delay;
                 State::Searching(cut.search(due, due + self.patience))
             }
         }
@@ -82,7 +82,7 @@
 
     fn next_poll(&self, now: Timestamp, news: bool) -> Timestamp {
         if news {
-            now + self.settings.gather
+            now + self.settings.poll_pause
         } else {
             now
         }
--- a/crates/relay/src/member/reads.rs
+++ b/crates/relay/src/member/reads.rs
@@ -65,11 +65,11 @@
             Some(upstream) => State::Cut(Cut {
                 due: now,
                 upstream,
-                next_look: now + self.settings.cut_look,
+                next_look: now + self.settings.isolated_read_interval,
                 heard: false,
             }),
             None => State::Searching(Searching {
-                due: now + self.settings.retry,
+                due: now + self.settings.retry_delay,
                 heard: None,
                 ..searching
             }),
@@ -83,8 +83,8 @@
         found: Versioned<RelayRecord>,
     ) -> State {
         if found.value.holder == self.me {
-            let due = now + self.settings.probe;
-            let recount_at = now + self.settings.recount;
+            let due = now + self.settings.probe_interval;
+            let recount_at = now + self.settings.recount_interval;
             return State::Relaying(searching.relay(due, found, recount_at));
         }
         let holder = found.value.holder;
@@ -96,7 +96,7 @@
             }
             // Others come first, and may have done so by the next look.
             _ if lost && now < searching.claim_from => State::Searching(Searching {
-                due: searching.claim_from.min(now + self.settings.look),
+                due: searching.claim_from.min(now + self.settings.recheck_interval),
                 step: Step::Look,
                 ..searching
             }),
@@ -113,7 +113,7 @@
         let ReadResult::Found(found) = result else {
             return State::Cut(Cut {
                 due: now,
-                next_look: now + self.settings.cut_look,
+                next_look: now + self.settings.isolated_read_interval,
                 heard: false,
                 ..cut
             });
@@ -130,7 +130,7 @@
         }
         State::Cut(Cut {
             due: now,
-            next_look: now + self.settings.cut_grace,
+            next_look: now + self.settings.isolated_grace,
             heard: true,
             ..cut
         })
@@ -145,7 +145,7 @@
             }
         }
         State::Relaying(Relaying {
-            due: now + self.settings.probe,
+            due: now + self.settings.probe_interval,
             ..relaying
         })
     }
--- a/crates/relay/src/member/sources.rs
+++ b/crates/relay/src/member/sources.rs
@@ -13,11 +13,11 @@
         }
         if now < self.settled {
             let until = self.settled;
-            return Source::Settling { until };
+            return Source::Starting { until };
         }
         match searching.heard {
-            None => Source::Waiting,
-            Some(heard) => self.joining_until(now, heard + self.settings.join),
+            None => Source::Unavailable,
+            Some(heard) => self.joining_until(now, heard + self.settings.join_timeout),
         }
     }
 
@@ -26,14 +26,14 @@
         if following.joined {
             return match fresh {
                 Some((seen, until)) if now < until => Source::Relay { until, seen },
-                _ => Source::Waiting,
+                _ => Source::Unavailable,
             };
         }
         if now < self.settled {
             let until = self.settled;
-            return Source::Settling { until };
+            return Source::Starting { until };
         }
-        let join = following.found + self.settings.join;
+        let join = following.found + self.settings.join_timeout;
         let until = fresh.map_or(join, |(_, until)| until.max(join));
         self.joining_until(now, until)
     }
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -17,52 +17,52 @@
     pub max_age: Duration,
     /// Time between two reads of a relay, which show that the store answers
     /// it and that the record still names it.
-    pub probe: Duration,
-    /// Longest time that a relay holds a poll. Longer than [`Settings::probe`]:
+    pub probe_interval: Duration,
+    /// Longest time that a relay holds a poll. Longer than [`Settings::probe_interval`]:
     /// with each of its looks a relay has something fresher to tell.
-    pub hold: Duration,
+    pub max_hold: Duration,
     /// Longest wait for the answer to a poll.
-    pub silence: Duration,
+    pub poll_timeout: Duration,
     /// Time between two polls of a relay that had something to tell.
-    pub gather: Duration,
+    pub poll_pause: Duration,
     /// Pause after a call to the store that was not answered.
-    pub retry: Duration,
+    pub retry_delay: Duration,
     /// Time between two looks at a record that still names a relay that is
     /// lost.
-    pub look: Duration,
+    pub recheck_interval: Duration,
     /// How long a member that the store answers waits for the claim of another
     /// or the first answer of a relay before it watches the store itself.
     /// With `max_age`, this bounds how late it learns of a change.
-    pub join: Duration,
+    pub join_timeout: Duration,
     /// Time between two reads of a member that the store does not answer, and
     /// whose relay it does not answer either.
-    pub cut_look: Duration,
+    pub isolated_read_interval: Duration,
     /// How long the relay of such a member may stay without an answer of the
     /// store that answers the member again. Longer than a relay's probe that
     /// waits in vain, and the next one.
-    pub cut_grace: Duration,
+    pub isolated_grace: Duration,
     /// Shortest time between two writes of how many members there are.
-    pub recount: Duration,
+    pub recount_interval: Duration,
     /// How long after its start a member looks for a relay before it watches
     /// the store itself.
-    pub settle: Duration,
+    pub startup_timeout: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Settings {
             max_age: Duration::from_millis(1_200),
-            probe: Duration::from_millis(500),
-            hold: Duration::from_millis(600),
-            silence: Duration::from_millis(900),
-            gather: Duration::from_millis(100),
-            retry: Duration::from_millis(800),
-            look: Duration::from_millis(150),
-            join: Duration::from_millis(250),
-            cut_look: Duration::from_secs(1),
-            cut_grace: Duration::from_millis(1_500),
-            recount: Duration::from_secs(3),
-            settle: Duration::from_millis(1_500),
+            probe_interval: Duration::from_millis(500),
+            max_hold: Duration::from_millis(600),
+            poll_timeout: Duration::from_millis(900),
+            poll_pause: Duration::from_millis(100),
+            retry_delay: Duration::from_millis(800),
+            recheck_interval: Duration::from_millis(150),
+            join_timeout: Duration::from_millis(250),
+            isolated_read_interval: Duration::from_secs(1),
+            isolated_grace: Duration::from_millis(1_500),
+            recount_interval: Duration::from_secs(3),
+            startup_timeout: Duration::from_millis(1_500),
         }
     }
 }
@@ -71,9 +71,9 @@
     /// Of the relay of a zone, whose region has a relay of its own: that one
     /// shows how fresh the store's answers are, and a zone's record changes
     /// seldom.
-    pub fn below_a_region() -> Self {
+    pub fn for_zone_below_region() -> Self {
         Settings {
-            probe: Duration::from_secs(1),
+            probe_interval: Duration::from_secs(1),
             ..Settings::default()
         }
     }
@@ -82,16 +82,16 @@
     ///
     /// A lost relay shows after one silence; until then what the zone's own
     /// followers were told is fresh, so that none of them has to look.
-    pub fn of_a_region() -> Self {
+    pub fn for_region() -> Self {
         Settings {
             max_age: Duration::from_millis(625),
-            probe: Duration::from_millis(250),
-            hold: Duration::from_millis(200),
-            silence: Duration::from_millis(400),
-            gather: Duration::from_millis(50),
+            probe_interval: Duration::from_millis(250),
+            max_hold: Duration::from_millis(200),
+            poll_timeout: Duration::from_millis(400),
+            poll_pause: Duration::from_millis(50),
             // Its zone's followers grow out of date meanwhile.
-            join: Duration::ZERO,
-            settle: Duration::ZERO,
+            join_timeout: Duration::ZERO,
+            startup_timeout: Duration::ZERO,
             ..Settings::default()
         }
     }
--- a/crates/relay/tests/member.rs
+++ b/crates/relay/tests/member.rs
@@ -5,7 +5,7 @@
 
 use threadledge_coordination::NodeIdentity;
 use threadledge_coordination::action::{Condition, ReadResult, Versioned, WriteResult};
-use threadledge_relay::{Action, Followed, Member, RelayRecord, Settings, Source};
+use threadledge_relay::{Action, PollOutcome, Member, RelayRecord, Settings, Source};
 use threadledge_types::{Incarnation, MachineName, Timestamp};
 
 const PATIENCE: Duration = Duration::from_millis(200);
@@ -51,9 +51,9 @@
     let mut member = member();
     assert_eq!(member.poll(at(0)), Some(Action::Read));
     member.on_read(at(4), found(identity(2, 1), 5));
-    assert_eq!(member.poll(at(4)), Some(Action::Follow(address(2))));
+    assert_eq!(member.poll(at(4)), Some(Action::Poll(address(2))));
     let (seen, news) = (at(10), false);
-    member.on_follow(at(12), Followed::Answered { seen, news });
+    member.on_poll(at(12), PollOutcome::Answered { seen, news });
     member
 }
 
@@ -73,7 +73,7 @@
 #[test]
 fn first_member_of_a_zone_claims_after_its_patience() {
     let member = relay();
-    assert!(member.relays());
+    assert!(member.is_relay());
     assert_eq!(member.source(at(208)), Source::Store);
 }
 
@@ -88,7 +88,7 @@
             seen: at(10)
         }
     );
-    assert_eq!(member.source(at(1_210)), Source::Waiting);
+    assert_eq!(member.source(at(1_210)), Source::Unavailable);
 }
 
 #[test]
@@ -96,10 +96,10 @@
     let mut member = follower();
     member.poll(at(12));
     assert_eq!(member.poll_deadline(), Some(at(1_210)));
-    member.on_follow(at(1_210), Followed::Late);
+    member.on_poll(at(1_210), PollOutcome::TimedOut);
     assert_eq!(member.poll(at(1_210)), Some(Action::Read));
     member.on_read(at(2_210), ReadResult::Failed);
-    assert_eq!(member.poll(at(2_210)), Some(Action::Follow(address(2))));
+    assert_eq!(member.poll(at(2_210)), Some(Action::Poll(address(2))));
 }
 
 #[test]
@@ -108,8 +108,8 @@
     member.poll(at(0));
     member.on_read(at(1_000), ReadResult::Failed);
     let until = at(1_500);
-    assert_eq!(member.source(at(1_499)), Source::Settling { until });
-    assert_eq!(member.source(at(1_500)), Source::Waiting);
+    assert_eq!(member.source(at(1_499)), Source::Starting { until });
+    assert_eq!(member.source(at(1_500)), Source::Unavailable);
     assert_eq!(member.poll(at(1_799)), None);
     assert_eq!(member.poll(at(1_800)), Some(Action::Read));
     member.on_read(at(1_804), ReadResult::Found(None));
@@ -130,19 +130,19 @@
         at(208),
         WriteResult::Conflict(Some(record(identity(3, 1), 6))),
     );
-    assert_eq!(member.poll(at(208)), Some(Action::Follow(address(3))));
+    assert_eq!(member.poll(at(208)), Some(Action::Poll(address(3))));
 }
 
 #[test]
 fn silent_relay_is_replaced_unless_another_did_so() {
     let mut lost = follower();
     lost.poll(at(12));
-    lost.on_follow(at(912), Followed::Failed);
+    lost.on_poll(at(912), PollOutcome::Failed);
     let (until, seen) = (at(1_210), at(10));
     assert_eq!(lost.source(at(912)), Source::Relay { until, seen });
     assert_eq!(
         lost.source(at(1_210)),
-        Source::Settling { until: at(1_500) }
+        Source::Starting { until: at(1_500) }
     );
     assert_eq!(lost.poll(at(1_111)), None);
     assert_eq!(lost.poll(at(1_112)), Some(Action::Read));
@@ -154,7 +154,7 @@
         at(1_120),
         WriteResult::Conflict(Some(record(identity(4, 1), 9))),
     );
-    assert_eq!(second.poll(at(1_120)), Some(Action::Follow(address(4))));
+    assert_eq!(second.poll(at(1_120)), Some(Action::Poll(address(4))));
 }
 
 /// A follower of node 2 that is told at 1,300 ms that the store last answered
@@ -163,7 +163,7 @@
     let mut member = follower();
     member.poll(at(12));
     let (seen, news) = (at(10), true);
-    member.on_follow(at(1_300), Followed::Answered { seen, news });
+    member.on_poll(at(1_300), PollOutcome::Answered { seen, news });
     member
 }
 
@@ -188,7 +188,7 @@
     assert_eq!(member.poll(at(1_453)), None);
     assert_eq!(member.poll(at(1_454)), Some(Action::Read));
     member.on_read(at(1_458), found(identity(3, 1), 6));
-    assert_eq!(member.poll(at(1_458)), Some(Action::Follow(address(3))));
+    assert_eq!(member.poll(at(1_458)), Some(Action::Poll(address(3))));
     assert!(member.is_joining());
     let until = at(1_708);
     assert_eq!(member.source(at(1_707)), Source::Joining { until });
@@ -200,12 +200,12 @@
     let mut member = follower();
     member.poll(at(1_600));
     let (seen, news) = (at(1_590), false);
-    member.on_follow(at(1_600), Followed::Answered { seen, news });
+    member.on_poll(at(1_600), PollOutcome::Answered { seen, news });
     member.poll(at(1_600));
-    member.on_follow(at(1_700), Followed::Failed);
+    member.on_poll(at(1_700), PollOutcome::Failed);
     let until = at(2_790);
     assert_eq!(member.source(at(1_700)), Source::Relay { until, seen });
-    assert_eq!(member.informant(), None, "the loss is known at once");
+    assert_eq!(member.active_upstream(), None, "the loss is known at once");
     assert_eq!(member.poll(at(1_900)), Some(Action::Read));
     member.on_read(at(1_904), found(identity(3, 1), 6));
     assert_eq!(member.source(at(1_904)), Source::Joining { until });
@@ -218,17 +218,17 @@
     let mut member = outdated();
     member.poll(at(1_300));
     member.on_read(at(2_300), ReadResult::Failed);
-    assert_eq!(member.source(at(2_300)), Source::Waiting);
-    assert_eq!(member.poll(at(2_300)), Some(Action::Follow(address(2))));
+    assert_eq!(member.source(at(2_300)), Source::Unavailable);
+    assert_eq!(member.poll(at(2_300)), Some(Action::Poll(address(2))));
     let (seen, news) = (at(10), false);
-    member.on_follow(at(2_800), Followed::Answered { seen, news });
-    assert_eq!(member.poll(at(2_800)), Some(Action::Follow(address(2))));
-    member.on_follow(at(3_310), Followed::Answered { seen, news });
+    member.on_poll(at(2_800), PollOutcome::Answered { seen, news });
+    assert_eq!(member.poll(at(2_800)), Some(Action::Poll(address(2))));
+    member.on_poll(at(3_310), PollOutcome::Answered { seen, news });
     assert_eq!(member.poll(at(3_310)), Some(Action::Read));
     member.on_read(at(4_310), ReadResult::Failed);
-    assert_eq!(member.poll(at(4_310)), Some(Action::Follow(address(2))));
+    assert_eq!(member.poll(at(4_310)), Some(Action::Poll(address(2))));
     let seen = at(4_400);
-    member.on_follow(at(4_410), Followed::Answered { seen, news });
+    member.on_poll(at(4_410), PollOutcome::Answered { seen, news });
     let until = at(5_600);
     assert_eq!(member.source(at(4_410)), Source::Relay { until, seen });
 }
@@ -242,12 +242,12 @@
     member.on_read(at(1_304), ReadResult::Failed);
     member.poll(at(1_304));
     let (seen, news) = (at(10), false);
-    member.on_follow(at(2_310), Followed::Answered { seen, news });
+    member.on_poll(at(2_310), PollOutcome::Answered { seen, news });
     assert_eq!(member.poll(at(2_310)), Some(Action::Read));
     member.on_read(at(2_314), found(identity(2, 1), 5));
-    assert_eq!(member.source(at(2_314)), Source::Waiting);
-    assert_eq!(member.poll(at(2_314)), Some(Action::Follow(address(2))));
-    member.on_follow(at(3_820), Followed::Answered { seen, news });
+    assert_eq!(member.source(at(2_314)), Source::Unavailable);
+    assert_eq!(member.poll(at(2_314)), Some(Action::Poll(address(2))));
+    member.on_poll(at(3_820), PollOutcome::Answered { seen, news });
     assert_eq!(member.poll(at(3_820)), Some(Action::Read));
     member.on_read(at(3_824), found(identity(2, 1), 5));
     assert_eq!(member.poll(at(3_824)), Some(Action::Read));
@@ -263,15 +263,15 @@
     member.poll(at(1_300));
     member.on_read(at(1_304), ReadResult::Failed);
     member.poll(at(1_304));
-    member.on_follow(at(2_310), Followed::Failed);
-    assert_eq!(member.source(at(2_310)), Source::Waiting);
+    member.on_poll(at(2_310), PollOutcome::Failed);
+    assert_eq!(member.source(at(2_310)), Source::Unavailable);
     assert_eq!(member.poll(at(3_110)), Some(Action::Read));
     member.on_read(at(3_114), found(identity(4, 1), 9));
-    assert_eq!(member.poll(at(3_114)), Some(Action::Follow(address(4))));
-    assert_eq!(member.informant(), None);
+    assert_eq!(member.poll(at(3_114)), Some(Action::Poll(address(4))));
+    assert_eq!(member.active_upstream(), None);
     let (seen, news) = (at(3_110), false);
-    member.on_follow(at(3_118), Followed::Answered { seen, news });
-    assert_eq!(member.informant(), Some(address(4)));
+    member.on_poll(at(3_118), PollOutcome::Answered { seen, news });
+    assert_eq!(member.active_upstream(), Some(address(4)));
 }
 
 #[test]
@@ -279,22 +279,22 @@
     let mut member = follower();
     member.poll(at(12));
     let (seen, news) = (at(40), true);
-    member.on_follow(at(50), Followed::Answered { seen, news });
+    member.on_poll(at(50), PollOutcome::Answered { seen, news });
     assert_eq!(member.poll(at(149)), None);
-    assert_eq!(member.poll(at(150)), Some(Action::Follow(address(2))));
+    assert_eq!(member.poll(at(150)), Some(Action::Poll(address(2))));
 }
 
 #[test]
 fn full_relay_passes_members_on_and_is_not_replaced_for_it() {
     let mut member = follower();
     member.poll(at(12));
-    member.on_follow(at(20), Followed::Full(vec![address(1), address(9)]));
-    assert_eq!(member.poll(at(20)), Some(Action::Follow(address(9))));
-    member.on_follow(at(30), Followed::Failed);
+    member.on_poll(at(20), PollOutcome::AtCapacity(vec![address(1), address(9)]));
+    assert_eq!(member.poll(at(20)), Some(Action::Poll(address(9))));
+    member.on_poll(at(30), PollOutcome::Failed);
     member.poll(at(230));
     member.on_read(at(234), found(identity(2, 1), 5));
-    assert_eq!(member.poll(at(234)), Some(Action::Follow(address(2))));
-    member.on_follow(at(240), Followed::Full(vec![address(1)]));
+    assert_eq!(member.poll(at(234)), Some(Action::Poll(address(2))));
+    member.on_poll(at(240), PollOutcome::AtCapacity(vec![address(1)]));
     assert_eq!(member.upstream(), None);
 }
 
@@ -306,10 +306,10 @@
     member.poll(at(3_000));
     member.on_read(at(3_004), found(identity(2, 1), 5));
     member.poll(at(3_004));
-    member.on_follow(at(3_010), Followed::Full(vec![address(1), address(9)]));
-    assert_eq!(member.poll(at(3_010)), Some(Action::Follow(address(9))));
+    member.on_poll(at(3_010), PollOutcome::AtCapacity(vec![address(1), address(9)]));
+    assert_eq!(member.poll(at(3_010)), Some(Action::Poll(address(9))));
     let (seen, news) = (at(10), false);
-    member.on_follow(at(3_020), Followed::Answered { seen, news });
+    member.on_poll(at(3_020), PollOutcome::Answered { seen, news });
     assert_eq!(member.poll(at(3_169)), None);
     let until = at(3_254);
     assert_eq!(member.source(at(3_169)), Source::Joining { until });
@@ -318,7 +318,7 @@
     member.on_read(at(3_174), found(identity(2, 1), 5));
     member.poll(at(3_174));
     // Nobody else is there: the store is watched meanwhile.
-    member.on_follow(at(3_180), Followed::Full(vec![address(1)]));
+    member.on_poll(at(3_180), PollOutcome::AtCapacity(vec![address(1)]));
     assert_eq!(member.source(at(3_500)), Source::Store);
     assert_eq!(member.poll(at(3_980)), Some(Action::Read));
 }
@@ -329,7 +329,7 @@
     member.poll(at(3_000));
     member.on_read(at(3_004), found(identity(2, 1), 5));
     member.poll(at(3_004));
-    member.on_follow(at(3_100), Followed::Failed);
+    member.on_poll(at(3_100), PollOutcome::Failed);
     assert_eq!(member.source(at(3_254)), Source::Store);
 }
 
@@ -339,11 +339,11 @@
     assert_eq!(member.poll(at(708)), Some(Action::Read));
     // Older than its own claim.
     member.on_read(at(712), found(identity(3, 1), 4));
-    assert!(member.relays());
+    assert!(member.is_relay());
     assert_eq!(member.poll(at(1_212)), Some(Action::Read));
     member.on_read(at(1_216), found(identity(3, 1), 6));
-    assert!(!member.relays());
-    assert_eq!(member.poll(at(1_216)), Some(Action::Follow(address(3))));
+    assert!(!member.is_relay());
+    assert_eq!(member.poll(at(1_216)), Some(Action::Poll(address(3))));
 }
 
 #[test]
@@ -351,7 +351,7 @@
     let mut member = relay();
     member.poll(at(708));
     member.on_read(at(1_708), ReadResult::Failed);
-    assert!(member.relays());
+    assert!(member.is_relay());
     assert_eq!(member.poll(at(2_208)), Some(Action::Read));
 }
 
@@ -367,7 +367,7 @@
     assert_eq!(member.poll(at(2_004)), Some(Action::Read));
     // It took effect.
     member.on_read(at(2_008), found(identity(1, 1), 5));
-    assert!(member.relays());
+    assert!(member.is_relay());
 }
 
 #[test]
@@ -419,7 +419,7 @@
     before.value.members = 27;
     member.on_read(at(4), ReadResult::Found(Some(before.clone())));
     member.poll(at(4));
-    member.on_follow(at(904), Followed::Failed);
+    member.on_poll(at(904), PollOutcome::Failed);
     member.poll(at(1_104));
     member.on_read(at(1_108), ReadResult::Found(Some(before)));
     let claimed = RelayRecord {
@@ -438,7 +438,7 @@
     member.on_read(at(4), ReadResult::Found(None));
     assert_eq!(member.poll(at(204)), Some(Action::Read));
     member.on_read(at(208), found(identity(2, 1), 5));
-    assert_eq!(member.poll(at(208)), Some(Action::Follow(address(2))));
+    assert_eq!(member.poll(at(208)), Some(Action::Poll(address(2))));
 }
 
 /// The store may turn this member away and serve its relay, which had fallen
@@ -448,17 +448,17 @@
     let mut member = follower();
     member.poll(at(12));
     let (seen, news) = (at(10), false);
-    member.on_follow(at(1_300), Followed::Answered { seen, news });
+    member.on_poll(at(1_300), PollOutcome::Answered { seen, news });
     assert_eq!(member.poll(at(1_300)), Some(Action::Read));
     member.on_read(at(1_304), ReadResult::Failed);
-    assert_eq!(member.poll(at(1_304)), Some(Action::Follow(address(2))));
+    assert_eq!(member.poll(at(1_304)), Some(Action::Poll(address(2))));
     let (seen, news) = (at(1_490), false);
-    member.on_follow(at(1_510), Followed::Answered { seen, news });
+    member.on_poll(at(1_510), PollOutcome::Answered { seen, news });
     let until = at(2_690);
     assert_eq!(member.source(at(1_510)), Source::Relay { until, seen });
     // It is silent now as well: the store is asked again after a pause.
     member.poll(at(1_510));
-    member.on_follow(at(2_410), Followed::Failed);
+    member.on_poll(at(2_410), PollOutcome::Failed);
     assert_eq!(member.poll(at(2_609)), None);
     assert_eq!(member.poll(at(2_610)), Some(Action::Read));
 }
--- a/crates/relay/tests/tiers.rs
+++ b/crates/relay/tests/tiers.rs
@@ -7,7 +7,7 @@
 
 use threadledge_coordination::NodeIdentity;
 use threadledge_coordination::action::{Condition, ReadResult, Versioned, WriteResult};
-use threadledge_relay::{Action, Followed, Member, RelayRecord, Settings, Source};
+use threadledge_relay::{Action, PollOutcome, Member, RelayRecord, Settings, Source};
 use threadledge_types::{Incarnation, MachineName, Timestamp};
 
 /// A call to a store in another region.
@@ -78,8 +78,8 @@
 impl Fleet {
     fn new() -> Self {
         let nodes = [
-            (UPPER, node(UPPER, Settings::of_a_region(), "region")),
-            (LOWER, node(LOWER, Settings::of_a_region(), "region")),
+            (UPPER, node(UPPER, Settings::for_region(), "region")),
+            (LOWER, node(LOWER, Settings::for_region(), "region")),
             (FOLLOWER, node(FOLLOWER, Settings::default(), "zone")),
         ];
         let holder = identity(LOWER);
@@ -127,8 +127,8 @@
             };
             let takes = match &action {
                 Action::Read | Action::Claim(..) => STORE_MS,
-                Action::Follow(_) if node.member.is_joining() => WAY_MS,
-                Action::Follow(_) => millis(node.settings.hold) + WAY_MS,
+                Action::Poll(_) if node.member.is_joining() => WAY_MS,
+                Action::Poll(_) => millis(node.settings.max_hold) + WAY_MS,
             };
             node.call = Some((self.now, self.now + takes, action));
         }
@@ -138,25 +138,25 @@
         let Some((asked, ends, action)) = self.nodes[&number].call.clone() else {
             return;
         };
-        let silence = millis(self.nodes[&number].settings.silence);
+        let silence = millis(self.nodes[&number].settings.poll_timeout);
         let deadline = self.nodes[&number].member.poll_deadline();
         let (now, time) = (self.now, self.time());
-        if let Action::Follow(upstream) = action {
+        if let Action::Poll(upstream) = action {
             let upstream = upstream.port();
             let silent = self.nodes[&upstream].frozen;
             let followed = if !silent && now >= ends {
                 let seen = Timestamp::from_millis(self.seen(upstream));
-                Followed::Answered { seen, news: false }
+                PollOutcome::Answered { seen, news: false }
             } else if now >= asked + silence {
-                Followed::Failed
+                PollOutcome::Failed
             } else if deadline.is_some_and(|deadline| time >= deadline) {
-                Followed::Late
+                PollOutcome::TimedOut
             } else {
                 return;
             };
             let node = self.nodes.get_mut(&number).expect("a node");
             node.call = None;
-            node.member.on_follow(time, followed);
+            node.member.on_poll(time, followed);
             return;
         }
         if now < ends {
@@ -189,7 +189,7 @@
                 };
                 node.member.on_claim(time, result);
             }
-            Action::Follow(_) => {}
+            Action::Poll(_) => {}
         }
     }
 
@@ -208,7 +208,7 @@
         while fleet.now < SETTLED_MS {
             fleet.step();
         }
-        assert!(fleet.nodes[&UPPER].member.relays());
+        assert!(fleet.nodes[&UPPER].member.is_relay());
         assert!(matches!(fleet.source(LOWER), Source::Relay { .. }));
         fleet
     }
--- a/crates/relay/tests/tree.rs
+++ b/crates/relay/tests/tree.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use threadledge_coordination::NodeIdentity;
 use threadledge_coordination::action::{Condition, ReadResult, Versioned, WriteResult};
-use threadledge_relay::{Action, Followed, HeldPoll, Member, RelayRecord, Settings, Source};
+use threadledge_relay::{Action, PollOutcome, HeldPoll, Member, RelayRecord, Settings, Source};
 use threadledge_types::{Incarnation, MachineName, Timestamp};
 
 const STEP_MS: u64 = 5;
@@ -34,7 +34,7 @@
     /// A poll that a gateway holds.
     Held(HeldPoll, usize),
     /// An answer on its way back.
-    Answering(u64, Followed),
+    Answering(u64, PollOutcome),
 }
 
 struct Node {
@@ -128,7 +128,7 @@
             return;
         };
         node.call = Some(match action {
-            Action::Follow(to) => Call::Asking(arrival, number(to)),
+            Action::Poll(to) => Call::Asking(arrival, number(to)),
             action => {
                 node.calls += u64::from(now >= SETTLED_MS);
                 Call::Store(now + STORE_MS, action)
@@ -146,15 +146,15 @@
             Call::Store(_, action) => self.answer_store(index, action),
             Call::Asking(_, to) => return Some(self.arrive(index, to)),
             Call::Held(..) if deadline.is_some_and(|deadline| time >= deadline) => {
-                self.nodes[index].member.on_follow(time, Followed::Late);
+                self.nodes[index].member.on_poll(time, PollOutcome::TimedOut);
             }
             Call::Held(held, to) if held.is_due(time, self.seen(to)) => {
                 let seen = self.seen(to);
-                let followed = Followed::Answered { seen, news: false };
+                let followed = PollOutcome::Answered { seen, news: false };
                 return Some(Call::Answering(self.arrival(), followed));
             }
             Call::Held(..) => return Some(call),
-            Call::Answering(_, followed) => self.nodes[index].member.on_follow(time, followed),
+            Call::Answering(_, followed) => self.nodes[index].member.on_poll(time, followed),
         }
         None
     }
@@ -166,13 +166,13 @@
         followers.retain(|_, at| now < *at + FOLLOWER_SILENCE_MS);
         if followers.len() >= FAN_OUT && !followers.contains_key(&index) {
             let others = followers.keys().map(|each| address(*each)).collect();
-            return Call::Answering(self.arrival(), Followed::Full(others));
+            return Call::Answering(self.arrival(), PollOutcome::AtCapacity(others));
         }
         followers.insert(index, now);
         let hold = if self.nodes[index].member.is_joining() {
             Duration::ZERO
         } else {
-            Settings::default().hold
+            Settings::default().max_hold
         };
         Call::Held(HeldPoll::new(self.time(), self.seen(to), hold), to)
     }
@@ -196,7 +196,7 @@
                 };
                 self.nodes[index].member.on_claim(time, result);
             }
-            Action::Follow(_) => {}
+            Action::Poll(_) => {}
         }
     }
 
@@ -230,14 +230,14 @@
         }
         for index in 0..members {
             let source = zone.nodes[index].member.source(zone.time());
-            let relays = zone.nodes[index].member.relays();
+            let relays = zone.nodes[index].member.is_relay();
             let told = matches!(source, Source::Relay { .. });
             assert!(relays || told, "{index} at {}: {source:?}", zone.now);
         }
     }
     let depths = zone.depths();
     assert_eq!(depths.get(&0), Some(&1), "{depths:?}");
-    let followers = zone.nodes.iter().filter(|node| !node.member.relays());
+    let followers = zone.nodes.iter().filter(|node| !node.member.is_relay());
     followers.map(|node| node.calls).sum()
 }
 
--- a/crates/relay/tests/zone.rs
+++ b/crates/relay/tests/zone.rs
@@ -6,7 +6,7 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use threadledge_coordination::NodeIdentity;
 use threadledge_coordination::action::{Condition, ReadResult, Versioned, WriteResult};
-use threadledge_relay::{Action, Followed, Member, RelayRecord, Settings, Source};
+use threadledge_relay::{Action, PollOutcome, Member, RelayRecord, Settings, Source};
 use threadledge_types::{Incarnation, MachineName, Timestamp};
 
 const MEMBERS: u16 = 5;
@@ -87,7 +87,7 @@
             }
             let now = Timestamp::from_millis(self.now);
             let node = &mut self.nodes[index];
-            if !node.member.relays() && node.member.source(now) == Source::Store {
+            if !node.member.is_relay() && node.member.source(now) == Source::Store {
                 node.watched += STEP_MS;
             }
         }
@@ -113,11 +113,11 @@
         }
         if let Some(action) = self.nodes[index].member.poll(now) {
             let takes = match &action {
-                Action::Follow(_) if !self.nodes[index].member.is_joining() => HOLD_MS,
+                Action::Poll(_) if !self.nodes[index].member.is_joining() => HOLD_MS,
                 _ => CALL_MS,
             };
             let deadline = self.nodes[index].member.poll_deadline();
-            let deadline = deadline.filter(|_| matches!(action, Action::Follow(_)));
+            let deadline = deadline.filter(|_| matches!(action, Action::Poll(_)));
             let deadline = deadline.map_or(u64::MAX, |deadline| deadline.as_millis());
             let ends = (self.now + takes).min(deadline.max(self.now + STEP_MS));
             let gives_up = ends.max(self.now + SILENCE_MS).min(deadline.max(ends));
@@ -134,14 +134,14 @@
     fn answers(&self, index: usize, action: &Action) -> bool {
         match action {
             Action::Read | Action::Claim(..) => !self.nodes[index].cut,
-            Action::Follow(to) => !self.nodes[usize::from(to.port())].frozen,
+            Action::Poll(to) => !self.nodes[usize::from(to.port())].frozen,
         }
     }
 
     fn end(&mut self, index: usize, pending: Pending) {
         let now = Timestamp::from_millis(self.now);
         if self.now >= pending.deadline {
-            self.nodes[index].member.on_follow(now, Followed::Late);
+            self.nodes[index].member.on_poll(now, PollOutcome::TimedOut);
             return;
         }
         let action = pending.action;
@@ -163,18 +163,18 @@
                 self.nodes[index].answered = self.now - CALL_MS;
                 self.nodes[index].member.on_claim(now, result);
             }
-            Action::Follow(to) => {
+            Action::Poll(to) => {
                 let upstream = &self.nodes[usize::from(to.port())];
                 let seen = match upstream.member.source(now) {
                     Source::Relay { seen, .. } => seen,
                     _ => Timestamp::from_millis(upstream.answered),
                 };
                 let followed = if answered {
-                    Followed::Answered { seen, news: false }
+                    PollOutcome::Answered { seen, news: false }
                 } else {
-                    Followed::Failed
+                    PollOutcome::Failed
                 };
-                self.nodes[index].member.on_follow(now, followed);
+                self.nodes[index].member.on_poll(now, followed);
             }
         }
     }
@@ -199,9 +199,9 @@
         self.nodes.iter().map(|node| node.watched).sum()
     }
 
-    fn relays(&self) -> usize {
+    fn relay_count(&self) -> usize {
         let nodes = self.nodes.iter();
-        nodes.filter(|node| node.member.relays()).count()
+        nodes.filter(|node| node.member.is_relay()).count()
     }
 
     fn followers(&self) -> usize {
@@ -231,7 +231,7 @@
         zone.check();
     }
     assert_eq!(
-        (zone.relays(), zone.followers()),
+        (zone.relay_count(), zone.followers()),
         (1, usize::from(MEMBERS) - 1)
     );
     assert_eq!(zone.writes, 1);
@@ -249,14 +249,14 @@
         zone.check();
     }
     let nodes = zone.nodes[1..].iter();
-    assert_eq!(nodes.filter(|node| node.member.relays()).count(), 1);
+    assert_eq!(nodes.filter(|node| node.member.is_relay()).count(), 1);
     zone.nodes[0].cut = false;
     for _ in 0..300 {
         zone.step();
         zone.check();
     }
     assert_eq!(
-        (zone.relays(), zone.followers()),
+        (zone.relay_count(), zone.followers()),
         (1, usize::from(MEMBERS) - 1)
     );
 }
@@ -288,7 +288,7 @@
             zone.check();
         }
         assert_eq!(
-            (zone.relays(), zone.followers()),
+            (zone.relay_count(), zone.followers()),
             (1, usize::from(MEMBERS) - 1)
         );
     }
@@ -411,7 +411,7 @@
         zone.check();
     }
     assert_eq!(
-        (zone.relays(), zone.followers()),
+        (zone.relay_count(), zone.followers()),
         (1, usize::from(MEMBERS) - 1)
     );
     Ok(())
--- a/crates/router/src/gateway/admission.rs
+++ b/crates/router/src/gateway/admission.rs
@@ -4,7 +4,7 @@
 use http_types::headers::HOST;
 use http_types::{Method, Request};
 use threadledge_dispatch::{Call, Refusal};
-use threadledge_ports::CallerHead;
+use threadledge_ports::RequestMetadata;
 use threadledge_tenants::Admission;
 use threadledge_types::deployment::KeyDigest;
 
@@ -26,7 +26,7 @@
 }
 
 impl Head {
-    pub(super) fn of(request: &Request, caller: &CallerHead) -> Self {
+    pub(super) fn of(request: &Request, caller: &RequestMetadata) -> Self {
         Head {
             method: request.method(),
             host: host_of(request).to_owned(),
--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -7,7 +7,7 @@
 use threadledge_dispatch::{Attempt, AttemptEnd, ExchangeId, Fault};
 use threadledge_net::message::Message;
 use threadledge_net::{ExchangeError, ExchangeFault, Pool, Stage};
-use threadledge_ports::Wording;
+use threadledge_ports::HeaderCodec;
 use threadledge_types::deployment::TenantName;
 
 use super::dispatch::Dispatch;
@@ -30,7 +30,7 @@
     pub(super) dispatch: Arc<Dispatch>,
     pub(super) pool: Pool,
     pub(super) budget: Budget,
-    pub(super) wording: Arc<dyn Wording>,
+    pub(super) wording: Arc<dyn HeaderCodec>,
     pub(super) usage: Usage,
 }
 
@@ -101,9 +101,9 @@
         };
         let time_left = attempt.deadline.since(now).max(Duration::from_millis(1));
         self.wording
-            .address(&mut request, time_left, &attempt.back_end);
+            .set_target(&mut request, time_left, &attempt.back_end);
         if let Some(tenant) = &outbound.tenant {
-            self.wording.name_tenant(&mut request, tenant);
+            self.wording.set_tenant(&mut request, tenant);
         }
         self.usage.asked_back_end(&attempt, request.len());
         match connection.exchange(request, deadline).await {
@@ -122,7 +122,7 @@
         let status = u16::from(response.status());
         let head = self
             .wording
-            .answer(status, response.as_ref(), &attempt.back_end);
+            .read_response(status, response.as_ref(), &attempt.back_end);
         self.dispatch.on_head(exchange, attempt.id, &head.signals);
         // Invariant: no caller gets the answer to another's request. HTTP/1.1
         // pairs requests and answers by their order alone; the id shows a
@@ -136,7 +136,7 @@
             let load = head.load;
             return Ended::without_answer(AttemptEnd::NotRun { reason, load });
         }
-        if response.status().is_success() && !head.marked {
+        if response.status().is_success() && !head.stamped {
             return Ended::failed(Fault::BadAnswer);
         }
         let body = response.take_body_only();
--- a/crates/router/src/gateway/coordination.rs
+++ b/crates/router/src/gateway/coordination.rs
@@ -274,11 +274,11 @@
     /// many.
     fn set_candidates(&mut self) {
         let source = self.participation.sources.current();
-        let settled = !matches!(source, Source::Settling { .. });
+        let settled = !matches!(source, Source::Starting { .. });
         let candidate = self.knows_back_ends && settled;
         let behind = match source {
-            Source::Relay { .. } | Source::Joining { .. } | Source::Waiting => FOLLOWER_PATIENCE,
-            Source::Store | Source::Settling { .. } => Duration::ZERO,
+            Source::Relay { .. } | Source::Joining { .. } | Source::Unavailable => FOLLOWER_PATIENCE,
+            Source::Store | Source::Starting { .. } => Duration::ZERO,
         };
         let near = patience::by_store(self.store_health.call_time());
         let patience = self.participation.patience + near + behind;
--- a/crates/router/src/gateway/directory.rs
+++ b/crates/router/src/gateway/directory.rs
@@ -248,7 +248,7 @@
                 EventId::TenantKeysChanged,
                 version = configuration.version.0,
                 tenants = configuration.tenants.len(),
-                taken = changes.taken,
+                taken = changes.removed,
                 added = changes.added,
             );
         }
--- a/crates/router/src/gateway/knowledge.rs
+++ b/crates/router/src/gateway/knowledge.rs
@@ -14,7 +14,7 @@
 use threadledge_coordination::OwnershipRecord;
 use threadledge_coordination::action::{StoreRevision, Versioned};
 use threadledge_ports::{Change, Entry, Listing, Malformed};
-use threadledge_tenants::shared_key;
+use threadledge_tenants::find_shared_key;
 use threadledge_types::deployment::{BackEnd, Configuration, DrainedZone, ServiceName};
 use threadledge_types::{Timestamp, ZoneName};
 
@@ -317,7 +317,7 @@
 /// Nobody could say whose callers show a key that two tenants hold: the last
 /// configuration without such a key stays.
 fn check_tenants(configuration: &Configuration) -> Result<(), Malformed> {
-    let Some((one, other)) = shared_key(&configuration.tenants) else {
+    let Some((one, other)) = find_shared_key(&configuration.tenants) else {
         return Ok(());
     };
     let version = configuration.version;
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -17,7 +17,7 @@
 use parking_lot::Mutex;
 use prometheus::Registry;
 use threadledge_coordination::NodeIdentity;
-use threadledge_limits::{Admission, Answer, Ask, RefusedWhy, Settings};
+use threadledge_limits::{Admission, QuotaResponse, QuotaRequest, RefusalReason, Settings};
 use threadledge_net::timer;
 use threadledge_ports::Ports;
 use threadledge_types::Timestamp;
@@ -57,7 +57,7 @@
 /// Why a request of a tenant does not run.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Refused {
-    pub(super) why: RefusedWhy,
+    pub(super) why: RefusalReason,
     /// Time until there is room.
     pub(super) wait: Duration,
 }
@@ -164,15 +164,15 @@
             // Whoever waits is registered before another can end the wait.
             let (admission, answered) = self.with(|state, now| {
                 let admission = match since {
-                    None => state.spender.arrive(now, tenant),
+                    None => state.spender.admit_new(now, tenant),
                     Some(since) => state.spender.admit(now, tenant, since),
                 };
                 since = since.or(Some(now));
                 (admission, self.shared.answered.next())
             });
             match admission {
-                Admission::Free => return Ok(Permit::free()),
-                Admission::Spent => {
+                Admission::Unlimited => return Ok(Permit::free()),
+                Admission::Admitted => {
                     let spent = Spent {
                         limits: self.clone(),
                         tenant: tenant.clone(),
@@ -204,7 +204,7 @@
     }
 
     /// Answers another gateway's ask.
-    pub(super) fn answer(&self, ask: &Ask) -> Answer {
+    pub(super) fn answer(&self, ask: &QuotaRequest) -> QuotaResponse {
         let (answer, to_record) = self.with(|state, now| state.answer(now, ask));
         if to_record {
             self.shared.changed.notify();
--- a/crates/router/src/gateway/limits/ask.rs
+++ b/crates/router/src/gateway/limits/ask.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use threadledge_limits::settings::ASK_TIMEOUT;
-use threadledge_limits::{Answer, Ask};
+use threadledge_limits::settings::QUOTA_REQUEST_TIMEOUT;
+use threadledge_limits::{QuotaResponse, QuotaRequest};
 use threadledge_net::timer;
 
 use super::super::peers::PeerClient;
@@ -39,13 +39,13 @@
         }
     }
 
-    async fn send(&self, ask: Ask) {
+    async fn send(&self, ask: QuotaRequest) {
         let number = ask.number;
         let answer = self.answer(ask).await;
         let (used, doubts) = self.limits.with(|state, now| {
             match answer {
-                Some(answer) => state.spender.on_answer(now, number, answer),
-                None => state.spender.on_silence(now, number),
+                Some(answer) => state.spender.on_response(now, number, answer),
+                None => state.spender.on_timeout(now, number),
             }
             state.yield_office();
             let doubts = state.doubts_ledger(now, Duration::ZERO);
@@ -60,7 +60,7 @@
         }
     }
 
-    async fn answer(&self, ask: Ask) -> Option<Answer> {
+    async fn answer(&self, ask: QuotaRequest) -> Option<QuotaResponse> {
         let (own, holder) = self
             .limits
             .with(|state, _now| (state.ledger.is_some(), state.holder));
@@ -69,6 +69,6 @@
         }
         let (_, address) = holder?;
         let asked = self.client.limits(address?, &ask);
-        timer::timeout(ASK_TIMEOUT, asked).await.ok().flatten()
+        timer::timeout(QUOTA_REQUEST_TIMEOUT, asked).await.ok().flatten()
     }
 }
--- a/crates/router/src/gateway/limits/log.rs
+++ b/crates/router/src/gateway/limits/log.rs
@@ -6,7 +6,7 @@
 
 use parking_lot::Mutex;
 use threadledge_coordination::Term;
-use threadledge_limits::RefusedWhy;
+use threadledge_limits::RefusalReason;
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::TenantName;
 
@@ -18,7 +18,7 @@
 /// Refusals of one tenant.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Refusals {
-    pub(super) why: RefusedWhy,
+    pub(super) why: RefusalReason,
     pub(super) count: u64,
     pub(super) last: Timestamp,
 }
@@ -59,7 +59,7 @@
     }
 
     /// A request of a tenant was refused.
-    pub(super) fn refused(&self, now: Timestamp, tenant: &TenantName, why: RefusedWhy) {
+    pub(super) fn refused(&self, now: Timestamp, tenant: &TenantName, why: RefusalReason) {
         let mut refused = self.refused.lock();
         if let Some(refusals) = refused.get_mut(tenant) {
             refusals.why = why;
--- a/crates/router/src/gateway/limits/metrics.rs
+++ b/crates/router/src/gateway/limits/metrics.rs
@@ -5,7 +5,7 @@
 
 use parking_lot::Mutex;
 use prometheus::{IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry};
-use threadledge_limits::RefusedWhy;
+use threadledge_limits::RefusalReason;
 use threadledge_types::deployment::TenantName;
 
 use super::Limits;
@@ -70,7 +70,7 @@
         })
     }
 
-    pub(super) fn refused(&self, tenant: &TenantName, why: RefusedWhy) {
+    pub(super) fn refused(&self, tenant: &TenantName, why: RefusalReason) {
         let mut labels = self.labels.lock();
         let label = match labels.len() < MOST_LABELS || labels.contains(tenant) {
             true => tenant.as_str(),
--- a/crates/router/src/gateway/limits/office.rs
+++ b/crates/router/src/gateway/limits/office.rs
@@ -10,7 +10,7 @@
 };
 use threadledge_coordination::election::Change;
 use threadledge_coordination::{Action, Term};
-use threadledge_limits::ledger::Office;
+use threadledge_limits::ledger::LedgerElection;
 use threadledge_limits::{HolderRecord, Ledger, Predecessor};
 use threadledge_net::timer;
 use threadledge_ports::Ports;
@@ -104,7 +104,7 @@
         loop {
             let changed = shared.changed.next();
             let told = self.sources.lease_changes().next();
-            let in_use = self.limits.with(|state, _now| state.spender.is_in_use());
+            let in_use = self.limits.with(|state, _now| state.spender.has_limits());
             let holds = self.limits.with(|state, _now| state.election.leading());
             if !in_use && holds.is_none() {
                 changed.await;
@@ -153,7 +153,7 @@
             let election = state.election.next_wake().filter(|_| doubts);
             let election = election.unwrap_or(longest);
             let ledger = state.ledger.as_ref();
-            let needed = ledger.is_some_and(|ledger| ledger.needs_record(now));
+            let needed = ledger.is_some_and(|ledger| ledger.needs_record_update(now));
             let due = self.won.is_some() || needed;
             let record = if due { self.next_record } else { longest };
             election.min(record).min(longest).max(now + SHORTEST_WAIT)
@@ -167,13 +167,13 @@
         let lease = self.sources.lease(&self.name);
         // The relay will tell of the lease: no need to ask the store.
         let told = !relayed || lease.is_some();
-        let settled = !matches!(source, Source::Settling { .. });
+        let settled = !matches!(source, Source::Starting { .. });
         let behind = match source {
-            Source::Relay { .. } | Source::Joining { .. } | Source::Waiting => FOLLOWER_PATIENCE,
-            Source::Store | Source::Settling { .. } => Duration::ZERO,
+            Source::Relay { .. } | Source::Joining { .. } | Source::Unavailable => FOLLOWER_PATIENCE,
+            Source::Store | Source::Starting { .. } => Duration::ZERO,
         };
         let heard = self.limits.with(|state, now| {
-            let candidate = state.spender.is_in_use() && !state.leaving;
+            let candidate = state.spender.has_limits() && !state.leaving;
             state.election.set_candidate(candidate && settled && told);
             state.election.set_patience(self.place.patience + behind);
             let before = state.spender.term();
@@ -196,7 +196,7 @@
     fn tell_ledger(&self) {
         let ledger = self.limits.with(|state, _now| {
             let ledger = state.ledger.as_ref();
-            ledger.map(|ledger| (ledger.term(), ledger.is_whole()))
+            ledger.map(|ledger| (ledger.term(), ledger.has_full_rate()))
         });
         self.limits.shared.log.ledger(ledger);
     }
@@ -261,7 +261,7 @@
         match change {
             Some(Change::Elected { term, predecessor }) => {
                 let predecessor = predecessor.map(|earlier| Predecessor {
-                    office_end: earlier.orders_end,
+                    lease_end: earlier.orders_end,
                 });
                 self.won = Some(Won { term, predecessor });
                 self.next_record = Timestamp::ZERO;
@@ -332,7 +332,7 @@
             if state.election.leading() != Some(won.term) {
                 return;
             }
-            let office = Office {
+            let office = LedgerElection {
                 term: won.term,
                 predecessor: won.predecessor,
                 found,
@@ -356,7 +356,7 @@
                 self.limits.with(|state, _now| {
                     let ledger = state.ledger.as_mut();
                     if let Some(ledger) = ledger.filter(|ledger| ledger.term() == record.term) {
-                        ledger.recorded(record);
+                        ledger.on_record_written(record);
                     }
                 });
             }
--- a/crates/router/src/gateway/limits/operate.rs
+++ b/crates/router/src/gateway/limits/operate.rs
@@ -3,7 +3,7 @@
 
 use http_types::{Method, Request, Response};
 use serde::Serialize;
-use threadledge_limits::spender::TenantView;
+use threadledge_limits::rate_limiter::TenantUsage;
 use threadledge_types::deployment::TenantName;
 
 use super::super::answer;
@@ -71,7 +71,7 @@
             let tenants = state.spender.tenants(now).into_iter();
             let tenants = tenants.map(|(name, view)| {
                 let ledger = state.ledger.as_ref();
-                let account = ledger.and_then(|ledger| ledger.view(&name));
+                let account = ledger.and_then(|ledger| ledger.tenant_load(&name));
                 self.tenant_status(&name, &view, account.map(|(_, level, rate)| (level, rate)))
             });
             let tenants = tenants.collect();
@@ -81,7 +81,7 @@
                     .and_then(|(_, address)| address)
                     .map(|address| address.to_string()),
                 term: state.holder.map(|(term, _)| term.0),
-                kept_here: state.ledger.as_ref().map(|ledger| ledger.is_whole()),
+                kept_here: state.ledger.as_ref().map(|ledger| ledger.has_full_rate()),
                 fallback: state.spender.in_fallback(now),
                 tenants,
             }
@@ -91,7 +91,7 @@
     fn tenant_status(
         &self,
         name: &TenantName,
-        view: &TenantView,
+        view: &TenantUsage,
         account: Option<(f64, f64)>,
     ) -> TenantStatus {
         let refusals = self.shared.log.refusals(name);
@@ -104,7 +104,7 @@
             share_here: view.share,
             refused: refusals.map(|refusals| refusals.why.as_str()),
             refusals: refusals.map_or(0, |refusals| refusals.count),
-            none_for_s: view.none_for.as_secs_f64(),
+            none_for_s: view.retry_after.as_secs_f64(),
             rate_everywhere: account.map(|(_, rate)| rate),
             ledger_tokens: account.map(|(level, _)| level),
         }
--- a/crates/router/src/gateway/limits/state.rs
+++ b/crates/router/src/gateway/limits/state.rs
@@ -7,7 +7,7 @@
 
 use threadledge_coordination::election::Election;
 use threadledge_coordination::{NodeIdentity, Term};
-use threadledge_limits::{Answer, Ask, Ledger, Settings, Spender};
+use threadledge_limits::{QuotaResponse, QuotaRequest, Ledger, Settings, RateLimiter};
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{RateLimit, TenantName};
 
@@ -39,7 +39,7 @@
 pub(super) struct State {
     pub(super) me: NodeIdentity,
     pub(super) settings: Settings,
-    pub(super) spender: Spender,
+    pub(super) spender: RateLimiter,
     pub(super) election: Election,
     pub(super) ledger: Option<Ledger>,
     /// Where the ledger is kept.
@@ -51,8 +51,8 @@
 
 impl State {
     pub(super) fn new(me: NodeIdentity, settings: Settings) -> Self {
-        let spender = Spender::new(me.node.clone(), me.incarnation, settings.clone());
-        let election = Election::new(me.clone(), office_settings(settings.office), Duration::ZERO);
+        let spender = RateLimiter::new(me.node.clone(), me.incarnation, settings.clone());
+        let election = Election::new(me.clone(), office_settings(settings.lease), Duration::ZERO);
         State {
             me,
             settings,
@@ -78,7 +78,7 @@
         if self.holder.is_none_or(|(known, _)| known <= term) {
             self.holder = Some((term, address));
         }
-        self.spender.hear_of(now, term);
+        self.spender.observe_term(now, term);
         self.yield_office();
     }
 
@@ -101,9 +101,9 @@
         let unknown = self.holder.is_none_or(|(_, address)| address.is_none());
         let lost = self
             .spender
-            .lost_for(now)
+            .unreachable_for(now)
             .is_some_and(|lost| lost >= patience);
-        held || unknown || lost || self.spender.is_ledger_ailing()
+        held || unknown || lost || self.spender.is_ledger_lease_at_risk()
     }
 
     /// Hands the office back; this gateway grants nothing from here on.
@@ -114,19 +114,19 @@
     }
 
     /// Answers an ask; says whether a record has to be written.
-    pub(super) fn answer(&mut self, now: Timestamp, ask: &Ask) -> (Answer, bool) {
+    pub(super) fn answer(&mut self, now: Timestamp, ask: &QuotaRequest) -> (QuotaResponse, bool) {
         if !self.election.may_act(now) {
-            return (Answer::Elsewhere, false);
+            return (QuotaResponse::NotLeader, false);
         }
         match &mut self.ledger {
             Some(ledger) => {
                 let mut answer = ledger.answer(now, ask);
-                if let Answer::Ledger { ailing, .. } = &mut answer {
-                    *ailing = !self.election.may_act(now + AILING_BEFORE);
+                if let QuotaResponse::Ledger { lease_at_risk, .. } = &mut answer {
+                    *lease_at_risk = !self.election.may_act(now + AILING_BEFORE);
                 }
-                (answer, ledger.needs_record(now))
+                (answer, ledger.needs_record_update(now))
             }
-            None => (Answer::Elsewhere, false),
+            None => (QuotaResponse::NotLeader, false),
         }
     }
 }
--- a/crates/router/src/gateway/log.rs
+++ b/crates/router/src/gateway/log.rs
@@ -8,7 +8,7 @@
 use http_types::Request;
 use threadledge_dispatch::{AttemptEnd, Begun, Outcome};
 use threadledge_net::Instant;
-use threadledge_ports::CallerHead;
+use threadledge_ports::RequestMetadata;
 use threadledge_suspects::RequestHash;
 use threadledge_types::deployment::{BackEndName, RouteName, ServiceName, TenantName};
 
@@ -46,7 +46,7 @@
 impl RequestLine {
     pub(super) fn new(
         request: &Request,
-        caller: &CallerHead,
+        caller: &RequestMetadata,
         from: IpAddr,
         started: Instant,
     ) -> Self {
--- a/crates/router/src/gateway/messages.rs
+++ b/crates/router/src/gateway/messages.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use threadledge_coordination::action::StoreRevision;
 use threadledge_coordination::{CoordinatorLease, LoadReport};
-use threadledge_suspects::SuspectNews;
+use threadledge_suspects::SuspectUpdate;
 use threadledge_types::deployment::ServiceName;
 
 use super::followers::Follower;
@@ -101,7 +101,7 @@
     /// Who tells.
     pub(super) from: Option<SocketAddr>,
     /// What the other one lacks.
-    pub(super) news: SuspectNews,
+    pub(super) news: SuspectUpdate,
     /// The answer is to tell everything that the other one knows.
     #[serde(default, skip_serializing_if = "is_false")]
     pub(super) whole: bool,
--- a/crates/router/src/gateway/peers.rs
+++ b/crates/router/src/gateway/peers.rs
@@ -12,12 +12,12 @@
 use http_types::{Method, Request, Response};
 use parking_lot::Mutex;
 use threadledge_coordination::LoadReport;
-use threadledge_limits::settings::ASK_TIMEOUT;
-use threadledge_limits::{Answer, Ask};
+use threadledge_limits::settings::QUOTA_REQUEST_TIMEOUT;
+use threadledge_limits::{QuotaResponse, QuotaRequest};
 use threadledge_net::{
     HttpClient, Instant, LargePace, PoolSettings, ServeReport, ServerLimits, StopSignal, serve,
 };
-use threadledge_suspects::SuspectNews;
+use threadledge_suspects::SuspectUpdate;
 use threadledge_types::deployment::ServiceName;
 
 use super::answer;
@@ -173,7 +173,7 @@
         &self,
         to: SocketAddr,
         exchange: &SuspectExchange,
-    ) -> Option<SuspectNews> {
+    ) -> Option<SuspectUpdate> {
         let told = self
             .client
             .post_json(to, SUSPECTS_PATH, exchange, SUSPECTS_TIMEOUT);
@@ -182,8 +182,8 @@
 
     /// Asks the gateway that keeps the ledger for tokens. `None`: it did not
     /// answer.
-    pub(super) async fn limits(&self, to: SocketAddr, ask: &Ask) -> Option<Answer> {
-        let asked = self.client.post_json(to, LIMITS_PATH, ask, ASK_TIMEOUT);
+    pub(super) async fn limits(&self, to: SocketAddr, ask: &QuotaRequest) -> Option<QuotaResponse> {
+        let asked = self.client.post_json(to, LIMITS_PATH, ask, QUOTA_REQUEST_TIMEOUT);
         asked.await.ok()
     }
 
@@ -308,7 +308,7 @@
         }
     }
 
-    fn take_suspects(&self, exchange: &SuspectExchange) -> SuspectNews {
+    fn take_suspects(&self, exchange: &SuspectExchange) -> SuspectUpdate {
         let source = exchange.from.map_or(String::new(), |from| from.to_string());
         // A relay that is new is told in turn before the store names it here.
         self.peers.heard_of(exchange.from);
@@ -316,7 +316,7 @@
         if exchange.whole {
             self.suspects.known(exchange.from)
         } else {
-            SuspectNews::default()
+            SuspectUpdate::default()
         }
     }
 
@@ -330,7 +330,7 @@
         let hold = if poll.at_once {
             Duration::ZERO
         } else {
-            let longest = threadledge_relay::Settings::default().hold;
+            let longest = threadledge_relay::Settings::default().max_hold;
             let asked = poll.hold_ms.map(Duration::from_millis);
             asked.map_or(longest, |asked| asked.min(longest))
         };
--- a/crates/router/src/gateway/readiness.rs
+++ b/crates/router/src/gateway/readiness.rs
@@ -7,7 +7,7 @@
 use async_std::net::TcpListener;
 use http_types::{Request, Response, StatusCode};
 use threadledge_net::{ServeReport, ServerLimits, StopSignal, serve};
-use threadledge_ports::Wording;
+use threadledge_ports::HeaderCodec;
 
 use super::answer;
 use super::dispatch::Dispatch;
@@ -76,7 +76,7 @@
 pub(super) struct StateAnswers {
     pub(super) readiness: Arc<Readiness>,
     pub(super) metrics: GatewayMetrics,
-    pub(super) wording: Arc<dyn Wording>,
+    pub(super) wording: Arc<dyn HeaderCodec>,
     /// Requests that are held, where operators ask.
     pub(super) suspects: Option<SuspectService>,
     /// Whose callers' keys are, where operators ask.
--- a/crates/router/src/gateway/relay.rs
+++ b/crates/router/src/gateway/relay.rs
@@ -12,7 +12,7 @@
 use threadledge_coordination::action::{Freshness, ReadResult, Versioned, WriteResult};
 use threadledge_net::timer;
 use threadledge_ports::{Entry, Ports};
-use threadledge_relay::{Action, Followed, Member, RelayRecord};
+use threadledge_relay::{Action, PollOutcome, Member, RelayRecord};
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::Topology;
 
@@ -125,7 +125,7 @@
                 self.member.on_claim(self.clock.now(), result);
                 self.tier.tell_change(&self.record, relayed, &self.member);
             }
-            Some(Action::Follow(address)) => self.follow(now, address).await,
+            Some(Action::Poll(address)) => self.follow(now, address).await,
             None => self.wait(now).await,
         }
     }
@@ -213,7 +213,7 @@
     }
 
     async fn follow(&mut self, asked: Timestamp, address: SocketAddr) {
-        let before = self.member.informant();
+        let before = self.member.active_upstream();
         let poll = FollowPoll {
             from: self.client.own(),
             marks: self.directory.marks(),
@@ -232,22 +232,22 @@
         }
         let followed = match polled {
             Polled::Answered(FollowAnswer::News(news)) => self.take(asked, address, *news).await,
-            Polled::Answered(FollowAnswer::Full { followers }) => Followed::Full(followers),
-            Polled::Answered(FollowAnswer::Leaving) | Polled::Silent => Followed::Failed,
-            Polled::Late => Followed::Late,
+            Polled::Answered(FollowAnswer::Full { followers }) => PollOutcome::AtCapacity(followers),
+            Polled::Answered(FollowAnswer::Leaving) | Polled::Silent => PollOutcome::Failed,
+            Polled::Late => PollOutcome::TimedOut,
         };
-        let failed = followed == Followed::Failed;
-        self.member.on_follow(self.clock.now(), followed);
+        let failed = followed == PollOutcome::Failed;
+        self.member.on_poll(self.clock.now(), followed);
         self.publish();
         self.tier
-            .tell_informant(before, self.member.informant(), failed);
+            .tell_informant(before, self.member.active_upstream(), failed);
     }
 
     /// Polls for as long as the member waits.
     async fn poll(&self, address: SocketAddr, poll: &FollowPoll) -> Polled {
         let polling = self
             .client
-            .follow(address, poll, self.seat.settings.silence);
+            .follow(address, poll, self.seat.settings.poll_timeout);
         let answer = match self.member.poll_deadline() {
             None => polling.await,
             Some(deadline) => {
@@ -261,7 +261,7 @@
         answer.map_or(Polled::Silent, Polled::Answered)
     }
 
-    async fn take(&mut self, asked: Timestamp, address: SocketAddr, news: FollowNews) -> Followed {
+    async fn take(&mut self, asked: Timestamp, address: SocketAddr, news: FollowNews) -> PollOutcome {
         let now = self.clock.now();
         // The time on the way counts as age: a poll may have been answered
         // long before its answer came.
@@ -289,7 +289,7 @@
             self.fetch_configuration(address).await;
         }
         self.health.heard(seen);
-        Followed::Answered { seen, news: told }
+        PollOutcome::Answered { seen, news: told }
     }
 
     /// What changed is forgotten, or more than the link should carry for each
--- a/crates/router/src/gateway/relay/tier.rs
+++ b/crates/router/src/gateway/relay/tier.rs
@@ -27,13 +27,13 @@
     pub(super) fn hold_ms(self, settings: &Settings) -> Option<u64> {
         match self {
             Tier::Zone => None,
-            Tier::Region => u64::try_from(settings.hold.as_millis()).ok(),
+            Tier::Region => u64::try_from(settings.max_hold.as_millis()).ok(),
         }
     }
 
     /// Tells that a member began or ceased to relay.
     pub(super) fn tell_change(self, record: &str, relayed: bool, member: &Member) {
-        match (self, relayed, member.relays()) {
+        match (self, relayed, member.is_relay()) {
             (Tier::Zone, false, true) => emit!(EventId::RelayTaken, zone = record),
             (Tier::Zone, true, false) => emit!(EventId::RelayPassedOn, zone = record),
             (Tier::Region, false, true) => emit!(EventId::RegionRelayTaken, record = record),
--- a/crates/router/src/gateway/requests.rs
+++ b/crates/router/src/gateway/requests.rs
@@ -8,7 +8,7 @@
 use http_types::{Request, Response};
 use threadledge_dispatch::{ExchangeId, Outcome, Refusal, RequestFacts};
 use threadledge_net::ConnectionInfo;
-use threadledge_ports::CallerHead;
+use threadledge_ports::RequestMetadata;
 use threadledge_tenants::Admission;
 use threadledge_types::NotRunReason;
 
@@ -55,7 +55,7 @@
 /// A request that may run, with its body unread.
 struct Arrival {
     request: Request,
-    caller: CallerHead,
+    caller: RequestMetadata,
     from: IpAddr,
     head: Head,
     admission: Admission,
@@ -92,7 +92,7 @@
             self.metrics.pipelined();
         }
         let method = request.method();
-        let caller = self.attempts.wording.caller(request.as_ref());
+        let caller = self.attempts.wording.read_request(request.as_ref());
         let mut line = RequestLine::new(&request, &caller, from, started);
         let mut response = self
             .answer(request, caller, from, &mut line, &mut visit)
@@ -110,7 +110,7 @@
     async fn answer(
         &self,
         request: Request,
-        caller: CallerHead,
+        caller: RequestMetadata,
         from: IpAddr,
         line: &mut RequestLine,
         visit: &mut Visit,
@@ -120,7 +120,7 @@
             Ok(admission) => admission,
             Err(refusal) => return refused(&refusal, line),
         };
-        line.tenant = admission.tenant().cloned();
+        line.tenant = admission.tenant_name().cloned();
         let in_transit = self.attempts.dispatch.passes_through(&admission);
         if in_transit {
             line.forget_content();
@@ -153,7 +153,7 @@
 
     /// Leave to run, of the tenant's limit.
     async fn permit(&self, admission: &Admission) -> Result<Permit, Refused> {
-        match admission.tenant() {
+        match admission.tenant_name() {
             Some(tenant) => self.limits.admit(tenant).await,
             None => Ok(Permit::free()),
         }
@@ -187,10 +187,10 @@
         let wording = self.attempts.wording.as_ref();
         // Invariant: no back end sees a caller's key or a tenant's name that
         // the caller wrote, whether keys are asked for or not.
-        wording.hide_caller(&mut inbound.request);
+        wording.strip_caller_identity(&mut inbound.request);
         let sender = Sender {
             key: caller.key,
-            tenant: admission.tenant(),
+            tenant: admission.tenant_name(),
             address: from,
         };
         let identity = identity::of(&inbound, sender, wording);
--- a/crates/router/src/gateway/run.rs
+++ b/crates/router/src/gateway/run.rs
@@ -198,7 +198,7 @@
                 dispatch: dispatch.clone(),
                 pool: pool.clone(),
                 budget: budget.clone(),
-                wording: ports.wording.clone(),
+                wording: ports.header_codec.clone(),
                 usage: metrics.usage().clone(),
             },
             limits: limits.clone(),
@@ -286,7 +286,7 @@
         let answers = StateAnswers {
             readiness: self.readiness.clone(),
             metrics: self.metrics.clone(),
-            wording: self.ports.wording.clone(),
+            wording: self.ports.header_codec.clone(),
             suspects: None,
             keys: None,
             limits: self.limits.clone(),
@@ -394,9 +394,9 @@
             self.relaying(Tier::Zone, zone, settings, directory).start();
             return;
         };
-        let settings = threadledge_relay::Settings::below_a_region();
+        let settings = threadledge_relay::Settings::for_zone_below_region();
         self.relaying(Tier::Zone, zone, settings, directory).start();
-        let settings = threadledge_relay::Settings::of_a_region();
+        let settings = threadledge_relay::Settings::for_region();
         let record = record_of_region(region);
         self.relaying(Tier::Region, record, settings, directory)
             .start();
--- a/crates/router/src/gateway/settings/cores.rs
+++ b/crates/router/src/gateway/settings/cores.rs
@@ -61,7 +61,7 @@
             window: seconds(limits.window_s),
             overage: limits.overage,
             slack: limits.slack,
-            office: LEDGER_OFFICE,
+            lease: LEDGER_OFFICE,
         }
     }
 
--- a/crates/router/src/gateway/sources.rs
+++ b/crates/router/src/gateway/sources.rs
@@ -171,9 +171,9 @@
             source => source,
         };
         match source {
-            Source::Settling { until } | Source::Joining { until } if now >= until => Source::Store,
+            Source::Starting { until } | Source::Joining { until } if now >= until => Source::Store,
             // The store is asked at that moment; the answer says what is next.
-            Source::Relay { until, .. } if now >= until => Source::Waiting,
+            Source::Relay { until, .. } if now >= until => Source::Unavailable,
             source => source,
         }
     }
@@ -185,7 +185,7 @@
 
     /// Whether neither the store nor a relay is known to answer.
     pub(super) fn waiting(&self) -> bool {
-        self.current() == Source::Waiting
+        self.current() == Source::Unavailable
     }
 
     /// What this gateway knows is as fresh as if the store had answered it at
@@ -195,7 +195,7 @@
         match self.current() {
             Source::Relay { seen, .. } => seen,
             Source::Store => self.health.seen(),
-            Source::Settling { .. } | Source::Joining { .. } | Source::Waiting => {
+            Source::Starting { .. } | Source::Joining { .. } | Source::Unavailable => {
                 *self.told_seen.lock()
             }
         }
@@ -272,8 +272,8 @@
             let changed = self.changed.next();
             match self.current() {
                 Source::Store => return,
-                Source::Waiting => changed.await,
-                Source::Settling { until }
+                Source::Unavailable => changed.await,
+                Source::Starting { until }
                 | Source::Joining { until }
                 | Source::Relay { until, .. } => {
                     let deadline = self.clock.instant(until);
@@ -289,13 +289,13 @@
         loop {
             let changed = self.changed.next();
             match self.current() {
-                Source::Waiting => return,
+                Source::Unavailable => return,
                 Source::Relay { until, .. } => {
                     let deadline = self.clock.instant(until);
                     // Whether it changed or was too old by then shows above.
                     let _ = timer::timeout_at(deadline, changed).await;
                 }
-                Source::Store | Source::Settling { .. } | Source::Joining { .. } => changed.await,
+                Source::Store | Source::Starting { .. } | Source::Joining { .. } => changed.await,
             }
         }
     }
--- a/crates/router/src/gateway/suspects.rs
+++ b/crates/router/src/gateway/suspects.rs
@@ -18,7 +18,7 @@
 use parking_lot::Mutex;
 use threadledge_dispatch::dispatcher::Look;
 use threadledge_ports::Ports;
-use threadledge_suspects::{RequestHash, Scope, SuspectNews};
+use threadledge_suspects::{RequestHash, UpdateScope, SuspectUpdate};
 
 use super::dispatch::Dispatch;
 use super::followers::Followers;
@@ -96,7 +96,7 @@
     ) {
         let looker = Looker {
             service: self.clone(),
-            wording: ports.wording.clone(),
+            wording: ports.header_codec.clone(),
             findings,
         };
         let keeper = Keeper::new(self.clone(), ports.held_requests.clone());
@@ -116,7 +116,7 @@
     }
 
     /// Takes what another gateway or the store tells.
-    pub(super) fn take(&self, from: Option<SocketAddr>, source: &str, news: &SuspectNews) {
+    pub(super) fn take(&self, from: Option<SocketAddr>, source: &str, news: &SuspectUpdate) {
         if news.is_empty() {
             return;
         }
@@ -132,14 +132,14 @@
     }
 
     /// What is known here, as far as it concerns the gateway that asks.
-    pub(super) fn known(&self, asks: Option<SocketAddr>) -> SuspectNews {
+    pub(super) fn known(&self, asks: Option<SocketAddr>) -> SuspectUpdate {
         let others = self.neighbours.place().others;
         let scope = match asks.is_some_and(|asks| others.contains(&asks)) {
-            true => Scope::All,
-            false => Scope::Repeated,
+            true => UpdateScope::All,
+            false => UpdateScope::Repeated,
         };
         let since = 0;
         self.dispatch
-            .with(|dispatcher, now| dispatcher.suspects().news_since(since, scope, now))
+            .with(|dispatcher, now| dispatcher.suspects().updates_since(since, scope, now))
     }
 }
--- a/crates/router/src/gateway/suspects/identity.rs
+++ b/crates/router/src/gateway/suspects/identity.rs
@@ -4,7 +4,7 @@
 use std::net::IpAddr;
 
 use http_types::headers::{CONTENT_LENGTH, HOST};
-use threadledge_ports::Wording;
+use threadledge_ports::HeaderCodec;
 use threadledge_suspects::{IdentityBuilder, RequestIdentity};
 use threadledge_types::deployment::{ShardKey, TenantName};
 
@@ -27,7 +27,7 @@
 pub(in super::super) fn of(
     inbound: &Inbound,
     sender: Sender<'_>,
-    wording: &dyn Wording,
+    wording: &dyn HeaderCodec,
 ) -> RequestIdentity {
     let request = &inbound.request;
     let url = request.url();
@@ -42,7 +42,7 @@
     for (name, values) in request.iter() {
         let name = name.as_str();
         let counted = [HOST.as_str(), CONTENT_LENGTH.as_str()].contains(&name);
-        if counted || headers::is_hop_by_hop(name, None) || wording.differs_by_try(name) {
+        if counted || headers::is_hop_by_hop(name, None) || wording.varies_between_attempts(name) {
             continue;
         }
         for value in values.iter() {
--- a/crates/router/src/gateway/suspects/keep.rs
+++ b/crates/router/src/gateway/suspects/keep.rs
@@ -15,7 +15,7 @@
 use threadledge_coordination::action::{Condition, Freshness, ReadResult, WriteResult};
 use threadledge_net::timer;
 use threadledge_ports::RecordStore;
-use threadledge_suspects::{HeldRecord, Kept, RequestHash};
+use threadledge_suspects::{HeldRecord, PersistReason, RequestHash};
 
 use super::SuspectService;
 
@@ -33,7 +33,7 @@
     service: SuspectService,
     store: Arc<dyn RecordStore<HeldRecord>>,
     /// What was to be kept when the record last agreed with it.
-    kept: BTreeMap<RequestHash, Kept>,
+    kept: BTreeMap<RequestHash, PersistReason>,
 }
 
 impl Keeper {
@@ -70,9 +70,9 @@
         }
     }
 
-    fn to_keep(&self) -> BTreeMap<RequestHash, Kept> {
+    fn to_keep(&self) -> BTreeMap<RequestHash, PersistReason> {
         let dispatch = &self.service.dispatch;
-        dispatch.with(|dispatcher, _now| dispatcher.suspects().kept())
+        dispatch.with(|dispatcher, _now| dispatcher.suspects().to_persist())
     }
 
     /// Whether the last crash, or an operator's word, came here.
@@ -118,7 +118,7 @@
             self.take(&known);
             let (updated, kept) = self.service.dispatch.with(|dispatcher, now| {
                 let suspects = dispatcher.suspects();
-                (known.updated(suspects, now), suspects.kept())
+                (known.updated(suspects, now), suspects.to_persist())
             });
             let Some(updated) = updated else {
                 self.kept = kept;
@@ -141,6 +141,6 @@
     }
 
     fn take(&self, record: &HeldRecord) {
-        self.service.take(None, "store", &record.news());
+        self.service.take(None, "store", &record.to_update());
     }
 }
--- a/crates/router/src/gateway/suspects/look.rs
+++ b/crates/router/src/gateway/suspects/look.rs
@@ -11,7 +11,7 @@
 use threadledge_dispatch::dispatcher::Look;
 use threadledge_dispatch::outcome::Rejection;
 use threadledge_net::{ExchangeFault, Instant, Pool, PoolSettings, Stage, timer};
-use threadledge_ports::Wording;
+use threadledge_ports::HeaderCodec;
 use threadledge_types::Timestamp;
 
 use super::{Finding, SuspectService};
@@ -34,7 +34,7 @@
 /// Looks at processes, each in a task of its own.
 pub(super) struct Looker {
     pub(super) service: SuspectService,
-    pub(super) wording: Arc<dyn Wording>,
+    pub(super) wording: Arc<dyn HeaderCodec>,
     pub(super) findings: async_channel::Receiver<Finding>,
 }
 
@@ -78,7 +78,7 @@
 /// The looks at one process.
 struct Glance {
     service: SuspectService,
-    wording: Arc<dyn Wording>,
+    wording: Arc<dyn HeaderCodec>,
     pool: Pool,
     look: Look,
 }
@@ -146,7 +146,7 @@
         let status = u16::from(answer.status());
         let head = self
             .wording
-            .answer(status, answer.as_ref(), &self.look.process);
+            .read_response(status, answer.as_ref(), &self.look.process);
         match head.not_run {
             Some(Rejection::OtherInstance) => Seen::Ended,
             _ => Seen::Running,
@@ -164,7 +164,7 @@
         let mut request = Request::new(Method::Get, url);
         request.insert_header(HOST, address.to_string());
         request.insert_header(CONNECTION, "close");
-        self.wording.address(&mut request, ANSWER_TIMEOUT, process);
+        self.wording.set_target(&mut request, ANSWER_TIMEOUT, process);
         Some(request)
     }
 }
--- a/crates/router/src/gateway/suspects/spread.rs
+++ b/crates/router/src/gateway/suspects/spread.rs
@@ -15,7 +15,7 @@
 use futures::future::{join_all, select};
 use parking_lot::Mutex;
 use threadledge_net::timer;
-use threadledge_suspects::Scope;
+use threadledge_suspects::UpdateScope;
 
 use super::super::followers::Followers;
 use super::super::messages::SuspectExchange;
@@ -80,7 +80,7 @@
     address: SocketAddr,
     /// It may know what this gateway does not, and is asked when it is new.
     asked: bool,
-    scope: Scope,
+    scope: UpdateScope,
 }
 
 impl Spreader {
@@ -124,7 +124,7 @@
                 targets.push(Target {
                     address,
                     asked: true,
-                    scope: Scope::All,
+                    scope: UpdateScope::All,
                 });
             }
         }
@@ -136,9 +136,9 @@
             MOST_PEERS
         };
         let peers = self.client.latest().into_iter().take(most);
-        let peers = peers.map(|peer| (peer, Scope::All));
+        let peers = peers.map(|peer| (peer, UpdateScope::All));
         let followers = self.followers.addresses().into_iter();
-        let followers = followers.map(|follower| (follower, Scope::Repeated));
+        let followers = followers.map(|follower| (follower, UpdateScope::Repeated));
         for (address, scope) in followers.chain(peers) {
             if seen.insert(address) {
                 targets.push(Target {
@@ -157,7 +157,7 @@
         let cursor = self.service.cursors.get(target.address);
         let (news, changes) = self.service.dispatch.with(|dispatcher, now| {
             let suspects = dispatcher.suspects();
-            let news = suspects.news_since(cursor.unwrap_or_default(), target.scope, now);
+            let news = suspects.updates_since(cursor.unwrap_or_default(), target.scope, now);
             (news, suspects.changes())
         });
         let whole = target.asked && cursor.is_none();
--- a/crates/router/src/gateway/usage.rs
+++ b/crates/router/src/gateway/usage.rs
@@ -10,7 +10,7 @@
     Condition, Freshness, ReadResult, StoreRevision, WriteResult,
 };
 use threadledge_dispatch::Attempt;
-use threadledge_ports::{Call, Changes, Collection, Page, Ports, RecordStore, StoreError};
+use threadledge_ports::{PortFuture, Changes, Collection, Page, Ports, RecordStore, StoreError};
 
 /// The counters. Clones share them.
 #[derive(Clone)]
@@ -174,7 +174,7 @@
         &'a self,
         after: &'a str,
         freshness: Freshness,
-    ) -> Call<'a, Result<Page<T>, StoreError>> {
+    ) -> PortFuture<'a, Result<Page<T>, StoreError>> {
         let call = match freshness {
             Freshness::Stale => "list-stale",
             Freshness::Linearizable => "list",
@@ -191,7 +191,7 @@
         &self,
         after: StoreRevision,
         wait: Duration,
-    ) -> Call<'_, Result<Changes<T>, StoreError>> {
+    ) -> PortFuture<'_, Result<Changes<T>, StoreError>> {
         Box::pin(async move {
             let begun = self.begin("watch");
             let result = self.inner.changes(after, wait).await;
@@ -206,7 +206,7 @@
     T: Send + Sync + 'static,
     S: RecordStore<T> + ?Sized,
 {
-    fn read<'a>(&'a self, name: &'a str, freshness: Freshness) -> Call<'a, ReadResult<T>> {
+    fn read<'a>(&'a self, name: &'a str, freshness: Freshness) -> PortFuture<'a, ReadResult<T>> {
         let call = match freshness {
             Freshness::Stale => "read-stale",
             Freshness::Linearizable => "read",
@@ -227,7 +227,7 @@
         name: &'a str,
         value: &'a T,
         condition: Condition,
-    ) -> Call<'a, WriteResult<T>> {
+    ) -> PortFuture<'a, WriteResult<T>> {
         Box::pin(async move {
             let begun = self.begin("write");
             let result = self.inner.write(name, value, condition).await;
--- a/crates/router/tests/gateway/follow.rs
+++ b/crates/router/tests/gateway/follow.rs
@@ -13,7 +13,7 @@
 use threadledge::gateway::store_health::StoreHealth;
 use threadledge::proxy::Clock;
 use threadledge_coordination::action::Freshness;
-use threadledge_ports::{Call, Changes, Collection, Entry, Page, StoreError};
+use threadledge_ports::{PortFuture, Changes, Collection, Entry, Page, StoreError};
 use threadledge_relay::Source;
 use threadledge_types::Timestamp;
 
@@ -59,7 +59,7 @@
         &'a self,
         after: &'a str,
         _freshness: Freshness,
-    ) -> Call<'a, Result<Page<u64>, StoreError>> {
+    ) -> PortFuture<'a, Result<Page<u64>, StoreError>> {
         let asked = format!("list {after}");
         let reply = self.next(asked.trim_end().to_owned());
         Box::pin(async move {
@@ -77,7 +77,7 @@
         })
     }
 
-    fn changes(&self, after: u64, wait: Duration) -> Call<'_, Result<Changes<u64>, StoreError>> {
+    fn changes(&self, after: u64, wait: Duration) -> PortFuture<'_, Result<Changes<u64>, StoreError>> {
         let length = if wait == WAIT { "long" } else { "short" };
         let reply = self.next(format!("{length} watch after {after}"));
         Box::pin(async move {
@@ -266,7 +266,7 @@
     let health = Arc::new(StoreHealth::new(HEARTBEAT));
     let sources = Arc::new(Sources::new(clock, health.clone()));
     sources.set(
-        Source::Settling {
+        Source::Starting {
             until: clock.now() + Duration::from_secs(600),
         },
         false,
--- a/crates/suspects/src/record.rs
+++ b/crates/suspects/src/record.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use threadledge_types::Timestamp;
 
-use crate::news::{Scope, SuspectNews, SuspectReport};
+use crate::update::{UpdateScope, SuspectUpdate, SuspectReport};
 use crate::suspect::CRASHES_UNTIL_HELD;
 use crate::suspects::Suspects;
 
@@ -29,8 +29,8 @@
     /// stands there already and was not let go here. `None`: it stands there
     /// as it should.
     pub fn updated(&self, suspects: &Suspects, now: Timestamp) -> Option<HeldRecord> {
-        let own = suspects.news_since(0, Scope::Repeated, now).suspects;
-        let kept = suspects.kept();
+        let own = suspects.updates_since(0, UpdateScope::Repeated, now).suspects;
+        let kept = suspects.to_persist();
         let stays = |there: &&SuspectReport| {
             suspects.get(there.request).is_none() || kept.contains_key(&there.request)
         };
@@ -56,8 +56,8 @@
     }
 
     /// What the record tells.
-    pub fn news(&self) -> SuspectNews {
-        SuspectNews {
+    pub fn to_update(&self) -> SuspectUpdate {
+        SuspectUpdate {
             suspects: self.held.clone(),
             answered: Vec::new(),
         }
--- a/crates/suspects/src/suspects.rs
+++ b/crates/suspects/src/suspects.rs
@@ -13,7 +13,7 @@
 
 /// Requests under suspicion that are remembered, about 500 bytes each. The
 /// ones not held go first, the longest unsuspected of them before the others.
-pub const MOST_SUSPECTS: usize = 512;
+pub const MAX_SUSPECTS: usize = 512;
 /// How long a request that is not held stays under suspicion.
 const SUSPECTED: Duration = Duration::from_secs(600);
 /// Processes whose crash was withdrawn that are remembered.
@@ -26,9 +26,9 @@
 
 /// Why a request is to outlive all gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kept {
+pub enum PersistReason {
     /// The next crash holds it.
-    NextHolds,
+    NextCrashHolds,
     /// It is held.
     Held,
 }
@@ -104,29 +104,29 @@
 
     /// Requests that are to outlive all gateways: those that are held, and
     /// those that the next crash holds, while they are few.
-    pub fn kept(&self) -> BTreeMap<RequestHash, Kept> {
+    pub fn to_persist(&self) -> BTreeMap<RequestHash, PersistReason> {
         let repeated = self.suspects.iter();
         let repeated = repeated.filter(|(_, suspect)| suspect.is_repeated());
-        let mut kept: BTreeMap<RequestHash, Kept> = repeated
-            .map(|(request, _)| (*request, Kept::NextHolds))
+        let mut kept: BTreeMap<RequestHash, PersistReason> = repeated
+            .map(|(request, _)| (*request, PersistReason::NextCrashHolds))
             .collect();
         if kept.len() > MOST_REPEATED_KEPT {
             kept.clear();
         }
-        kept.extend(self.held.iter().map(|request| (*request, Kept::Held)));
+        kept.extend(self.held.iter().map(|request| (*request, PersistReason::Held)));
         kept
     }
 
     /// Whether a request of this caller was answered after `at`, as far as
     /// this gateway remembers.
-    pub fn answered_since(&self, at: Timestamp, identity: &RequestIdentity) -> bool {
+    pub fn succeeded_since(&self, at: Timestamp, identity: &RequestIdentity) -> bool {
         let last = self.recent.find(at, identity.request);
         last.is_some_and(|(caller, answered)| caller == identity.caller && answered > at)
     }
 
     /// A process ended at `at` while it ran a request. Says whether that was
     /// not known.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
         at: Timestamp,
         identity: &RequestIdentity,
@@ -162,7 +162,7 @@
     }
 
     /// A back end answered a request of this caller.
-    pub fn succeeded(&mut self, at: Timestamp, identity: &RequestIdentity) {
+    pub fn record_success(&mut self, at: Timestamp, identity: &RequestIdentity) {
         self.recent.answered(at, *identity);
         if self.suspects.is_empty() {
             return;
@@ -177,7 +177,7 @@
 
     /// A process answered something that was sent to it at `at`: it had not
     /// ended by then.
-    pub fn answered(&mut self, at: Timestamp, process: &BackEndName) {
+    pub fn record_response(&mut self, at: Timestamp, process: &BackEndName) {
         let at = Moment::from(at);
         if let Some(mattered) = self.take_back(process, at) {
             self.changes += 1;
@@ -274,7 +274,7 @@
 
     /// The entry of a request, a new one if there is none.
     pub(crate) fn suspect(&mut self, request: RequestHash, label: &str) -> &mut Suspect {
-        if !self.suspects.contains_key(&request) && self.suspects.len() >= MOST_SUSPECTS {
+        if !self.suspects.contains_key(&request) && self.suspects.len() >= MAX_SUSPECTS {
             self.make_room();
         }
         self.suspects.entry(request).or_insert_with(|| Suspect {
--- a/crates/suspects/src/unconfirmed.rs
+++ b/crates/suspects/src/unconfirmed.rs
@@ -22,7 +22,7 @@
 
 /// An attempt that broke.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Break {
+pub struct BrokenAttempt {
     /// The request.
     pub identity: RequestIdentity,
     /// Method, host and path.
@@ -37,17 +37,17 @@
 
 /// Every break that is open, by process.
 #[derive(Debug, Default)]
-pub struct Unconfirmed {
-    breaks: BTreeMap<BackEndName, Vec<Break>>,
+pub struct UnconfirmedCrashes {
+    breaks: BTreeMap<BackEndName, Vec<BrokenAttempt>>,
 }
 
-impl Unconfirmed {
+impl UnconfirmedCrashes {
     /// An attempt broke. Says whether its process is to be looked at: the
     /// first break of a process calls for that, and those that follow wait for
     /// the same look.
-    pub fn broke(&mut self, found: Break) -> bool {
+    pub fn add(&mut self, found: BrokenAttempt) -> bool {
         let now = found.at;
-        let is_open = |known: &Break| now.since(known.at) < OPEN;
+        let is_open = |known: &BrokenAttempt| now.since(known.at) < OPEN;
         self.breaks.retain(|_, breaks| breaks.iter().any(is_open));
         let breaks = self.breaks.entry(found.process.clone()).or_default();
         breaks.retain(is_open);
@@ -59,25 +59,25 @@
     }
 
     /// Whether a break of this process is open.
-    pub fn has(&self, process: &BackEndName) -> bool {
+    pub fn contains(&self, process: &BackEndName) -> bool {
         self.breaks.contains_key(process)
     }
 
     /// Processes that may have ended under a request of this caller.
-    pub fn count(&self, identity: &RequestIdentity) -> usize {
+    pub fn possible_crashes(&self, identity: &RequestIdentity) -> usize {
         let open = self.breaks.values();
         open.filter(|breaks| breaks.iter().any(|known| known.identity == *identity))
             .count()
     }
 
     /// Breaks that are open and do not count as crashes yet.
-    pub fn uncounted(&self) -> impl Iterator<Item = &Break> {
+    pub fn unpresumed(&self) -> impl Iterator<Item = &BrokenAttempt> {
         let open = self.breaks.values().flatten();
         open.filter(|found| !found.presumed)
     }
 
     /// The break of this request at this process counts as a crash from now on.
-    pub fn count_as_crash(&mut self, process: &BackEndName, identity: &RequestIdentity) {
+    pub fn mark_presumed(&mut self, process: &BackEndName, identity: &RequestIdentity) {
         let open = self.breaks.get_mut(process).into_iter().flatten();
         for found in open.filter(|found| found.identity == *identity) {
             found.presumed = true;
@@ -90,7 +90,7 @@
     }
 
     /// The process answered something that was sent to it at `sent`.
-    pub fn answered(&mut self, sent: Timestamp, process: &BackEndName) {
+    pub fn on_response(&mut self, sent: Timestamp, process: &BackEndName) {
         let Some(breaks) = self.breaks.get_mut(process) else {
             return;
         };
@@ -101,7 +101,7 @@
     }
 
     /// A request of this caller was answered: it does not end back ends.
-    pub fn succeeded(&mut self, identity: &RequestIdentity) {
+    pub fn on_success(&mut self, identity: &RequestIdentity) {
         if self.breaks.is_empty() {
             return;
         }
@@ -112,7 +112,7 @@
     }
 
     /// The process has ended: what broke at it was cut off by that.
-    pub fn ended(&mut self, process: &BackEndName) -> Vec<Break> {
+    pub fn remove_ended(&mut self, process: &BackEndName) -> Vec<BrokenAttempt> {
         self.breaks.remove(process).unwrap_or_default()
     }
 }
--- a/crates/suspects/src/news.rs
+++ b/crates/suspects/src/update.rs
@@ -20,7 +20,7 @@
 /// Part of what one gateway knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case")]
-pub struct SuspectNews {
+pub struct SuspectUpdate {
     /// Requests under suspicion, each with all that is known of it.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub suspects: Vec<SuspectReport>,
@@ -31,7 +31,7 @@
 
 /// How much is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum UpdateScope {
     /// Every crash: up the tree of relays and between them, where crashes that
     /// several gateways saw meet.
     All,
@@ -94,7 +94,7 @@
     pub age_ms: u64,
 }
 
-impl SuspectNews {
+impl SuspectUpdate {
     /// Whether it tells nothing.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty() && self.answered.is_empty()
@@ -103,15 +103,15 @@
 
 impl Suspects {
     /// What changed after the change of that number; everything for zero.
-    pub fn news_since(&self, changes: u64, scope: Scope, now: Timestamp) -> SuspectNews {
-        let all = scope == Scope::All;
+    pub fn updates_since(&self, changes: u64, scope: UpdateScope, now: Timestamp) -> SuspectUpdate {
+        let all = scope == UpdateScope::All;
         let changed = self.suspects.iter();
         let changed = changed.filter(|(_, suspect)| suspect.changed > changes);
         let changed = changed.filter(|(_, suspect)| all || suspect.concerns_all());
         let answered = self.withdrawn.iter();
         let answered = answered.filter(|(_, seen)| seen.changed > changes);
         let answered = answered.filter(|(_, seen)| all || seen.mattered);
-        SuspectNews {
+        SuspectUpdate {
             suspects: changed
                 .map(|(request, suspect)| report(*request, suspect, now))
                 .collect(),
@@ -125,7 +125,7 @@
     }
 
     /// Takes what another gateway knows. Says whether any of it was new.
-    pub fn take_news(&mut self, news: &SuspectNews, now: Timestamp) -> bool {
+    pub fn merge(&mut self, news: &SuspectUpdate, now: Timestamp) -> bool {
         let before = self.changes();
         for seen in &news.answered {
             self.take_answered(seen, now);
--- a/crates/suspects/tests/suspects.rs
+++ b/crates/suspects/tests/suspects.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use threadledge_suspects::{
-    BodyDigest, CRASHES_UNTIL_HELD, HeldRecord, IdentityBuilder, MOST_SUSPECTS, RequestIdentity,
-    Scope, Suspects,
+    BodyDigest, CRASHES_UNTIL_HELD, HeldRecord, IdentityBuilder, MAX_SUSPECTS, RequestIdentity,
+    UpdateScope, Suspects,
 };
 use threadledge_types::Timestamp;
 
@@ -23,7 +23,7 @@
 }
 
 fn crash(suspects: &mut Suspects, millis: u64, identity: &RequestIdentity, process: &str) {
-    suspects.crashed(
+    suspects.record_crash(
         after(millis),
         identity,
         &process.into(),
@@ -67,7 +67,7 @@
     let bad = request("/same", 1, "a");
     let good = request("/same", 2, "a");
     for number in 0..3 {
-        suspects.succeeded(after(10 * number), &good);
+        suspects.record_success(after(10 * number), &good);
         crash(&mut suspects, 10 * number + 1, &bad, &format!("p-{number}"));
     }
     assert!(suspects.is_held(&bad));
@@ -86,7 +86,7 @@
             &bad(number),
             &format!("p-{number}"),
         );
-        suspects.succeeded(
+        suspects.record_success(
             after(10 * u64::from(number) + 1),
             &request("/same", number, "good"),
         );
@@ -98,7 +98,7 @@
 #[test]
 fn success_before_the_first_crash_tells_callers_apart_as_well() {
     let mut suspects = Suspects::default();
-    suspects.succeeded(START, &request("/same", 2, "a"));
+    suspects.record_success(START, &request("/same", 2, "a"));
     let bad = request("/same", 1, "b");
     for number in 0..3 {
         crash(&mut suspects, number, &bad, &format!("p-{number}"));
@@ -113,7 +113,7 @@
     let popular = request("/popular", 1, "a");
     crash(&mut suspects, 0, &popular, "p-1");
     crash(&mut suspects, 1, &popular, "p-2");
-    suspects.succeeded(after(2), &popular);
+    suspects.record_success(after(2), &popular);
     assert_eq!(suspects.crashes_of(&popular), 0);
     crash(&mut suspects, 3, &popular, "p-3");
     assert!(!suspects.is_held(&popular));
@@ -129,7 +129,7 @@
     for number in 0..3 {
         crash(&mut suspects, number, &request, &format!("p-{number}"));
     }
-    suspects.answered(after(10), &"p-1".into());
+    suspects.record_response(after(10), &"p-1".into());
     assert!(!suspects.is_held(&request));
     // News of the same crash that comes late brings nothing back.
     crash(&mut suspects, 1, &request, "p-1");
@@ -173,8 +173,8 @@
     let mut now = 100;
     let mut tell = |gateways: &mut Vec<Suspects>, from: usize, to: usize, pause: u64| {
         now += pause;
-        let news = gateways[from].news_since(0, Scope::All, after(now));
-        gateways[to].take_news(&news, after(now + 3))
+        let news = gateways[from].updates_since(0, UpdateScope::All, after(now));
+        gateways[to].merge(&news, after(now + 3))
     };
     for _ in 0..random.int_in_range(0..=10)? {
         let from = random.int_in_range(0..=2)?;
@@ -199,16 +199,16 @@
     let other = request("/other", 1, "a");
     let bad = request("/bad", 1, "a");
     crash(&mut first, 0, &other, "p-1");
-    first.answered(after(100), &"p-1".into());
+    first.record_response(after(100), &"p-1".into());
     for (number, process) in ["p-1", "p-2", "p-3"].into_iter().enumerate() {
         crash(&mut first, 2_000 + number as u64, &bad, process);
     }
-    let told = first.news_since(0, Scope::All, after(4_000));
+    let told = first.updates_since(0, UpdateScope::All, after(4_000));
     let mut started = Suspects::default();
-    started.take_news(&told, Timestamp::from_millis(300));
+    started.merge(&told, Timestamp::from_millis(300));
     assert!(started.is_held(&bad));
-    let told_on = started.news_since(0, Scope::All, Timestamp::from_millis(400));
-    first.take_news(&told_on, after(4_102));
+    let told_on = started.updates_since(0, UpdateScope::All, Timestamp::from_millis(400));
+    first.merge(&told_on, after(4_102));
     assert!(first.is_held(&bad));
 }
 
@@ -221,22 +221,22 @@
     crash(&mut relay, 0, &one, "p-1");
     crash(&mut relay, 1, &two, "p-1");
     let told = relay.changes();
-    assert!(relay.news_since(0, Scope::Repeated, after(2)).is_empty());
+    assert!(relay.updates_since(0, UpdateScope::Repeated, after(2)).is_empty());
     crash(&mut relay, 3, &two, "p-2");
-    let news = relay.news_since(told, Scope::Repeated, after(4));
+    let news = relay.updates_since(told, UpdateScope::Repeated, after(4));
     assert_eq!(news.suspects.len(), 1);
     assert_eq!(news.suspects[0].request, two.request);
     assert_eq!(news.suspects[0].crashes.len(), 2);
     // One that only one process ended under is taken back without a word.
     let told = relay.changes();
-    relay.answered(after(10), &"p-2".into());
-    let news = relay.news_since(told, Scope::Repeated, after(11));
+    relay.record_response(after(10), &"p-2".into());
+    let news = relay.updates_since(told, UpdateScope::Repeated, after(11));
     assert_eq!(news.answered.len(), 1);
-    relay.answered(after(10), &"p-1".into());
+    relay.record_response(after(10), &"p-1".into());
     let told = relay.changes();
     assert!(
         relay
-            .news_since(told, Scope::Repeated, after(12))
+            .updates_since(told, UpdateScope::Repeated, after(12))
             .is_empty()
     );
 }
@@ -249,16 +249,16 @@
     for number in 0..3 {
         crash(&mut first, number, &bad, &format!("p-{number}"));
     }
-    let old = first.news_since(0, Scope::All, after(10));
-    second.take_news(&old, after(12));
+    let old = first.updates_since(0, UpdateScope::All, after(10));
+    second.merge(&old, after(12));
     assert!(second.is_held(&bad));
     assert!(first.release(after(1_000), bad.request));
-    let told = first.news_since(0, Scope::Repeated, after(1_010));
-    second.take_news(&told, after(1_012));
+    let told = first.updates_since(0, UpdateScope::Repeated, after(1_010));
+    second.merge(&told, after(1_012));
     assert!(!second.is_held(&bad));
     // The same old news, told late: its ages have grown on the way.
-    first.take_news(
-        &second.news_since(0, Scope::All, after(1_020)),
+    first.merge(
+        &second.updates_since(0, UpdateScope::All, after(1_020)),
         after(1_022),
     );
     assert!(!first.is_held(&bad));
@@ -277,7 +277,7 @@
     assert_eq!(record.updated(&suspects, after(20)), None);
     // A gateway of a fleet that was lost as a whole reads it.
     let mut restarted = Suspects::default();
-    restarted.take_news(&record.news(), Timestamp::from_millis(50));
+    restarted.merge(&record.to_update(), Timestamp::from_millis(50));
     assert!(restarted.is_held(&bad));
     assert_eq!(record.updated(&restarted, after(30)), None);
     restarted.release(after(40), bad.request);
@@ -297,7 +297,7 @@
     let record = HeldRecord::default().updated(&suspects, after(10));
     let record = record.expect("changed");
     let mut restarted = Suspects::default();
-    restarted.take_news(&record.news(), Timestamp::from_millis(50));
+    restarted.merge(&record.to_update(), Timestamp::from_millis(50));
     assert_eq!(restarted.crashes_of(&bad), 2);
     assert_eq!(record.updated(&restarted, after(20)), None);
     // The third one is written down as well, and once.
@@ -305,7 +305,7 @@
     let record = record.updated(&suspects, after(40)).expect("changed");
     assert_eq!(record.held.len(), 1);
     assert_eq!(record.updated(&suspects, after(50)), None);
-    restarted.take_news(&record.news(), Timestamp::from_millis(90));
+    restarted.merge(&record.to_update(), Timestamp::from_millis(90));
     assert!(restarted.is_held(&bad));
 }
 
@@ -330,10 +330,10 @@
     for number in 0..3 {
         crash(&mut suspects, number, &bad, &format!("p-{number}"));
     }
-    for number in 0..3 * MOST_SUSPECTS {
+    for number in 0..3 * MAX_SUSPECTS {
         let other = request(&format!("/other/{number}"), 1, "a");
         crash(&mut suspects, 10 + number as u64, &other, "p-9");
     }
-    assert_eq!(suspects.len(), MOST_SUSPECTS);
+    assert_eq!(suspects.len(), MAX_SUSPECTS);
     assert!(suspects.is_held(&bad));
 }
--- a/crates/tenants/src/admission.rs
+++ b/crates/tenants/src/admission.rs
@@ -8,7 +8,7 @@
     ConfigurationVersion, KeyDigest, RateLimit, Route, TenantName,
 };
 
-use crate::index::{Caller, KeyIndex};
+use crate::index::{TenantPolicy, KeyIndex};
 
 /// A request that may use its route.
 #[derive(Clone, Debug)]
@@ -18,25 +18,25 @@
     /// The route that it takes.
     pub route: Arc<Route>,
     /// Whose caller sends it; `None` where no key is asked for and none shown.
-    pub caller: Option<Arc<Caller>>,
+    pub tenant: Option<Arc<TenantPolicy>>,
 }
 
 impl Admission {
     /// Name of the tenant whose caller sends it.
-    pub fn tenant(&self) -> Option<&TenantName> {
-        self.caller.as_ref().map(|caller| &caller.name)
+    pub fn tenant_name(&self) -> Option<&TenantName> {
+        self.tenant.as_ref().map(|caller| &caller.name)
     }
 
     /// What the tenant may send to all gateways together; `None`: as much as
     /// it likes.
     pub fn limit(&self) -> Option<RateLimit> {
-        self.caller.as_ref().and_then(|caller| caller.limit)
+        self.tenant.as_ref().and_then(|caller| caller.limit)
     }
 
     /// The only regions in which it may be served: those that its route and
     /// its tenant both allow; `None`: all.
     pub fn allowed_regions(&self) -> Option<BTreeSet<RegionName>> {
-        let caller = self.caller.as_ref();
+        let caller = self.tenant.as_ref();
         let tenants = caller.and_then(|caller| caller.allowed_regions.as_ref());
         match (self.route.allowed_regions.as_ref(), tenants) {
             (Some(route), Some(tenants)) => Some(route.intersection(tenants).cloned().collect()),
@@ -46,22 +46,22 @@
     }
 
     /// Rank of the request; 0 goes first.
-    pub fn rank(&self) -> u32 {
-        rank(self.caller.as_deref(), &self.route)
+    pub fn priority(&self) -> u32 {
+        effective_priority(self.tenant.as_deref(), &self.route)
     }
 }
 
 /// Rank of a request: what its tenant states goes before what its route does.
-pub fn rank(caller: Option<&Caller>, route: &Route) -> u32 {
+pub fn effective_priority(tenant: Option<&TenantPolicy>, route: &Route) -> u32 {
     let own = caller.and_then(|caller| caller.priority);
     own.unwrap_or(route.priority)
 }
 
 /// Why a caller may not use a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denied {
+pub enum AuthError {
     /// It shows no key, and the route asks for one.
-    NoKey,
+    MissingKey,
     /// It shows a key that no tenant holds.
     UnknownKey,
 }
@@ -74,18 +74,18 @@
 /// # Errors
 ///
 /// The caller may not use the route.
-pub fn admit<'a>(
+pub fn authorize<'a>(
     keys: &'a KeyIndex,
-    asks_keys: bool,
+    requires_key: bool,
     route: &Route,
     key: Option<&KeyDigest>,
-) -> Result<Option<&'a Arc<Caller>>, Denied> {
-    if !asks_keys {
+) -> Result<Option<&'a Arc<TenantPolicy>>, AuthError> {
+    if !requires_key {
         return Ok(None);
     }
     match key {
-        Some(key) => keys.find(key).map(Some).ok_or(Denied::UnknownKey),
+        Some(key) => keys.find(key).map(Some).ok_or(AuthError::UnknownKey),
         None if route.public => Ok(None),
-        None => Err(Denied::NoKey),
+        None => Err(AuthError::MissingKey),
     }
 }
--- a/crates/tenants/src/index.rs
+++ b/crates/tenants/src/index.rs
@@ -8,7 +8,7 @@
 
 /// A tenant as requests meet it: without its keys.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Caller {
+pub struct TenantPolicy {
     /// Its name.
     pub name: TenantName,
     /// Rank of its requests, before that of the route; 0 goes first.
@@ -19,9 +19,9 @@
     pub allowed_regions: Option<BTreeSet<RegionName>>,
 }
 
-impl Caller {
+impl TenantPolicy {
     fn new(name: &TenantName, tenant: &Tenant) -> Self {
-        Caller {
+        TenantPolicy {
             name: name.clone(),
             priority: tenant.priority,
             limit: tenant.limit,
@@ -37,7 +37,7 @@
 /// that the time tells nothing of the keys.
 #[derive(Clone, Debug, Default)]
 pub struct KeyIndex {
-    callers: HashMap<KeyDigest, Arc<Caller>>,
+    callers: HashMap<KeyDigest, Arc<TenantPolicy>>,
 }
 
 /// How many keys a version took away and added; one that went from a tenant
@@ -45,14 +45,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KeyChanges {
     /// Keys that count no more.
-    pub taken: usize,
+    pub removed: usize,
     /// Keys that count from now on.
     pub added: usize,
 }
 
 impl KeyIndex {
     /// The tenant that holds a key.
-    pub fn find(&self, key: &KeyDigest) -> Option<&Arc<Caller>> {
+    pub fn find(&self, key: &KeyDigest) -> Option<&Arc<TenantPolicy>> {
         self.callers.get(key)
     }
 
@@ -68,7 +68,7 @@
 
     /// Goes on from the tenants `old`, which it holds, to `new`. Only tenants
     /// that differ are touched.
-    pub fn follow(
+    pub fn update(
         &mut self,
         old: &BTreeMap<TenantName, Tenant>,
         new: &BTreeMap<TenantName, Tenant>,
@@ -80,14 +80,14 @@
         for EntryDiff { old, new, .. } in &found {
             for key in old.iter().flat_map(|tenant| &tenant.keys) {
                 self.callers.remove(key);
-                changes.taken += usize::from(!holds(*new, key));
+                changes.removed += usize::from(!holds(*new, key));
             }
         }
         for EntryDiff { name, old, new } in &found {
             let Some(tenant) = new else {
                 continue;
             };
-            let caller = Arc::new(Caller::new(name, tenant));
+            let caller = Arc::new(TenantPolicy::new(name, tenant));
             for key in &tenant.keys {
                 self.callers.insert(*key, caller.clone());
                 changes.added += usize::from(!holds(*old, key));
@@ -103,7 +103,7 @@
 
 /// Two tenants of a configuration that hold the same key, if there are any:
 /// nobody could say whose callers show it.
-pub fn shared_key(tenants: &BTreeMap<TenantName, Tenant>) -> Option<(&TenantName, &TenantName)> {
+pub fn find_shared_key(tenants: &BTreeMap<TenantName, Tenant>) -> Option<(&TenantName, &TenantName)> {
     let mut holders = HashMap::new();
     for (name, tenant) in tenants {
         for key in &tenant.keys {
--- a/crates/tenants/src/lib.rs
+++ b/crates/tenants/src/lib.rs
@@ -6,5 +6,5 @@
 mod admission;
 mod index;
 
-pub use admission::{Admission, Denied, admit, rank};
-pub use index::{Caller, KeyChanges, KeyIndex, shared_key};
+pub use admission::{Admission, AuthError, authorize, effective_priority};
+pub use index::{TenantPolicy, KeyChanges, KeyIndex, find_shared_key};
--- a/crates/tenants/tests/tenants.rs
+++ b/crates/tenants/tests/tenants.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use arbtest::arbitrary::{Result, Unstructured};
-use threadledge_tenants::{Denied, KeyIndex, admit, rank, shared_key};
+use threadledge_tenants::{AuthError, KeyIndex, authorize, effective_priority, find_shared_key};
 use threadledge_types::deployment::{Destination, KeyDigest, Route, Tenant, TenantName};
 
 type Tenants = BTreeMap<TenantName, Tenant>;
@@ -29,7 +29,7 @@
 
 fn index(all: &Tenants) -> KeyIndex {
     let mut index = KeyIndex::default();
-    index.follow(&Tenants::new(), all);
+    index.update(&Tenants::new(), all);
     index
 }
 
@@ -58,9 +58,9 @@
 }
 
 /// What is said of a key: the tenant's name, or why not.
-fn said(index: &KeyIndex, public: bool, key: Option<&str>) -> Result<Option<String>, Denied> {
+fn said(index: &KeyIndex, public: bool, key: Option<&str>) -> Result<Option<String>, AuthError> {
     let digest = key.map(digest);
-    let caller = admit(index, true, &route(public), digest.as_ref())?;
+    let caller = authorize(index, true, &route(public), digest.as_ref())?;
     Ok(caller.map(|caller| caller.name.to_string()))
 }
 
@@ -71,10 +71,10 @@
         assert_eq!(said(&index, public, Some("a-2")), Ok(Some("a".to_owned())));
         assert_eq!(said(&index, public, Some("b-1")), Ok(Some("b".to_owned())));
         for unknown in ["b-2", "", "a-1, a-2", "a-1 "] {
-            assert_eq!(said(&index, public, Some(unknown)), Err(Denied::UnknownKey));
+            assert_eq!(said(&index, public, Some(unknown)), Err(AuthError::UnknownKey));
         }
     }
-    assert_eq!(said(&index, false, None), Err(Denied::NoKey));
+    assert_eq!(said(&index, false, None), Err(AuthError::MissingKey));
     assert_eq!(said(&index, true, None), Ok(None));
 }
 
@@ -82,7 +82,7 @@
 fn nobody_is_asked_for_a_key_where_there_are_no_tenants() {
     let index = KeyIndex::default();
     for key in [None, Some(digest("a-1"))] {
-        let said = admit(&index, false, &route(false), key.as_ref());
+        let said = authorize(&index, false, &route(false), key.as_ref());
         assert_eq!(said, Ok(None));
     }
 }
@@ -94,10 +94,10 @@
         ("plain".into(), tenant(&["plain-1"], None)),
     ]);
     let index = index(&all);
-    let rank_of = |key: &str| rank(index.find(&digest(key)).map(AsRef::as_ref), &route(false));
+    let rank_of = |key: &str| effective_priority(index.find(&digest(key)).map(AsRef::as_ref), &route(false));
     assert_eq!(rank_of("first-1"), 0);
     assert_eq!(rank_of("plain-1"), 2);
-    assert_eq!(rank(None, &route(true)), 2);
+    assert_eq!(effective_priority(None, &route(true)), 2);
 }
 
 #[test]
@@ -105,22 +105,22 @@
     let old = tenants(&[("a", &["1", "2"]), ("b", &["3"]), ("c", &["4"])]);
     let new = tenants(&[("a", &["2"]), ("b", &["1", "3", "5"]), ("d", &["4"])]);
     let mut index = index(&old);
-    let changes = index.follow(&old, &new);
-    assert_eq!((changes.taken, changes.added), (2, 3));
+    let changes = index.update(&old, &new);
+    assert_eq!((changes.removed, changes.added), (2, 3));
     let holders = ["1", "2", "3", "4", "5"].map(|key| holder(&index, key));
     let expected = ["b", "a", "b", "d", "b"].map(|name| Some(name.to_owned()));
     assert_eq!(holders, expected);
-    let changes = index.follow(&new, &tenants(&[("a", &[])]));
-    assert_eq!((changes.taken, changes.added), (5, 0));
+    let changes = index.update(&new, &tenants(&[("a", &[])]));
+    assert_eq!((changes.removed, changes.added), (5, 0));
     assert!(index.is_empty());
 }
 
 #[test]
 fn key_of_two_tenants_is_found_with_both_names() {
     let sound = tenants(&[("a", &["1", "2"]), ("b", &["3"]), ("c", &[])]);
-    assert_eq!(shared_key(&sound), None);
+    assert_eq!(find_shared_key(&sound), None);
     let shared = tenants(&[("a", &["1", "2"]), ("b", &["3"]), ("c", &["4", "2"])]);
-    let found = shared_key(&shared).map(|(one, other)| (one.as_str(), other.as_str()));
+    let found = find_shared_key(&shared).map(|(one, other)| (one.as_str(), other.as_str()));
     assert_eq!(found, Some(("a", "c")));
 }
 
@@ -150,7 +150,7 @@
     let mut index = KeyIndex::default();
     for _ in 0..data.int_in_range(1..=6)? {
         let later = drawn(data)?;
-        index.follow(&known, &later);
+        index.update(&known, &later);
         known = later;
     }
     let keys: BTreeSet<KeyDigest> = (0..40).map(|key| digest(&format!("key-{key}"))).collect();
