--- a/crates/limits/src/bucket.rs
+++ b/crates/limits/src/bucket.rs
@@ -1,51 +1,56 @@
-//! A token bucket whose rate and depth may change.
+//! Token bucket whose rate and depth may change.
 
 use std::time::Duration;
 
 use threadledge_types::Timestamp;
 
-/// Tokens that come at a rate, up to a depth. It begins empty: whoever starts
-/// anew must not hand out what was handed out before.
+/// Token bucket that refills at a rate, up to a depth. It starts empty: a
+/// ledger that takes over must not grant tokens that its predecessor granted
+/// already.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Bucket {
     level: f64,
-    at: Timestamp,
+    refilled_at: Timestamp,
 }
 
-/// A rate in tokens a second and a depth in tokens.
+/// Refill rate in tokens per second and depth in tokens.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Flow {
+pub(crate) struct BucketLimits {
     pub(crate) rate: f64,
     pub(crate) depth: f64,
 }
 
 impl Bucket {
-    pub(crate) fn empty(at: Timestamp) -> Self {
-        Bucket { level: 0.0, at }
+    pub(crate) fn empty(now: Timestamp) -> Self {
+        Bucket {
+            level: 0.0,
+            refilled_at: now,
+        }
     }
 
-    /// Lets the tokens in that came until `now`.
-    pub(crate) fn refill(&mut self, now: Timestamp, flow: Flow) {
-        let passed = now.since(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        self.level = (self.level + passed * flow.rate).min(flow.depth);
+    /// Adds the tokens that accrued up to `now`.
+    pub(crate) fn refill(&mut self, now: Timestamp, limits: BucketLimits) {
+        let passed = now.since(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        self.level = (self.level + passed * limits.rate).min(limits.depth);
     }
 
-    /// Takes up to `wanted` whole tokens.
+    /// Takes up to `wanted` whole tokens and returns how many it took.
     pub(crate) fn take(&mut self, wanted: u32) -> u32 {
-        let taken = wanted.min(self.whole());
+        let taken = wanted.min(self.available());
         self.level -= f64::from(taken);
         taken
     }
 
-    /// Takes back what was not used, at the next refill up to the depth.
-    pub(crate) fn put(&mut self, tokens: u32) {
+    /// Puts back unused tokens. The next refill caps the level at the depth.
+    pub(crate) fn put_back(&mut self, tokens: u32) {
         self.level += f64::from(tokens);
     }
 
-    /// Whole tokens in it.
-    pub(crate) fn whole(&self) -> u32 {
-        // Rounding of many small refills must not withhold a token for ever.
+    /// Returns the number of whole tokens in the bucket.
+    pub(crate) fn available(&self) -> u32 {
+        // Rounding errors of many small refills must not withhold a token
+        // forever.
         (self.level + 1e-9).clamp(0.0, f64::from(u32::MAX)) as u32
     }
 
@@ -53,15 +58,16 @@
         self.level
     }
 
-    /// Time until there are `tokens`; `None` if they never come.
-    pub(crate) fn until(&self, tokens: f64, flow: Flow) -> Option<Duration> {
+    /// Returns the time until the bucket holds `tokens`, or `None` if it never
+    /// will.
+    pub(crate) fn time_until(&self, tokens: f64, limits: BucketLimits) -> Option<Duration> {
         let missing = tokens - self.level;
         if missing <= 0.0 {
             return Some(Duration::ZERO);
         }
-        if flow.depth < tokens || flow.rate <= 0.0 {
+        if limits.depth < tokens || limits.rate <= 0.0 {
             return None;
         }
-        Duration::try_from_secs_f64(missing / flow.rate).ok()
+        Duration::try_from_secs_f64(missing / limits.rate).ok()
     }
 }
--- a/crates/limits/src/ledger.rs
+++ b/crates/limits/src/ledger.rs
@@ -1,18 +1,19 @@
-//! The ledger: one token bucket for each tenant, for all gateways.
+//! Ledger of the tenants' limits: one token bucket per tenant, shared by all
+//! gateways.
 //!
-//! Beside tokens it hands out shares of each tenant's rate. A gateway uses its
-//! shares only while it cannot reach the ledger; from then on the ledger gives
-//! out that much less. The shares of all gateways and what the ledger itself
-//! gives out are at no time more than the whole.
+//! Besides tokens, the ledger assigns each gateway a share of each tenant's
+//! rate. A gateway uses its shares only while it cannot reach the ledger, and
+//! for that time the ledger grants correspondingly less. At no time do the
+//! shares in use and the ledger's own grants together exceed the full rate.
 //!
-//! A ledger begins with empty buckets and without any part of the rates. It
-//! gains what gateways hand in that held shares of the ledger before, and the
-//! whole once every machine that may hold one has asked, or everything that
-//! was handed out before has run out.
+//! A new ledger starts with empty buckets and none of the rates. It recovers
+//! the shares that gateways report from the previous ledger. It has the full
+//! rates once every machine that may hold a share has sent a request, or once
+//! everything granted before has expired.
 
-mod account;
-mod claim;
-mod member;
+mod tenant_bucket;
+mod recovery;
+mod gateway;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -22,128 +23,131 @@
 use threadledge_types::{MachineName, Timestamp};
 
 use crate::messages::{QuotaResponse, QuotaRequest, Echo, HolderRecord, Share, TenantQuotaRequest, TenantGrant};
-use crate::settings::{LONGEST_PAUSE, Settings};
-use account::Account;
-use claim::Claim;
-pub use claim::Predecessor;
-use member::{Holding, Member};
+use crate::settings::{MAX_PAUSE, Settings};
+use tenant_bucket::TenantBucket;
+use recovery::Recovery;
+pub use recovery::Predecessor;
+use gateway::{Holding, Gateway};
 
-/// How a ledger came into office.
+/// Result of the election that makes a gateway the ledger.
 #[derive(Clone, Debug)]
 pub struct LedgerElection {
-    /// Its term.
+    /// Term that the gateway was elected for.
     pub term: Term,
-    /// Who may have kept the ledger until now.
+    /// Previous ledger, if there may have been one.
     pub predecessor: Option<Predecessor>,
-    /// The record of holders that it found.
+    /// Holder record found in the store.
     pub found: Option<HolderRecord>,
-    /// The one that it wrote in its place, with its own machine: machines that
-    /// an earlier ledger would add are refused by the store from then on.
+    /// Holder record written in its place, which includes the new ledger's
+    /// machine. After this write the store rejects machines that an earlier
+    /// ledger tries to add.
     pub written: HolderRecord,
-    /// The machine that keeps it.
+    /// Machine of the gateway that runs the ledger.
     pub machine: MachineName,
 }
 
-/// Limits of tenants over all gateways.
+/// Token buckets and shares of all tenants, run by one elected gateway.
 #[derive(Debug)]
 pub struct Ledger {
     settings: Settings,
     term: Term,
-    claim: Claim,
-    accounts: BTreeMap<TenantName, Account>,
-    members: BTreeMap<MachineName, Member>,
-    /// When the next thing becomes of each member.
+    recovery: Recovery,
+    buckets: BTreeMap<TenantName, TenantBucket>,
+    gateways: BTreeMap<MachineName, Gateway>,
+    /// When each gateway next falls silent or its shares expire.
     deadlines: BTreeSet<(Timestamp, MachineName)>,
-    listed: HolderRecord,
+    stored_record: HolderRecord,
     machine: MachineName,
-    /// What is its own of each rate in any case.
-    free: Share,
+    /// Share of each rate that the ledger owns even if no gateway reports any.
+    unreserved: Share,
 }
 
 impl Ledger {
-    /// A ledger that takes its office `now`.
-    pub fn new(now: Timestamp, settings: Settings, office: LedgerElection) -> Self {
-        let claim = Claim::begin(now, &settings, office.predecessor, office.found);
-        let free = claim.free(now);
+    /// Creates the ledger of a gateway that was elected at `now`.
+    pub fn new(now: Timestamp, settings: Settings, election: LedgerElection) -> Self {
+        let recovery = Recovery::start(now, &settings, election.predecessor, election.found);
+        let unreserved = recovery.unreserved_share(now);
         Ledger {
             settings,
-            term: office.term,
-            claim,
-            accounts: BTreeMap::new(),
-            members: BTreeMap::new(),
+            term: election.term,
+            recovery,
+            buckets: BTreeMap::new(),
+            gateways: BTreeMap::new(),
             deadlines: BTreeSet::new(),
-            listed: office.written,
-            machine: office.machine,
-            free,
+            stored_record: election.written,
+            machine: election.machine,
+            unreserved,
         }
     }
 
-    /// Its term.
+    /// Returns the term of the ledger.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Whether the whole of each rate is this ledger's to give.
+    /// Whether the ledger owns the full rate of every tenant.
     pub fn has_full_rate(&self) -> bool {
-        self.claim.has_full_rate()
+        self.recovery.is_complete()
     }
 
-    /// Takes the limits of the configuration in force.
+    /// Sets the limits of the active configuration.
     pub fn set_limits(&mut self, now: Timestamp, limits: BTreeMap<TenantName, RateLimit>) {
         self.advance(now);
-        let mut before = std::mem::take(&mut self.accounts);
+        let mut before = std::mem::take(&mut self.buckets);
         for (name, limit) in &limits {
-            let mut account = match before.remove(name) {
-                Some(account) if account.limit == *limit => {
-                    self.accounts.insert(name.clone(), account);
+            let mut bucket = match before.remove(name) {
+                Some(bucket) if bucket.limit == *limit => {
+                    self.buckets.insert(name.clone(), bucket);
                     continue;
                 }
-                Some(account) => account.under(now, *limit, &self.settings),
+                Some(bucket) => bucket.with_limit(now, *limit, &self.settings),
                 None => {
-                    let mut account = Account::new(now, *limit, &self.settings);
-                    account.set_free(self.free);
-                    account
+                    let mut bucket = TenantBucket::new(now, *limit, &self.settings);
+                    bucket.set_unreserved(self.unreserved);
+                    bucket
                 }
             };
-            for member in self.members.values() {
-                if let Some(holding) = member.holdings.get(name) {
-                    account.count(*holding, member.silent);
+            for gateway in self.gateways.values() {
+                if let Some(holding) = gateway.holdings.get(name) {
+                    bucket.add_holding(*holding, gateway.silent);
                 }
             }
-            account.refill(now);
-            self.accounts.insert(name.clone(), account);
+            bucket.refill(now);
+            self.buckets.insert(name.clone(), bucket);
         }
     }
 
-    /// Whether the store should keep another record of holders.
+    /// Whether the holder record in the store is out of date.
     pub fn needs_record_update(&self, now: Timestamp) -> bool {
-        self.record(now) != self.listed
+        self.record(now) != self.stored_record
     }
 
-    /// The record of holders to write now; `None` if the store has it.
+    /// Returns the holder record to write, or `None` if the store has it
+    /// already.
     pub fn record_to_write(&mut self, now: Timestamp) -> Option<HolderRecord> {
         let record = self.record(now);
-        if record == self.listed {
+        if record == self.stored_record {
             return None;
         }
-        // Invariant: a machine that is not in the record gets no share, also
-        // while the record without it is on its way.
-        let machines = &mut self.listed.machines;
+        // Invariant: a machine that is not in the record gets no share, not
+        // even while the write that removes it is in flight.
+        let machines = &mut self.stored_record.machines;
         machines.retain(|machine| record.machines.contains(machine));
         Some(record)
     }
 
-    /// Machines in it that have not asked stay until all is accounted for, and
-    /// earlier ledgers until their offices have ended.
+    /// Builds the holder record. Until recovery is complete it keeps machines
+    /// that have not sent a request, and it keeps earlier ledgers until their
+    /// leases have ended.
     fn record(&self, now: Timestamp) -> HolderRecord {
-        let mut machines: BTreeSet<MachineName> = self.members.keys().cloned().collect();
+        let mut machines: BTreeSet<MachineName> = self.gateways.keys().cloned().collect();
         machines.insert(self.machine.clone());
         if !self.has_full_rate() {
-            machines.extend(self.listed.machines.iter().cloned());
+            machines.extend(self.stored_record.machines.iter().cloned());
         }
-        let ledgers = match self.claim.is_alone(now) {
+        let ledgers = match self.recovery.predecessors_done(now) {
             true => BTreeSet::from([self.machine.clone()]),
-            false => self.listed.ledgers.clone(),
+            false => self.stored_record.ledgers.clone(),
         };
         HolderRecord {
             term: self.term,
@@ -152,18 +156,18 @@
         }
     }
 
-    /// The store keeps this record now.
+    /// Notes that the store now holds `record`.
     pub fn on_record_written(&mut self, record: HolderRecord) {
-        self.listed = record;
+        self.stored_record = record;
     }
 
-    /// Answers an ask that arrived `now`.
-    pub fn answer(&mut self, now: Timestamp, ask: &QuotaRequest) -> QuotaResponse {
+    /// Handles a request that arrived at `now`.
+    pub fn handle_request(&mut self, now: Timestamp, request: &QuotaRequest) -> QuotaResponse {
         self.advance(now);
-        let echo = ask.echo.filter(|echo| echo.term == self.term);
+        let echo = request.echo.filter(|echo| echo.term == self.term);
         let tenants = match echo {
             None => Vec::new(),
-            Some(echo) => match self.take(now, ask, echo) {
+            Some(echo) => match self.process(now, request, echo) {
                 Some(tenants) => tenants,
                 None => return QuotaResponse::NotLeader,
             },
@@ -176,92 +180,94 @@
         }
     }
 
-    /// `None`: the ask is older than what is known of its sender.
-    fn take(&mut self, now: Timestamp, ask: &QuotaRequest, echo: Echo) -> Option<Vec<TenantGrant>> {
+    /// Updates the sender and grants tokens and shares. Returns `None` if the
+    /// request is older than the last one known from its sender.
+    fn process(&mut self, now: Timestamp, request: &QuotaRequest, echo: Echo) -> Option<Vec<TenantGrant>> {
         let sent = echo.at + Duration::from_micros(echo.elapsed_us);
-        self.meet(now, ask, sent.min(now))?;
-        let mut grants = Vec::with_capacity(ask.tenants.len());
-        for tenant in &ask.tenants {
-            grants.push(self.grant(now, &ask.from, tenant));
+        self.update_gateway(now, request, sent.min(now))?;
+        let mut grants = Vec::with_capacity(request.tenants.len());
+        for tenant in &request.tenants {
+            grants.push(self.grant(now, &request.from, tenant));
         }
         Some(grants)
     }
 
-    /// Takes in who asks and what it holds.
-    fn meet(&mut self, now: Timestamp, ask: &QuotaRequest, sent: Timestamp) -> Option<()> {
-        if let Some(member) = self.members.get_mut(&ask.from) {
-            if !member.accepts(ask) {
+    /// Replaces what is known of the sender by what its request reports.
+    /// Returns `None` if the request is stale.
+    fn update_gateway(&mut self, now: Timestamp, request: &QuotaRequest, sent: Timestamp) -> Option<()> {
+        if let Some(gateway) = self.gateways.get_mut(&request.from) {
+            if !gateway.accepts(request) {
                 return None;
             }
-            let deadline = (member.deadline, ask.from.clone());
+            let deadline = (gateway.deadline, request.from.clone());
             self.deadlines.remove(&deadline);
         }
-        let known = self.members.remove(&ask.from);
-        let is_new = known.as_ref().is_none_or(|known| known.incarnation != ask.incarnation);
-        let mut member = known.unwrap_or_else(|| Member::new(ask.incarnation));
-        self.forget_holdings(now, &member);
-        member.hear(ask, sent);
-        for tenant in &ask.tenants {
+        let known = self.gateways.remove(&request.from);
+        let is_new = known.as_ref().is_none_or(|known| known.incarnation != request.incarnation);
+        let mut gateway = known.unwrap_or_else(|| Gateway::new(request.incarnation));
+        self.remove_holdings(now, &gateway);
+        gateway.on_request(request, sent);
+        for tenant in &request.tenants {
             let holding = Holding {
                 share: tenant.share,
                 rate: tenant.rate,
             };
-            member.holdings.insert(tenant.name.clone(), holding);
-            let Some(account) = self.accounts.get_mut(&tenant.name) else {
+            gateway.holdings.insert(tenant.name.clone(), holding);
+            let Some(bucket) = self.buckets.get_mut(&tenant.name) else {
                 continue;
             };
-            account.refill(now);
-            if is_new && !self.claim.has_full_rate() {
-                account.hand_in(tenant.share, self.free);
+            bucket.refill(now);
+            if is_new && !self.recovery.is_complete() {
+                bucket.reclaim(tenant.share, self.unreserved);
             }
-            account.count(holding, false);
-            account.put(tenant.returned);
+            bucket.add_holding(holding, false);
+            bucket.put_back(tenant.returned);
         }
-        let deadline = (member.deadline, ask.from.clone());
+        let deadline = (gateway.deadline, request.from.clone());
         self.deadlines.insert(deadline);
-        self.members.insert(ask.from.clone(), member);
-        if self.claim.accounted_for(&ask.from) {
-            self.claim = Claim::Whole;
+        self.gateways.insert(request.from.clone(), gateway);
+        if self.recovery.mark_accounted(&request.from) {
+            self.recovery = Recovery::Complete;
         }
-        // The ask may have been on its way for so long that its sender counts
-        // as silent already.
+        // The request may have been in flight for so long that its sender
+        // already counts as silent.
         self.advance(now);
         Some(())
     }
 
-    fn forget_holdings(&mut self, now: Timestamp, member: &Member) {
-        for (name, holding) in &member.holdings {
-            if let Some(account) = self.accounts.get_mut(name) {
-                account.refill(now);
-                account.uncount(*holding, member.silent);
+    fn remove_holdings(&mut self, now: Timestamp, gateway: &Gateway) {
+        for (name, holding) in &gateway.holdings {
+            if let Some(bucket) = self.buckets.get_mut(name) {
+                bucket.refill(now);
+                bucket.remove_holding(*holding, gateway.silent);
             }
         }
     }
 
-    fn grant(&mut self, now: Timestamp, from: &MachineName, ask: &TenantQuotaRequest) -> TenantGrant {
-        let name = ask.name.clone();
-        let Some(account) = self.accounts.get_mut(&name) else {
-            // By this configuration the tenant has no limit.
+    fn grant(&mut self, now: Timestamp, from: &MachineName, request: &TenantQuotaRequest) -> TenantGrant {
+        let name = request.name.clone();
+        let Some(bucket) = self.buckets.get_mut(&name) else {
+            // The tenant has no limit in this configuration.
             return TenantGrant {
                 name,
-                tokens: ask.need + ask.prefetch,
+                tokens: request.need + request.prefetch,
                 share: Share::default(),
                 retry_after_ms: 0,
                 over_limit: false,
             };
         };
-        account.refill(now);
-        let needed = account.take_needed(ask.need);
-        let tokens = needed + account.take_wanted(ask.prefetch);
-        let retry_after_ms = match needed < ask.need {
-            true => millis(account.pause()),
+        bucket.refill(now);
+        let needed = bucket.take_needed(request.need);
+        let tokens = needed + bucket.take_prefetch(request.prefetch);
+        let retry_after_ms = match needed < request.need {
+            true => retry_delay_ms(bucket.time_to_token()),
             false => 0,
         };
-        let over_limit = retry_after_ms > 0 && account.is_over();
-        let listed = self.listed.machines.contains(from);
-        let share = match self.members.get_mut(from) {
-            Some(member) if listed => account.offer(member, &name),
-            _ => ask.share,
+        let over_limit = retry_after_ms > 0 && bucket.is_over_limit();
+        let listed = self.stored_record.machines.contains(from);
+        let share = match self.gateways.get_mut(from) {
+            Some(gateway) if listed => bucket.assign_share(gateway, &name),
+            _ => request.share,
         };
         TenantGrant {
             name,
@@ -272,62 +278,64 @@
         }
     }
 
-    /// Lets happen what was due until `now`.
+    /// Applies everything that became due up to `now`: expired recovery, silent
+    /// gateways and expired shares.
     fn advance(&mut self, now: Timestamp) {
-        if self.claim.is_over(now) {
-            self.claim = Claim::Whole;
+        if self.recovery.has_expired(now) {
+            self.recovery = Recovery::Complete;
         }
-        self.free_up(now);
+        self.update_unreserved(now);
         while let Some((at, machine)) = self.deadlines.first().cloned() {
             if at > now {
                 return;
             }
             self.deadlines.pop_first();
-            let Some(mut member) = self.members.remove(&machine) else {
+            let Some(mut gateway) = self.gateways.remove(&machine) else {
                 continue;
             };
-            self.forget_holdings(at, &member);
-            if member.silent {
-                // Its shares have run out.
+            self.remove_holdings(at, &gateway);
+            if gateway.silent {
+                // The gateway's shares have expired.
                 continue;
             }
-            member.fall_silent(&self.settings);
-            for (name, holding) in &member.holdings {
-                if let Some(account) = self.accounts.get_mut(name) {
-                    account.count(*holding, true);
+            gateway.mark_silent(&self.settings);
+            for (name, holding) in &gateway.holdings {
+                if let Some(bucket) = self.buckets.get_mut(name) {
+                    bucket.add_holding(*holding, true);
                 }
             }
-            self.deadlines.insert((member.deadline, machine.clone()));
-            self.members.insert(machine, member);
+            self.deadlines.insert((gateway.deadline, machine.clone()));
+            self.gateways.insert(machine, gateway);
         }
     }
 
-    fn free_up(&mut self, now: Timestamp) {
-        let free = self.claim.free(now);
-        if free == self.free {
+    fn update_unreserved(&mut self, now: Timestamp) {
+        let unreserved = self.recovery.unreserved_share(now);
+        if unreserved == self.unreserved {
             return;
         }
-        self.free = free;
-        for account in self.accounts.values_mut() {
-            account.refill(now);
-            account.set_free(free);
+        self.unreserved = unreserved;
+        for bucket in self.buckets.values_mut() {
+            bucket.refill(now);
+            bucket.set_unreserved(unreserved);
         }
     }
 
-    /// What operators see of one tenant: its limit, tokens at hand, requests a
-    /// second that gateways report.
+    /// Returns a tenant's limit, the tokens in its bucket and the requests per
+    /// second that all gateways report.
     pub fn tenant_load(&self, tenant: &TenantName) -> Option<(RateLimit, f64, f64)> {
-        let account = self.accounts.get(tenant)?;
-        Some((account.limit, account.level(), account.reported_rate()))
+        let bucket = self.buckets.get(tenant)?;
+        Some((bucket.limit, bucket.level(), bucket.reported_rate()))
     }
 }
 
-/// Time until a gateway asks again whose tenant gets no token as things are:
-/// what a ledger may give rises as gateways hand in what they have.
-const UNCLEAR_PAUSE: Duration = Duration::from_millis(100);
+/// Time after which a gateway asks again for a tenant whose bucket gains no
+/// tokens at present. The ledger's part of the rate grows as gateways report
+/// their shares.
+const UNKNOWN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-fn millis(pause: Option<Duration>) -> u32 {
-    let pause = pause.unwrap_or(UNCLEAR_PAUSE);
-    let pause = pause.min(LONGEST_PAUSE);
+fn retry_delay_ms(pause: Option<Duration>) -> u32 {
+    let pause = pause.unwrap_or(UNKNOWN_RETRY_DELAY);
+    let pause = pause.min(MAX_PAUSE);
     u32::try_from(pause.as_millis() + 1).unwrap_or(u32::MAX)
 }
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,17 +1,17 @@
-//! Limits of tenants, held over all gateways together.
+//! Rate limits of tenants, enforced across all gateways together.
 //!
-//! One gateway at a time, elected through the store, keeps the [`Ledger`]: a
-//! token bucket for each tenant. Every gateway keeps a [`RateLimiter`], which asks
-//! the ledger for a few tokens at a time and spends one on each request.
-//! Tokens end by themselves after a short life, so that the requests of any
-//! window stay within the limit, the overage and the slack of [`Settings`],
-//! however the tokens are divided and whatever fails.
+//! One gateway at a time, elected through the store, runs the [`Ledger`], which
+//! holds a token bucket per tenant. Every gateway runs a [`RateLimiter`], which
+//! requests a few tokens at a time from the ledger and spends one on each
+//! request. Tokens expire after a short lifetime. In any window the requests of
+//! a tenant therefore stay within the limit, the overage and the slack of
+//! [`Settings`], however the tokens are distributed and whatever fails.
 //!
-//! While a gateway cannot reach the ledger, the last known division holds: it
-//! has a share of each tenant's rate, which the ledger keeps free for it until
-//! it has surely run out.
+//! While a gateway cannot reach the ledger, it uses the last share of each
+//! tenant's rate that it was assigned. The ledger reserves that share until it
+//! has certainly expired.
 //!
-//! Nothing here opens a socket or reads a clock.
+//! This crate opens no sockets and reads no clock.
 
 mod bucket;
 pub mod ledger;
--- a/crates/limits/src/messages.rs
+++ b/crates/limits/src/messages.rs
@@ -1,4 +1,4 @@
-//! What gateways and the ledger tell each other.
+//! Messages between gateways and the ledger.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 use threadledge_types::deployment::TenantName;
 use threadledge_types::{Incarnation, MachineName, Timestamp};
 
-/// A part of a tenant's rate, in millionths.
+/// Fraction of a tenant's rate, in millionths.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -15,10 +15,10 @@
 pub struct Share(pub u32);
 
 impl Share {
-    /// All of it.
+    /// The full rate.
     pub const WHOLE: Share = Share(1_000_000);
 
-    /// The part of `whole`, as a number.
+    /// Returns this fraction of `whole`.
     pub fn of(self, whole: f64) -> f64 {
         whole * f64::from(self.0) / f64::from(Share::WHOLE.0)
     }
@@ -28,63 +28,64 @@
     }
 }
 
-/// A gateway asks for tokens.
+/// Request of a gateway for tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct QuotaRequest {
-    /// The machine that asks.
+    /// Machine of the gateway.
     pub from: MachineName,
-    /// Which life of its gateway.
+    /// Incarnation of the gateway on that machine.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
-    /// Raised by each ask of one life.
+    /// Sequence number, increased with each request of an incarnation.
     pub number: u64,
-    /// Proof of an earlier answer; without it the ask only greets, and changes
-    /// nothing.
+    /// Proof of an earlier response. A request without it is only a hello,
+    /// which changes nothing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub echo: Option<Echo>,
-    /// The tenants that it is about.
+    /// Tenants that tokens are requested for.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub tenants: Vec<TenantQuotaRequest>,
 }
 
-/// Tells the ledger when an ask was sent, by the ledger's own clock: not
-/// before `at` and `passed-us` after it. Whenever the ask arrives, also from
-/// a link that held it back or at a ledger that was suspended, it is known
-/// since when its sender may count as silent.
+/// Tells the ledger when a request was sent, by the ledger's own clock: no
+/// earlier than `at` plus `elapsed_us`. The ledger thus knows when the sender
+/// may begin to count as silent, even if the request was delayed by a link or
+/// by a suspended ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Echo {
-    /// The term of the ledger that answered.
+    /// Term of the ledger that responded.
     pub term: Term,
-    /// The ledger's clock at that answer.
+    /// Time of the ledger's clock in that response.
     pub at: Timestamp,
-    /// From the arrival of that answer until this ask was sent, in
+    /// Time from the arrival of that response until this request was sent, in
     /// microseconds.
     #[serde(rename = "passed-us")]
     pub elapsed_us: u64,
 }
 
-/// What a gateway asks for one tenant. All figures of several gateways may be
-/// added up, so that one may ask for others.
+/// Request for the tokens of one tenant. All figures of several gateways can be
+/// added up, so that one gateway can request tokens for others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct TenantQuotaRequest {
-    /// The tenant.
+    /// Name of the tenant.
     pub name: TenantName,
-    /// Requests that wait.
+    /// Number of waiting requests.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub need: u32,
-    /// Tokens that will be needed besides before the next ask.
+    /// Additional tokens that the gateway expects to need before its next
+    /// request.
     #[serde(rename = "want", default, skip_serializing_if = "is_zero")]
     pub prefetch: u32,
-    /// Tokens that were not used, or whose requests surely did not run.
+    /// Tokens that were not used, or whose requests certainly did not run.
     #[serde(rename = "back", default, skip_serializing_if = "is_zero")]
     pub returned: u32,
-    /// Requests that arrive lately, in thousandths a second.
+    /// Recent rate of arrivals, in thousandths of a request per second.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub rate: u32,
-    /// The share that the gateway holds, as long as it lasts.
+    /// Share that the gateway holds, as long as it is valid.
     #[serde(default, skip_serializing_if = "Share::is_none")]
     pub share: Share,
 }
@@ -93,46 +94,47 @@
     *number == 0
 }
 
-/// The answer to an ask.
+/// Response to a [`QuotaRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum QuotaResponse {
-    /// The ledger of this term answers.
+    /// Response of the ledger.
     Ledger {
-        /// Its term.
+        /// Term of the ledger.
         term: Term,
-        /// Its clock, to be echoed.
+        /// Time of the ledger's clock, to be echoed in the next request.
         at: Timestamp,
-        /// What each tenant gets; none when the ask only greeted.
+        /// Grants per tenant; empty in response to a hello.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         tenants: Vec<TenantGrant>,
-        /// The store has not confirmed its office for a while.
+        /// The store has not confirmed the ledger's lease for a while.
         #[serde(rename = "ailing", default, skip_serializing_if = "is_false")]
         lease_at_risk: bool,
     },
-    /// This gateway does not keep the ledger.
+    /// This gateway does not run the ledger.
     #[serde(rename = "elsewhere")]
     NotLeader,
 }
 
-/// What one tenant gets at one gateway.
+/// Grant of tokens and a share for one tenant at one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct TenantGrant {
-    /// The tenant.
+    /// Name of the tenant.
     pub name: TenantName,
-    /// Tokens.
+    /// Number of tokens granted.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub tokens: u32,
-    /// The gateway's share from now on.
+    /// Share of the gateway from now on.
     #[serde(default, skip_serializing_if = "Share::is_none")]
     pub share: Share,
-    /// Time until there is a token again, in milliseconds, where not all that
-    /// was needed could be had.
+    /// Time until a token is available again, in milliseconds. Set only if
+    /// fewer tokens than needed were granted.
     #[serde(rename = "none-ms", default, skip_serializing_if = "is_zero")]
     pub retry_after_ms: u32,
-    /// The tenant sends more than its limit: requests that find no token are
-    /// refused at once. Of others they wait, since a token will soon be there.
+    /// The tenant sends more than its limit, so that requests without a token
+    /// are refused at once. Requests of other tenants wait, since a token will
+    /// be available soon.
     #[serde(rename = "over", default, skip_serializing_if = "is_false")]
     pub over_limit: bool,
 }
@@ -141,17 +143,17 @@
     !value
 }
 
-/// Which machines may hold shares, kept in the store: the next ledger knows by
-/// it when the shares of the one before have all been accounted for.
+/// Record in the store of the machines that may hold shares. It tells the next
+/// ledger when all shares of the previous one are accounted for.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct HolderRecord {
-    /// Term of the ledger that wrote it.
+    /// Term of the ledger that wrote the record.
     pub term: Term,
     /// Machines whose gateways may hold shares.
     pub machines: BTreeSet<MachineName>,
-    /// Machines whose gateways may keep a ledger: the writer, and those before
-    /// it whose offices may not have ended.
+    /// Machines whose gateways may run a ledger: the writer and earlier ledgers
+    /// whose leases may not have ended.
     #[serde(default)]
     pub ledgers: BTreeSet<MachineName>,
 }
--- a/crates/limits/src/rate_limiter.rs
+++ b/crates/limits/src/rate_limiter.rs
@@ -1,5 +1,5 @@
-//! A gateway's part: it spends tokens on requests, asks the ledger for more,
-//! and gives back what it did not use.
+//! Rate limiter of one gateway: spends tokens on requests, requests more from
+//! the ledger and returns those that were not used.
 
 mod allowance;
 mod contact;
@@ -11,46 +11,46 @@
 use threadledge_types::deployment::{RateLimit, TenantName};
 use threadledge_types::{Incarnation, MachineName, Timestamp};
 
-use crate::bucket::Flow;
+use crate::bucket::BucketLimits;
 use crate::messages::{QuotaResponse, QuotaRequest, TenantQuotaRequest, TenantGrant};
 use crate::settings::{
-    QUOTA_REQUEST_INTERVAL, FORGOTTEN_AFTER, LONGEST_PAUSE, MAX_WAIT, SHORTEST_PAUSE, STARTING_WAIT,
+    QUOTA_REQUEST_INTERVAL, IDLE_AFTER, MAX_PAUSE, MAX_WAIT, MIN_PAUSE, STARTUP_WAIT,
     Settings, URGENT_REQUEST_INTERVAL,
 };
 use allowance::Allowance;
-use contact::Contact;
+use contact::LedgerContact;
 
-/// What becomes of a request.
+/// Decision about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Its tenant has no limit.
-    Free,
-    /// It may run; a token was spent on it.
-    Spent,
-    /// It has to wait for the ledger, at most until then.
+    /// The tenant has no limit.
+    Unlimited,
+    /// The request may run; a token was spent on it.
+    Admitted,
+    /// The request has to wait for the ledger, at most until this time.
     Wait(Timestamp),
-    /// It does not run.
+    /// The request does not run.
     Refused {
-        /// Why not.
+        /// Reason for the refusal.
         why: RefusalReason,
-        /// Time until there is room again.
+        /// Time until a token may be available again.
         wait: Duration,
     },
 }
 
-/// Why a request does not run.
+/// Reason why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// All gateways together have used the tenant's limit up.
+    /// The tenant's limit is used up across all gateways.
     OverLimit,
-    /// The ledger cannot be reached, and this gateway's share is used up.
+    /// The ledger is unreachable and this gateway's share is used up.
     OverShare,
-    /// The ledger cannot be reached, and this gateway has no share.
+    /// The ledger is unreachable and this gateway has no share.
     NoLedger,
 }
 
 impl RefusalReason {
-    /// The reason in a word.
+    /// Returns the reason as it is written in responses, logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             RefusalReason::OverLimit => "tenant-over-limit",
@@ -60,22 +60,22 @@
     }
 }
 
-/// What operators see of one tenant at this gateway.
+/// Usage of one tenant's limit at this gateway, for operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantUsage {
-    /// Its limit over all gateways.
+    /// Limit of the tenant across all gateways.
     pub limit: RateLimit,
-    /// Requests a second that arrive here lately, refused ones included.
+    /// Recent requests per second that arrive here, including refused ones.
     pub rate: f64,
-    /// Tokens at hand.
+    /// Tokens in hand.
     pub tokens: u32,
-    /// This gateway's share of the rate without the ledger, as a part.
+    /// Fraction of the limit that this gateway may use without the ledger.
     pub share: f64,
-    /// Time for which requests are refused without asking.
+    /// Time during which requests are refused without asking the ledger.
     pub retry_after: Duration,
 }
 
-/// Spends the tokens of one gateway.
+/// Rate limiter of one gateway for all tenants.
 #[derive(Debug)]
 pub struct RateLimiter {
     machine: MachineName,
@@ -83,15 +83,16 @@
     settings: Settings,
     limits: BTreeMap<TenantName, RateLimit>,
     allowances: BTreeMap<TenantName, Allowance>,
-    contact: Contact,
-    /// Requests wait.
+    contact: LedgerContact,
+    /// Whether requests are waiting for tokens.
     urgent: bool,
-    next_ask: Timestamp,
-    next_urgent: Timestamp,
+    next_request: Timestamp,
+    next_urgent_request: Timestamp,
 }
 
 impl RateLimiter {
-    /// A gateway that has just started, and holds nothing.
+    /// Creates the limiter of a gateway that has just started and holds no
+    /// tokens.
     pub fn new(machine: MachineName, incarnation: Incarnation, settings: Settings) -> Self {
         RateLimiter {
             machine,
@@ -99,14 +100,14 @@
             settings,
             limits: BTreeMap::new(),
             allowances: BTreeMap::new(),
-            contact: Contact::default(),
+            contact: LedgerContact::default(),
             urgent: false,
-            next_ask: Timestamp::ZERO,
-            next_urgent: Timestamp::ZERO,
+            next_request: Timestamp::ZERO,
+            next_urgent_request: Timestamp::ZERO,
         }
     }
 
-    /// Takes the limits of the configuration in force.
+    /// Sets the limits of the active configuration.
     pub fn set_limits(&mut self, limits: BTreeMap<TenantName, RateLimit>) {
         self.allowances.retain(|name, _| limits.contains_key(name));
         self.limits = limits;
@@ -117,23 +118,23 @@
         !self.limits.is_empty()
     }
 
-    /// The ledger of this term keeps the office, as the store or another
-    /// gateway tells.
+    /// Notes the term of the elected ledger, as learned from the store or
+    /// another gateway.
     pub fn observe_term(&mut self, now: Timestamp, term: Term) {
         self.contact.observe_term(now, term);
     }
 
-    /// A request arrives.
+    /// Decides about a request that has just arrived.
     pub fn admit_new(&mut self, now: Timestamp, tenant: &TenantName) -> Admission {
         if !self.limits.contains_key(tenant) {
             return Admission::Unlimited;
         }
         let allowance = self.allowances.entry(tenant.clone()).or_default();
-        allowance.arrived(now);
+        allowance.record_arrival(now);
         self.admit(now, tenant, now)
     }
 
-    /// A request that arrived at `since` and waits asks again.
+    /// Decides again about a waiting request that arrived at `since`.
     pub fn admit(&mut self, now: Timestamp, tenant: &TenantName, since: Timestamp) -> Admission {
         let Some(limit) = self.limits.get(tenant).copied() else {
             return Admission::Unlimited;
@@ -144,15 +145,15 @@
             return Admission::Admitted;
         }
         if let Some(begun) = fallback.filter(|_| !allowance.share.is_none()) {
-            let flow = Flow {
+            let share_limits = BucketLimits {
                 rate: allowance.share.of(limit.rate),
                 depth: allowance.share.of(self.settings.depth(limit)).max(1.0),
             };
-            return match allowance.spend_share(now, begun, flow) {
+            return match allowance.spend_share(now, begun, share_limits) {
                 Ok(()) => Admission::Admitted,
                 Err(wait) => {
                     let until = since.max(begun) + MAX_WAIT;
-                    let may_wait = allowance.rate() <= flow.rate && now + wait < until;
+                    let may_wait = allowance.rate() <= share_limits.rate && now + wait < until;
                     match may_wait {
                         true => Admission::Wait(now + wait),
                         false => refused(RefusalReason::OverShare, wait),
@@ -161,41 +162,43 @@
             };
         }
         let mut until = since + MAX_WAIT;
-        if now < allowance.none_until {
-            let soon = !allowance.over_limit && allowance.none_until < until;
+        if now < allowance.denied_until {
+            let soon = !allowance.over_limit && allowance.denied_until < until;
             return match soon {
-                true => Admission::Wait(allowance.none_until),
-                false => refused(RefusalReason::OverLimit, allowance.none_until.since(now)),
+                true => Admission::Wait(allowance.denied_until),
+                false => refused(RefusalReason::OverLimit, allowance.denied_until.since(now)),
             };
         }
-        if self.contact.is_lost() {
+        if self.contact.is_unreachable() {
             let has_share = !allowance.share.is_none();
             match self.contact.fallback_at(now, &self.settings) {
                 Some(at) if has_share => until = until.max(at),
-                _ if self.contact.is_starting(now) => until = since + STARTING_WAIT,
-                _ => return refused(RefusalReason::NoLedger, LONGEST_PAUSE),
+                _ if self.contact.is_starting(now) => until = since + STARTUP_WAIT,
+                _ => return refused(RefusalReason::NoLedger, MAX_PAUSE),
             }
         }
         if now >= until {
-            let why = match self.contact.is_lost() {
+            let why = match self.contact.is_unreachable() {
                 true => RefusalReason::NoLedger,
-                // It answers others of this gateway, or will soon.
+                // The ledger answers other requests of this gateway, or will do
+                // so soon.
                 false => RefusalReason::OverLimit,
             };
-            return refused(why, LONGEST_PAUSE);
+            return refused(why, MAX_PAUSE);
         }
         allowance.need += 1;
         self.urgent = true;
         Admission::Wait(until)
     }
 
-    /// A request on which a token was spent at `spent` surely did not run.
+    /// Returns the token that was spent at `spent` on a request that certainly
+    /// did not run.
     ///
-    /// Invariant: a token that has ended does not go back. What the ledger
-    /// gained since may have found no room in a full bucket; put back, the token
-    /// would come on top of it.
+    /// Invariant: an expired token is not returned. Tokens that the ledger
+    /// gained since may have been dropped because the bucket was full, and the
+    /// returned token would exceed the limit.
     pub fn refund(&mut self, now: Timestamp, tenant: &TenantName, spent: Timestamp) {
-        if now.since(spent) >= self.settings.token_life() {
+        if now.since(spent) >= self.settings.token_lifetime() {
             return;
         }
         if let Some(allowance) = self.allowances.get_mut(tenant) {
@@ -203,23 +206,24 @@
         }
     }
 
-    /// The ask to send now, if any. One is under way at a time, and each must
-    /// be followed by [`RateLimiter::on_response`] or [`RateLimiter::on_timeout`].
+    /// Returns the request to send now, if any. Only one is in flight at a
+    /// time, and each must be followed by [`RateLimiter::on_response`] or
+    /// [`RateLimiter::on_timeout`].
     pub fn poll(&mut self, now: Timestamp) -> Option<QuotaRequest> {
         if !self.is_due(now) {
             return None;
         }
-        self.forget_idle(now);
+        self.remove_idle(now);
         let echo = self.contact.echo(now);
         let tenants = match echo {
-            Some(_) => self.tenant_asks(now),
+            Some(_) => self.tenant_requests(now),
             None => Vec::new(),
         };
-        let number = self.contact.sent(now, echo);
+        let number = self.contact.on_sent(now, echo);
         if echo.is_some() {
             self.urgent = false;
-            self.next_ask = now + QUOTA_REQUEST_INTERVAL;
-            self.next_urgent = now + URGENT_REQUEST_INTERVAL;
+            self.next_request = now + QUOTA_REQUEST_INTERVAL;
+            self.next_urgent_request = now + URGENT_REQUEST_INTERVAL;
         }
         Some(QuotaRequest {
             from: self.machine.clone(),
@@ -234,144 +238,147 @@
         self.next_wake().is_some_and(|wake| wake <= now)
     }
 
-    /// When [`RateLimiter::poll`] has something to send, unless something arrives
-    /// before.
+    /// Returns when [`RateLimiter::poll`] will have a request to send, unless
+    /// something arrives before.
     pub fn next_wake(&self) -> Option<Timestamp> {
-        if self.contact.is_under_way() || !self.has_limits() {
+        if self.contact.is_in_flight() || !self.has_limits() {
             return None;
         }
-        let to_introduce = self.contact.has_to_introduce();
-        if !to_introduce && !self.urgent && self.allowances.is_empty() {
+        let report_due = self.contact.is_report_due();
+        if !report_due && !self.urgent && self.allowances.is_empty() {
             return None;
         }
-        let greeting = self.contact.next_greeting();
-        if let Some(at) = greeting {
+        let hello = self.contact.next_hello();
+        if let Some(at) = hello {
             return Some(at);
         }
-        if to_introduce {
+        if report_due {
             return Some(Timestamp::ZERO);
         }
         match self.urgent {
-            true => Some(self.next_urgent.min(self.next_ask)),
-            false => Some(self.next_ask),
+            true => Some(self.next_urgent_request.min(self.next_request)),
+            false => Some(self.next_request),
         }
     }
 
-    /// Tenants that send nothing any more hand their share in: an ask that
-    /// does not name them says so. One last ask is owed then.
-    fn forget_idle(&mut self, now: Timestamp) {
+    /// Removes tenants that no longer send requests. A request that does not
+    /// name a tenant gives up its share, so one more request is scheduled.
+    fn remove_idle(&mut self, now: Timestamp) {
         let before = self.allowances.len();
-        let idle = |allowance: &Allowance| now.since(allowance.last_seen()) >= FORGOTTEN_AFTER;
+        let idle = |allowance: &Allowance| now.since(allowance.last_arrival()) >= IDLE_AFTER;
         self.allowances
             .retain(|_, allowance| !idle(allowance) || allowance.returned > 0);
         if self.allowances.len() < before {
-            self.contact.introduce();
+            self.contact.schedule_report();
         }
     }
 
-    fn tenant_asks(&mut self, now: Timestamp) -> Vec<TenantQuotaRequest> {
-        let can_hand_in = self.contact.can_hand_in(now, &self.settings);
-        let mut asks = Vec::with_capacity(self.allowances.len());
+    fn tenant_requests(&mut self, now: Timestamp) -> Vec<TenantQuotaRequest> {
+        let can_report_shares = self.contact.can_report_shares(now, &self.settings);
+        let mut requests = Vec::with_capacity(self.allowances.len());
         for (name, allowance) in &mut self.allowances {
-            if !can_hand_in {
+            if !can_report_shares {
                 allowance.share = Default::default();
             }
-            asks.push(allowance.ask(now, name));
+            requests.push(allowance.build_request(now, name));
         }
-        asks
+        requests
     }
 
-    /// The ask of this number was answered. What waits should ask again.
-    pub fn on_response(&mut self, now: Timestamp, number: u64, answer: QuotaResponse) {
-        self.forget_needs();
-        let Some(sent) = self.contact.answered(now, number, &answer) else {
+    /// Handles the response to the request with this number. Waiting requests
+    /// should be decided again afterwards.
+    pub fn on_response(&mut self, now: Timestamp, number: u64, response: QuotaResponse) {
+        self.clear_pending();
+        let Some(sent) = self.contact.on_response(now, number, &response) else {
             return;
         };
-        if let QuotaResponse::Ledger { tenants, .. } = answer {
-            self.take(now, sent, tenants);
+        if let QuotaResponse::Ledger { tenants, .. } = response {
+            self.apply_grants(now, sent, tenants);
         }
     }
 
-    /// The ask of this number was not answered in time.
+    /// Handles the timeout of the request with this number.
     pub fn on_timeout(&mut self, now: Timestamp, number: u64) {
-        self.forget_needs();
-        self.contact.unanswered(now, number);
+        self.clear_pending();
+        self.contact.on_failure(now, number);
     }
 
-    /// Whoever waits asks again, and is counted then.
-    fn forget_needs(&mut self) {
+    /// Clears the counts of waiting requests, which are counted again when they
+    /// are decided again.
+    fn clear_pending(&mut self) {
         self.urgent = false;
         for allowance in self.allowances.values_mut() {
             allowance.need = 0;
         }
     }
 
-    fn take(&mut self, now: Timestamp, sent: Timestamp, grants: Vec<TenantGrant>) {
-        let ends = sent + self.settings.token_life();
+    fn apply_grants(&mut self, now: Timestamp, sent: Timestamp, grants: Vec<TenantGrant>) {
+        let expires = sent + self.settings.token_lifetime();
         for allowance in self.allowances.values_mut() {
             allowance.end_fallback();
         }
         for grant in grants {
             let Some(allowance) = self.allowances.get_mut(&grant.name) else {
-                // Its limit has gone meanwhile: the tokens are lost.
+                // The tenant's limit was removed in the meantime; its tokens
+                // are lost.
                 continue;
             };
-            allowance.put(grant.tokens, ends);
+            allowance.add_tokens(grant.tokens, expires);
             allowance.share = grant.share;
             if grant.retry_after_ms > 0 {
                 let pause = Duration::from_millis(grant.retry_after_ms.into());
                 let shortest = match grant.over_limit {
-                    true => SHORTEST_PAUSE,
+                    true => MIN_PAUSE,
                     false => URGENT_REQUEST_INTERVAL,
                 };
-                allowance.none_until = now + pause.clamp(shortest, LONGEST_PAUSE);
+                allowance.denied_until = now + pause.clamp(shortest, MAX_PAUSE);
                 allowance.over_limit = grant.over_limit;
             }
         }
     }
 
-    /// For how long no ledger has answered; `None` while one does or nothing
-    /// is asked.
+    /// Returns for how long no ledger has responded, or `None` while one
+    /// responds or nothing is requested.
     pub fn unreachable_for(&self, now: Timestamp) -> Option<Duration> {
         self.contact.unreachable_for(now)
     }
 
-    /// Whether the ledger says that its office may end.
+    /// Whether the ledger reports that its lease may end.
     pub fn is_ledger_lease_at_risk(&self) -> bool {
-        self.contact.is_ailing()
+        self.contact.is_lease_at_risk()
     }
 
-    /// The term of the last ledger that answered or was told of.
+    /// Returns the highest term that was observed or has responded.
     pub fn term(&self) -> Option<Term> {
         self.contact.term()
     }
 
-    /// Whether shares are used, since the ledger cannot be reached.
+    /// Whether shares are in use because the ledger is unreachable.
     pub fn in_fallback(&self, now: Timestamp) -> bool {
         self.contact.fallback_since(now, &self.settings).is_some()
     }
 
-    /// Tenants that were seen here lately.
+    /// Returns the usage of tenants that recently sent requests here.
     pub fn tenants(&self, now: Timestamp) -> Vec<(TenantName, TenantUsage)> {
-        let mut views = Vec::with_capacity(self.allowances.len());
+        let mut usages = Vec::with_capacity(self.allowances.len());
         for (name, allowance) in &self.allowances {
             let Some(limit) = self.limits.get(name).copied() else {
                 continue;
             };
-            let view = TenantUsage {
+            let usage = TenantUsage {
                 limit,
                 rate: allowance.rate(),
                 tokens: allowance.tokens(now),
                 share: allowance.share.of(1.0),
-                retry_after: allowance.none_until.since(now),
+                retry_after: allowance.denied_until.since(now),
             };
-            views.push((name.clone(), view));
+            usages.push((name.clone(), usage));
         }
-        views
+        usages
     }
 }
 
 fn refused(why: RefusalReason, wait: Duration) -> Admission {
-    let wait = wait.clamp(SHORTEST_PAUSE, LONGEST_PAUSE);
+    let wait = wait.clamp(MIN_PAUSE, MAX_PAUSE);
     Admission::Refused { why, wait }
 }
--- a/crates/limits/src/rate_limiter/contact.rs
+++ b/crates/limits/src/rate_limiter/contact.rs
@@ -1,4 +1,4 @@
-//! Whether the ledger can be reached, and since when not.
+//! Tracks whether the ledger can be reached, and since when it cannot.
 
 use std::time::Duration;
 
@@ -6,208 +6,212 @@
 use threadledge_types::Timestamp;
 
 use crate::messages::{QuotaResponse, Echo};
-use crate::settings::{FALLBACK_AFTER, STARTING, Settings};
+use crate::settings::{FALLBACK_AFTER, STARTUP_PERIOD, Settings};
 
-/// Time between two greetings of a ledger that does not answer.
-const GREETING_INTERVAL: Duration = Duration::from_millis(150);
+/// Time between two hellos to a ledger that does not respond.
+const HELLO_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The last answer of a ledger.
+/// Last response of a ledger.
 #[derive(Clone, Copy, Debug)]
-struct Answered {
+struct LastResponse {
     term: Term,
-    /// The ledger's clock.
+    /// Time of the ledger's clock.
     at: Timestamp,
     received: Timestamp,
 }
 
-/// An ask under way.
+/// Request in flight.
 #[derive(Clone, Copy, Debug)]
-struct Flight {
+struct InFlightRequest {
     number: u64,
     sent: Timestamp,
-    /// Whom it was meant for; none for a greeting.
+    /// Ledger that the request was meant for; `None` for a hello.
     echo: Option<Echo>,
 }
 
-/// Contact to the ledger.
+/// State of the contact to the ledger.
 ///
-/// An ask without an answer may have reached a ledger that then takes this
-/// gateway's shares for unused for a while. So only greetings, which change
-/// nothing, are sent after it, and shares are used from a while after it on.
+/// A request without a response may still have reached a ledger, which then
+/// takes this gateway's shares for unused for a while. After such a request
+/// only hellos are sent, which change nothing, and the shares are used only
+/// after [`FALLBACK_AFTER`].
 #[derive(Debug, Default)]
-pub(super) struct Contact {
-    /// The highest term that was told of or has answered.
+pub(super) struct LedgerContact {
+    /// Highest term that was observed or has responded.
     term: Option<Term>,
-    answered: Option<Answered>,
-    flight: Option<Flight>,
+    last_response: Option<LastResponse>,
+    in_flight: Option<InFlightRequest>,
     number: u64,
-    /// The first ask or greeting.
+    /// When the first request or hello was sent.
     first_sent: Option<Timestamp>,
-    /// The last ask that was no greeting.
-    last_ask: Timestamp,
-    /// When the last ask was sent that was answered.
+    /// When the last request other than a hello was sent.
+    last_request: Timestamp,
+    /// When the last request that was answered was sent.
     confirmed: Option<Timestamp>,
-    /// The ledger has to hear of this gateway.
-    to_introduce: bool,
-    /// Since when nothing was answered after an ask that failed.
-    lost: Option<Timestamp>,
-    /// The ledger says that its office may end.
+    /// Whether the ledger has to be told what this gateway holds.
+    report_due: bool,
+    /// Since when requests have failed without a response in between.
+    unreachable_since: Option<Timestamp>,
+    /// Whether the ledger reports that its lease may end.
     lease_at_risk: bool,
-    next_greeting: Timestamp,
+    next_hello: Timestamp,
 }
 
-impl Contact {
+impl LedgerContact {
     pub(super) fn observe_term(&mut self, now: Timestamp, term: Term) {
         if self.term.is_some_and(|known| known >= term) {
             return;
         }
         self.term = Some(term);
-        self.answered = None;
-        self.to_introduce = true;
-        self.next_greeting = now;
+        self.last_response = None;
+        self.report_due = true;
+        self.next_hello = now;
     }
 
-    pub(super) fn introduce(&mut self) {
-        self.to_introduce = true;
+    pub(super) fn schedule_report(&mut self) {
+        self.report_due = true;
     }
 
-    pub(super) fn has_to_introduce(&self) -> bool {
-        self.to_introduce
+    pub(super) fn is_report_due(&self) -> bool {
+        self.report_due
     }
 
     pub(super) fn term(&self) -> Option<Term> {
         self.term
     }
 
-    pub(super) fn is_under_way(&self) -> bool {
-        self.flight.is_some()
+    pub(super) fn is_in_flight(&self) -> bool {
+        self.in_flight.is_some()
     }
 
-    pub(super) fn is_lost(&self) -> bool {
-        self.lost.is_some()
+    pub(super) fn is_unreachable(&self) -> bool {
+        self.unreachable_since.is_some()
     }
 
-    /// Whether this gateway has just started and no ledger has answered yet.
+    /// Whether this gateway has just started and no ledger has responded yet.
     pub(super) fn is_starting(&self, now: Timestamp) -> bool {
-        let long = self.first_sent.is_some_and(|first| now >= first + STARTING);
+        let long = self.first_sent.is_some_and(|first| now >= first + STARTUP_PERIOD);
         self.confirmed.is_none() && !long
     }
 
-    /// For how long no ledger has answered.
+    /// Returns for how long no ledger has responded.
     pub(super) fn unreachable_for(&self, now: Timestamp) -> Option<Duration> {
-        self.lost.map(|since| now.since(since))
+        self.unreachable_since.map(|since| now.since(since))
     }
 
-    pub(super) fn is_ailing(&self) -> bool {
+    pub(super) fn is_lease_at_risk(&self) -> bool {
         self.lease_at_risk
     }
 
-    /// When to greet; `None` where asks may be sent.
-    pub(super) fn next_greeting(&self) -> Option<Timestamp> {
-        match self.answered {
+    /// Returns when to send the next hello, or `None` if full requests may be
+    /// sent.
+    pub(super) fn next_hello(&self) -> Option<Timestamp> {
+        match self.last_response {
             Some(_) => None,
-            None => Some(self.next_greeting),
+            None => Some(self.next_hello),
         }
     }
 
     pub(super) fn echo(&self, now: Timestamp) -> Option<Echo> {
-        let answered = self.answered?;
-        let passed = now.since(answered.received);
+        let last_response = self.last_response?;
+        let passed = now.since(last_response.received);
         Some(Echo {
-            term: answered.term,
-            at: answered.at,
+            term: last_response.term,
+            at: last_response.at,
             elapsed_us: u64::try_from(passed.as_micros()).unwrap_or(u64::MAX),
         })
     }
 
-    /// An ask leaves; its number.
-    pub(super) fn sent(&mut self, now: Timestamp, echo: Option<Echo>) -> u64 {
+    /// Records that a request is sent and returns its number.
+    pub(super) fn on_sent(&mut self, now: Timestamp, echo: Option<Echo>) -> u64 {
         self.number += 1;
         self.first_sent = self.first_sent.or(Some(now));
-        self.flight = Some(Flight {
+        self.in_flight = Some(InFlightRequest {
             number: self.number,
             sent: now,
             echo,
         });
-        self.next_greeting = now + GREETING_INTERVAL;
+        self.next_hello = now + HELLO_INTERVAL;
         if echo.is_some() {
-            self.last_ask = now;
+            self.last_request = now;
         }
         self.number
     }
 
-    /// An ask was answered. When it was sent, if the ledger took it in.
-    pub(super) fn answered(
+    /// Handles a response. Returns when the request was sent, if the ledger
+    /// processed it.
+    pub(super) fn on_response(
         &mut self,
         now: Timestamp,
         number: u64,
-        answer: &QuotaResponse,
+        response: &QuotaResponse,
     ) -> Option<Timestamp> {
         let QuotaResponse::Ledger {
             term, at, lease_at_risk, ..
-        } = answer
+        } = response
         else {
-            self.unanswered(now, number);
+            self.on_failure(now, number);
             return None;
         };
         if self.term.is_some_and(|known| known > *term) {
-            // Another ledger has followed this one.
-            self.unanswered(now, number);
+            // A later ledger has replaced the one that responded.
+            self.on_failure(now, number);
             return None;
         }
-        let flight = self.flight.filter(|flight| flight.number == number)?;
-        self.flight = None;
+        let in_flight = self.in_flight.filter(|in_flight| in_flight.number == number)?;
+        self.in_flight = None;
         if self.term != Some(*term) {
             self.term = Some(*term);
-            self.to_introduce = true;
+            self.report_due = true;
         }
-        self.answered = Some(Answered {
+        self.last_response = Some(LastResponse {
             term: *term,
             at: *at,
             received: now,
         });
-        self.lost = None;
+        self.unreachable_since = None;
         self.lease_at_risk = *lease_at_risk;
-        let echo = flight.echo?;
+        let echo = in_flight.echo?;
         if echo.term != *term {
-            self.to_introduce = true;
+            self.report_due = true;
             return None;
         }
-        self.to_introduce = false;
-        self.confirmed = Some(flight.sent);
-        Some(flight.sent)
+        self.report_due = false;
+        self.confirmed = Some(in_flight.sent);
+        Some(in_flight.sent)
     }
 
-    pub(super) fn unanswered(&mut self, now: Timestamp, number: u64) {
-        if self.flight.is_none_or(|flight| flight.number != number) {
+    pub(super) fn on_failure(&mut self, now: Timestamp, number: u64) {
+        if self.in_flight.is_none_or(|in_flight| in_flight.number != number) {
             return;
         }
-        self.flight = None;
-        self.answered = None;
-        self.lost = self.lost.or(Some(now));
-        self.next_greeting = self.next_greeting.max(now);
+        self.in_flight = None;
+        self.last_response = None;
+        self.unreachable_since = self.unreachable_since.or(Some(now));
+        self.next_hello = self.next_hello.max(now);
     }
 
-    /// Since when shares may be used, if they may.
+    /// Returns since when shares may be used, or `None` if they may not.
     pub(super) fn fallback_since(&self, now: Timestamp, settings: &Settings) -> Option<Timestamp> {
         let begun = self.fallback_at(now, settings)?;
         (begun <= now).then_some(begun)
     }
 
-    /// When shares may be used without an answer, if there are any by then.
+    /// Returns when shares may be used if no response arrives, or `None` if
+    /// they expire before that.
     pub(super) fn fallback_at(&self, now: Timestamp, settings: &Settings) -> Option<Timestamp> {
         let confirmed = self.confirmed?;
-        let begin = self.last_ask.max(confirmed) + FALLBACK_AFTER;
-        let end = confirmed + settings.share_life();
+        let begin = self.last_request.max(confirmed) + FALLBACK_AFTER;
+        let end = confirmed + settings.share_lifetime();
         (now.max(begin) < end).then_some(begin)
     }
 
-    /// Whether the shares held may be told to a ledger as its own: the one
-    /// that gave them leaves its office before it takes them back.
-    pub(super) fn can_hand_in(&self, now: Timestamp, settings: &Settings) -> bool {
+    /// Whether the shares may be reported to a new ledger: the lease of the
+    /// ledger that assigned them ends before they expire.
+    pub(super) fn can_report_shares(&self, now: Timestamp, settings: &Settings) -> bool {
         let Some(confirmed) = self.confirmed else {
             return false;
         };
-        settings.lease_end(now) < confirmed + settings.share_life()
+        settings.lease_end(now) < confirmed + settings.share_lifetime()
     }
 }
