--- a/crates/ports/src/grants.rs
+++ b/crates/ports/src/grants.rs
@@ -1,15 +1,15 @@
-//! Orders to back ends.
+//! Transport of orders to back ends.
 
 use threadledge_coordination::{Order, OrderFault, OrderReply};
 use threadledge_net::Instant;
 
 use crate::PortFuture;
 
-/// Carries orders to back ends.
+/// Sends orders to back ends.
 pub trait GrantTransport: Send + Sync {
-    /// Sends one order and waits for its answer up to `deadline`. Nothing of
-    /// it leaves after that: what the network has not taken is withdrawn, and
-    /// an order whose time has passed is not sent at all.
+    /// Sends one order and waits for its response until `deadline`. Nothing is
+    /// sent after the deadline: data that the network has not taken is
+    /// withdrawn, and an order that is already late is not sent at all.
     fn send<'a>(
         &'a self,
         order: &'a Order,
--- a/crates/ports/src/header_codec.rs
+++ b/crates/ports/src/header_codec.rs
@@ -1,4 +1,4 @@
-//! The wording of headers between callers, gateways and back ends.
+//! Headers exchanged between callers, gateways and back ends.
 
 use std::time::Duration;
 
@@ -7,58 +7,58 @@
 use threadledge_dispatch::{Signals, ToldLoad};
 use threadledge_types::deployment::{BackEndName, KeyDigest, ShardKey, TenantName};
 
-/// What a caller's head says beside route and body.
+/// Metadata in the headers of a caller's request, besides route and body.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestMetadata {
-    /// The request's id.
+    /// Id of the request.
     pub request_id: Option<String>,
-    /// How long the caller waits.
+    /// How long the caller waits for a response.
     pub time_left: Option<Duration>,
-    /// The request's key.
+    /// Shard key of the request.
     pub key: Option<ShardKey>,
-    /// Digest of the key by which the caller shows whose it is.
+    /// Digest of the API key, which identifies the caller's tenant.
     pub api_key: Option<KeyDigest>,
 }
 
-/// What the head of a back end's answer says beside status and body.
+/// Metadata in the head of a back end's response, besides status and body.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResponseMetadata {
-    /// The id of the request that is answered.
+    /// Id of the request that the response belongs to.
     pub request_id: Option<String>,
-    /// The back end did not run the request, and says so.
+    /// Set if the back end states that it did not run the request.
     pub not_run: Option<Rejection>,
-    /// The load of the back end.
+    /// Load of the back end.
     pub load: Option<ToldLoad>,
-    /// What concerns later requests.
+    /// Signals that affect later requests.
     pub signals: Signals,
-    /// A successful answer bears the back end's mark.
+    /// Whether the response carries the stamp that back ends put on successful
+    /// responses.
     pub stamped: bool,
 }
 
-/// Reads and writes the headers that gateways share with callers and back
+/// Reads and writes the headers that gateways exchange with callers and back
 /// ends.
 pub trait HeaderCodec: Send + Sync {
-    /// Reads a caller's head.
+    /// Reads the headers of a caller's request.
     fn read_request(&self, headers: &Headers) -> RequestMetadata;
 
-    /// Whether a header of a caller differs from try to try of the same
-    /// request.
+    /// Whether a header may differ between attempts of the same request.
     fn varies_between_attempts(&self, name: &str) -> bool;
 
-    /// Takes out what says whose caller sends a request: its key, which no
-    /// back end may see, and a tenant's name, which no caller may give itself.
+    /// Removes the headers that identify the caller: the API key, which no back
+    /// end may see, and the tenant's name, which callers must not set
+    /// themselves.
     fn strip_caller_identity(&self, request: &mut Request);
 
-    /// Writes into a request whose caller sends it.
+    /// Writes the caller's tenant into a request.
     fn set_tenant(&self, request: &mut Request, tenant: &TenantName);
 
-    /// Writes into a request how long the back end has and which back end is
-    /// meant.
+    /// Writes the remaining time and the intended back end into a request.
     fn set_target(&self, request: &mut Request, time_left: Duration, to: &BackEndName);
 
-    /// Reads the head of an answer to a request that was meant for `to`.
+    /// Reads the head of a response to a request that was meant for `to`.
     fn read_response(&self, status: u16, headers: &Headers, to: &BackEndName) -> ResponseMetadata;
 
-    /// The path on which the platform asks whether a gateway is ready.
+    /// Returns the path on which the platform asks whether a gateway is ready.
     fn readiness_path(&self) -> &str;
 }
--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -1,9 +1,9 @@
-//! What a gateway needs of the platform that it runs on, in the product's own
-//! terms: collections that can be read and watched, records that can be
-//! written on a condition, orders to back ends, and the wording of headers.
+//! Interfaces between a gateway and the platform that it runs on, in the
+//! product's own terms: collections that can be listed and watched, records
+//! with conditional writes, orders to back ends, and headers.
 //!
-//! An adapter implements these traits for one platform. It translates and
-//! nothing else: it decides nothing, keeps nothing and repeats nothing.
+//! An adapter implements these traits for one platform. It only translates: it
+//! makes no decisions, keeps no state and does not retry.
 
 pub mod grants;
 pub mod store;
@@ -25,30 +25,31 @@
 };
 pub use header_codec::{ResponseMetadata, RequestMetadata, HeaderCodec};
 
-/// A call under way.
+/// Boxed future of a call to the platform.
 pub type PortFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// Everything that a gateway needs of its platform.
+/// All interfaces of a gateway to its platform.
 #[derive(Clone)]
 pub struct Ports {
-    /// What operators want; the newest version counts.
+    /// Configurations written by operators; the newest version applies.
     pub configurations: Arc<dyn Collection<Configuration>>,
-    /// Back ends that are registered.
+    /// Registered back ends.
     pub back_ends: Arc<dyn Collection<BackEnd>>,
-    /// Zones that the operator drained.
+    /// Zones drained by operators.
     pub drained_zones: Arc<dyn Collection<DrainedZone>>,
-    /// Who coordinates each service.
+    /// Leases of the coordinators, one per service.
     pub leases: Arc<dyn RecordStore<CoordinatorLease>>,
-    /// Who owns the keys of each service.
+    /// Ownership of keys, one record per service.
     pub ownership: Arc<dyn RecordStore<OwnershipRecord>>,
-    /// Who watches the store for each zone.
+    /// Relays that watch the store for the other gateways, one record per zone
+    /// or region.
     pub relays: Arc<dyn RecordStore<RelayRecord>>,
-    /// Which machines may hold shares of tenants' limits, in one object.
+    /// Machines that may hold shares of the tenants' limits, in one record.
     pub limit_holders: Arc<dyn RecordStore<HolderRecord>>,
-    /// Requests that are sent to no back end, in one object.
+    /// Requests that are not sent to any back end, in one record.
     pub held_requests: Arc<dyn RecordStore<HeldRecord>>,
-    /// Orders to back ends.
+    /// Transport of orders to back ends.
     pub grants: Arc<dyn GrantTransport>,
-    /// The wording of headers.
+    /// Codec of the platform's headers.
     pub header_codec: Arc<dyn HeaderCodec>,
 }
--- a/crates/ports/src/store.rs
+++ b/crates/ports/src/store.rs
@@ -1,4 +1,4 @@
-//! Collections of objects, with revisions and watches.
+//! Collections of objects with revisions and watches.
 
 use std::time::Duration;
 
@@ -8,55 +8,55 @@
 
 use crate::PortFuture;
 
-/// Why a call to the store failed.
+/// Reason why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreError {
-    /// No connection could be opened: nothing was done.
+    /// No connection could be opened, so nothing was done.
     Unreachable,
-    /// The store refused the call: nothing was done.
+    /// The store refused the call, so nothing was done.
     Refused {
-        /// The status of its answer.
+        /// Status of the response.
         status: u16,
     },
-    /// There is no answer: a write may have taken effect, or may do so later.
+    /// No response arrived: a write may have taken effect or may still do so.
     NoAnswer,
-    /// The history asked for is gone: list again.
+    /// The store no longer has the requested history; list again.
     HistoryGone,
-    /// The answer cannot be understood. A write took effect.
+    /// The response cannot be parsed. A write took effect.
     Malformed(String),
 }
 
 impl StoreError {
-    /// Whether a write that failed so may have taken effect.
+    /// Whether a write that failed with this error may have taken effect.
     pub const fn may_have_taken_effect(&self) -> bool {
         matches!(self, StoreError::NoAnswer | StoreError::Malformed(_))
     }
 }
 
-/// An object that cannot be understood.
+/// Object that cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Malformed {
-    /// What is wrong, with its place and the remedy.
+    /// Description of the problem, with its place and the remedy.
     pub problem: String,
 }
 
-/// One object.
+/// Object of a collection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry<T> {
-    /// Its name.
+    /// Name of the object.
     pub name: String,
     /// Revision of its last change.
     pub revision: StoreRevision,
-    /// What it says.
+    /// Parsed value, or the reason why it cannot be parsed.
     pub value: Result<T, Malformed>,
 }
 
-/// Every object of a collection.
+/// All objects of a collection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listing<T> {
-    /// The objects.
+    /// Objects of the collection.
     pub entries: Vec<Entry<T>>,
-    /// The revision from which to watch on.
+    /// Revision to start a watch from.
     pub at: StoreRevision,
 }
 
@@ -70,57 +70,58 @@
 }
 
 impl<T> Listing<T> {
-    /// Adds a page; the name after which the next one begins.
+    /// Adds a page and returns the name after which the next page starts.
     pub fn add(&mut self, page: Page<T>) -> Option<String> {
         self.entries.extend(page.entries);
-        // Changes between two pages are seen by a watch from the older.
+        // A watch from the older revision sees changes that were made between
+        // two pages.
         self.at = self.at.min(page.at);
         page.next
     }
 }
 
-/// Objects of a collection in the order of their names.
+/// Page of a collection, in the order of the objects' names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Page<T> {
-    /// The objects.
+    /// Objects of the page.
     pub entries: Vec<Entry<T>>,
-    /// The name after which the next page begins; `None`: this is the last.
+    /// Name after which the next page starts, or `None` for the last page.
     pub next: Option<String>,
-    /// The revision from which to watch on.
+    /// Revision to start a watch from.
     pub at: StoreRevision,
 }
 
-/// One change of a collection.
+/// Change of a collection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change<T> {
-    /// An object is new or changed.
+    /// An object was created or changed.
     Put(Entry<T>),
-    /// The object of this name is gone.
+    /// The object of this name was deleted.
     Gone(String),
 }
 
-/// Changes after a revision.
+/// Changes since a revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Changes<T> {
-    /// The changes in their order; none when the wait ended without.
+    /// Changes in their order; empty if the wait ended without any.
     pub changes: Vec<Change<T>>,
-    /// The revision from which to watch on.
+    /// Revision to continue the watch from.
     pub at: StoreRevision,
 }
 
 /// Objects of one kind that can be listed and watched.
 pub trait Collection<T: Send>: Send + Sync {
-    /// The first objects whose names come after `after`, as many as one call
-    /// tells.
+    /// Returns the first objects whose names come after `after`, as many as fit
+    /// into one response.
     fn page<'a>(
         &'a self,
         after: &'a str,
         freshness: Freshness,
     ) -> PortFuture<'a, Result<Page<T>, StoreError>>;
 
-    /// Every object. A list that may be stale, or that takes several pages,
-    /// may mix states of several moments; a watch from its revision on makes
-    /// up for it.
+    /// Lists all objects. A list that may be stale or that takes several pages
+    /// may mix different points in time; a watch from its revision delivers
+    /// what it missed.
     fn list(&self, freshness: Freshness) -> PortFuture<'_, Result<Listing<T>, StoreError>> {
         Box::pin(async move {
             let mut listing = Listing::default();
@@ -132,7 +133,8 @@
         })
     }
 
-    /// Changes after `after`, waiting for one up to `wait`.
+    /// Returns the changes after revision `after`, waiting up to `wait` for the
+    /// first one.
     fn changes(
         &self,
         after: StoreRevision,
@@ -140,7 +142,7 @@
     ) -> PortFuture<'_, Result<Changes<T>, StoreError>>;
 }
 
-/// Objects of one kind that are written on a condition.
+/// Objects of one kind that can be written conditionally.
 pub trait RecordStore<T: Send>: Collection<T> {
     /// Reads one object.
     fn read<'a>(&'a self, name: &'a str, freshness: Freshness) -> PortFuture<'a, ReadResult<T>>;
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,19 +1,20 @@
-//! Which gateway of a zone watches the store for the others.
+//! Selects the gateway of a zone that watches the store for the others.
 //!
-//! A watch is a call, and calls are paid for: where every gateway watches the
-//! store, its price grows with gateways times changes. So one gateway of each
-//! zone, the relay, watches it, and the others follow the relay by long polls
-//! within the zone. A record in the store, one for each zone, names the relay.
+//! Each watch is a call to the store, and calls cost money: if every gateway
+//! watched the store, the cost would grow with the number of gateways times the
+//! number of changes. One gateway of each zone, the relay, therefore watches
+//! the store, and the others follow the relay by long polls within the zone. A
+//! record per zone in the store names the relay.
 //!
-//! The record is a hint and no lease: nothing depends on there being only one
-//! relay. What is promised depends on freshness alone. Each answer of a relay
-//! says how long ago the store last answered it; a follower whose relay falls
-//! silent, or is told too old an age, watches the store itself at once and
-//! looks for another relay meanwhile.
+//! The record is a hint and not a lease: nothing depends on there being only
+//! one relay. All guarantees depend on freshness alone. Each response of a
+//! relay states how long ago the store last responded to it. A follower whose
+//! relay stops responding or reports too high an age watches the store itself
+//! at once, and meanwhile looks for another relay.
 //!
-//! Nothing here opens a socket, reads a clock or draws randomness of its own:
-//! a [`Member`] is stepped with a time and an event and says which call to
-//! make.
+//! This crate opens no sockets, reads no clock and uses no randomness besides
+//! its seed: a [`Member`] is driven with times and events and returns the calls
+//! to make.
 
 pub mod held;
 pub mod member;
@@ -27,17 +28,17 @@
 pub use member::{Action, PollOutcome, Member, Source};
 pub use settings::Settings;
 
-fn one() -> u32 {
+fn default_members() -> u32 {
     1
 }
 
-/// The object of one zone that names its relay.
+/// Record in the store that names the relay of one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct RelayRecord {
-    /// The relay.
+    /// Identity of the relay.
     pub holder: NodeIdentity,
-    /// Gateways of the zone, roughly: those that follow it, and itself.
-    #[serde(default = "one")]
+    /// Approximate number of gateways in the zone: the relay and its followers.
+    #[serde(default = "default_members")]
     pub members: u32,
 }
--- a/crates/relay/src/member.rs
+++ b/crates/relay/src/member.rs
@@ -1,4 +1,4 @@
-//! One gateway's part in the relaying of its zone.
+//! State machine of one gateway that follows a relay or is one.
 
 mod claims;
 mod polls;
@@ -16,12 +16,13 @@
 
 use crate::RelayRecord;
 use crate::settings::Settings;
-use crate::state::{Cut, Following, Relaying, Searching, Step};
+use crate::state::{Isolated, Following, Relaying, Searching, Step};
 
-/// A call to make. Each is answered by one event, whatever becomes of it.
+/// Call to make. Each call is followed by exactly one event, whatever its
+/// result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Read the zone's record; the answer may be seconds old.
+    /// Read the zone's record; the result may be seconds old.
     Read,
     /// Write the zone's record.
     Claim(RelayRecord, Condition),
@@ -29,47 +30,47 @@
     Poll(SocketAddr),
 }
 
-/// What became of a poll.
+/// Outcome of a poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PollOutcome {
-    /// It was answered.
+    /// The gateway answered.
     Answered {
-        /// The store surely answered the relay at that time.
+        /// Time at which the store is known to have responded to the relay.
         seen: Timestamp,
-        /// There was something new.
+        /// Whether the response contained changes.
         news: bool,
     },
-    /// It was given up at [`Member::poll_deadline`].
+    /// The poll was given up at [`Member::poll_deadline`].
     TimedOut,
-    /// It has followers enough; these are some of them.
+    /// The gateway has the maximum number of followers and names some of them.
     AtCapacity(Vec<SocketAddr>),
-    /// It does not serve, or did not answer.
+    /// The gateway does not serve followers or did not respond.
     Failed,
 }
 
-/// Where a member learns from.
+/// Source from which a member learns of changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// It has just started and looks for a relay.
+    /// The member has just started and looks for a relay.
     Starting {
-        /// It watches the store from then on.
+        /// When the member starts to watch the store itself.
         until: Timestamp,
     },
-    /// It has found a relay, or expects one in a moment.
+    /// The member has found a relay, or expects one shortly.
     Joining {
-        /// It watches the store from then on.
+        /// When the member starts to watch the store itself.
         until: Timestamp,
     },
-    /// It watches the store itself.
+    /// The member watches the store itself.
     Store,
-    /// Neither the store answers it nor a relay that the store answers: what
-    /// is known stays, and both are tried.
+    /// Neither the store nor a relay with a current view of it responds. The
+    /// known state is kept, and both are tried.
     Unavailable,
-    /// Its relay tells it.
+    /// The member follows a relay.
     Relay {
-        /// What it is told may be too old from then on.
+        /// When the state received from the relay may be too old.
         until: Timestamp,
-        /// The store surely answered the relay at that time.
+        /// Time at which the store is known to have responded to the relay.
         seen: Timestamp,
     },
 }
@@ -78,71 +79,74 @@
 enum State {
     Searching(Searching),
     Following(Following),
-    Cut(Cut),
+    Isolated(Isolated),
     Relaying(Relaying),
     Left,
 }
 
-/// One gateway's part in the relaying of its zone.
+/// State machine of one gateway that follows the relay of its zone or is the
+/// relay itself.
 #[derive(Debug)]
 pub struct Member {
     me: NodeIdentity,
     settings: Settings,
-    /// Time before this member claims the record, so that members come in turn.
-    patience: Duration,
-    settled: Timestamp,
+    /// Delay before this member claims the record, so that members claim one
+    /// after the other.
+    claim_delay: Duration,
+    startup_ends: Timestamp,
     random: ChaCha8Rng,
     state: State,
     calling: bool,
-    /// Gateways that learn through this one, itself included.
+    /// Number of gateways that learn through this one, itself included.
     members: u32,
-    /// Members that the record told of last.
-    told: u32,
+    /// Number of members in the record that was read last.
+    recorded_members: u32,
 }
 
 impl Member {
-    /// A member that starts `now`. `patience` and `seed` differ from member to
-    /// member.
+    /// Creates a member that starts at `now`. `claim_delay` and `seed` should
+    /// differ between members.
     pub fn new(
         now: Timestamp,
         me: NodeIdentity,
         settings: Settings,
-        patience: Duration,
+        claim_delay: Duration,
         seed: u64,
     ) -> Self {
         Member {
             me,
             settings,
-            patience,
-            settled: now + settings.startup_timeout,
+            claim_delay,
+            startup_ends: now + settings.startup_timeout,
             random: ChaCha8Rng::seed_from_u64(seed),
             state: State::Searching(Searching::at(now)),
             calling: false,
             members: 1,
-            told: 0,
+            recorded_members: 0,
         }
     }
 
-    /// Says how many gateways learn through this one, itself included.
+    /// Sets the number of gateways that learn through this one, itself
+    /// included.
     pub fn set_members(&mut self, members: u32) {
         self.members = members;
     }
 
-    /// Where this member learns from.
+    /// Returns where this member learns of changes.
     ///
-    /// Invariant: never from a relay of which it is unknown that the store
-    /// answered it within [`Settings::max_age`].
+    /// Invariant: a member never uses a relay unless the store is known to have
+    /// responded to that relay within [`Settings::max_age`].
     pub fn source(&self, now: Timestamp) -> Source {
         match &self.state {
             State::Searching(searching) => self.searching_source(now, searching),
             State::Following(following) => self.following_source(now, following),
-            State::Cut(_) => Source::Unavailable,
+            State::Isolated(_) => Source::Unavailable,
             State::Relaying(_) | State::Left => Source::Store,
         }
     }
 
-    /// When a poll that is under way is to be given up: what the relay told
-    /// before is too old from then on.
+    /// Returns when to give up a poll in flight, because the state received
+    /// from the relay before it is then too old.
     pub fn poll_deadline(&self) -> Option<Timestamp> {
         match &self.state {
             State::Following(following) if following.joined => {
@@ -152,33 +156,34 @@
         }
     }
 
-    /// Whether the relay has told this member nothing yet, so that a poll is
-    /// to be answered at once.
+    /// Whether the relay has not answered this member yet, so that polls should
+    /// be answered at once.
     pub fn is_joining(&self) -> bool {
         matches!(&self.state, State::Following(following) if !following.joined)
     }
 
-    /// Whether the record names this member, as far as it knows.
+    /// Whether this member is the relay, as far as it knows.
     pub fn is_relay(&self) -> bool {
         matches!(self.state, State::Relaying(_))
     }
 
-    /// Whether a call is under way.
+    /// Whether a call is in flight.
     pub fn is_calling(&self) -> bool {
         self.calling
     }
 
-    /// The gateway that is polled.
+    /// Returns the gateway that is polled.
     pub fn upstream(&self) -> Option<SocketAddr> {
         match &self.state {
-            State::Following(Following { upstream, .. }) | State::Cut(Cut { upstream, .. }) => {
+            State::Following(Following { upstream, .. }) | State::Isolated(Isolated { upstream, .. }) => {
                 Some(upstream.address)
             }
             _ => None,
         }
     }
 
-    /// The gateway that tells this member what is new.
+    /// Returns the polled gateway if it has answered since this member follows
+    /// it.
     pub fn active_upstream(&self) -> Option<SocketAddr> {
         match &self.state {
             State::Following(following) if following.joined => Some(following.upstream.address),
@@ -186,12 +191,12 @@
         }
     }
 
-    /// Makes no more calls.
+    /// Leaves for good: the member makes no more calls.
     pub fn leave(&mut self) {
         self.state = State::Left;
     }
 
-    /// When to call [`Member::poll`] next, at the latest.
+    /// Returns the latest time at which to call [`Member::poll`] again.
     pub fn next_wake(&self) -> Option<Timestamp> {
         if self.calling {
             return None;
@@ -199,29 +204,29 @@
         match &self.state {
             State::Searching(searching) => Some(searching.due),
             State::Following(following) => Some(following.due),
-            State::Cut(cut) => Some(cut.due),
+            State::Isolated(isolated) => Some(isolated.due),
             State::Relaying(relaying) => Some(relaying.due),
             State::Left => None,
         }
     }
 
-    /// The call to make now, if any. One runs at a time.
+    /// Returns the call to make now, if any. Only one is in flight at a time.
     pub fn poll(&mut self, now: Timestamp) -> Option<Action> {
         if self.next_wake()? > now {
             return None;
         }
         let action = match &self.state {
             State::Searching(searching) => match searching.step {
-                Step::Look => Action::Read,
+                Step::Read => Action::Read,
                 Step::Claim(condition) => {
-                    let members = self.members.max(self.told);
+                    let members = self.members.max(self.recorded_members);
                     Action::Claim(self.record(members), condition)
                 }
             },
             State::Following(following) => Action::Poll(following.upstream.address),
-            State::Cut(cut) if now >= cut.next_look => Action::Read,
-            State::Cut(cut) => Action::Poll(cut.upstream.address),
-            State::Relaying(relaying) if relaying.miscounts(now, self.members) => {
+            State::Isolated(isolated) if now >= isolated.next_read => Action::Read,
+            State::Isolated(isolated) => Action::Poll(isolated.upstream.address),
+            State::Relaying(relaying) if relaying.needs_recount(now, self.members) => {
                 let record = self.record(self.members);
                 Action::Claim(record, Condition::Revision(relaying.revision))
             }
--- a/crates/relay/src/member/polls.rs
+++ b/crates/relay/src/member/polls.rs
@@ -1,4 +1,4 @@
-//! What follows from a poll of the relay, or of another follower of it.
+//! Transitions after a poll of the relay or of one of its followers.
 
 use std::net::SocketAddr;
 
@@ -6,22 +6,22 @@
 use threadledge_types::Timestamp;
 
 use super::{PollOutcome, Member, State};
-use crate::state::{Cut, Following, Upstream};
+use crate::state::{Isolated, Following, Upstream};
 
 impl Member {
-    /// A poll was answered, or was not.
-    pub fn on_poll(&mut self, now: Timestamp, followed: PollOutcome) {
+    /// Handles the outcome of a poll, including a failed one.
+    pub fn on_poll(&mut self, now: Timestamp, outcome: PollOutcome) {
         self.calling = false;
         self.state = match self.take_state() {
-            State::Following(following) => self.followed(now, following, followed),
-            State::Cut(cut) => self.followed_while_cut(now, cut, followed),
+            State::Following(following) => self.polled(now, following, outcome),
+            State::Isolated(isolated) => self.polled_while_isolated(now, isolated, outcome),
             other => other,
         };
     }
 
-    fn followed(&mut self, now: Timestamp, following: Following, followed: PollOutcome) -> State {
-        let claim_from = now + self.patience;
-        match followed {
+    fn polled(&mut self, now: Timestamp, following: Following, outcome: PollOutcome) -> State {
+        let claim_from = now + self.claim_delay;
+        match outcome {
             PollOutcome::Answered { seen, news } if now < self.outdated_at(seen) => {
                 State::Following(Following {
                     due: self.next_poll(now, news),
@@ -30,52 +30,53 @@
                     ..following
                 })
             }
-            PollOutcome::AtCapacity(others) => match self.choose(following.upstream.address, &others) {
+            PollOutcome::AtCapacity(others) => match self.pick_follower(following.upstream.address, &others) {
                 Some(address) => State::Following(following.redirect(now, address)),
-                None => State::Searching(following.crowded_out(now + self.settings.retry_delay)),
+                None => State::Searching(following.rejected(now + self.settings.retry_delay)),
             },
-            // A gateway that has not joined its relay yet has nothing to tell.
+            // A gateway that has not joined a relay itself has no state to pass
+            // on.
             PollOutcome::Answered { .. } if !following.joined => {
                 let due = now + self.settings.recheck_interval;
-                State::Searching(following.outdated(due, claim_from))
+                State::Searching(following.upstream_outdated(due, claim_from))
             }
             PollOutcome::Answered { .. } | PollOutcome::TimedOut => {
-                State::Searching(following.outdated(now, claim_from))
+                State::Searching(following.upstream_outdated(now, claim_from))
             }
             PollOutcome::Failed => {
                 let fresh_until = following.seen.map(|seen| self.outdated_at(seen));
-                State::Searching(following.lose(now, claim_from, fresh_until))
+                State::Searching(following.upstream_failed(now, claim_from, fresh_until))
             }
         }
     }
 
-    fn followed_while_cut(&mut self, now: Timestamp, cut: Cut, followed: PollOutcome) -> State {
-        match followed {
+    fn polled_while_isolated(&mut self, now: Timestamp, isolated: Isolated, outcome: PollOutcome) -> State {
+        match outcome {
             PollOutcome::Answered { seen, news } if now < self.outdated_at(seen) => {
-                State::Following(cut.rejoin(self.next_poll(now, news), seen))
+                State::Following(isolated.resume(self.next_poll(now, news), seen))
             }
-            PollOutcome::Answered { news, .. } => State::Cut(Cut {
+            PollOutcome::Answered { news, .. } => State::Isolated(Isolated {
                 due: self.next_poll(now, news),
-                ..cut
+                ..isolated
             }),
             PollOutcome::AtCapacity(others) => {
-                let chosen = self.choose(cut.upstream.address, &others);
-                let address = chosen.unwrap_or(cut.upstream.address);
+                let chosen = self.pick_follower(isolated.upstream.address, &others);
+                let address = chosen.unwrap_or(isolated.upstream.address);
                 let due = match chosen {
                     Some(_) => now,
                     None => now + self.settings.retry_delay,
                 };
-                let relay = cut.upstream.relay;
+                let relay = isolated.upstream.relay;
                 let upstream = Upstream { address, relay };
-                State::Cut(Cut {
+                State::Isolated(Isolated {
                     due,
                     upstream,
-                    ..cut
+                    ..isolated
                 })
             }
             PollOutcome::Failed | PollOutcome::TimedOut => {
                 let due = now + self.settings.retry_delay;
-                State::Searching(cut.search(due, due + self.patience))
+                State::Searching(isolated.search(due, due + self.claim_delay))
             }
         }
     }
@@ -88,8 +89,8 @@
         }
     }
 
-    /// One of the followers of a relay that has enough of them.
-    fn choose(&mut self, full: SocketAddr, followers: &[SocketAddr]) -> Option<SocketAddr> {
+    /// Picks one of the followers named by a gateway at capacity.
+    fn pick_follower(&mut self, full: SocketAddr, followers: &[SocketAddr]) -> Option<SocketAddr> {
         let own = self.me.address;
         let others: Vec<SocketAddr> = followers
             .iter()
--- a/crates/relay/src/member/reads.rs
+++ b/crates/relay/src/member/reads.rs
@@ -1,46 +1,46 @@
-//! What follows from a read of the record.
+//! Transitions after a read of the record.
 
 use threadledge_coordination::action::{Condition, ReadResult, Versioned};
 use threadledge_types::Timestamp;
 
 use super::{Member, State};
 use crate::RelayRecord;
-use crate::state::{Cut, Relaying, Searching, Step, Upstream};
+use crate::state::{Isolated, Relaying, Searching, Step, Upstream};
 
 impl Member {
-    /// A read was answered, or was not.
+    /// Handles the result of a read, including a failed one.
     pub fn on_read(&mut self, now: Timestamp, result: ReadResult<RelayRecord>) {
         self.calling = false;
         if let ReadResult::Found(Some(found)) = &result {
-            self.told = found.value.members;
+            self.recorded_members = found.value.members;
         }
         match self.take_state() {
-            State::Searching(searching) => self.state = self.looked(now, searching, result),
-            State::Cut(cut) => self.state = self.tried(now, cut, result),
-            State::Relaying(relaying) => self.state = self.probed(now, relaying, result),
+            State::Searching(searching) => self.state = self.read_while_searching(now, searching, result),
+            State::Isolated(isolated) => self.state = self.read_while_isolated(now, isolated, result),
+            State::Relaying(relaying) => self.state = self.read_while_relaying(now, relaying, result),
             other => self.state = other,
         }
     }
 
-    fn looked(
+    fn read_while_searching(
         &self,
         now: Timestamp,
         searching: Searching,
         result: ReadResult<RelayRecord>,
     ) -> State {
         let ReadResult::Found(found) = result else {
-            return self.turned_away(now, searching);
+            return self.store_failed(now, searching);
         };
         let searching = Searching {
-            heard: searching.heard.or(Some(now)),
+            store_answered_at: searching.store_answered_at.or(Some(now)),
             ..searching
         };
         match found {
-            // Members come in turn: whoever has waited looks again, and most
-            // then find the record of one that was before them.
-            None if !searching.waited => State::Searching(Searching {
-                due: now + self.patience,
-                waited: true,
+            // Members claim one after the other: after its delay a member reads
+            // again, and most then find the record of an earlier one.
+            None if !searching.has_waited => State::Searching(Searching {
+                due: now + self.claim_delay,
+                has_waited: true,
                 ..searching
             }),
             None => State::Searching(Searching {
@@ -48,35 +48,35 @@
                 step: Step::Claim(Condition::Absent),
                 ..searching
             }),
-            Some(found) => self.found(now, searching, found),
+            Some(found) => self.handle_record(now, searching, found),
         }
     }
 
-    /// The store does not answer this member. The relay that it lost may have
-    /// fallen behind for a moment only, and if the store answers nobody there
-    /// is no other.
-    fn turned_away(&self, now: Timestamp, searching: Searching) -> State {
+    /// Handles a read that the store did not answer. The member's last relay
+    /// may be behind only for a moment, and if the store does not respond to
+    /// anyone there is no other relay.
+    fn store_failed(&self, now: Timestamp, searching: Searching) -> State {
         let lost = || {
             let relay = searching.lost.clone()?;
             let address = relay.address?;
             Some(Upstream { address, relay })
         };
-        match searching.former.clone().or_else(lost) {
-            Some(upstream) => State::Cut(Cut {
+        match searching.last_upstream.clone().or_else(lost) {
+            Some(upstream) => State::Isolated(Isolated {
                 due: now,
                 upstream,
-                next_look: now + self.settings.isolated_read_interval,
-                heard: false,
+                next_read: now + self.settings.isolated_read_interval,
+                store_answered: false,
             }),
             None => State::Searching(Searching {
                 due: now + self.settings.retry_delay,
-                heard: None,
+                store_answered_at: None,
                 ..searching
             }),
         }
     }
 
-    pub(super) fn found(
+    pub(super) fn handle_record(
         &self,
         now: Timestamp,
         searching: Searching,
@@ -94,10 +94,10 @@
             Some(address) if !own && !lost => {
                 State::Following(searching.follow(now, holder, address))
             }
-            // Others come first, and may have done so by the next look.
+            // Other members claim first, and may have done so by the next read.
             _ if lost && now < searching.claim_from => State::Searching(Searching {
                 due: searching.claim_from.min(now + self.settings.recheck_interval),
-                step: Step::Look,
+                step: Step::Read,
                 ..searching
             }),
             _ => State::Searching(Searching {
@@ -108,40 +108,40 @@
         }
     }
 
-    /// The store was tried while neither it nor the relay was of use.
-    fn tried(&self, now: Timestamp, cut: Cut, result: ReadResult<RelayRecord>) -> State {
+    /// Handles a read made while neither the store nor the relay was usable.
+    fn read_while_isolated(&self, now: Timestamp, isolated: Isolated, result: ReadResult<RelayRecord>) -> State {
         let ReadResult::Found(found) = result else {
-            return State::Cut(Cut {
+            return State::Isolated(Isolated {
                 due: now,
-                next_look: now + self.settings.isolated_read_interval,
-                heard: false,
-                ..cut
+                next_read: now + self.settings.isolated_read_interval,
+                store_answered: false,
+                ..isolated
             });
         };
         let other = found.filter(|found| {
             let holder = &found.value.holder;
-            *holder != cut.upstream.relay && holder.node != self.me.node
+            *holder != isolated.upstream.relay && holder.node != self.me.node
         });
         if let Some(found) = other {
-            return self.found(now, Searching::at(now), found);
+            return self.handle_record(now, Searching::at(now), found);
         }
-        if cut.heard {
-            return State::Searching(cut.search(now, now + self.patience));
+        if isolated.store_answered {
+            return State::Searching(isolated.search(now, now + self.claim_delay));
         }
-        State::Cut(Cut {
+        State::Isolated(Isolated {
             due: now,
-            next_look: now + self.settings.isolated_grace,
-            heard: true,
-            ..cut
+            next_read: now + self.settings.isolated_grace,
+            store_answered: true,
+            ..isolated
         })
     }
 
-    fn probed(&self, now: Timestamp, relaying: Relaying, result: ReadResult<RelayRecord>) -> State {
+    fn read_while_relaying(&self, now: Timestamp, relaying: Relaying, result: ReadResult<RelayRecord>) -> State {
         if let ReadResult::Found(Some(found)) = result {
-            // A read may be older than the claim.
+            // The result of the read may be older than the claim.
             if found.revision > relaying.revision && found.value.holder != self.me {
                 let searching = relaying.step_down(now);
-                return self.found(now, searching, found);
+                return self.handle_record(now, searching, found);
             }
         }
         State::Relaying(Relaying {
--- a/crates/relay/src/member/sources.rs
+++ b/crates/relay/src/member/sources.rs
@@ -1,4 +1,4 @@
-//! Where a member learns from at each stage.
+//! Derives from each state where the member learns of changes.
 
 use threadledge_types::Timestamp;
 
@@ -11,13 +11,13 @@
             let until = self.outdated_at(seen);
             return Source::Relay { until, seen };
         }
-        if now < self.settled {
-            let until = self.settled;
+        if now < self.startup_ends {
+            let until = self.startup_ends;
             return Source::Starting { until };
         }
-        match searching.heard {
+        match searching.store_answered_at {
             None => Source::Unavailable,
-            Some(heard) => self.joining_until(now, heard + self.settings.join_timeout),
+            Some(store_answered_at) => self.joining_until(now, store_answered_at + self.settings.join_timeout),
         }
     }
 
@@ -29,8 +29,8 @@
                 _ => Source::Unavailable,
             };
         }
-        if now < self.settled {
-            let until = self.settled;
+        if now < self.startup_ends {
+            let until = self.startup_ends;
             return Source::Starting { until };
         }
         let join = following.found + self.settings.join_timeout;
@@ -46,7 +46,8 @@
         }
     }
 
-    /// When what a relay told is too old, if the store answered it at `seen`.
+    /// Returns when state received from a relay becomes too old, if the store
+    /// responded to that relay at `seen`.
     pub(super) fn outdated_at(&self, seen: Timestamp) -> Timestamp {
         seen + self.settings.max_age
     }
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -1,47 +1,48 @@
-//! Durations of a member's life.
+//! Timing of a member.
 //!
-//! Relays form two tiers where there are several regions: one relay of each
-//! region watches the store, the relays of its other zones follow that one, and
-//! everybody else the relay of their zone. Ages add up on the way, so that the
-//! upper tier has to be the fresher: what a follower in a zone knows is at most
-//! as old as the upper [`Settings::max_age`] and one more poll, which together
-//! stay below the lower one.
+//! With several regions, relays form two tiers: one relay per region watches
+//! the store, the relays of the region's other zones follow it, and all other
+//! gateways follow the relay of their zone. Ages add up along this path, so the
+//! upper tier has to be fresher. The state of a follower in a zone is at most
+//! as old as the upper tier's [`Settings::max_age`] plus one poll, and this sum
+//! stays below the lower tier's `max_age`.
 
 use std::time::Duration;
 
-/// Durations, the same for all members of a zone, or of a region.
+/// Timing that all members of a zone or of a region share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Age of the store's last answer to a relay above which its followers
+    /// Age of the store's last response to a relay above which its followers
     /// watch the store themselves.
     pub max_age: Duration,
-    /// Time between two reads of a relay, which show that the store answers
+    /// Interval between reads of a relay. They show that the store responds to
     /// it and that the record still names it.
     pub probe_interval: Duration,
-    /// Longest time that a relay holds a poll. Longer than [`Settings::probe_interval`]:
-    /// with each of its looks a relay has something fresher to tell.
+    /// Maximum time that a relay holds a poll. It is longer than
+    /// [`Settings::probe_interval`], so that each read gives the relay a
+    /// fresher state to report.
     pub max_hold: Duration,
-    /// Longest wait for the answer to a poll.
+    /// Maximum wait for the response to a poll.
     pub poll_timeout: Duration,
-    /// Time between two polls of a relay that had something to tell.
+    /// Pause before the next poll of a relay that had changes to report.
     pub poll_pause: Duration,
-    /// Pause after a call to the store that was not answered.
+    /// Delay after a call to the store that failed.
     pub retry_delay: Duration,
-    /// Time between two looks at a record that still names a relay that is
-    /// lost.
+    /// Interval between reads of a record that still names a lost relay.
     pub recheck_interval: Duration,
-    /// How long a member that the store answers waits for the claim of another
-    /// or the first answer of a relay before it watches the store itself.
-    /// With `max_age`, this bounds how late it learns of a change.
+    /// How long a member that the store responds to waits for another member's
+    /// claim or for a relay's first response before it watches the store
+    /// itself. Together with `max_age`, this bounds how late it learns of a
+    /// change.
     pub join_timeout: Duration,
-    /// Time between two reads of a member that the store does not answer, and
-    /// whose relay it does not answer either.
+    /// Interval between reads of a member when the store responds neither to it
+    /// nor to its relay.
     pub isolated_read_interval: Duration,
-    /// How long the relay of such a member may stay without an answer of the
-    /// store that answers the member again. Longer than a relay's probe that
-    /// waits in vain, and the next one.
+    /// How long the relay of such a member may go without a response of the
+    /// store after the store responds to the member again. It is longer than
+    /// one probe of a relay that times out plus the next one.
     pub isolated_grace: Duration,
-    /// Shortest time between two writes of how many members there are.
+    /// Minimum interval between writes that update the number of members.
     pub recount_interval: Duration,
     /// How long after its start a member looks for a relay before it watches
     /// the store itself.
@@ -68,9 +69,9 @@
 }
 
 impl Settings {
-    /// Of the relay of a zone, whose region has a relay of its own: that one
-    /// shows how fresh the store's answers are, and a zone's record changes
-    /// seldom.
+    /// Returns the settings for the relay of a zone whose region has a relay of
+    /// its own. The region's relay shows how fresh the store's responses are,
+    /// and a zone's record changes rarely, so fewer reads are needed.
     pub fn for_zone_below_region() -> Self {
         Settings {
             probe_interval: Duration::from_secs(1),
@@ -78,10 +79,11 @@
         }
     }
 
-    /// Of the relays of the zones of one region.
+    /// Returns the settings for the relays of the zones of one region.
     ///
-    /// A lost relay shows after one silence; until then what the zone's own
-    /// followers were told is fresh, so that none of them has to look.
+    /// A lost relay is detected after one poll timeout. Until then the state of
+    /// the zone's own followers is still fresh, so that none of them has to
+    /// read the record.
     pub fn for_region() -> Self {
         Settings {
             max_age: Duration::from_millis(625),
@@ -89,7 +91,7 @@
             max_hold: Duration::from_millis(200),
             poll_timeout: Duration::from_millis(400),
             poll_pause: Duration::from_millis(50),
-            // Its zone's followers grow out of date meanwhile.
+            // The state of the zone's followers ages during this wait.
             join_timeout: Duration::ZERO,
             startup_timeout: Duration::ZERO,
             ..Settings::default()
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -1,5 +1,5 @@
-//! The stages of a member's life. Each is a type of its own, and what leads
-//! from one to the next consumes the stage that ends.
+//! States of a member. Each state is a type of its own, and a transition
+//! consumes the state that ends.
 
 use std::net::SocketAddr;
 
@@ -9,103 +9,107 @@
 
 use crate::RelayRecord;
 
-/// What a member that has no relay does next.
+/// Next step of a member without a relay.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Step {
     /// Read the record.
-    Look,
-    /// Write itself into the record.
+    Read,
+    /// Write this member into the record.
     Claim(Condition),
 }
 
-/// The gateway that a member polls, and the relay that the record names.
+/// Gateway that a member polls, and the relay that the record names.
 #[derive(Clone, Debug)]
 pub(crate) struct Upstream {
-    /// Who is polled: the relay, or another follower of it.
+    /// Address of the polled gateway: the relay or one of its followers.
     pub(crate) address: SocketAddr,
-    /// The relay that the record names.
+    /// Relay that the record names.
     pub(crate) relay: NodeIdentity,
 }
 
 impl Upstream {
-    /// The relay, if it was polled itself. A follower of it that fails is just
-    /// not asked again.
+    /// Returns the relay if it was polled directly. A follower that fails is
+    /// simply not polled again.
     fn direct(&self) -> Option<NodeIdentity> {
         (self.relay.address == Some(self.address)).then(|| self.relay.clone())
     }
 }
 
-/// No relay is known, or the one that was known is lost.
+/// State of a member that knows no relay or has lost its relay.
 #[derive(Clone, Debug)]
 pub(crate) struct Searching {
     pub(crate) due: Timestamp,
     pub(crate) step: Step,
-    /// The relay that was lost: not followed again while the record names it.
+    /// Lost relay, which is not followed again while the record names it.
     pub(crate) lost: Option<NodeIdentity>,
-    /// Polled again where the store does not answer this member either.
-    pub(crate) former: Option<Upstream>,
-    /// It has let others go first since it found no record.
-    pub(crate) waited: bool,
-    /// Others that lost the same relay come first until then.
+    /// Gateway to poll again if the store does not respond to this member
+    /// either.
+    pub(crate) last_upstream: Option<Upstream>,
+    /// Whether the member has waited for others to claim first since it found
+    /// no record.
+    pub(crate) has_waited: bool,
+    /// Time before which other members that lost the same relay claim first.
     pub(crate) claim_from: Timestamp,
-    /// The store surely answered the lost relay at that time.
+    /// Time at which the store is known to have responded to the lost relay.
     pub(crate) seen: Option<Timestamp>,
-    /// The store first answered this member in its search at that time.
-    pub(crate) heard: Option<Timestamp>,
+    /// When the store first responded to this member during the search.
+    pub(crate) store_answered_at: Option<Timestamp>,
 }
 
-/// A relay, or another follower of it, is polled.
+/// State of a member that polls a relay or one of its followers.
 #[derive(Clone, Debug)]
 pub(crate) struct Following {
     pub(crate) due: Timestamp,
     pub(crate) upstream: Upstream,
     /// When the record was found to name the relay.
     pub(crate) found: Timestamp,
-    /// The store surely answered the relay at that time, or the relay before
-    /// it; `None` before any answer.
+    /// Time at which the store is known to have responded to this relay or the
+    /// previous one; `None` before any response.
     pub(crate) seen: Option<Timestamp>,
-    /// This relay has answered.
+    /// Whether this relay has answered.
     pub(crate) joined: bool,
 }
 
-/// The relay answers, but the store answers neither it nor this member.
+/// State of a member whose relay responds while the store responds to neither
+/// of them.
 #[derive(Clone, Debug)]
-pub(crate) struct Cut {
+pub(crate) struct Isolated {
     pub(crate) due: Timestamp,
     pub(crate) upstream: Upstream,
     /// When to try the store next.
-    pub(crate) next_look: Timestamp,
-    /// The store answers this member; its relay has a moment to find out.
-    pub(crate) heard: bool,
+    pub(crate) next_read: Timestamp,
+    /// Whether the store responds to this member again; its relay then has some
+    /// time to notice the same.
+    pub(crate) store_answered: bool,
 }
 
-/// The record names this member.
+/// State of the member that the record names.
 #[derive(Clone, Debug)]
 pub(crate) struct Relaying {
     pub(crate) due: Timestamp,
     pub(crate) revision: StoreRevision,
-    /// Members that the record tells of.
-    pub(crate) told: u32,
-    /// The record is not written again before.
+    /// Number of members in the record.
+    pub(crate) recorded_members: u32,
+    /// Earliest time of the next write of the record.
     pub(crate) recount_at: Timestamp,
 }
 
 impl Searching {
-    /// Looks at once.
+    /// Starts a search that reads the record at `due`.
     pub(crate) fn at(due: Timestamp) -> Self {
         Searching {
             due,
-            step: Step::Look,
+            step: Step::Read,
             lost: None,
-            former: None,
-            waited: false,
+            last_upstream: None,
+            has_waited: false,
             claim_from: due,
             seen: None,
-            heard: None,
+            store_answered_at: None,
         }
     }
 
-    /// The record names `relay`, which is reached at `address`.
+    /// Follows `relay`, which the record names, at `address`.
     pub(crate) fn follow(
         self,
         now: Timestamp,
@@ -121,8 +125,8 @@
         }
     }
 
-    /// Followers of the relay before have not come yet: they are counted
-    /// later.
+    /// Becomes the relay. Followers of the previous relay have not polled yet,
+    /// so the members are counted later.
     pub(crate) fn relay(
         self,
         due: Timestamp,
@@ -132,16 +136,17 @@
         Relaying {
             due,
             revision: found.revision,
-            told: found.value.members,
+            recorded_members: found.value.members,
             recount_at,
         }
     }
 }
 
 impl Following {
-    /// Who was polled does not serve. Until others had their turn, and for as
-    /// long as what was told is fresh, nothing is asked of the store.
-    pub(crate) fn lose(
+    /// Handles an upstream that does not serve. The store is not called until
+    /// other members had their turn to claim, as long as the received state is
+    /// fresh.
+    pub(crate) fn upstream_failed(
         self,
         now: Timestamp,
         claim_from: Timestamp,
@@ -152,38 +157,39 @@
             lost: self.upstream.direct(),
             claim_from,
             seen: self.seen,
-            heard: self.heard(),
+            store_answered_at: self.store_answered_at(),
             ..Searching::at(claim_from.min(fresh_until.max(now)))
         }
     }
 
-    /// Who was polled answers, but the store has not answered it for too long.
-    pub(crate) fn outdated(self, due: Timestamp, claim_from: Timestamp) -> Searching {
+    /// Handles an upstream that responds but has had no response of the store
+    /// for too long.
+    pub(crate) fn upstream_outdated(self, due: Timestamp, claim_from: Timestamp) -> Searching {
         Searching {
             lost: self.upstream.direct(),
-            heard: self.heard(),
-            former: Some(self.upstream),
+            store_answered_at: self.store_answered_at(),
+            last_upstream: Some(self.upstream),
             claim_from,
             ..Searching::at(due)
         }
     }
 
-    /// The relay has followers enough, and none of them can be asked.
-    pub(crate) fn crowded_out(self, due: Timestamp) -> Searching {
+    /// Handles a relay at capacity none of whose followers can be polled.
+    pub(crate) fn rejected(self, due: Timestamp) -> Searching {
         Searching {
             seen: self.seen,
-            heard: self.heard(),
+            store_answered_at: self.store_answered_at(),
             ..Searching::at(due)
         }
     }
 
-    /// When the store answered this member in the search that led here; `None`
-    /// once a relay has told it more than that.
-    fn heard(&self) -> Option<Timestamp> {
+    /// Returns when the store responded to this member in the search that led
+    /// here, or `None` once a relay has reported a later response.
+    fn store_answered_at(&self) -> Option<Timestamp> {
         (!self.joined).then_some(self.found)
     }
 
-    /// The relay has followers enough and names one of them.
+    /// Polls a follower that the relay at capacity named.
     pub(crate) fn redirect(self, due: Timestamp, address: SocketAddr) -> Following {
         Following {
             due,
@@ -197,9 +203,9 @@
     }
 }
 
-impl Cut {
-    /// The store answers the relay again.
-    pub(crate) fn rejoin(self, due: Timestamp, seen: Timestamp) -> Following {
+impl Isolated {
+    /// Follows the relay again, because the store responds to it.
+    pub(crate) fn resume(self, due: Timestamp, seen: Timestamp) -> Following {
         Following {
             due,
             upstream: self.upstream,
@@ -209,8 +215,8 @@
         }
     }
 
-    /// The store answers this member and not its relay, or the relay does not
-    /// answer.
+    /// Searches for another relay, because the store responds to this member
+    /// but not to its relay, or because the relay does not respond.
     pub(crate) fn search(self, due: Timestamp, claim_from: Timestamp) -> Searching {
         Searching {
             lost: self.upstream.direct(),
@@ -221,16 +227,17 @@
 }
 
 impl Relaying {
-    /// Whether the record is so far from `members` that it should be written.
-    pub(crate) fn miscounts(&self, now: Timestamp, members: u32) -> bool {
-        let off = self.told.abs_diff(members);
+    /// Whether the recorded number of members differs from `members` by so much
+    /// that the record should be written.
+    pub(crate) fn needs_recount(&self, now: Timestamp, members: u32) -> bool {
+        let off = self.recorded_members.abs_diff(members);
         now >= self.recount_at && off > 0 && off * 5 >= members
     }
 
-    /// The record names another member.
+    /// Ends the relaying, because the record names another member.
     pub(crate) fn step_down(self, now: Timestamp) -> Searching {
         Searching {
-            heard: Some(now),
+            store_answered_at: Some(now),
             ..Searching::at(now)
         }
     }
--- a/crates/suspects/src/identity.rs
+++ b/crates/suspects/src/identity.rs
@@ -1,11 +1,11 @@
-//! Which requests are the same.
+//! Identity of requests and callers.
 //!
-//! Two tries are the same request if method, host, path, query, key and body
-//! are. Who sends them is kept beside it, in two parts: the address that the
-//! connection comes from, and the headers. Neither can be relied on alone: one
-//! caller's tries may come from several addresses, and callers that differ may
-//! send the same headers. [`super::Suspect`] finds out which of them tell
-//! callers apart.
+//! Two attempts are the same request if method, host, path, query, key and body
+//! are equal. The caller is identified separately by two parts: the address
+//! that the connection comes from, and the headers. Neither is reliable alone:
+//! the attempts of one caller may come from several addresses, and different
+//! callers may send the same headers. [`super::Suspect`] determines which of
+//! them tells callers apart.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// What a request asks for, whoever sends it.
+/// Hash of a request's content, independent of the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestHash(pub u64);
@@ -24,35 +24,36 @@
     }
 }
 
-/// Who sends it, as far as a gateway can see.
+/// Identity of a caller, as far as a gateway can tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallerId {
     /// Hash of the address that the connection comes from.
     pub address: u64,
-    /// Hash of the headers that stay the same from try to try.
+    /// Hash of the headers that stay the same between attempts.
     pub headers: u64,
 }
 
-/// One request and its caller.
+/// Identity of a request together with its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestIdentity {
-    /// What is asked for.
+    /// Content of the request.
     pub request: RequestHash,
-    /// Who asks.
+    /// Caller of the request.
     pub caller: CallerId,
 }
 
-/// What of a body tells requests apart.
+/// Digest of a body, which tells requests apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BodyDigest {
-    /// Length in bytes, if it is known before the body has come.
+    /// Length in bytes, if it is known before the body has arrived.
     pub length: Option<u64>,
-    /// Hash of its start, as far as it was read before it is sent on.
+    /// Hash of the beginning of the body, as far as it was read before the
+    /// request is forwarded.
     pub start: u64,
 }
 
 impl BodyDigest {
-    /// The digest of a body that begins with `start`.
+    /// Computes the digest of a body that begins with `start`.
     pub fn new(length: Option<u64>, start: &[u8]) -> Self {
         BodyDigest {
             length,
@@ -61,10 +62,10 @@
     }
 }
 
-/// Puts an identity together.
+/// Builds a [`RequestIdentity`].
 ///
-/// Each part is hashed with the hash of those before it as its seed, so that
-/// no state is carried: a request costs about a tenth of a microsecond for each
+/// Each part is hashed with the hash of the previous parts as its seed, so that
+/// no hasher state is kept. A request costs about a tenth of a microsecond per
 /// header, and every request is hashed.
 pub struct IdentityBuilder {
     request: u64,
@@ -72,7 +73,7 @@
 }
 
 impl IdentityBuilder {
-    /// Begins with the head's first line and the host. `target` is path and
+    /// Starts with the method, the host and the target, which is path and
     /// query.
     pub fn new(method: &str, host: &str, target: &str) -> Self {
         let parts = [method, host, target].into_iter();
@@ -82,27 +83,27 @@
         }
     }
 
-    /// The request's key.
+    /// Adds the request's key.
     pub fn key(&mut self, key: Option<u16>) {
         let key = key.map_or(u32::MAX, u32::from);
         self.request = chain(self.request, &key.to_le_bytes());
     }
 
-    /// The request's body.
+    /// Adds the request's body.
     pub fn body(&mut self, body: BodyDigest) {
         let length = body.length.unwrap_or(u64::MAX);
         self.request = chain(self.request, &length.to_le_bytes());
         self.request = chain(self.request, &body.start.to_le_bytes());
     }
 
-    /// A header that stays the same from try to try. Their order does not
-    /// matter.
+    /// Adds a header that stays the same between attempts. The order of headers
+    /// does not matter.
     pub fn header(&mut self, name: &str, value: &str) {
         let hash = chain(chain(0, name.as_bytes()), value.as_bytes());
         self.headers = self.headers.wrapping_add(hash);
     }
 
-    /// The identity of the request, sent from this address.
+    /// Returns the identity of the request when sent from this address.
     pub fn from_address(self, address: IpAddr) -> RequestIdentity {
         let address = match address {
             IpAddr::V4(address) => xxh3_64(&address.octets()),
@@ -118,7 +119,7 @@
     }
 }
 
-/// The hash of a part that follows others.
+/// Hashes a part together with the hash of the previous ones.
 fn chain(before: u64, part: &[u8]) -> u64 {
     xxh3_64_with_seed(part, before)
 }
--- a/crates/suspects/src/lib.rs
+++ b/crates/suspects/src/lib.rs
@@ -1,17 +1,18 @@
-//! Requests that crash the back ends that run them.
+//! Detects requests that crash the back ends that run them.
 //!
-//! Such a request comes again and again, with another id each time and at
-//! another gateway, and costs a back end each time. What one gateway saw is
-//! evidence for all: each keeps what is known of the requests under suspicion
-//! in [`Suspects`], and they tell each other by [`SuspectUpdate`]. Evidence is
-//! kept as sets, so that it does no harm to be told twice or in any order. A
-//! request under which three processes have ended is held: no gateway sends it
-//! to a back end again.
+//! Such a request is retried again and again, with another id and at another
+//! gateway each time, and crashes another back end each time. The observations
+//! of one gateway are therefore evidence for all. Each gateway keeps the
+//! requests under suspicion in [`Suspects`], and gateways exchange them as
+//! [`SuspectUpdate`]s. Evidence is kept in sets, so that updates may be
+//! repeated and may arrive in any order. A request that three processes crashed
+//! under is held, that is, quarantined: no gateway sends it to a back end
+//! again.
 //!
-//! Nothing here opens a socket or reads a clock.
+//! This crate opens no sockets and reads no clock.
 
 pub mod identity;
-mod moment;
+mod signed_timestamp;
 pub mod update;
 mod recent;
 pub mod record;
--- a/crates/suspects/src/recent.rs
+++ b/crates/suspects/src/recent.rs
@@ -1,5 +1,5 @@
-//! Requests that were answered lately, so that the first crash of one finds
-//! the callers that had it answered before.
+//! Requests that recently succeeded, so that the first crash of a request finds
+//! callers for whom it succeeded before.
 
 use std::time::Duration;
 
@@ -7,47 +7,47 @@
 
 use crate::identity::{CallerId, RequestHash, RequestIdentity};
 
-/// Requests that are remembered; a later one takes the place of an earlier one
-/// with the same lowest bits. 32 bytes each.
-const PLACES: usize = 1_024;
-/// How long an answer tells something. After it the back ends may have become
-/// others, which the same request may crash.
-const REMEMBERED: Duration = Duration::from_secs(60);
+/// Number of remembered requests, at 32 bytes each. A later request replaces an
+/// earlier one with the same lowest bits.
+const SLOTS: usize = 1_024;
+/// How long a success counts as evidence. After that, the back ends may have
+/// been replaced by others that the same request crashes.
+const RETENTION: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Copy, Debug)]
-struct Answered {
+struct Success {
     identity: RequestIdentity,
     at: Timestamp,
 }
 
-/// The latest answers.
+/// Most recent success per slot of a fixed-size hash table.
 #[derive(Debug, Default)]
-pub(crate) struct Recent {
-    places: Vec<Option<Answered>>,
+pub(crate) struct RecentSuccesses {
+    slots: Vec<Option<Success>>,
 }
 
-impl Recent {
-    pub(crate) fn answered(&mut self, at: Timestamp, identity: RequestIdentity) {
-        if self.places.is_empty() {
-            self.places.resize(PLACES, None);
+impl RecentSuccesses {
+    pub(crate) fn record(&mut self, at: Timestamp, identity: RequestIdentity) {
+        if self.slots.is_empty() {
+            self.slots.resize(SLOTS, None);
         }
-        let place = place(identity.request);
-        self.places[place] = Some(Answered { identity, at });
+        let slot = slot(identity.request);
+        self.slots[slot] = Some(Success { identity, at });
     }
 
-    /// Who had this request answered last, and when.
+    /// Returns the last caller for whom this request succeeded, and when.
     pub(crate) fn find(
         &self,
         now: Timestamp,
         request: RequestHash,
     ) -> Option<(CallerId, Timestamp)> {
-        let answered = self.places.get(place(request))?.as_ref()?;
-        let same = answered.identity.request == request;
-        let lately = now.since(answered.at) < REMEMBERED;
-        (same && lately).then_some((answered.identity.caller, answered.at))
+        let success = self.slots.get(slot(request))?.as_ref()?;
+        let same = success.identity.request == request;
+        let lately = now.since(success.at) < RETENTION;
+        (same && lately).then_some((success.identity.caller, success.at))
     }
 }
 
-fn place(request: RequestHash) -> usize {
-    request.0 as usize % PLACES
+fn slot(request: RequestHash) -> usize {
+    request.0 as usize % SLOTS
 }
--- a/crates/suspects/src/record.rs
+++ b/crates/suspects/src/record.rs
@@ -1,5 +1,5 @@
-//! The requests that are held or close to it, as the platform's store keeps
-//! them: what all gateways lose when they end at once.
+//! Record in the platform's store of the requests that are held or close to it.
+//! It preserves them when all gateways stop at once.
 
 use std::collections::BTreeSet;
 
@@ -10,24 +10,24 @@
 use crate::suspect::CRASHES_UNTIL_HELD;
 use crate::suspects::Suspects;
 
-/// Requests in the record, below what the store takes in one object. The
-/// latest ones stay.
-const MOST_HELD: usize = 128;
+/// Maximum number of requests in the record, below the store's limit for one
+/// object. The latest ones stay.
+const MAX_HELD: usize = 128;
 
-/// The object of a deployment that names the requests that are held, and those
-/// that the next crash holds.
+/// Record of a deployment with the requests that are held and those that the
+/// next crash holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct HeldRecord {
-    /// The requests. Ages count from when the record is read: nobody knows how
-    /// long it lay there.
+    /// Reports of these requests. Their ages count from when the record is
+    /// read, because it is unknown how long it was stored.
     pub held: Vec<SuspectReport>,
 }
 
 impl HeldRecord {
-    /// The record as this gateway would have it: what is held here, and what
-    /// stands there already and was not let go here. `None`: it stands there
-    /// as it should.
+    /// Returns the record as this gateway would write it, or `None` if it is up
+    /// to date. It contains the requests held here, and those already in the
+    /// record that were not released here.
     pub fn updated(&self, suspects: &Suspects, now: Timestamp) -> Option<HeldRecord> {
         let own = suspects.updates_since(0, UpdateScope::Repeated, now).suspects;
         let kept = suspects.to_persist();
@@ -44,18 +44,18 @@
                 .iter()
                 .position(|there| there.request == report.request);
             match there {
-                Some(place) if !adds(&report, &held[place]) => continue,
+                Some(place) if !adds_crashes(&report, &held[place]) => continue,
                 Some(place) => held[place] = report,
                 None => held.push(report),
             }
             changed = true;
         }
-        let excess = held.len().saturating_sub(MOST_HELD);
+        let excess = held.len().saturating_sub(MAX_HELD);
         held.drain(..excess);
         changed.then_some(HeldRecord { held })
     }
 
-    /// What the record tells.
+    /// Converts the record to an update that can be merged.
     pub fn to_update(&self) -> SuspectUpdate {
         SuspectUpdate {
             suspects: self.held.clone(),
@@ -64,8 +64,9 @@
     }
 }
 
-/// Whether the report holds a request that what stands there does not yet.
-fn adds(report: &SuspectReport, there: &SuspectReport) -> bool {
+/// Whether `report` adds crashes to a stored report of a request that is not
+/// held yet.
+fn adds_crashes(report: &SuspectReport, there: &SuspectReport) -> bool {
     let processes = |report: &SuspectReport| {
         let crashes = report.crashes.iter();
         crashes
--- a/crates/suspects/src/suspects.rs
+++ b/crates/suspects/src/suspects.rs
@@ -1,4 +1,4 @@
-//! Every request under suspicion, as one gateway knows them.
+//! Table of all requests under suspicion at one gateway.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,64 +7,66 @@
 use threadledge_types::deployment::BackEndName;
 
 use crate::identity::{RequestHash, RequestIdentity};
-use crate::moment::Moment;
-use crate::recent::Recent;
+use crate::signed_timestamp::SignedTimestamp;
+use crate::recent::RecentSuccesses;
 use crate::suspect::Suspect;
 
-/// Requests under suspicion that are remembered, about 500 bytes each. The
-/// ones not held go first, the longest unsuspected of them before the others.
+/// Maximum number of remembered requests, at about 500 bytes each. Requests
+/// that are not held are evicted first, starting with the one last suspected
+/// longest ago.
 pub const MAX_SUSPECTS: usize = 512;
 /// How long a request that is not held stays under suspicion.
-const SUSPECTED: Duration = Duration::from_secs(600);
-/// Processes whose crash was withdrawn that are remembered.
-const MOST_WITHDRAWN: usize = 256;
+const SUSPICION_PERIOD: Duration = Duration::from_secs(600);
+/// Maximum number of remembered processes whose crash was withdrawn.
+const MAX_WITHDRAWN: usize = 256;
 
-/// Requests with more than one crash of which those not held are kept as
-/// well: more of them at once are a herd of back ends that ends under whatever
-/// it ran, and each would cost a write.
-const MOST_REPEATED_KEPT: usize = 8;
+/// Number of requests with more than one crash up to which those that are not
+/// held are persisted too. More at once mean that many back ends crash together
+/// under whatever they run, and each request would cost a write.
+const MAX_REPEATED_PERSISTED: usize = 8;
 
-/// Why a request is to outlive all gateways.
+/// Reason why a request is persisted, so that it survives the loss of all
+/// gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PersistReason {
-    /// The next crash holds it.
+    /// The next crash holds the request.
     NextCrashHolds,
-    /// It is held.
+    /// The request is held.
     Held,
 }
 
-/// A process that was taken for ended, and answered later.
+/// Process that was taken for crashed and responded later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Withdrawn {
-    /// When it was sent what it answered.
-    pub(crate) at: Moment,
-    pub(crate) changed: u64,
-    /// It took back one of several crashes of a request.
-    pub(crate) mattered: bool,
+    /// When the request that it responded to was sent.
+    pub(crate) at: SignedTimestamp,
+    pub(crate) last_change: u64,
+    /// Whether it withdrew one of several crashes of a request.
+    pub(crate) was_repeated: bool,
 }
 
-/// Every request under suspicion.
+/// All requests under suspicion at one gateway.
 #[derive(Debug, Default)]
 pub struct Suspects {
     pub(crate) suspects: BTreeMap<RequestHash, Suspect>,
     pub(crate) withdrawn: BTreeMap<BackEndName, Withdrawn>,
-    /// Changes so far.
+    /// Number of changes so far.
     pub(crate) changes: u64,
-    /// Those of the suspects that are held.
+    /// Suspects that are held.
     held: BTreeSet<RequestHash>,
-    /// Requests under which each process ended, so that an answer of any other
-    /// process costs one look.
+    /// Requests that each process crashed under, so that a response of any
+    /// other process costs only one lookup.
     by_process: BTreeMap<BackEndName, BTreeSet<RequestHash>>,
-    recent: Recent,
+    recent: RecentSuccesses,
 }
 
 impl Suspects {
-    /// Number of the last change.
+    /// Returns the sequence number of the last change.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Requests under suspicion.
+    /// Returns the number of requests under suspicion.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
@@ -74,58 +76,58 @@
         self.suspects.is_empty()
     }
 
-    /// Processes that ended under a request of this caller.
+    /// Counts the processes that crashed under a request of this caller.
     pub fn crashes_of(&self, identity: &RequestIdentity) -> usize {
         let suspect = self.suspects.get(&identity.request);
         suspect.map_or(0, |suspect| suspect.crashes_of(identity.caller))
     }
 
-    /// Whether a request of this caller may be sent to no back end.
+    /// Whether a request of this caller must not be sent to any back end.
     pub fn is_held(&self, identity: &RequestIdentity) -> bool {
         let suspect = self.suspects.get(&identity.request);
         suspect.is_some_and(|suspect| suspect.is_held(identity.caller))
     }
 
-    /// Every request under suspicion.
+    /// Returns all requests under suspicion.
     pub fn requests(&self) -> BTreeSet<RequestHash> {
         self.suspects.keys().copied().collect()
     }
 
-    /// What is known of a request.
+    /// Returns the evidence about a request.
     pub fn get(&self, request: RequestHash) -> Option<&Suspect> {
         self.suspects.get(&request)
     }
 
-    /// Every request that is held.
+    /// Returns all requests that are held.
     pub fn held(&self) -> impl Iterator<Item = (RequestHash, &Suspect)> {
         let held = self.held.iter();
         held.filter_map(|request| Some((*request, self.suspects.get(request)?)))
     }
 
-    /// Requests that are to outlive all gateways: those that are held, and
-    /// those that the next crash holds, while they are few.
+    /// Returns the requests to persist: those that are held, and those that the
+    /// next crash holds while these are few.
     pub fn to_persist(&self) -> BTreeMap<RequestHash, PersistReason> {
         let repeated = self.suspects.iter();
         let repeated = repeated.filter(|(_, suspect)| suspect.is_repeated());
         let mut kept: BTreeMap<RequestHash, PersistReason> = repeated
             .map(|(request, _)| (*request, PersistReason::NextCrashHolds))
             .collect();
-        if kept.len() > MOST_REPEATED_KEPT {
+        if kept.len() > MAX_REPEATED_PERSISTED {
             kept.clear();
         }
         kept.extend(self.held.iter().map(|request| (*request, PersistReason::Held)));
         kept
     }
 
-    /// Whether a request of this caller was answered after `at`, as far as
-    /// this gateway remembers.
+    /// Whether a request of this caller succeeded after `at`, as far as this
+    /// gateway remembers.
     pub fn succeeded_since(&self, at: Timestamp, identity: &RequestIdentity) -> bool {
         let last = self.recent.find(at, identity.request);
         last.is_some_and(|(caller, answered)| caller == identity.caller && answered > at)
     }
 
-    /// A process ended at `at` while it ran a request. Says whether that was
-    /// not known.
+    /// Records that a process crashed at `at` while it ran a request. Returns
+    /// whether that was new.
     pub fn record_crash(
         &mut self,
         at: Timestamp,
@@ -133,16 +135,16 @@
         process: &BackEndName,
         label: &str,
     ) -> bool {
-        self.forget_old(at);
+        self.remove_expired(at);
         let new = self.add_crash(at.into(), identity, process, label);
-        self.recall(at, identity.request);
+        self.apply_recent_success(at, identity.request);
         new
     }
 
-    /// Adds a crash that this gateway saw or was told of.
+    /// Adds a crash that this gateway observed or learned of.
     pub(crate) fn add_crash(
         &mut self,
-        at: Moment,
+        at: SignedTimestamp,
         identity: &RequestIdentity,
         process: &BackEndName,
         label: &str,
@@ -151,45 +153,45 @@
         if answered.is_some_and(|seen| at <= seen.at) {
             return false;
         }
-        let suspect = self.suspect(identity.request, label);
-        let new = suspect.crashed(at, (process.clone(), identity.caller));
+        let suspect = self.entry(identity.request, label);
+        let new = suspect.add_crash(at, (process.clone(), identity.caller));
         if new {
             let requests = self.by_process.entry(process.clone()).or_default();
             requests.insert(identity.request);
-            self.change(identity.request);
+            self.mark_changed(identity.request);
         }
         new
     }
 
-    /// A back end answered a request of this caller.
+    /// Records that a back end answered a request of this caller.
     pub fn record_success(&mut self, at: Timestamp, identity: &RequestIdentity) {
-        self.recent.answered(at, *identity);
+        self.recent.record(at, *identity);
         if self.suspects.is_empty() {
             return;
         }
         let Some(suspect) = self.suspects.get_mut(&identity.request) else {
             return;
         };
-        if suspect.succeeded(at.into(), identity.caller) {
-            self.change(identity.request);
+        if suspect.add_success(at.into(), identity.caller) {
+            self.mark_changed(identity.request);
         }
     }
 
-    /// A process answered something that was sent to it at `at`: it had not
-    /// ended by then.
+    /// Records that a process responded to something sent at `at`, so that it
+    /// had not crashed by then.
     pub fn record_response(&mut self, at: Timestamp, process: &BackEndName) {
-        let at = Moment::from(at);
-        if let Some(mattered) = self.take_back(process, at) {
+        let at = SignedTimestamp::from(at);
+        if let Some(was_repeated) = self.withdraw_crashes(process, at) {
             self.changes += 1;
-            self.withdraw(process, at, mattered);
+            self.remember_withdrawn(process, at, was_repeated);
         }
     }
 
-    /// Takes back crashes of a process up to `at`, if there are any. Says
-    /// whether one was among several of a request.
-    pub(crate) fn take_back(&mut self, process: &BackEndName, at: Moment) -> Option<bool> {
+    /// Withdraws the crashes of a process up to `at`. Returns `None` if there
+    /// were none, and otherwise whether any request had several crashes.
+    pub(crate) fn withdraw_crashes(&mut self, process: &BackEndName, at: SignedTimestamp) -> Option<bool> {
         let requests = self.by_process.get(process).cloned()?;
-        let mut mattered = None;
+        let mut was_repeated = None;
         for request in requests {
             let Some(suspect) = self.suspects.get_mut(&request) else {
                 continue;
@@ -198,63 +200,65 @@
             if !suspect.withdraw(process, at) {
                 continue;
             }
-            mattered = Some(several || mattered == Some(true));
-            if suspect.is_idle() {
+            was_repeated = Some(several || was_repeated == Some(true));
+            if suspect.is_empty() {
                 self.suspects.remove(&request);
             }
-            self.judge(request);
+            self.update_held(request);
         }
-        self.forget_processes();
-        mattered
+        self.prune_processes();
+        was_repeated
     }
 
-    /// An operator lets a request go. Says whether it was known.
+    /// Releases a request on behalf of an operator. Returns whether it was
+    /// known.
     pub fn release(&mut self, at: Timestamp, request: RequestHash) -> bool {
         let Some(suspect) = self.suspects.get_mut(&request) else {
             return false;
         };
         suspect.release(at.into());
-        self.change(request);
+        self.mark_changed(request);
         true
     }
 
-    pub(crate) fn withdraw(&mut self, process: &BackEndName, at: Moment, mattered: bool) {
+    pub(crate) fn remember_withdrawn(&mut self, process: &BackEndName, at: SignedTimestamp, was_repeated: bool) {
         let changed = self.changes;
-        if self.withdrawn.len() >= MOST_WITHDRAWN && !self.withdrawn.contains_key(process) {
-            let oldest = self.withdrawn.iter().min_by_key(|(_, seen)| seen.changed);
+        if self.withdrawn.len() >= MAX_WITHDRAWN && !self.withdrawn.contains_key(process) {
+            let oldest = self.withdrawn.iter().min_by_key(|(_, seen)| seen.last_change);
             if let Some(oldest) = oldest.map(|(process, _)| process.clone()) {
                 self.withdrawn.remove(&oldest);
             }
         }
         let seen = Withdrawn {
             at,
-            changed,
-            mattered,
+            last_change: changed,
+            was_repeated,
         };
         self.withdrawn.insert(process.clone(), seen);
     }
 
-    /// What this gateway remembers of earlier answers counts as well.
-    pub(crate) fn recall(&mut self, now: Timestamp, request: RequestHash) {
+    /// Applies a success of the request that this gateway remembers from
+    /// before.
+    pub(crate) fn apply_recent_success(&mut self, now: Timestamp, request: RequestHash) {
         let Some((caller, at)) = self.recent.find(now, request) else {
             return;
         };
         let suspect = self.suspects.get_mut(&request);
-        if suspect.is_some_and(|suspect| suspect.succeeded(at.into(), caller)) {
-            self.change(request);
+        if suspect.is_some_and(|suspect| suspect.add_success(at.into(), caller)) {
+            self.mark_changed(request);
         }
     }
 
-    pub(crate) fn change(&mut self, request: RequestHash) {
+    pub(crate) fn mark_changed(&mut self, request: RequestHash) {
         self.changes += 1;
         if let Some(suspect) = self.suspects.get_mut(&request) {
-            suspect.changed = self.changes;
+            suspect.last_change = self.changes;
         }
-        self.judge(request);
+        self.update_held(request);
     }
 
-    /// Keeps the list of those that are held up to date.
-    fn judge(&mut self, request: RequestHash) {
+    /// Updates whether the request is in the set of held ones.
+    fn update_held(&mut self, request: RequestHash) {
         let suspect = self.suspects.get(&request);
         if suspect.is_some_and(Suspect::is_held_for_any) {
             self.held.insert(request);
@@ -263,8 +267,8 @@
         }
     }
 
-    /// Keeps the list of processes to those of requests that are remembered.
-    fn forget_processes(&mut self) {
+    /// Removes processes from the index that have no remembered request left.
+    fn prune_processes(&mut self) {
         let suspects = &self.suspects;
         self.by_process.retain(|_, requests| {
             requests.retain(|request| suspects.contains_key(request));
@@ -272,10 +276,10 @@
         });
     }
 
-    /// The entry of a request, a new one if there is none.
-    pub(crate) fn suspect(&mut self, request: RequestHash, label: &str) -> &mut Suspect {
+    /// Returns the entry of a request, adding one if there is none.
+    pub(crate) fn entry(&mut self, request: RequestHash, label: &str) -> &mut Suspect {
         if !self.suspects.contains_key(&request) && self.suspects.len() >= MAX_SUSPECTS {
-            self.make_room();
+            self.evict_one();
         }
         self.suspects.entry(request).or_insert_with(|| Suspect {
             label: label.to_owned(),
@@ -283,34 +287,35 @@
         })
     }
 
-    fn make_room(&mut self) {
+    fn evict_one(&mut self) {
         let all = self.suspects.iter();
         let first = all.min_by_key(|(request, suspect)| {
             let held = self.held.contains(request);
-            (held, suspect.latest)
+            (held, suspect.last_suspected)
         });
         if let Some(first) = first.map(|(request, _)| *request) {
             self.suspects.remove(&first);
             self.held.remove(&first);
-            self.forget_processes();
+            self.prune_processes();
         }
     }
 
-    fn forget_old(&mut self, now: Timestamp) {
+    fn remove_expired(&mut self, now: Timestamp) {
         let held = &self.held;
         let before = self.suspects.len();
         self.suspects.retain(|request, suspect| {
-            suspect.latest.after(SUSPECTED) > now.into() || held.contains(request)
+            suspect.last_suspected.plus(SUSPICION_PERIOD) > now.into() || held.contains(request)
         });
         if self.suspects.len() != before {
-            self.forget_processes();
+            self.prune_processes();
         }
     }
 }
 
 impl Suspect {
-    /// Nothing is known against it, and nobody let it go.
-    pub(crate) fn is_idle(&self) -> bool {
+    /// Whether there is no evidence against the request and it was not
+    /// released.
+    pub(crate) fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.released.is_none()
     }
 }
--- a/crates/suspects/src/unconfirmed.rs
+++ b/crates/suspects/src/unconfirmed.rs
@@ -1,10 +1,9 @@
-//! Attempts that broke, while it is open whether their process ended.
+//! Broken attempts for which it is not known yet whether their process crashed.
 //!
-//! A link that is reset, an answer that is lost and a full back end that
-//! resets look like a crash from the connection on which they happen. What
-//! tells them apart is the process: one that answers something sent to it
-//! later has not ended; one at whose address nobody, or another process,
-//! listens has.
+//! A reset link, a lost response and an overloaded back end that resets
+//! connections all look like a crash from the connection. The process tells
+//! them apart: if it responds to something sent later, it has not crashed; if
+//! nothing, or another process, listens at its address, it has.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,69 +13,74 @@
 
 use crate::identity::RequestIdentity;
 
-/// How long a break stays open: longer than it takes to find a silent back end
-/// out, by a deadline and a connection that does not come up.
-const OPEN: Duration = Duration::from_secs(10);
-/// Breaks that are open at once at one process: more than run there at once.
-const MOST_OPEN: usize = 32;
+/// How long a broken attempt stays open. It is longer than the detection of an
+/// unresponsive back end, which takes a deadline and a failed connection
+/// attempt.
+const OPEN_PERIOD: Duration = Duration::from_secs(10);
+/// Maximum number of open broken attempts per process; more than run there at
+/// the same time.
+const MAX_OPEN: usize = 32;
 
-/// An attempt that broke.
+/// Attempt whose connection broke or timed out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BrokenAttempt {
-    /// The request.
+    /// Request and caller.
     pub identity: RequestIdentity,
     /// Method, host and path.
     pub label: String,
-    /// The process that ran it.
+    /// Process that ran the request.
     pub process: BackEndName,
-    /// When it broke.
+    /// When the attempt broke.
     pub at: Timestamp,
-    /// It counts as a crash before it is known whether the process ended.
+    /// Whether it counts as a crash before it is known whether the process
+    /// crashed.
     pub presumed: bool,
 }
 
-/// Every break that is open, by process.
+/// Open broken attempts per process.
 #[derive(Debug, Default)]
 pub struct UnconfirmedCrashes {
     breaks: BTreeMap<BackEndName, Vec<BrokenAttempt>>,
 }
 
 impl UnconfirmedCrashes {
-    /// An attempt broke. Says whether its process is to be looked at: the
-    /// first break of a process calls for that, and those that follow wait for
-    /// the same look.
+    /// Adds a broken attempt and returns whether its process has to be checked.
+    /// The first one of a process starts a check, and later ones wait for its
+    /// result.
     pub fn add(&mut self, found: BrokenAttempt) -> bool {
         let now = found.at;
-        let is_open = |known: &BrokenAttempt| now.since(known.at) < OPEN;
+        let is_open = |known: &BrokenAttempt| now.since(known.at) < OPEN_PERIOD;
         self.breaks.retain(|_, breaks| breaks.iter().any(is_open));
         let breaks = self.breaks.entry(found.process.clone()).or_default();
         breaks.retain(is_open);
         let first = breaks.is_empty();
-        if breaks.len() < MOST_OPEN {
+        if breaks.len() < MAX_OPEN {
             breaks.push(found);
         }
         first
     }
 
-    /// Whether a break of this process is open.
+    /// Whether the process has an open broken attempt.
     pub fn contains(&self, process: &BackEndName) -> bool {
         self.breaks.contains_key(process)
     }
 
-    /// Processes that may have ended under a request of this caller.
+    /// Counts the processes that may have crashed under a request of this
+    /// caller.
     pub fn possible_crashes(&self, identity: &RequestIdentity) -> usize {
         let open = self.breaks.values();
         open.filter(|breaks| breaks.iter().any(|known| known.identity == *identity))
             .count()
     }
 
-    /// Breaks that are open and do not count as crashes yet.
+    /// Returns the open broken attempts that do not count as crashes yet.
     pub fn unpresumed(&self) -> impl Iterator<Item = &BrokenAttempt> {
         let open = self.breaks.values().flatten();
         open.filter(|found| !found.presumed)
     }
 
-    /// The break of this request at this process counts as a crash from now on.
+    /// Counts the broken attempts of this request at this process as crashes
+    /// from now on.
     pub fn mark_presumed(&mut self, process: &BackEndName, identity: &RequestIdentity) {
         let open = self.breaks.get_mut(process).into_iter().flatten();
         for found in open.filter(|found| found.identity == *identity) {
@@ -84,12 +88,13 @@
         }
     }
 
-    /// Processes at which an attempt broke.
+    /// Returns the processes with open broken attempts.
     pub fn processes(&self) -> Vec<BackEndName> {
         self.breaks.keys().cloned().collect()
     }
 
-    /// The process answered something that was sent to it at `sent`.
+    /// Removes broken attempts disproved by a response of the process to
+    /// something sent at `sent`.
     pub fn on_response(&mut self, sent: Timestamp, process: &BackEndName) {
         let Some(breaks) = self.breaks.get_mut(process) else {
             return;
@@ -100,7 +105,8 @@
         }
     }
 
-    /// A request of this caller was answered: it does not end back ends.
+    /// Removes broken attempts of a request that succeeded for this caller,
+    /// because it does not crash back ends.
     pub fn on_success(&mut self, identity: &RequestIdentity) {
         if self.breaks.is_empty() {
             return;
@@ -111,7 +117,8 @@
         });
     }
 
-    /// The process has ended: what broke at it was cut off by that.
+    /// Removes and returns the broken attempts of a process that has crashed,
+    /// which explains them.
     pub fn remove_ended(&mut self, process: &BackEndName) -> Vec<BrokenAttempt> {
         self.breaks.remove(process).unwrap_or_default()
     }
--- a/crates/suspects/src/update.rs
+++ b/crates/suspects/src/update.rs
@@ -1,6 +1,7 @@
-//! What gateways tell each other of requests under suspicion.
+//! Updates about requests under suspicion that gateways exchange.
 //!
-//! Times cross the wire as ages: readings of two clocks are not comparable.
+//! Times are sent as ages, because the clocks of two gateways are not
+//! comparable.
 
 use std::time::Duration;
 
@@ -9,108 +10,113 @@
 use threadledge_types::deployment::BackEndName;
 
 use crate::identity::{CallerId, RequestHash, RequestIdentity};
-use crate::moment::Moment;
+use crate::signed_timestamp::SignedTimestamp;
 use crate::suspect::Suspect;
 use crate::suspects::Suspects;
 
-/// Two gateways' readings of the same moment may differ by so much, as news
-/// takes time on its way. Repeats of known news must change nothing.
-const SKEW: Duration = Duration::from_millis(500);
+/// Maximum difference between two gateways' timestamps of the same event,
+/// caused by the transit time of updates. Repeated updates must not change
+/// anything.
+const MAX_SKEW: Duration = Duration::from_millis(500);
 
-/// Part of what one gateway knows.
+/// Part of the evidence known to one gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct SuspectUpdate {
-    /// Requests under suspicion, each with all that is known of it.
+    /// Requests under suspicion, each with all evidence about it.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub suspects: Vec<SuspectReport>,
-    /// Processes that were taken for ended and answered later.
+    /// Processes that were taken for crashed and responded later.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub answered: Vec<AnsweredReport>,
 }
 
-/// How much is told.
+/// Selects which requests an update contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateScope {
-    /// Every crash: up the tree of relays and between them, where crashes that
-    /// several gateways saw meet.
+    /// Every crash. Used up the tree of relays and between relays, where the
+    /// crashes seen by several gateways come together.
     All,
-    /// Requests with more than one crash: down the tree, to everyone. First
-    /// crashes are many when back ends end in herds, and hardly ever followed by
-    /// a second: telling all 74 gateways of 1,074 of them cost a fifth more
-    /// processor time on a day of 30 s, and a tenth of what was served.
+    /// Requests with more than one crash. Used down the tree, to all gateways.
+    /// When many back ends crash together there are many first crashes, and
+    /// hardly any is followed by a second one. Sending 1,074 of them to all 74
+    /// gateways cost a fifth more processor time and a tenth of the served
+    /// requests in a run
+    /// of 30 s.
     Repeated,
 }
 
-/// One request under suspicion.
+/// Report of one request under suspicion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct SuspectReport {
-    /// The request.
+    /// Request that the report is about.
     pub request: RequestHash,
-    /// Method, host and path; left out with the first crash. Nearly all that
-    /// are told stay at one, and a label is most of what one takes.
+    /// Method, host and path; empty for a request with one crash. Nearly all
+    /// reported requests stay at one crash, and the label is most of a report's
+    /// size.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub label: String,
-    /// Processes that ended under it.
+    /// Processes that crashed under the request.
     pub crashes: Vec<CrashReport>,
-    /// Callers that were answered.
+    /// Callers for whom the request succeeded.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub successes: Vec<SuccessReport>,
-    /// Time since an operator let it go, in milliseconds.
+    /// Time since an operator released the request, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub released_ms: Option<u64>,
 }
 
-/// A process that ended while it ran the request.
+/// Crash of a process while it ran the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct CrashReport {
-    /// The process.
+    /// Process that crashed.
     pub back_end: BackEndName,
-    /// Who sent the request.
+    /// Caller of the request.
     pub caller: CallerId,
-    /// Time since then, in milliseconds.
+    /// Time since the crash, in milliseconds.
     pub age_ms: u64,
 }
 
-/// A caller of the request that was answered.
+/// Success of the request for a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct SuccessReport {
-    /// The caller.
+    /// Caller of the request.
     pub caller: CallerId,
-    /// Time since then, in milliseconds.
+    /// Time since the success, in milliseconds.
     pub age_ms: u64,
 }
 
-/// A process that answered though it was taken for ended.
+/// Process that responded although it was taken for crashed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct AnsweredReport {
-    /// The process.
+    /// Process that responded.
     pub back_end: BackEndName,
-    /// Time since it was sent what it answered, in milliseconds.
+    /// Time since the request that it responded to was sent, in milliseconds.
     pub age_ms: u64,
 }
 
 impl SuspectUpdate {
-    /// Whether it tells nothing.
+    /// Whether the update is empty.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty() && self.answered.is_empty()
     }
 }
 
 impl Suspects {
-    /// What changed after the change of that number; everything for zero.
+    /// Returns the evidence that changed after the change with number
+    /// `changes`, or all evidence for zero.
     pub fn updates_since(&self, changes: u64, scope: UpdateScope, now: Timestamp) -> SuspectUpdate {
         let all = scope == UpdateScope::All;
         let changed = self.suspects.iter();
-        let changed = changed.filter(|(_, suspect)| suspect.changed > changes);
-        let changed = changed.filter(|(_, suspect)| all || suspect.concerns_all());
+        let changed = changed.filter(|(_, suspect)| suspect.last_change > changes);
+        let changed = changed.filter(|(_, suspect)| all || suspect.is_relevant_to_all());
         let answered = self.withdrawn.iter();
-        let answered = answered.filter(|(_, seen)| seen.changed > changes);
-        let answered = answered.filter(|(_, seen)| all || seen.mattered);
+        let answered = answered.filter(|(_, seen)| seen.last_change > changes);
+        let answered = answered.filter(|(_, seen)| all || seen.was_repeated);
         SuspectUpdate {
             suspects: changed
                 .map(|(request, suspect)| report(*request, suspect, now))
@@ -124,43 +130,44 @@
         }
     }
 
-    /// Takes what another gateway knows. Says whether any of it was new.
+    /// Merges the evidence of another gateway and returns whether any of it was
+    /// new.
     pub fn merge(&mut self, news: &SuspectUpdate, now: Timestamp) -> bool {
         let before = self.changes();
         for seen in &news.answered {
-            self.take_answered(seen, now);
+            self.merge_answered(seen, now);
         }
         for report in &news.suspects {
-            self.take_report(report, now);
+            self.merge_report(report, now);
         }
         self.changes() != before
     }
 
-    fn take_answered(&mut self, seen: &AnsweredReport, now: Timestamp) {
-        let at = Moment::ago(now, seen.age_ms);
+    fn merge_answered(&mut self, seen: &AnsweredReport, now: Timestamp) {
+        let at = SignedTimestamp::before_now(now, seen.age_ms);
         let known = self.withdrawn.get(&seen.back_end);
-        if known.is_some_and(|known| at <= known.at.after(SKEW)) {
+        if known.is_some_and(|known| at <= known.at.plus(MAX_SKEW)) {
             return;
         }
-        let mattered = self.take_back(&seen.back_end, at);
+        let was_repeated = self.withdraw_crashes(&seen.back_end, at);
         self.changes += 1;
-        self.withdraw(&seen.back_end, at, mattered.unwrap_or(true));
+        self.remember_withdrawn(&seen.back_end, at, was_repeated.unwrap_or(true));
     }
 
-    fn take_label(&mut self, report: &SuspectReport) {
+    fn merge_label(&mut self, report: &SuspectReport) {
         let suspect = self.suspects.get_mut(&report.request);
         if let Some(suspect) = suspect.filter(|suspect| suspect.label.is_empty()) {
             suspect.label.clone_from(&report.label);
         }
     }
 
-    fn take_report(&mut self, report: &SuspectReport, now: Timestamp) {
-        if let Some(released) = report.released_ms.map(|age| Moment::ago(now, age)) {
-            let suspect = self.suspect(report.request, &report.label);
+    fn merge_report(&mut self, report: &SuspectReport, now: Timestamp) {
+        if let Some(released) = report.released_ms.map(|age| SignedTimestamp::before_now(now, age)) {
+            let suspect = self.entry(report.request, &report.label);
             let known = suspect.released;
-            if known.is_none_or(|known| released > known.after(SKEW)) {
+            if known.is_none_or(|known| released > known.plus(MAX_SKEW)) {
                 suspect.release(released);
-                self.change(report.request);
+                self.mark_changed(report.request);
             }
         }
         for crash in &report.crashes {
@@ -168,24 +175,24 @@
                 request: report.request,
                 caller: crash.caller,
             };
-            let at = Moment::ago(now, crash.age_ms);
+            let at = SignedTimestamp::before_now(now, crash.age_ms);
             self.add_crash(at, &identity, &crash.back_end, &report.label);
         }
-        self.recall(now, report.request);
-        self.take_label(report);
+        self.apply_recent_success(now, report.request);
+        self.merge_label(report);
         let Some(suspect) = self.suspects.get_mut(&report.request) else {
             return;
         };
         let mut new = false;
         for success in &report.successes {
-            let at = Moment::ago(now, success.age_ms);
+            let at = SignedTimestamp::before_now(now, success.age_ms);
             let known = suspect.successes.get(&success.caller);
-            if known.is_none_or(|known| at > known.after(SKEW)) {
-                new |= suspect.succeeded(at, success.caller);
+            if known.is_none_or(|known| at > known.plus(MAX_SKEW)) {
+                new |= suspect.add_success(at, success.caller);
             }
         }
         if new {
-            self.change(report.request);
+            self.mark_changed(report.request);
         }
     }
 }
--- a/crates/tenants/src/admission.rs
+++ b/crates/tenants/src/authorization.rs
@@ -1,4 +1,4 @@
-//! Whether a request may use its route, decided from its head alone.
+//! Authorization of requests, decided from the request head alone.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,34 +10,34 @@
 
 use crate::index::{TenantPolicy, KeyIndex};
 
-/// A request that may use its route.
+/// Authorization of a request to use its route.
 #[derive(Clone, Debug)]
 pub struct Admission {
-    /// The configuration by which it may.
+    /// Version of the configuration that it is based on.
     pub version: ConfigurationVersion,
-    /// The route that it takes.
+    /// Route of the request.
     pub route: Arc<Route>,
-    /// Whose caller sends it; `None` where no key is asked for and none shown.
+    /// Tenant of the caller; `None` if no key was required and none was given.
     pub tenant: Option<Arc<TenantPolicy>>,
 }
 
 impl Admission {
-    /// Name of the tenant whose caller sends it.
+    /// Returns the name of the caller's tenant.
     pub fn tenant_name(&self) -> Option<&TenantName> {
-        self.tenant.as_ref().map(|caller| &caller.name)
+        self.tenant.as_ref().map(|policy| &policy.name)
     }
 
-    /// What the tenant may send to all gateways together; `None`: as much as
-    /// it likes.
+    /// Returns the tenant's limit across all gateways, or `None` if it is
+    /// unlimited.
     pub fn limit(&self) -> Option<RateLimit> {
-        self.tenant.as_ref().and_then(|caller| caller.limit)
+        self.tenant.as_ref().and_then(|policy| policy.limit)
     }
 
-    /// The only regions in which it may be served: those that its route and
-    /// its tenant both allow; `None`: all.
+    /// Returns the regions that may serve the request, which both the route and
+    /// the tenant allow, or `None` if all may.
     pub fn allowed_regions(&self) -> Option<BTreeSet<RegionName>> {
-        let caller = self.tenant.as_ref();
-        let tenants = caller.and_then(|caller| caller.allowed_regions.as_ref());
+        let policy = self.tenant.as_ref();
+        let tenants = policy.and_then(|policy| policy.allowed_regions.as_ref());
         match (self.route.allowed_regions.as_ref(), tenants) {
             (Some(route), Some(tenants)) => Some(route.intersection(tenants).cloned().collect()),
             (Some(allowed), None) | (None, Some(allowed)) => Some(allowed.clone()),
@@ -45,31 +45,32 @@
         }
     }
 
-    /// Rank of the request; 0 goes first.
+    /// Returns the priority of the request; 0 is the highest.
     pub fn priority(&self) -> u32 {
         effective_priority(self.tenant.as_deref(), &self.route)
     }
 }
 
-/// Rank of a request: what its tenant states goes before what its route does.
-pub fn effective_priority(tenant: Option<&TenantPolicy>, route: &Route) -> u32 {
-    let own = caller.and_then(|caller| caller.priority);
-    own.unwrap_or(route.priority)
+/// Returns the priority of a request: that of the tenant, or else that of the
+/// route.
+pub fn effective_priority(policy: Option<&TenantPolicy>, route: &Route) -> u32 {
+    let tenant_priority = policy.and_then(|policy| policy.priority);
+    tenant_priority.unwrap_or(route.priority)
 }
 
-/// Why a caller may not use a route.
+/// Reason why a caller may not use a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AuthError {
-    /// It shows no key, and the route asks for one.
+    /// The request has no API key, and the route requires one.
     MissingKey,
-    /// It shows a key that no tenant holds.
+    /// The request has an API key that no tenant holds.
     UnknownKey,
 }
 
-/// Says whose caller shows `key`, and whether `route` may be used with it.
+/// Returns the tenant that holds `key` if its callers may use `route`.
 ///
-/// A public route asks for no key. One that is shown has to be known also
-/// there: a caller whose key was taken away must not go on unnoticed.
+/// A public route requires no key. A key that is given must be known even
+/// there, so that a caller whose key was revoked notices it.
 ///
 /// # Errors
 ///
--- a/crates/tenants/src/index.rs
+++ b/crates/tenants/src/index.rs
@@ -1,4 +1,4 @@
-//! Which tenant holds which key.
+//! Index from API keys to tenants.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -6,16 +6,17 @@
 use threadledge_types::deployment::{KeyDigest, RateLimit, Tenant, TenantName};
 use threadledge_types::{EntryDiff, RegionName, diff_maps};
 
-/// A tenant as requests meet it: without its keys.
+/// Properties of a tenant that apply to its requests, without its keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantPolicy {
-    /// Its name.
+    /// Name of the tenant.
     pub name: TenantName,
-    /// Rank of its requests, before that of the route; 0 goes first.
+    /// Priority of its requests, which overrides that of the route; 0 is the
+    /// highest.
     pub priority: Option<u32>,
-    /// What it may send to all gateways together; `None`: as much as it likes.
+    /// Limit across all gateways, or `None` if the tenant is unlimited.
     pub limit: Option<RateLimit>,
-    /// The only regions in which its requests may be served; `None`: all.
+    /// Regions that may serve its requests, or `None` if all may.
     pub allowed_regions: Option<BTreeSet<RegionName>>,
 }
 
@@ -30,44 +31,44 @@
     }
 }
 
-/// The tenants of one configuration by the digests of their keys.
+/// Index of one configuration's tenants by the digests of their keys.
 ///
-/// How long a look-up takes depends on the digest, which callers cannot
-/// choose: a key that resembles a known one has a digest like any other's, so
-/// that the time tells nothing of the keys.
+/// The duration of a lookup depends on the digest, which callers cannot choose.
+/// A key that resembles a known one has an unrelated digest, so that timing
+/// reveals nothing about the keys.
 #[derive(Clone, Debug, Default)]
 pub struct KeyIndex {
-    callers: HashMap<KeyDigest, Arc<TenantPolicy>>,
+    tenants_by_key: HashMap<KeyDigest, Arc<TenantPolicy>>,
 }
 
-/// How many keys a version took away and added; one that went from a tenant
-/// to another counts as both.
+/// Numbers of keys that a configuration version removed and added. A key that
+/// moved between tenants counts as both.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KeyChanges {
-    /// Keys that count no more.
+    /// Keys that are no longer valid.
     pub removed: usize,
-    /// Keys that count from now on.
+    /// Keys that are newly valid.
     pub added: usize,
 }
 
 impl KeyIndex {
-    /// The tenant that holds a key.
+    /// Returns the tenant that holds a key.
     pub fn find(&self, key: &KeyDigest) -> Option<&Arc<TenantPolicy>> {
-        self.callers.get(key)
+        self.tenants_by_key.get(key)
     }
 
-    /// Number of keys.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
-        self.callers.len()
+        self.tenants_by_key.len()
     }
 
-    /// Whether no key is known.
+    /// Whether the index is empty.
     pub fn is_empty(&self) -> bool {
-        self.callers.is_empty()
+        self.tenants_by_key.is_empty()
     }
 
-    /// Goes on from the tenants `old`, which it holds, to `new`. Only tenants
-    /// that differ are touched.
+    /// Updates the index from the tenants `old`, which it holds, to `new`. Only
+    /// tenants that differ are touched.
     pub fn update(
         &mut self,
         old: &BTreeMap<TenantName, Tenant>,
@@ -75,11 +76,11 @@
     ) -> KeyChanges {
         let mut changes = KeyChanges::default();
         let found = diff_maps(old, new);
-        // Keys are taken away before any is added: one may go from a tenant
-        // to another.
+        // Keys are removed before any are added, because a key may move between
+        // tenants.
         for EntryDiff { old, new, .. } in &found {
             for key in old.iter().flat_map(|tenant| &tenant.keys) {
-                self.callers.remove(key);
+                self.tenants_by_key.remove(key);
                 changes.removed += usize::from(!holds(*new, key));
             }
         }
@@ -87,9 +88,9 @@
             let Some(tenant) = new else {
                 continue;
             };
-            let caller = Arc::new(TenantPolicy::new(name, tenant));
+            let policy = Arc::new(TenantPolicy::new(name, tenant));
             for key in &tenant.keys {
-                self.callers.insert(*key, caller.clone());
+                self.tenants_by_key.insert(*key, policy.clone());
                 changes.added += usize::from(!holds(*old, key));
             }
         }
@@ -101,8 +102,8 @@
     tenant.is_some_and(|tenant| tenant.keys.contains(key))
 }
 
-/// Two tenants of a configuration that hold the same key, if there are any:
-/// nobody could say whose callers show it.
+/// Returns two tenants that hold the same key, if there are any. Such a key
+/// does not identify its callers' tenant.
 pub fn find_shared_key(tenants: &BTreeMap<TenantName, Tenant>) -> Option<(&TenantName, &TenantName)> {
     let mut holders = HashMap::new();
     for (name, tenant) in tenants {
--- a/crates/tenants/src/lib.rs
+++ b/crates/tenants/src/lib.rs
@@ -1,10 +1,11 @@
-//! Who calls: from the digest of a caller's key to the tenant, and whether a
-//! route may be used with it.
+//! Identifies the tenant of a caller by the digest of its API key and decides
+//! whether a route may be used with it.
 //!
-//! Pure: it knows one configuration at a time and nothing of sockets or clocks.
+//! The crate works on one configuration at a time and opens no sockets and
+//! reads no clock.
 
-mod admission;
+mod authorization;
 mod index;
 
-pub use admission::{Admission, AuthError, authorize, effective_priority};
+pub use authorization::{Admission, AuthError, authorize, effective_priority};
 pub use index::{TenantPolicy, KeyChanges, KeyIndex, find_shared_key};
