--- a/crates/limits/tests/limits/bound.rs
+++ b/crates/limits/tests/limits/bound.rs
@@ -1,5 +1,6 @@
-//! However gateways, ledgers, links and the store fail, no window holds more
-//! requests of a tenant than its limit with overage and slack.
+//! Whatever combination of gateways, ledgers, links and the store fails, no
+//! window holds more requests of a tenant than its limit plus overage and
+//! slack.
 
 use arbtest::arbitrary::{Result, Unstructured};
 
@@ -12,12 +13,12 @@
     ("middle", 40.0, 20.0),
     ("large", 300.0, 150.0),
 ];
-/// What tenants send, as a multiple of their limit.
+/// Demand of the tenants, as a multiple of their limits.
 const DEMANDS: [f64; 4] = [0.6, 1.0, 3.0, 7.5];
 
 struct Demand {
     factor: [f64; 4],
-    /// Gateways that see them, of all.
+    /// Number of gateways that receive the requests.
     spread: u64,
     shift: u64,
 }
@@ -38,7 +39,7 @@
     }
 }
 
-fn fail(world: &mut World) {
+fn inject_fault(world: &mut World) {
     let nodes = world.nodes.len() as u64;
     let one = world.random(nodes) as usize;
     let ledger = world.ledger().unwrap_or(one);
@@ -61,34 +62,34 @@
         }
         4 => world.nodes[ledger].frozen_until = world.now + span,
         5 => world.nodes[one].frozen_until = world.now + span,
-        6 => world.nodes[ledger].cut = true,
+        6 => world.nodes[ledger].partitioned = true,
         7 => {
             for node in 0..world.nodes.len() {
-                world.nodes[node].cut = world.random(3) == 0;
+                world.nodes[node].partitioned = world.random(3) == 0;
             }
         }
-        8 => world.nodes[ledger].turned_away = true,
+        8 => world.nodes[ledger].rejected_by_store = true,
         9 => {
             for node in 0..world.nodes.len() {
-                world.nodes[node].turned_away = world.random(3) == 0;
+                world.nodes[node].rejected_by_store = world.random(3) == 0;
             }
         }
-        10 => world.store_away = true,
-        11 => world.trouble = world.random(400),
+        10 => world.store_down = true,
+        11 => world.fault_permille = world.random(400),
         _ => heal(world),
     }
 }
 
 fn heal(world: &mut World) {
-    world.store_away = false;
-    world.trouble = 50;
+    world.store_down = false;
+    world.fault_permille = 50;
     for node in &mut world.nodes {
-        node.cut = false;
-        node.turned_away = false;
+        node.partitioned = false;
+        node.rejected_by_store = false;
     }
 }
 
-fn troubled(draw: &mut Unstructured<'_>) -> Result<()> {
+fn random_faults(draw: &mut Unstructured<'_>) -> Result<()> {
     let seed: u64 = draw.arbitrary()?;
     let mut world = World::new(seed, 12, &TENANTS);
     let mut demand = Demand {
@@ -97,7 +98,7 @@
         shift: 0,
     };
     for _ in 0..16 {
-        fail(&mut world);
+        inject_fault(&mut world);
         for factor in &mut demand.factor {
             *factor = DEMANDS[world.random(4) as usize];
         }
@@ -110,7 +111,7 @@
         }
     }
     for (name, ..) in TENANTS {
-        let busiest = world.busiest(name, 0) as f64;
+        let busiest = world.max_in_window(name, 0) as f64;
         let bound = world.bound(name);
         assert!(
             busiest <= bound,
@@ -121,14 +122,14 @@
 }
 
 #[test]
-fn no_window_holds_more_than_the_bound_whatever_fails() {
+fn no_window_exceeds_the_bound_under_random_faults() {
     for run in 0..40 {
-        arbtest::arbtest(troubled).seed(0x5100_0000_0000 + (run << 32 | 64));
+        arbtest::arbtest(random_faults).seed(0x5100_0000_0000 + (run << 32 | 64));
     }
 }
 
 #[test]
-fn bound_falls_with_the_limit_within_one_window() {
+fn lowered_limit_applies_within_one_window() {
     for seed in 1..9 {
         let mut world = World::new(seed * 7_919, 8, &TENANTS);
         let mut demand = Demand {
@@ -148,7 +149,7 @@
         let applied = world.now;
         run_for(&mut world, &mut demand, 12);
         for (name, ..) in TENANTS {
-            let busiest = world.busiest(name, applied + 5 * SECOND_US) as f64;
+            let busiest = world.max_in_window(name, applied + 5 * SECOND_US) as f64;
             let bound = world.bound(name);
             assert!(
                 busiest <= bound,
--- a/crates/limits/tests/limits/main.rs
+++ b/crates/limits/tests/limits/main.rs
@@ -1,4 +1,4 @@
-//! Many gateways and ledgers in one process, in virtual time.
+//! Simulates many gateways and ledgers in one process, in virtual time.
 
 mod bound;
 mod service;
--- a/crates/limits/tests/limits/world.rs
+++ b/crates/limits/tests/limits/world.rs
@@ -1,5 +1,5 @@
-//! Gateways, the store that elects a ledger among them, and a network that
-//! delays, loses and repeats what they tell each other.
+//! Simulated gateways, the store that elects a ledger among them, and a network
+//! that delays, loses and duplicates their messages.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use threadledge_types::{Incarnation, MachineName, Timestamp};
 
 pub const TICK_US: u64 = 5_000;
-const ASK_TIMEOUT_US: u64 = 300_000;
+const REQUEST_TIMEOUT_US: u64 = 300_000;
 const RENEWAL_US: u64 = 800_000;
 const TAKEOVER_US: u64 = 1_600_000;
 const SECOND_US: u64 = 1_000_000;
@@ -28,18 +28,18 @@
 }
 
 pub struct Node {
-    pub spender: RateLimiter,
+    pub limiter: RateLimiter,
     pub ledger: Option<Ledger>,
     incarnation: u64,
     confirmed_us: u64,
     pub down_until: u64,
     pub frozen_until: u64,
-    /// Neither the store nor other gateways reach it.
-    pub cut: bool,
-    /// The store turns it away.
-    pub turned_away: bool,
-    told: Option<(usize, Term)>,
-    asked: Option<(u64, u64)>,
+    /// Neither the store nor other gateways can reach the node.
+    pub partitioned: bool,
+    /// The store rejects calls of the node.
+    pub rejected_by_store: bool,
+    known_ledger: Option<(usize, Term)>,
+    in_flight: Option<(u64, u64)>,
     waiting: Vec<(TenantName, Timestamp)>,
     offset_us: u64,
     drift: f64,
@@ -59,7 +59,7 @@
 }
 
 #[derive(Clone)]
-struct Held {
+struct Lease {
     node: usize,
     term: Term,
     renewed: u64,
@@ -69,13 +69,13 @@
     pub now: u64,
     pub nodes: Vec<Node>,
     pub limits: BTreeMap<TenantName, RateLimit>,
-    pub store_away: bool,
-    /// Parts in a thousand of messages that are lost, late or repeated.
-    pub trouble: u64,
+    pub store_down: bool,
+    /// Number of messages in a thousand that are lost, delayed or duplicated.
+    pub fault_permille: u64,
     pub runs: BTreeMap<TenantName, Vec<u64>>,
     pub refused: BTreeMap<TenantName, u64>,
-    pub asks: u64,
-    office: Option<Held>,
+    pub quota_requests: u64,
+    lease: Option<Lease>,
     record: Option<HolderRecord>,
     network: Vec<InFlight>,
     random: u64,
@@ -91,12 +91,12 @@
             now: 0,
             nodes: Vec::new(),
             limits: limits.collect(),
-            store_away: false,
-            trouble: 0,
+            store_down: false,
+            fault_permille: 0,
             runs: BTreeMap::new(),
             refused: BTreeMap::new(),
-            asks: 0,
-            office: None,
+            quota_requests: 0,
+            lease: None,
             record: None,
             network: Vec::new(),
             random: seed | 1,
@@ -118,19 +118,19 @@
     fn start(&mut self, index: usize) -> Node {
         let incarnation = self.random(u64::MAX);
         let machine = MachineName(format!("m-{index}"));
-        let mut spender = RateLimiter::new(machine, Incarnation(incarnation), settings());
-        spender.set_limits(self.limits.clone());
+        let mut limiter = RateLimiter::new(machine, Incarnation(incarnation), settings());
+        limiter.set_limits(self.limits.clone());
         Node {
-            spender,
+            limiter,
             ledger: None,
             incarnation,
             confirmed_us: 0,
             down_until: 0,
             frozen_until: 0,
-            cut: false,
-            turned_away: false,
-            told: None,
-            asked: None,
+            partitioned: false,
+            rejected_by_store: false,
+            known_ledger: None,
+            in_flight: None,
             waiting: Vec::new(),
             offset_us: 10 * SECOND_US + self.random(100 * SECOND_US),
             drift: 0.995 + self.random(10) as f64 / 1_000.0,
@@ -142,14 +142,14 @@
         Timestamp::from_micros(node.offset_us + (self.now as f64 * node.drift) as u64)
     }
 
-    /// Ends a process; another life of it begins after so long.
+    /// Ends a process and starts its next incarnation after `for_us`.
     pub fn kill(&mut self, node: usize, for_us: u64) {
         self.nodes[node] = self.start(node);
         self.nodes[node].down_until = self.now + for_us;
     }
 
     pub fn ledger(&self) -> Option<usize> {
-        self.office.as_ref().map(|office| office.node)
+        self.lease.as_ref().map(|lease| lease.node)
     }
 
     fn runs_now(&self, node: usize) -> bool {
@@ -159,17 +159,17 @@
 
     fn reaches_store(&self, node: usize) -> bool {
         let one = &self.nodes[node];
-        self.runs_now(node) && !self.store_away && !one.cut && !one.turned_away
+        self.runs_now(node) && !self.store_down && !one.partitioned && !one.rejected_by_store
     }
 
-    /// A request arrives.
+    /// A request arrives at a gateway.
     pub fn request(&mut self, node: usize, tenant: &str) {
         if !self.runs_now(node) {
             return;
         }
         let tenant = TenantName::from(tenant);
         let now = self.local(node);
-        let admission = self.nodes[node].spender.admit_new(now, &tenant);
+        let admission = self.nodes[node].limiter.admit_new(now, &tenant);
         self.decide(node, tenant, now, admission);
     }
 
@@ -177,10 +177,10 @@
         match admission {
             Admission::Unlimited => unreachable!("every tenant has a limit"),
             Admission::Admitted => {
-                // One in sixteen is refused by back ends without having run.
-                if self.random(16) == 0 && self.trouble > 0 {
+                // Back ends refuse one request in sixteen without running it.
+                if self.random(16) == 0 && self.fault_permille > 0 {
                     let now = self.local(node);
-                    self.nodes[node].spender.refund(now, &tenant, now);
+                    self.nodes[node].limiter.refund(now, &tenant, now);
                     return;
                 }
                 let now = self.now;
@@ -195,7 +195,7 @@
         let limits = self.limits.clone();
         let now = self.local(node);
         let node = &mut self.nodes[node];
-        node.spender.set_limits(limits.clone());
+        node.limiter.set_limits(limits.clone());
         if let Some(ledger) = &mut node.ledger {
             ledger.set_limits(now, limits);
         }
@@ -221,36 +221,36 @@
 
     fn elect(&mut self) {
         for node in 0..self.nodes.len() {
-            let Some(office) = self.office.clone() else {
+            let Some(lease) = self.lease.clone() else {
                 break;
             };
             let term = self.nodes[node].ledger.as_ref().map(Ledger::term);
-            if term != Some(office.term) || !self.reaches_store(node) {
+            if term != Some(lease.term) || !self.reaches_store(node) {
                 continue;
             }
-            if self.now >= office.renewed + RENEWAL_US {
+            if self.now >= lease.renewed + RENEWAL_US {
                 let renewed = self.now;
-                self.office = Some(Held { renewed, ..office });
+                self.lease = Some(Lease { renewed, ..lease });
                 self.nodes[node].confirmed_us = renewed;
             }
         }
         let vacant = self
-            .office
+            .lease
             .as_ref()
-            .is_none_or(|office| self.now >= office.renewed + TAKEOVER_US);
+            .is_none_or(|lease| self.now >= lease.renewed + TAKEOVER_US);
         if !vacant {
             return;
         }
         let candidate = self.random(self.nodes.len() as u64) as usize;
         if self.reaches_store(candidate) {
-            self.take_office(candidate);
+            self.become_ledger(candidate);
         }
     }
 
-    fn take_office(&mut self, node: usize) {
+    fn become_ledger(&mut self, node: usize) {
         let now = self.local(node);
-        let term = Term(self.office.as_ref().map_or(1, |office| office.term.0 + 1));
-        let predecessor = self.office.as_ref().map(|_| Predecessor {
+        let term = Term(self.lease.as_ref().map_or(1, |lease| lease.term.0 + 1));
+        let predecessor = self.lease.as_ref().map(|_| Predecessor {
             lease_end: now + settings().lease * 102 / 100,
         });
         let found = self.record.take();
@@ -262,19 +262,19 @@
         written.machines.insert(machine.clone());
         written.ledgers.insert(machine.clone());
         self.record = Some(written.clone());
-        let office = LedgerElection {
+        let lease = LedgerElection {
             term,
             predecessor,
             found,
             written,
             machine,
         };
-        let mut ledger = Ledger::new(now, settings(), office);
+        let mut ledger = Ledger::new(now, settings(), lease);
         ledger.set_limits(now, self.limits.clone());
         self.nodes[node].ledger = Some(ledger);
         self.nodes[node].confirmed_us = self.now;
         let renewed = self.now;
-        self.office = Some(Held {
+        self.lease = Some(Lease {
             node,
             term,
             renewed,
@@ -282,40 +282,40 @@
     }
 
     fn step(&mut self, node: usize) {
-        self.look_at_store(node);
-        let asked = self.nodes[node].asked;
-        let late = asked.filter(|(_, at)| self.now >= at + ASK_TIMEOUT_US);
+        self.read_store(node);
+        let in_flight = self.nodes[node].in_flight;
+        let late = in_flight.filter(|(_, at)| self.now >= at + REQUEST_TIMEOUT_US);
         if let Some((number, _)) = late {
-            self.nodes[node].asked = None;
+            self.nodes[node].in_flight = None;
             let now = self.local(node);
-            self.nodes[node].spender.on_timeout(now, number);
+            self.nodes[node].limiter.on_timeout(now, number);
             self.wake(node);
         }
         let now = self.local(node);
-        if let Some(ask) = self.nodes[node].spender.poll(now) {
-            self.asks += 1;
-            self.nodes[node].asked = Some((ask.number, self.now));
-            if let Some((to, _)) = self.nodes[node].told {
-                self.send(node, to, Message::QuotaRequest(ask));
+        if let Some(request) = self.nodes[node].limiter.poll(now) {
+            self.quota_requests += 1;
+            self.nodes[node].in_flight = Some((request.number, self.now));
+            if let Some((to, _)) = self.nodes[node].known_ledger {
+                self.send(node, to, Message::QuotaRequest(request));
             }
         }
-        // Whoever waits looks again when its time is over.
+        // Waiting requests are decided again when their time is over.
         if self.random(8) == 0 {
             self.wake(node);
         }
     }
 
-    fn look_at_store(&mut self, node: usize) {
+    fn read_store(&mut self, node: usize) {
         if !self.reaches_store(node) {
             return;
         }
-        if let Some(office) = self.office.clone().filter(|_| self.random(20) == 0) {
+        if let Some(lease) = self.lease.clone().filter(|_| self.random(20) == 0) {
             let now = self.local(node);
             let one = &mut self.nodes[node];
-            one.told = Some((office.node, office.term));
-            one.spender.observe_term(now, office.term);
+            one.known_ledger = Some((lease.node, lease.term));
+            one.limiter.observe_term(now, lease.term);
             let held = one.ledger.as_ref().map(Ledger::term);
-            if held.is_some_and(|held| held < office.term) {
+            if held.is_some_and(|held| held < lease.term) {
                 one.ledger = None;
             }
         }
@@ -335,7 +335,7 @@
     fn wake(&mut self, node: usize) {
         for (tenant, since) in std::mem::take(&mut self.nodes[node].waiting) {
             let now = self.local(node);
-            let admission = self.nodes[node].spender.admit(now, &tenant, since);
+            let admission = self.nodes[node].limiter.admit(now, &tenant, since);
             self.decide(node, tenant, since, admission);
         }
     }
@@ -343,7 +343,7 @@
     fn send(&mut self, from: usize, to: usize, message: Message) {
         let mut due = self.now + self.random(10_000);
         let mut copies = 1;
-        if self.random(1_000) < self.trouble {
+        if self.random(1_000) < self.fault_permille {
             match self.random(4) {
                 0 => return,
                 1 => copies = 2,
@@ -356,7 +356,7 @@
                 Message::QuotaResponse(..) => self.nodes[to].incarnation,
             };
             let message = match &message {
-                Message::QuotaRequest(ask) => Message::QuotaRequest(ask.clone()),
+                Message::QuotaRequest(request) => Message::QuotaRequest(request.clone()),
                 Message::QuotaResponse(number, answer) => Message::QuotaResponse(*number, answer.clone()),
             };
             let due = due + copy * self.random(SECOND_US);
@@ -377,9 +377,10 @@
                 waiting.push(sent);
                 continue;
             }
-            let cut = self.nodes[sent.to].cut || self.nodes[sent.from].cut;
-            if cut && sent.to != sent.from {
-                // What the network holds back arrives when it is whole again.
+            let partitioned = self.nodes[sent.to].partitioned || self.nodes[sent.from].partitioned;
+            if partitioned && sent.to != sent.from {
+                // Messages held back by a partition are delivered after it
+                // heals.
                 waiting.push(sent);
                 continue;
             }
@@ -394,38 +395,40 @@
     fn arrive(&mut self, sent: InFlight) {
         let now = self.local(sent.to);
         match sent.message {
-            Message::QuotaRequest(ask) => {
-                let answer = self.answer(sent.to, now, &ask);
-                self.send(sent.to, sent.from, Message::QuotaResponse(ask.number, answer));
+            Message::QuotaRequest(request) => {
+                let answer = self.handle_request(sent.to, now, &request);
+                self.send(sent.to, sent.from, Message::QuotaResponse(request.number, answer));
             }
             Message::QuotaResponse(number, answer) => {
                 if self.nodes[sent.to].incarnation != sent.incarnation {
                     return;
                 }
                 let one = &mut self.nodes[sent.to];
-                // The shell waits for one answer, and no longer than it says.
-                if one.asked.is_some_and(|(asked, _)| asked == number) {
-                    one.asked = None;
-                    one.spender.on_response(now, number, answer);
+                // The gateway waits for one response at a time, and no longer
+                // than the timeout.
+                if one.in_flight.is_some_and(|(in_flight, _)| in_flight == number) {
+                    one.in_flight = None;
+                    one.limiter.on_response(now, number, answer);
                     self.wake(sent.to);
                 }
             }
         }
     }
 
-    fn answer(&mut self, node: usize, now: Timestamp, ask: &QuotaRequest) -> QuotaResponse {
+    fn handle_request(&mut self, node: usize, now: Timestamp, request: &QuotaRequest) -> QuotaResponse {
         let office_us = settings().lease.as_micros() as u64;
         let time = self.now;
         let one = &mut self.nodes[node];
         let acts = time < one.confirmed_us + office_us;
         match &mut one.ledger {
-            Some(ledger) if acts => ledger.answer(now, ask),
+            Some(ledger) if acts => ledger.handle_request(now, request),
             _ => QuotaResponse::NotLeader,
         }
     }
 
-    /// Most requests that ran in any window, after `from`.
-    pub fn busiest(&self, tenant: &str, from: u64) -> usize {
+    /// Returns the maximum number of requests that ran in any window after
+    /// `from`.
+    pub fn max_in_window(&self, tenant: &str, from: u64) -> usize {
         let window = settings().window.as_micros() as u64;
         let Some(runs) = self.runs.get(&TenantName::from(tenant)) else {
             return 0;
--- a/crates/relay/tests/member.rs
+++ b/crates/relay/tests/member.rs
@@ -1,4 +1,4 @@
-//! A member's steps, one by one.
+//! Single transitions of a member.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use threadledge_relay::{Action, PollOutcome, Member, RelayRecord, Settings, Source};
 use threadledge_types::{Incarnation, MachineName, Timestamp};
 
-const PATIENCE: Duration = Duration::from_millis(200);
+const CLAIM_DELAY: Duration = Duration::from_millis(200);
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
@@ -18,16 +18,16 @@
     SocketAddr::from(([10, 0, 0, 1], number))
 }
 
-fn identity(number: u16, life: u64) -> NodeIdentity {
+fn identity(number: u16, incarnation: u64) -> NodeIdentity {
     NodeIdentity {
         node: MachineName(format!("node-{number}")),
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(incarnation),
         address: Some(address(number)),
     }
 }
 
 fn member() -> Member {
-    Member::new(at(0), identity(1, 1), Settings::default(), PATIENCE, 7)
+    Member::new(at(0), identity(1, 1), Settings::default(), CLAIM_DELAY, 7)
 }
 
 fn record(holder: NodeIdentity, revision: u64) -> Versioned<RelayRecord> {
@@ -46,7 +46,7 @@
     Some(Action::Claim(RelayRecord { holder, members: 1 }, condition))
 }
 
-/// A member that follows node 2, which the store answered at 10 ms.
+/// Creates a member that follows node 2, to which the store responded at 10 ms.
 fn follower() -> Member {
     let mut member = member();
     assert_eq!(member.poll(at(0)), Some(Action::Read));
@@ -57,7 +57,7 @@
     member
 }
 
-/// A member that holds the record at revision 5.
+/// Creates a member that holds the record at revision 5.
 fn relay() -> Member {
     let mut member = member();
     member.poll(at(0));
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn silent_relay_is_replaced_unless_another_did_so() {
+fn unresponsive_relay_is_replaced_unless_another_member_did_so() {
     let mut lost = follower();
     lost.poll(at(12));
     lost.on_poll(at(912), PollOutcome::Failed);
@@ -149,7 +149,7 @@
     let mut second = lost;
     second.on_read(at(1_116), found(identity(2, 1), 5));
     assert_eq!(second.poll(at(1_116)), claim(Condition::Revision(5)));
-    // A stale read: the record names another by now.
+    // The read was stale: the record names another member by now.
     second.on_claim(
         at(1_120),
         WriteResult::Conflict(Some(record(identity(4, 1), 9))),
@@ -157,8 +157,8 @@
     assert_eq!(second.poll(at(1_120)), Some(Action::Poll(address(4))));
 }
 
-/// A follower of node 2 that is told at 1,300 ms that the store last answered
-/// it at 10 ms.
+/// Creates a follower of node 2 that learns at 1,300 ms that the store last
+/// responded to node 2 at 10 ms.
 fn outdated() -> Member {
     let mut member = follower();
     member.poll(at(12));
@@ -168,12 +168,12 @@
 }
 
 #[test]
-fn relay_whose_store_is_silent_is_left_if_the_store_answers_the_member() {
+fn relay_without_store_contact_is_left_if_the_store_answers_the_member() {
     let mut member = outdated();
     assert_eq!(member.upstream(), None);
     assert_eq!(member.poll(at(1_300)), Some(Action::Read));
     member.on_read(at(1_600), found(identity(2, 1), 5));
-    // Others may claim first; it looks again meanwhile.
+    // Others may claim first; the member reads again in the meantime.
     let until = at(1_850);
     assert_eq!(member.source(at(1_849)), Source::Joining { until });
     assert_eq!(member.source(at(1_850)), Source::Store);
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn members_look_again_before_their_turn_to_claim() {
+fn members_read_again_before_their_turn_to_claim() {
     let mut member = outdated();
     member.poll(at(1_300));
     member.on_read(at(1_304), found(identity(2, 1), 5));
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn what_a_lost_relay_told_is_used_while_it_is_fresh() {
+fn state_from_a_lost_relay_is_used_while_it_is_fresh() {
     let mut member = follower();
     member.poll(at(1_600));
     let (seen, news) = (at(1_590), false);
@@ -211,10 +211,11 @@
     assert_eq!(member.source(at(1_904)), Source::Joining { until });
 }
 
-/// If the store answers neither, the store is away for all: there is nothing
-/// to watch, and the relay hears of its return as soon as anyone.
+/// If the store responds to neither of them, it is unavailable to all. There is
+/// nothing to watch, and the relay notices the store's return as soon as
+/// anyone.
 #[test]
-fn member_whose_store_is_silent_too_keeps_its_relay() {
+fn member_without_store_contact_keeps_its_relay() {
     let mut member = outdated();
     member.poll(at(1_300));
     member.on_read(at(2_300), ReadResult::Failed);
@@ -233,10 +234,10 @@
     assert_eq!(member.source(at(4_410)), Source::Relay { until, seen });
 }
 
-/// The store answers it again before its relay: that one has a moment to find
-/// out, and is then lost.
+/// The store responds to the member before it responds to the relay. The relay
+/// has the grace time to notice it and counts as lost after that.
 #[test]
-fn relay_that_the_store_still_turns_away_is_left_after_a_moment() {
+fn relay_that_the_store_still_rejects_is_left_after_the_grace_time() {
     let mut member = outdated();
     member.poll(at(1_300));
     member.on_read(at(1_304), ReadResult::Failed);
@@ -275,7 +276,7 @@
 }
 
 #[test]
-fn news_let_the_next_poll_wait_a_moment() {
+fn next_poll_is_delayed_after_changes() {
     let mut member = follower();
     member.poll(at(12));
     let (seen, news) = (at(40), true);
@@ -285,7 +286,7 @@
 }
 
 #[test]
-fn full_relay_passes_members_on_and_is_not_replaced_for_it() {
+fn relay_at_capacity_redirects_members_and_is_not_replaced() {
     let mut member = follower();
     member.poll(at(12));
     member.on_poll(at(20), PollOutcome::AtCapacity(vec![address(1), address(9)]));
@@ -298,10 +299,10 @@
     assert_eq!(member.upstream(), None);
 }
 
-/// Followers of a relay that has just begun may have nothing fresh to tell
-/// yet. The store answered this member, so that it may watch the store.
+/// Followers of a relay that has just started may have no fresh state to pass
+/// on. The store has responded to this member, so it may watch the store.
 #[test]
-fn member_that_is_passed_on_in_vain_takes_its_time_and_may_watch_the_store() {
+fn member_redirected_in_vain_retries_later_and_may_watch_the_store() {
     let mut member = member();
     member.poll(at(3_000));
     member.on_read(at(3_004), found(identity(2, 1), 5));
@@ -317,7 +318,7 @@
     assert_eq!(member.poll(at(3_170)), Some(Action::Read));
     member.on_read(at(3_174), found(identity(2, 1), 5));
     member.poll(at(3_174));
-    // Nobody else is there: the store is watched meanwhile.
+    // There is no other gateway to poll, so the member watches the store.
     member.on_poll(at(3_180), PollOutcome::AtCapacity(vec![address(1)]));
     assert_eq!(member.source(at(3_500)), Source::Store);
     assert_eq!(member.poll(at(3_980)), Some(Action::Read));
@@ -337,7 +338,7 @@
 fn relay_that_was_replaced_follows_its_successor() {
     let mut member = relay();
     assert_eq!(member.poll(at(708)), Some(Action::Read));
-    // Older than its own claim.
+    // The result is older than the member's own claim.
     member.on_read(at(712), found(identity(3, 1), 4));
     assert!(member.is_relay());
     assert_eq!(member.poll(at(1_212)), Some(Action::Read));
@@ -347,7 +348,7 @@
 }
 
 #[test]
-fn relay_stays_while_the_store_is_silent() {
+fn relay_stays_while_the_store_does_not_respond() {
     let mut member = relay();
     member.poll(at(708));
     member.on_read(at(1_708), ReadResult::Failed);
@@ -356,7 +357,7 @@
 }
 
 #[test]
-fn claim_without_an_answer_is_looked_up() {
+fn claim_without_a_response_is_read_back() {
     let mut member = member();
     member.poll(at(0));
     member.on_read(at(4), ReadResult::Found(None));
@@ -365,13 +366,13 @@
     member.poll(at(206));
     member.on_claim(at(1_204), WriteResult::Unknown);
     assert_eq!(member.poll(at(2_004)), Some(Action::Read));
-    // It took effect.
+    // The claim took effect.
     member.on_read(at(2_008), found(identity(1, 1), 5));
     assert!(member.is_relay());
 }
 
 #[test]
-fn record_of_an_earlier_life_is_taken_over_at_once() {
+fn record_of_an_earlier_incarnation_is_taken_over_at_once() {
     let mut member = member();
     member.poll(at(0));
     member.on_read(at(4), found(identity(1, 0), 5));
@@ -393,7 +394,7 @@
     member.set_members(5);
     assert_eq!(member.poll(at(708)), Some(Action::Read));
     member.on_read(at(712), found(identity(1, 1), 5));
-    // Followers of the relay before may not have come yet.
+    // Followers of the previous relay may not have polled yet.
     assert_eq!(member.poll(at(3_000)), Some(Action::Read));
     member.on_read(at(3_004), found(identity(1, 1), 5));
     let counted = RelayRecord {
@@ -403,7 +404,7 @@
     let write = Some(Action::Claim(counted, Condition::Revision(5)));
     assert_eq!(member.poll(at(3_504)), write);
     member.on_claim(at(3_508), WriteResult::Accepted(8));
-    // One of eleven is not worth a call.
+    // A difference of one in eleven is not worth a write.
     member.set_members(11);
     assert!(matches!(member.poll(at(8_000)), Some(Action::Claim(..))));
     member.on_claim(at(8_004), WriteResult::Accepted(9));
@@ -412,7 +413,7 @@
 }
 
 #[test]
-fn successor_keeps_the_count_until_it_has_heard_of_its_followers() {
+fn successor_keeps_the_count_until_its_followers_poll() {
     let mut member = member();
     member.poll(at(0));
     let mut before = record(identity(2, 1), 5);
@@ -430,9 +431,9 @@
     assert_eq!(member.poll(at(1_108)), write);
 }
 
-/// 27 members of a zone that starts would otherwise all write at once.
+/// Without the delay, all 27 members of a starting zone would write at once.
 #[test]
-fn member_whose_turn_comes_later_finds_the_record_and_does_not_write() {
+fn later_member_finds_the_record_and_does_not_write() {
     let mut member = member();
     member.poll(at(0));
     member.on_read(at(4), ReadResult::Found(None));
@@ -441,10 +442,10 @@
     assert_eq!(member.poll(at(208)), Some(Action::Poll(address(2))));
 }
 
-/// The store may turn this member away and serve its relay, which had fallen
-/// behind for a moment only.
+/// The store may reject this member and still serve its relay, which was behind
+/// only for a moment.
 #[test]
-fn member_that_the_store_turns_away_goes_back_to_the_relay_that_it_lost() {
+fn member_rejected_by_the_store_returns_to_its_lost_relay() {
     let mut member = follower();
     member.poll(at(12));
     let (seen, news) = (at(10), false);
@@ -456,7 +457,8 @@
     member.on_poll(at(1_510), PollOutcome::Answered { seen, news });
     let until = at(2_690);
     assert_eq!(member.source(at(1_510)), Source::Relay { until, seen });
-    // It is silent now as well: the store is asked again after a pause.
+    // The relay does not respond either, so the store is read again after a
+    // delay.
     member.poll(at(1_510));
     member.on_poll(at(2_410), PollOutcome::Failed);
     assert_eq!(member.poll(at(2_609)), None);
--- a/crates/relay/tests/tiers.rs
+++ b/crates/relay/tests/tiers.rs
@@ -1,5 +1,5 @@
-//! Two tiers of relays: what a follower in a zone is told stays fresh, also
-//! while the relay of the region is being lost.
+//! Two tiers of relays: the state of a follower in a zone stays fresh, even
+//! while the region's relay is being lost.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,31 +10,31 @@
 use threadledge_relay::{Action, PollOutcome, Member, RelayRecord, Settings, Source};
 use threadledge_types::{Incarnation, MachineName, Timestamp};
 
-/// A call to a store in another region.
+/// Duration of a call to a store in another region.
 const STORE_MS: u64 = 28;
-/// A poll between zones, both ways.
-const WAY_MS: u64 = 2;
+/// Round trip of a poll between zones.
+const POLL_RTT_MS: u64 = 2;
 const SETTLED_MS: u64 = 3_000;
 const END_MS: u64 = 30_000;
 
-/// Numbers of the nodes: the region's relay, the relay of another zone of it,
-/// and a follower of that one.
-const UPPER: u16 = 1;
-const LOWER: u16 = 2;
+/// Node numbers of the region's relay, the relay of another of its zones, and a
+/// follower of the latter.
+const REGION_RELAY: u16 = 1;
+const ZONE_RELAY: u16 = 2;
 const FOLLOWER: u16 = 3;
 
 struct Node {
     member: Member,
     settings: Settings,
     record: &'static str,
-    /// A call under way: when it was made and ends, and what becomes of it.
+    /// Call in flight: its start, its end and its action.
     call: Option<(u64, u64, Action)>,
-    /// The store last answered a call made then.
-    answered: u64,
-    /// The same of its relay, as last told.
-    told: u64,
+    /// Start of the last call that the store answered.
+    store_answered: u64,
+    /// The same time for the node's relay, as last reported.
+    relay_seen: u64,
     frozen: bool,
-    cut: bool,
+    cut_off: bool,
 }
 
 struct Fleet {
@@ -57,17 +57,17 @@
 
 fn node(number: u16, settings: Settings, record: &'static str) -> Node {
     let start = Timestamp::ZERO;
-    let patience = Duration::from_millis(50 * u64::from(number));
+    let claim_delay = Duration::from_millis(50 * u64::from(number));
     let seed = u64::from(number);
     Node {
-        member: Member::new(start, identity(number), settings, patience, seed),
+        member: Member::new(start, identity(number), settings, claim_delay, seed),
         settings,
         record,
         call: None,
-        answered: 0,
-        told: 0,
+        store_answered: 0,
+        relay_seen: 0,
         frozen: false,
-        cut: false,
+        cut_off: false,
     }
 }
 
@@ -78,11 +78,11 @@
 impl Fleet {
     fn new() -> Self {
         let nodes = [
-            (UPPER, node(UPPER, Settings::for_region(), "region")),
-            (LOWER, node(LOWER, Settings::for_region(), "region")),
+            (REGION_RELAY, node(REGION_RELAY, Settings::for_region(), "region")),
+            (ZONE_RELAY, node(ZONE_RELAY, Settings::for_region(), "region")),
             (FOLLOWER, node(FOLLOWER, Settings::default(), "zone")),
         ];
-        let holder = identity(LOWER);
+        let holder = identity(ZONE_RELAY);
         let value = RelayRecord { holder, members: 2 };
         let zone = Versioned { value, revision: 1 };
         Fleet {
@@ -100,25 +100,26 @@
         self.nodes[&number].member.source(self.time())
     }
 
-    /// What the node knows is as if the store had answered it then.
+    /// Returns the time as of which the store is known to have responded.
     fn seen(&self, number: u16) -> u64 {
         match self.source(number) {
             Source::Relay { seen, .. } => seen.as_micros() / 1_000,
-            Source::Store => self.nodes[&number].answered,
-            // Nothing is watched: a cheap call freshens nothing.
-            _ => self.nodes[&number].told,
+            Source::Store => self.nodes[&number].store_answered,
+            // The node watches nothing, and a read alone does not refresh its
+            // state.
+            _ => self.nodes[&number].relay_seen,
         }
     }
 
     fn step(&mut self) {
         self.now += 1;
-        for number in [UPPER, LOWER, FOLLOWER] {
+        for number in [REGION_RELAY, ZONE_RELAY, FOLLOWER] {
             if self.nodes[&number].frozen {
                 continue;
             }
             self.end_call(number);
             if let Source::Relay { seen, .. } = self.source(number) {
-                self.nodes.get_mut(&number).expect("a node").told = seen.as_micros() / 1_000;
+                self.nodes.get_mut(&number).expect("a node").relay_seen = seen.as_micros() / 1_000;
             }
             let now = self.time();
             let node = self.nodes.get_mut(&number).expect("a node");
@@ -127,8 +128,8 @@
             };
             let takes = match &action {
                 Action::Read | Action::Claim(..) => STORE_MS,
-                Action::Poll(_) if node.member.is_joining() => WAY_MS,
-                Action::Poll(_) => millis(node.settings.max_hold) + WAY_MS,
+                Action::Poll(_) if node.member.is_joining() => POLL_RTT_MS,
+                Action::Poll(_) => millis(node.settings.max_hold) + POLL_RTT_MS,
             };
             node.call = Some((self.now, self.now + takes, action));
         }
@@ -144,7 +145,7 @@
         if let Action::Poll(upstream) = action {
             let upstream = upstream.port();
             let silent = self.nodes[&upstream].frozen;
-            let followed = if !silent && now >= ends {
+            let outcome = if !silent && now >= ends {
                 let seen = Timestamp::from_millis(self.seen(upstream));
                 PollOutcome::Answered { seen, news: false }
             } else if now >= asked + silence {
@@ -156,7 +157,7 @@
             };
             let node = self.nodes.get_mut(&number).expect("a node");
             node.call = None;
-            node.member.on_poll(time, followed);
+            node.member.on_poll(time, outcome);
             return;
         }
         if now < ends {
@@ -165,11 +166,11 @@
         let node = self.nodes.get_mut(&number).expect("a node");
         node.call = None;
         let known = self.records.get(node.record).cloned();
-        if !node.cut {
-            node.answered = asked;
+        if !node.cut_off {
+            node.store_answered = asked;
         }
         match action {
-            Action::Read if node.cut => node.member.on_read(time, ReadResult::Failed),
+            Action::Read if node.cut_off => node.member.on_read(time, ReadResult::Failed),
             Action::Read => node.member.on_read(time, ReadResult::Found(known)),
             Action::Claim(value, condition) => {
                 let revision = known.as_ref().map(|known| known.revision);
@@ -177,7 +178,7 @@
                     Condition::Absent => revision.is_none(),
                     Condition::Revision(wanted) => revision == Some(wanted),
                 };
-                let result = if node.cut {
+                let result = if node.cut_off {
                     WriteResult::NotDone
                 } else if holds {
                     let revision = revision.unwrap_or(1) + 1;
@@ -193,7 +194,8 @@
         }
     }
 
-    /// Runs to `until`; the follower is told by its relay all the while.
+    /// Runs until `until` and checks in each step that the follower follows its
+    /// relay.
     fn run_fresh(&mut self, until: u64) {
         while self.now < until {
             self.step();
@@ -208,8 +210,8 @@
         while fleet.now < SETTLED_MS {
             fleet.step();
         }
-        assert!(fleet.nodes[&UPPER].member.is_relay());
-        assert!(matches!(fleet.source(LOWER), Source::Relay { .. }));
+        assert!(fleet.nodes[&REGION_RELAY].member.is_relay());
+        assert!(matches!(fleet.source(ZONE_RELAY), Source::Relay { .. }));
         fleet
     }
 
@@ -219,10 +221,10 @@
 }
 
 #[test]
-fn calm_leaves_the_tree_as_it_is() {
+fn tree_is_stable_without_faults() {
     let mut fleet = Fleet::settled();
     fleet.run_fresh(END_MS);
-    assert!(fleet.region_is_relayed_by(UPPER));
+    assert!(fleet.region_is_relayed_by(REGION_RELAY));
     assert_eq!(fleet.records["region"].revision, 2, "written once");
 }
 
@@ -231,23 +233,23 @@
     for lost_at in (SETTLED_MS..SETTLED_MS + 700).step_by(7) {
         let mut fleet = Fleet::settled();
         fleet.run_fresh(lost_at);
-        fleet.nodes.get_mut(&UPPER).expect("it").frozen = true;
+        fleet.nodes.get_mut(&REGION_RELAY).expect("it").frozen = true;
         fleet.run_fresh(lost_at + 5_000);
-        assert!(fleet.region_is_relayed_by(LOWER));
-        fleet.nodes.get_mut(&UPPER).expect("it").frozen = false;
+        assert!(fleet.region_is_relayed_by(ZONE_RELAY));
+        fleet.nodes.get_mut(&REGION_RELAY).expect("it").frozen = false;
         fleet.run_fresh(lost_at + 10_000);
-        assert!(fleet.region_is_relayed_by(LOWER));
-        assert!(matches!(fleet.source(UPPER), Source::Relay { .. }));
+        assert!(fleet.region_is_relayed_by(ZONE_RELAY));
+        assert!(matches!(fleet.source(REGION_RELAY), Source::Relay { .. }));
     }
 }
 
 #[test]
-fn followers_stay_fresh_while_the_store_turns_the_relay_of_the_region_away() {
+fn followers_stay_fresh_while_the_store_rejects_the_relay_of_the_region() {
     for cut_at in (SETTLED_MS..SETTLED_MS + 700).step_by(7) {
         let mut fleet = Fleet::settled();
         fleet.run_fresh(cut_at);
-        fleet.nodes.get_mut(&UPPER).expect("it").cut = true;
+        fleet.nodes.get_mut(&REGION_RELAY).expect("it").cut_off = true;
         fleet.run_fresh(cut_at + 5_000);
-        assert!(fleet.region_is_relayed_by(LOWER));
+        assert!(fleet.region_is_relayed_by(ZONE_RELAY));
     }
 }
--- a/crates/relay/tests/tree.rs
+++ b/crates/relay/tests/tree.rs
@@ -1,5 +1,5 @@
-//! A zone with more members than its relay serves: followers follow followers,
-//! and what the last of them knows stays fresh.
+//! A zone with more members than its relay can serve: followers poll other
+//! followers, and the state of the last of them stays fresh.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,37 +14,37 @@
 
 const STEP_MS: u64 = 5;
 const STORE_MS: u64 = 10;
-/// One way between two gateways, of which the smaller have a tenth of a core:
-/// shortest and longest.
-const WAY_MS: [u64; 2] = [2, 30];
-/// Followers that one gateway serves.
+/// Minimum and maximum one-way delay between two gateways, of which the
+/// smallest have a tenth of a core.
+const LATENCY_MS: [u64; 2] = [2, 30];
+/// Maximum number of followers per gateway.
 const FAN_OUT: usize = 32;
-/// A follower that has not polled for so long is gone.
-const FOLLOWER_SILENCE_MS: u64 = 2_500;
-/// All have found their place by then.
+/// Time without a poll after which a follower is dropped.
+const FOLLOWER_TIMEOUT_MS: u64 = 2_500;
+/// Time by which all members have found their place in the tree.
 const SETTLED_MS: u64 = 8_000;
 const END_MS: u64 = 38_000;
 
-/// A call under way.
+/// Call in flight.
 enum Call {
-    /// To the store: it is answered at that time.
+    /// Call to the store, with the time of its response.
     Store(u64, Action),
-    /// A poll on its way to a gateway.
-    Asking(u64, usize),
-    /// A poll that a gateway holds.
+    /// Poll on its way to a gateway.
+    Polling(u64, usize),
+    /// Poll held by a gateway.
     Held(HeldPoll, usize),
-    /// An answer on its way back.
-    Answering(u64, PollOutcome),
+    /// Response on its way back.
+    Responding(u64, PollOutcome),
 }
 
 struct Node {
     member: Member,
     call: Option<Call>,
-    /// Who polled it, and when last.
+    /// Followers with the time of their last poll.
     followers: BTreeMap<usize, u64>,
-    /// The store last answered a call made then.
-    answered: Timestamp,
-    /// Calls to the store since the zone has settled.
+    /// Start of the last call that the store answered.
+    store_answered: Timestamp,
+    /// Calls to the store after [`SETTLED_MS`].
     calls: u64,
 }
 
@@ -70,13 +70,13 @@
         address: Some(address(number)),
     };
     let start = Timestamp::ZERO;
-    let patience = Duration::from_millis(5 * number as u64);
+    let claim_delay = Duration::from_millis(5 * number as u64);
     let seed = number as u64;
     Node {
-        member: Member::new(start, me, Settings::default(), patience, seed),
+        member: Member::new(start, me, Settings::default(), claim_delay, seed),
         call: None,
         followers: BTreeMap::new(),
-        answered: start,
+        store_answered: start,
         calls: 0,
     }
 }
@@ -95,15 +95,15 @@
         Timestamp::from_millis(self.now)
     }
 
-    /// When what is sent now arrives.
+    /// Returns when a message sent now arrives.
     fn arrival(&mut self) -> u64 {
-        self.now + self.random.random_range(WAY_MS[0]..=WAY_MS[1])
+        self.now + self.random.random_range(LATENCY_MS[0]..=LATENCY_MS[1])
     }
 
     fn seen(&self, index: usize) -> Timestamp {
         match self.nodes[index].member.source(self.time()) {
             Source::Relay { seen, .. } => seen,
-            Source::Store => self.nodes[index].answered,
+            Source::Store => self.nodes[index].store_answered,
             _ => Timestamp::ZERO,
         }
     }
@@ -112,15 +112,15 @@
         self.now += STEP_MS;
         for index in 0..self.nodes.len() {
             if let Some(call) = self.nodes[index].call.take() {
-                self.nodes[index].call = self.go_on(index, call);
+                self.nodes[index].call = self.advance_call(index, call);
             }
             if self.nodes[index].call.is_none() {
-                self.begin(index);
+                self.start_call(index);
             }
         }
     }
 
-    fn begin(&mut self, index: usize) {
+    fn start_call(&mut self, index: usize) {
         let (time, now) = (self.time(), self.now);
         let arrival = self.arrival();
         let node = &mut self.nodes[index];
@@ -128,7 +128,7 @@
             return;
         };
         node.call = Some(match action {
-            Action::Poll(to) => Call::Asking(arrival, number(to)),
+            Action::Poll(to) => Call::Polling(arrival, number(to)),
             action => {
                 node.calls += u64::from(now >= SETTLED_MS);
                 Call::Store(now + STORE_MS, action)
@@ -136,37 +136,37 @@
         });
     }
 
-    fn go_on(&mut self, index: usize, call: Call) -> Option<Call> {
+    fn advance_call(&mut self, index: usize, call: Call) -> Option<Call> {
         let (time, now) = (self.time(), self.now);
         let deadline = self.nodes[index].member.poll_deadline();
         match call {
-            Call::Store(due, _) | Call::Asking(due, _) | Call::Answering(due, _) if now < due => {
+            Call::Store(due, _) | Call::Polling(due, _) | Call::Responding(due, _) if now < due => {
                 return Some(call);
             }
             Call::Store(_, action) => self.answer_store(index, action),
-            Call::Asking(_, to) => return Some(self.arrive(index, to)),
+            Call::Polling(_, to) => return Some(self.deliver_poll(index, to)),
             Call::Held(..) if deadline.is_some_and(|deadline| time >= deadline) => {
                 self.nodes[index].member.on_poll(time, PollOutcome::TimedOut);
             }
             Call::Held(held, to) if held.is_due(time, self.seen(to)) => {
                 let seen = self.seen(to);
-                let followed = PollOutcome::Answered { seen, news: false };
-                return Some(Call::Answering(self.arrival(), followed));
+                let outcome = PollOutcome::Answered { seen, news: false };
+                return Some(Call::Responding(self.arrival(), outcome));
             }
             Call::Held(..) => return Some(call),
-            Call::Answering(_, followed) => self.nodes[index].member.on_poll(time, followed),
+            Call::Responding(_, outcome) => self.nodes[index].member.on_poll(time, outcome),
         }
         None
     }
 
-    /// A poll has arrived.
-    fn arrive(&mut self, index: usize, to: usize) -> Call {
+    /// Delivers a poll.
+    fn deliver_poll(&mut self, index: usize, to: usize) -> Call {
         let now = self.now;
         let followers = &mut self.nodes[to].followers;
-        followers.retain(|_, at| now < *at + FOLLOWER_SILENCE_MS);
+        followers.retain(|_, at| now < *at + FOLLOWER_TIMEOUT_MS);
         if followers.len() >= FAN_OUT && !followers.contains_key(&index) {
             let others = followers.keys().map(|each| address(*each)).collect();
-            return Call::Answering(self.arrival(), PollOutcome::AtCapacity(others));
+            return Call::Responding(self.arrival(), PollOutcome::AtCapacity(others));
         }
         followers.insert(index, now);
         let hold = if self.nodes[index].member.is_joining() {
@@ -179,7 +179,7 @@
 
     fn answer_store(&mut self, index: usize, action: Action) {
         let time = self.time();
-        self.nodes[index].answered = Timestamp::from_millis(self.now - STORE_MS);
+        self.nodes[index].store_answered = Timestamp::from_millis(self.now - STORE_MS);
         match action {
             Action::Read => {
                 let found = ReadResult::Found(self.record.clone());
@@ -205,7 +205,7 @@
         WriteResult::Accepted(revision)
     }
 
-    /// Members by how many ways they are from the relay.
+    /// Counts the members by their number of hops to the relay.
     fn depths(&self) -> BTreeMap<usize, usize> {
         let mut depths = BTreeMap::new();
         for mut node in &self.nodes {
@@ -220,7 +220,8 @@
     }
 }
 
-/// Plays a calm zone; calls to the store of all members but the relay.
+/// Runs a zone without faults and returns the number of calls to the store by
+/// all members but the relay.
 fn calls_of_followers(members: usize) -> u64 {
     let mut zone = Zone::new(members);
     while zone.now < END_MS {
@@ -241,11 +242,11 @@
     followers.map(|node| node.calls).sum()
 }
 
-/// With holds that add up, each member that is two ways from the relay lost it
-/// again and again, and watched the store: calls grew with gateways times
-/// changes.
+/// Guards against hold times that add up along the tree: each member two hops
+/// from the relay then lost the relay again and again and watched the store
+/// itself, so that calls grew with gateways times changes.
 #[test]
-fn calm_zone_of_many_members_asks_the_store_through_its_relay_alone() {
+fn only_the_relay_of_a_large_calm_zone_calls_the_store() {
     for members in [200, 400] {
         assert_eq!(calls_of_followers(members), 0, "{members} members");
     }
--- a/crates/relay/tests/zone.rs
+++ b/crates/relay/tests/zone.rs
@@ -1,4 +1,4 @@
-//! Whole zones of members against a modelled store, with random faults.
+//! Zones of members against a simulated store, with random faults.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,30 +12,31 @@
 const MEMBERS: u16 = 5;
 const STEP_MS: u64 = 10;
 const CALL_MS: u64 = 10;
-const SILENCE_MS: u64 = 900;
-/// A relay holds a poll for so long when it has nothing to tell.
+const POLL_TIMEOUT_MS: u64 = 900;
+/// How long a relay holds a poll without changes.
 const HOLD_MS: u64 = 500;
 
-/// A call under way: when it ends, and what becomes of it.
+/// Call in flight, with its end and its action.
 struct Pending {
     ends: u64,
     action: Action,
-    /// The member gives it up then.
+    /// When the member gives up the poll.
     deadline: u64,
-    /// It waits no longer for an answer.
-    gives_up: u64,
+    /// When the call fails without a response.
+    times_out: u64,
 }
 
 struct Node {
     member: Member,
     pending: Option<Pending>,
-    /// The store last answered this node then.
-    answered: u64,
-    /// Time in which it watched the store and was no relay, in milliseconds.
+    /// Start of the last call that the store answered.
+    store_answered: u64,
+    /// Time during which the node watched the store without being the relay, in
+    /// milliseconds.
     watched: u64,
     frozen: bool,
-    cut: bool,
-    life: u64,
+    cut_off: bool,
+    incarnation: u64,
 }
 
 struct Zone {
@@ -45,27 +46,27 @@
     writes: u64,
 }
 
-fn identity(number: u16, life: u64) -> NodeIdentity {
+fn identity(number: u16, incarnation: u64) -> NodeIdentity {
     NodeIdentity {
         node: MachineName(format!("node-{number}")),
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(incarnation),
         address: Some(([10, 0, 0, 1], number).into()),
     }
 }
 
-fn start(number: u16, life: u64, now: u64) -> Node {
-    let patience = Duration::from_millis(50 * u64::from(number));
-    let seed = u64::from(number) + life;
+fn start(number: u16, incarnation: u64, now: u64) -> Node {
+    let claim_delay = Duration::from_millis(50 * u64::from(number));
+    let seed = u64::from(number) + incarnation;
     let started = Timestamp::from_millis(now);
-    let me = identity(number, life);
+    let me = identity(number, incarnation);
     Node {
-        member: Member::new(started, me, Settings::default(), patience, seed),
+        member: Member::new(started, me, Settings::default(), claim_delay, seed),
         pending: None,
-        answered: 0,
+        store_answered: 0,
         watched: 0,
         frozen: false,
-        cut: false,
-        life,
+        cut_off: false,
+        incarnation,
     }
 }
 
@@ -99,9 +100,9 @@
             .pending
             .take_if(|pending| pending.ends <= self.now);
         match due {
-            // Whoever stands still answers when it goes on.
+            // A frozen node responds when it resumes.
             Some(pending)
-                if self.now < pending.gives_up && !self.answers(index, &pending.action) =>
+                if self.now < pending.times_out && !self.answers(index, &pending.action) =>
             {
                 self.nodes[index].pending = Some(pending);
             }
@@ -120,12 +121,12 @@
             let deadline = deadline.filter(|_| matches!(action, Action::Poll(_)));
             let deadline = deadline.map_or(u64::MAX, |deadline| deadline.as_millis());
             let ends = (self.now + takes).min(deadline.max(self.now + STEP_MS));
-            let gives_up = ends.max(self.now + SILENCE_MS).min(deadline.max(ends));
+            let times_out = ends.max(self.now + POLL_TIMEOUT_MS).min(deadline.max(ends));
             let pending = Pending {
                 ends,
                 action,
                 deadline,
-                gives_up,
+                times_out,
             };
             self.nodes[index].pending = Some(pending);
         }
@@ -133,7 +134,7 @@
 
     fn answers(&self, index: usize, action: &Action) -> bool {
         match action {
-            Action::Read | Action::Claim(..) => !self.nodes[index].cut,
+            Action::Read | Action::Claim(..) => !self.nodes[index].cut_off,
             Action::Poll(to) => !self.nodes[usize::from(to.port())].frozen,
         }
     }
@@ -152,7 +153,7 @@
             }
             Action::Read => {
                 let result = ReadResult::Found(self.record.clone());
-                self.nodes[index].answered = self.now - CALL_MS;
+                self.nodes[index].store_answered = self.now - CALL_MS;
                 self.nodes[index].member.on_read(now, result);
             }
             Action::Claim(..) if !answered => {
@@ -160,21 +161,21 @@
             }
             Action::Claim(record, condition) => {
                 let result = self.write(record, condition);
-                self.nodes[index].answered = self.now - CALL_MS;
+                self.nodes[index].store_answered = self.now - CALL_MS;
                 self.nodes[index].member.on_claim(now, result);
             }
             Action::Poll(to) => {
                 let upstream = &self.nodes[usize::from(to.port())];
                 let seen = match upstream.member.source(now) {
                     Source::Relay { seen, .. } => seen,
-                    _ => Timestamp::from_millis(upstream.answered),
+                    _ => Timestamp::from_millis(upstream.store_answered),
                 };
-                let followed = if answered {
+                let outcome = if answered {
                     PollOutcome::Answered { seen, news: false }
                 } else {
                     PollOutcome::Failed
                 };
-                self.nodes[index].member.on_poll(now, followed);
+                self.nodes[index].member.on_poll(now, outcome);
             }
         }
     }
@@ -212,8 +213,9 @@
             .count()
     }
 
-    /// No member learns at second hand from what is older than the bound.
-    fn check(&self) {
+    /// Checks that no member follows a relay whose state is older than
+    /// `max_age`.
+    fn check_freshness(&self) {
         let now = Timestamp::from_millis(self.now);
         for node in &self.nodes {
             if let Source::Relay { seen, .. } = node.member.source(now) {
@@ -228,7 +230,7 @@
     let mut zone = Zone::new();
     for _ in 0..500 {
         zone.step();
-        zone.check();
+        zone.check_freshness();
     }
     assert_eq!(
         (zone.relay_count(), zone.followers()),
@@ -243,17 +245,17 @@
     for _ in 0..200 {
         zone.step();
     }
-    zone.nodes[0].cut = true;
+    zone.nodes[0].cut_off = true;
     for _ in 0..300 {
         zone.step();
-        zone.check();
+        zone.check_freshness();
     }
     let nodes = zone.nodes[1..].iter();
     assert_eq!(nodes.filter(|node| node.member.is_relay()).count(), 1);
-    zone.nodes[0].cut = false;
+    zone.nodes[0].cut_off = false;
     for _ in 0..300 {
         zone.step();
-        zone.check();
+        zone.check_freshness();
     }
     assert_eq!(
         (zone.relay_count(), zone.followers()),
@@ -261,31 +263,31 @@
     );
 }
 
-/// Each follower that watched the store by itself would call it for every
-/// change: at hundreds of gateways, more than anything else.
+/// A follower that watches the store itself causes a call for every change.
+/// With hundreds of gateways these would be most of all calls.
 #[test]
-fn store_that_is_away_for_all_leaves_relay_and_followers_as_they_are() {
+fn store_outage_for_all_changes_neither_relay_nor_followers() {
     let mut zone = Zone::new();
     for _ in 0..300 {
         zone.step();
     }
     let (writes, watched) = (zone.writes, zone.watched());
-    // Of a shorter silence, members whose first look comes right after its end
-    // cannot tell that their relay was not cut off alone.
+    // In a shorter outage, a member whose first read comes right after its end
+    // cannot tell whether only its relay was cut off.
     for away in [300, 450, 1_000] {
         for node in &mut zone.nodes {
-            node.cut = true;
+            node.cut_off = true;
         }
         for _ in 0..away {
             zone.step();
-            zone.check();
+            zone.check_freshness();
         }
         for node in &mut zone.nodes {
-            node.cut = false;
+            node.cut_off = false;
         }
         for _ in 0..200 {
             zone.step();
-            zone.check();
+            zone.check_freshness();
         }
         assert_eq!(
             (zone.relay_count(), zone.followers()),
@@ -295,9 +297,10 @@
     assert_eq!((zone.writes, zone.watched()), (writes, watched));
 }
 
-/// What the lost relay told is fresh until another serves.
+/// The state received from the lost relay stays fresh until another member is
+/// the relay.
 #[test]
-fn relay_that_restarts_leaves_nobody_to_watch_the_store() {
+fn restart_of_the_relay_makes_no_follower_watch_the_store() {
     let mut zone = Zone::new();
     for _ in 0..300 {
         zone.step();
@@ -306,38 +309,39 @@
     zone.nodes[0] = start(0, 2, zone.now);
     for _ in 0..300 {
         zone.step();
-        zone.check();
+        zone.check_freshness();
     }
     assert_eq!(zone.watched(), watched);
     assert_eq!(zone.followers(), usize::from(MEMBERS) - 1);
 }
 
-/// Shortest time after trouble in the store from which calm machines are
-/// bound again, as the users state it.
+/// Time after a store outage from which the guarantees apply again without
+/// further faults, as the users state it.
 const CONTACT_MS: u64 = 3_000;
 
-/// Whatever part of the zone the store turned away, and for how long: by then
-/// everyone learns from the store or from a relay that the store answers.
-fn healed(random: &mut Unstructured<'_>) -> Result<()> {
+/// Cuts random parts of the zone off from the store for random times.
+/// `CONTACT_MS` later every member learns from the store or from a relay that
+/// has contact to it.
+fn random_outages(random: &mut Unstructured<'_>) -> Result<()> {
     let mut zone = Zone::new();
     for _ in 0..300 {
         zone.step();
     }
     for _ in 0..random.int_in_range(1..=3)? {
         for node in &mut zone.nodes {
-            node.cut = random.arbitrary()?;
+            node.cut_off = random.arbitrary()?;
         }
         for _ in 0..random.int_in_range(1..=600)? {
             zone.step();
-            zone.check();
+            zone.check_freshness();
         }
     }
     for node in &mut zone.nodes {
-        node.cut = false;
+        node.cut_off = false;
     }
     for _ in 0..CONTACT_MS / STEP_MS {
         zone.step();
-        zone.check();
+        zone.check_freshness();
     }
     let now = Timestamp::from_millis(zone.now);
     for node in &zone.nodes {
@@ -351,18 +355,18 @@
 }
 
 #[test]
-fn everyone_has_a_source_when_calm_machines_are_bound_again() {
+fn every_member_has_a_source_within_the_contact_time_after_outages() {
     for seed in 0..300 {
-        arbtest::arbtest(healed)
+        arbtest::arbtest(random_outages)
             .seed(0x2000_0000_0000 + (seed << 32 | 4_096))
             .run();
     }
 }
 
-/// A process whose share of a core is spent stands still for the rest of a
-/// tenth of a second.
+/// A process that has used up its CPU quota is suspended for the rest of a
+/// period of 0.1 s.
 #[test]
-fn spent_processor_quota_costs_nobody_its_relay() {
+fn cpu_throttling_does_not_lose_the_relay() {
     let mut zone = Zone::new();
     for _ in 0..300 {
         zone.step();
@@ -370,45 +374,46 @@
     let (writes, watched) = (zone.writes, zone.watched());
     for step in 0..2_000 {
         for (index, node) in zone.nodes.iter_mut().enumerate() {
-            // Half of each tenth of a second, each at another time.
+            // Each node is suspended for half of each period, shifted against
+            // the others.
             node.frozen = (step + 2 * index) % 10 >= 5;
         }
         zone.step();
-        zone.check();
+        zone.check_freshness();
     }
     assert_eq!((zone.writes, zone.watched()), (writes, watched));
     assert_eq!(zone.followers(), usize::from(MEMBERS) - 1);
 }
 
-/// Freezes, cuts and restarts at random; then calm, in which the zone must
-/// come to one relay that all others follow.
-fn disturbed(random: &mut Unstructured<'_>) -> Result<()> {
+/// Freezes, cuts off and restarts random members. Afterwards, without faults,
+/// the zone must converge to one relay that all others follow.
+fn random_faults(random: &mut Unstructured<'_>) -> Result<()> {
     let mut zone = Zone::new();
-    let mut lives: BTreeMap<usize, u64> = BTreeMap::new();
+    let mut incarnations: BTreeMap<usize, u64> = BTreeMap::new();
     for _ in 0..60 {
         let index = random.choose_index(usize::from(MEMBERS))?;
         match random.int_in_range(0..=3)? {
             0 => zone.nodes[index].frozen ^= true,
-            1 => zone.nodes[index].cut ^= true,
+            1 => zone.nodes[index].cut_off ^= true,
             2 => {
-                let life = zone.nodes[index].life + 1;
-                lives.insert(index, life);
-                zone.nodes[index] = start(index as u16, life, zone.now);
+                let incarnation = zone.nodes[index].incarnation + 1;
+                incarnations.insert(index, incarnation);
+                zone.nodes[index] = start(index as u16, incarnation, zone.now);
             }
             _ => {}
         }
         for _ in 0..random.int_in_range(1..=40)? {
             zone.step();
-            zone.check();
+            zone.check_freshness();
         }
     }
     for node in &mut zone.nodes {
         node.frozen = false;
-        node.cut = false;
+        node.cut_off = false;
     }
     for _ in 0..800 {
         zone.step();
-        zone.check();
+        zone.check_freshness();
     }
     assert_eq!(
         (zone.relay_count(), zone.followers()),
@@ -418,9 +423,9 @@
 }
 
 #[test]
-fn disturbed_zone_comes_to_one_relay() {
+fn zone_converges_to_one_relay_after_random_faults() {
     for seed in 0..300 {
-        arbtest::arbtest(disturbed)
+        arbtest::arbtest(random_faults)
             .seed(0x1000_0000_0000 + (seed << 32 | 4_096))
             .run();
     }
--- a/crates/router/src/gateway/limits/state.rs
+++ b/crates/router/src/gateway/limits/state.rs
@@ -120,7 +120,7 @@
         }
         match &mut self.ledger {
             Some(ledger) => {
-                let mut answer = ledger.answer(now, ask);
+                let mut answer = ledger.handle_request(now, ask);
                 if let QuotaResponse::Ledger { lease_at_risk, .. } = &mut answer {
                     *lease_at_risk = !self.election.may_act(now + AILING_BEFORE);
                 }
--- a/crates/suspects/tests/suspects.rs
+++ b/crates/suspects/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! What is known of requests under suspicion, and what follows from it.
+//! Evidence about requests under suspicion and the decisions based on it.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     START + Duration::from_millis(millis)
 }
 
-/// A request of a caller at an address, with a cookie.
+/// Builds a request of a caller with this address and cookie.
 fn request(target: &str, address: u8, cookie: &str) -> RequestIdentity {
     let mut builder = IdentityBuilder::new("GET", "host.example", target);
     builder.header("cookie", cookie);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn third_process_holds_a_request_and_two_of_one_process_are_one() {
+fn third_process_holds_a_request_and_crashes_of_one_process_count_once() {
     let mut suspects = Suspects::default();
     let bad = request("/bad", 1, "a");
     crash(&mut suspects, 0, &bad, "p-1");
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn tries_from_several_addresses_count_together_while_nobody_succeeds() {
+fn attempts_from_several_addresses_count_together_without_a_success() {
     let mut suspects = Suspects::default();
     for number in 0..3 {
         let bad = request("/bad", number, &format!("cookie-{number}"));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn success_of_the_same_caller_clears_it_of_what_came_before() {
+fn success_of_the_same_caller_clears_its_earlier_crashes() {
     let mut suspects = Suspects::default();
     let popular = request("/popular", 1, "a");
     crash(&mut suspects, 0, &popular, "p-1");
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn process_that_answers_later_did_not_end() {
+fn process_that_responds_later_did_not_crash() {
     let mut suspects = Suspects::default();
     let request = request("/x", 1, "a");
     for number in 0..3 {
@@ -131,13 +131,13 @@
     }
     suspects.record_response(after(10), &"p-1".into());
     assert!(!suspects.is_held(&request));
-    // News of the same crash that comes late brings nothing back.
+    // A late report of the same crash does not restore it.
     crash(&mut suspects, 1, &request, "p-1");
     assert!(!suspects.is_held(&request));
 }
 
 #[test]
-fn other_key_body_method_and_query_are_other_requests() {
+fn key_body_method_and_query_identify_a_request() {
     let identity = |method, target, key, body: &[u8]| {
         let mut builder = IdentityBuilder::new(method, "host.example", target);
         builder.key(key);
@@ -153,16 +153,16 @@
     assert_ne!(one, identity("POST", "/x?a=1", Some(1), b"bodx"));
 }
 
-/// Each of three gateways saw one crash; whoever tells whom, in whatever
-/// order and however often, all hold the request.
+/// Each of three gateways sees one crash. Whichever gateways exchange updates,
+/// in any order and however often, all of them hold the request in the end.
 #[test]
-fn gateways_that_tell_each_other_agree() {
+fn gateways_that_exchange_updates_agree() {
     for seed in 0..40_u64 {
-        arbtest::arbtest(tell_each_other).seed(0x3000_0000_0000 + (seed << 32 | 4_096));
+        arbtest::arbtest(exchange_updates).seed(0x3000_0000_0000 + (seed << 32 | 4_096));
     }
 }
 
-fn tell_each_other(
+fn exchange_updates(
     random: &mut arbtest::arbitrary::Unstructured<'_>,
 ) -> arbtest::arbitrary::Result<()> {
     let mut gateways: Vec<Suspects> = (0..3).map(|_| Suspects::default()).collect();
@@ -171,7 +171,7 @@
         crash(gateway, number as u64, &bad, &format!("p-{number}"));
     }
     let mut now = 100;
-    let mut tell = |gateways: &mut Vec<Suspects>, from: usize, to: usize, pause: u64| {
+    let mut send_update = |gateways: &mut Vec<Suspects>, from: usize, to: usize, pause: u64| {
         now += pause;
         let news = gateways[from].updates_since(0, UpdateScope::All, after(now));
         gateways[to].merge(&news, after(now + 3))
@@ -179,22 +179,22 @@
     for _ in 0..random.int_in_range(0..=10)? {
         let from = random.int_in_range(0..=2)?;
         let to = random.int_in_range(0..=2)?;
-        tell(&mut gateways, from, to, random.int_in_range(0..=20)?);
+        send_update(&mut gateways, from, to, random.int_in_range(0..=20)?);
     }
     for (from, to) in [(0, 1), (1, 2), (2, 0), (0, 1)] {
-        tell(&mut gateways, from, to, 1);
+        send_update(&mut gateways, from, to, 1);
     }
     assert!(gateways.iter().all(|gateway| gateway.is_held(&bad)));
-    // All is known everywhere: nothing is new any more.
+    // All gateways know everything, so no update is new.
     for (from, to) in [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)] {
-        assert!(!tell(&mut gateways, from, to, 50));
+        assert!(!send_update(&mut gateways, from, to, 50));
     }
     Ok(())
 }
 
-/// A gateway that has just started tells on what is older than itself.
+/// A newly started gateway passes on evidence that is older than itself.
 #[test]
-fn old_news_stays_old_when_a_new_gateway_tells_it_on() {
+fn old_evidence_stays_old_when_a_new_gateway_passes_it_on() {
     let mut first = Suspects::default();
     let other = request("/other", 1, "a");
     let bad = request("/bad", 1, "a");
@@ -212,9 +212,10 @@
     assert!(first.is_held(&bad));
 }
 
-/// First crashes meet at relays; everybody hears of a request with its second.
+/// Relays collect first crashes; all gateways learn of a request with its
+/// second crash.
 #[test]
-fn followers_are_told_of_requests_with_more_than_one_crash() {
+fn followers_get_only_requests_with_more_than_one_crash() {
     let mut relay = Suspects::default();
     let one = request("/one", 1, "a");
     let two = request("/two", 1, "a");
@@ -227,7 +228,7 @@
     assert_eq!(news.suspects.len(), 1);
     assert_eq!(news.suspects[0].request, two.request);
     assert_eq!(news.suspects[0].crashes.len(), 2);
-    // One that only one process ended under is taken back without a word.
+    // A request with only one crash is withdrawn without an update.
     let told = relay.changes();
     relay.record_response(after(10), &"p-2".into());
     let news = relay.updates_since(told, UpdateScope::Repeated, after(11));
@@ -242,7 +243,7 @@
 }
 
 #[test]
-fn release_reaches_others_and_is_not_undone_by_old_news() {
+fn release_reaches_others_and_is_not_undone_by_old_updates() {
     let mut first = Suspects::default();
     let mut second = Suspects::default();
     let bad = request("/bad", 1, "a");
@@ -256,7 +257,7 @@
     let told = first.updates_since(0, UpdateScope::Repeated, after(1_010));
     second.merge(&told, after(1_012));
     assert!(!second.is_held(&bad));
-    // The same old news, told late: its ages have grown on the way.
+    // The same old evidence arrives late, with increased ages.
     first.merge(
         &second.updates_since(0, UpdateScope::All, after(1_020)),
         after(1_022),
@@ -265,7 +266,7 @@
 }
 
 #[test]
-fn record_keeps_what_is_held_and_drops_what_was_let_go() {
+fn record_keeps_held_requests_and_drops_released_ones() {
     let mut suspects = Suspects::default();
     let bad = request("/bad", 1, "a");
     let empty = HeldRecord::default();
@@ -275,7 +276,7 @@
     }
     let record = empty.updated(&suspects, after(10)).expect("changed");
     assert_eq!(record.updated(&suspects, after(20)), None);
-    // A gateway of a fleet that was lost as a whole reads it.
+    // A gateway reads the record after the whole fleet was lost.
     let mut restarted = Suspects::default();
     restarted.merge(&record.to_update(), Timestamp::from_millis(50));
     assert!(restarted.is_held(&bad));
@@ -285,8 +286,8 @@
     assert!(record.held.is_empty());
 }
 
-/// All gateways are killed while a third crash is not certain yet: those that
-/// start know of the first two.
+/// All gateways are killed before a third crash is confirmed. Those that start
+/// afterwards know of the first two.
 #[test]
 fn record_keeps_requests_that_the_next_crash_holds() {
     let mut suspects = Suspects::default();
@@ -300,7 +301,7 @@
     restarted.merge(&record.to_update(), Timestamp::from_millis(50));
     assert_eq!(restarted.crashes_of(&bad), 2);
     assert_eq!(record.updated(&restarted, after(20)), None);
-    // The third one is written down as well, and once.
+    // The third crash is also written, and only once.
     crash(&mut suspects, 30, &bad, "p-2");
     let record = record.updated(&suspects, after(40)).expect("changed");
     assert_eq!(record.held.len(), 1);
@@ -309,9 +310,9 @@
     assert!(restarted.is_held(&bad));
 }
 
-/// Many back ends end at once, twice, under whatever they ran.
+/// Many back ends crash at once, twice, under whatever they run.
 #[test]
-fn herds_of_crashes_are_not_written_down() {
+fn mass_crashes_are_not_persisted() {
     let mut suspects = Suspects::default();
     for number in 0..50 {
         let request = request(&format!("/{number}"), 1, "a");
@@ -321,10 +322,10 @@
     assert_eq!(HeldRecord::default().updated(&suspects, after(10)), None);
 }
 
-/// Somebody sends many different ones: what is held stays, and memory is
-/// bounded.
+/// Many different suspect requests neither evict the held one nor exceed the
+/// memory bound.
 #[test]
-fn many_requests_push_out_those_that_are_not_held() {
+fn many_requests_evict_only_requests_that_are_not_held() {
     let mut suspects = Suspects::default();
     let bad = request("/bad", 1, "a");
     for number in 0..3 {
--- a/crates/tenants/tests/tenants.rs
+++ b/crates/tenants/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Whose callers a request comes from, over versions of the tenants.
+//! Identification of tenants by key over several configuration versions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -57,51 +57,52 @@
     }
 }
 
-/// What is said of a key: the tenant's name, or why not.
-fn said(index: &KeyIndex, public: bool, key: Option<&str>) -> Result<Option<String>, AuthError> {
+/// Returns the name of the tenant that holds the key, or the reason for the
+/// denial.
+fn authorized_tenant(index: &KeyIndex, public: bool, key: Option<&str>) -> Result<Option<String>, AuthError> {
     let digest = key.map(digest);
     let caller = authorize(index, true, &route(public), digest.as_ref())?;
     Ok(caller.map(|caller| caller.name.to_string()))
 }
 
 #[test]
-fn key_gives_its_tenant_and_an_unknown_one_is_denied_on_every_route() {
+fn known_key_identifies_its_tenant_and_unknown_key_is_denied_on_every_route() {
     let index = index(&tenants(&[("a", &["a-1", "a-2"]), ("b", &["b-1"])]));
     for public in [false, true] {
-        assert_eq!(said(&index, public, Some("a-2")), Ok(Some("a".to_owned())));
-        assert_eq!(said(&index, public, Some("b-1")), Ok(Some("b".to_owned())));
+        assert_eq!(authorized_tenant(&index, public, Some("a-2")), Ok(Some("a".to_owned())));
+        assert_eq!(authorized_tenant(&index, public, Some("b-1")), Ok(Some("b".to_owned())));
         for unknown in ["b-2", "", "a-1, a-2", "a-1 "] {
-            assert_eq!(said(&index, public, Some(unknown)), Err(AuthError::UnknownKey));
+            assert_eq!(authorized_tenant(&index, public, Some(unknown)), Err(AuthError::UnknownKey));
         }
     }
-    assert_eq!(said(&index, false, None), Err(AuthError::MissingKey));
-    assert_eq!(said(&index, true, None), Ok(None));
+    assert_eq!(authorized_tenant(&index, false, None), Err(AuthError::MissingKey));
+    assert_eq!(authorized_tenant(&index, true, None), Ok(None));
 }
 
 #[test]
-fn nobody_is_asked_for_a_key_where_there_are_no_tenants() {
+fn no_key_is_required_without_tenants() {
     let index = KeyIndex::default();
     for key in [None, Some(digest("a-1"))] {
-        let said = authorize(&index, false, &route(false), key.as_ref());
-        assert_eq!(said, Ok(None));
+        let result = authorize(&index, false, &route(false), key.as_ref());
+        assert_eq!(result, Ok(None));
     }
 }
 
 #[test]
-fn rank_of_the_tenant_goes_before_that_of_the_route() {
+fn priority_of_the_tenant_overrides_that_of_the_route() {
     let all = Tenants::from([
         ("first".into(), tenant(&["first-1"], Some(0))),
         ("plain".into(), tenant(&["plain-1"], None)),
     ]);
     let index = index(&all);
-    let rank_of = |key: &str| effective_priority(index.find(&digest(key)).map(AsRef::as_ref), &route(false));
-    assert_eq!(rank_of("first-1"), 0);
-    assert_eq!(rank_of("plain-1"), 2);
+    let priority_of = |key: &str| effective_priority(index.find(&digest(key)).map(AsRef::as_ref), &route(false));
+    assert_eq!(priority_of("first-1"), 0);
+    assert_eq!(priority_of("plain-1"), 2);
     assert_eq!(effective_priority(None, &route(true)), 2);
 }
 
 #[test]
-fn key_taken_away_moved_or_added_counts_from_the_next_version_on() {
+fn removed_moved_or_added_key_applies_from_the_next_version() {
     let old = tenants(&[("a", &["1", "2"]), ("b", &["3"]), ("c", &["4"])]);
     let new = tenants(&[("a", &["2"]), ("b", &["1", "3", "5"]), ("d", &["4"])]);
     let mut index = index(&old);
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn key_of_two_tenants_is_found_with_both_names() {
+fn shared_key_is_found_with_both_tenants() {
     let sound = tenants(&[("a", &["1", "2"]), ("b", &["3"]), ("c", &[])]);
     assert_eq!(find_shared_key(&sound), None);
     let shared = tenants(&[("a", &["1", "2"]), ("b", &["3"]), ("c", &["4", "2"])]);
@@ -124,12 +125,12 @@
     assert_eq!(found, Some(("a", "c")));
 }
 
-/// Tenants of which no two share a key.
-fn drawn(data: &mut Unstructured<'_>) -> Result<Tenants> {
+/// Generates tenants that share no key.
+fn random_tenants(data: &mut Unstructured<'_>) -> Result<Tenants> {
     let mut all = Tenants::new();
     for key in 0..40 {
         let tenant: u8 = data.int_in_range(0..=9)?;
-        // A third of the keys is held by nobody.
+        // No tenant holds about a third of the keys.
         if tenant > 6 {
             continue;
         }
@@ -143,13 +144,13 @@
     Ok(all)
 }
 
-/// Invariant: whatever versions came before, an index says what one built from
-/// the last version alone says.
-fn versions_in_turn(data: &mut Unstructured<'_>) -> Result<()> {
+/// Invariant: after any sequence of versions, the index equals one built from
+/// the last version alone.
+fn random_versions(data: &mut Unstructured<'_>) -> Result<()> {
     let mut known = Tenants::new();
     let mut index = KeyIndex::default();
     for _ in 0..data.int_in_range(1..=6)? {
-        let later = drawn(data)?;
+        let later = random_tenants(data)?;
         index.update(&known, &later);
         known = later;
     }
@@ -172,8 +173,8 @@
 }
 
 #[test]
-fn index_says_what_the_last_version_says() {
+fn index_reflects_the_last_version() {
     for seed in 0..200 {
-        arbtest::arbtest(versions_in_turn).seed(0x3000_0000_0000 + (seed << 32 | 4_096));
+        arbtest::arbtest(random_versions).seed(0x3000_0000_0000 + (seed << 32 | 4_096));
     }
 }
