--- a/crates/dispatch/src/dispatcher/crashes.rs
+++ b/crates/dispatch/src/dispatcher/crashes.rs
@@ -104,7 +104,7 @@
     /// Looks at the breaks that were open when the crash before the last became
     /// known.
     fn presume_open(&mut self) {
-        let open = self.unconfirmed.unpresumed();
+        let open = self.unconfirmed.not_presumed();
         let last = open.filter(|found| self.suspects.crashes_of(&found.identity) >= CAREFUL_FROM);
         let last: Vec<BrokenAttempt> = last.cloned().collect();
         for mut found in last {
--- a/crates/relay/src/member.rs
+++ b/crates/relay/src/member.rs
@@ -38,7 +38,7 @@
         /// Time at which the store is known to have responded to the relay.
         seen: Timestamp,
         /// Whether the response contained changes.
-        news: bool,
+        has_changes: bool,
     },
     /// The poll was given up at [`Member::poll_deadline`].
     TimedOut,
--- a/crates/relay/src/member/polls.rs
+++ b/crates/relay/src/member/polls.rs
@@ -22,9 +22,9 @@
     fn polled(&mut self, now: Timestamp, following: Following, outcome: PollOutcome) -> State {
         let claim_from = now + self.claim_delay;
         match outcome {
-            PollOutcome::Answered { seen, news } if now < self.outdated_at(seen) => {
+            PollOutcome::Answered { seen, has_changes } if now < self.outdated_at(seen) => {
                 State::Following(Following {
-                    due: self.next_poll(now, news),
+                    due: self.next_poll(now, has_changes),
                     seen: following.seen.max(Some(seen)),
                     joined: true,
                     ..following
@@ -52,11 +52,11 @@
 
     fn polled_while_isolated(&mut self, now: Timestamp, isolated: Isolated, outcome: PollOutcome) -> State {
         match outcome {
-            PollOutcome::Answered { seen, news } if now < self.outdated_at(seen) => {
-                State::Following(isolated.resume(self.next_poll(now, news), seen))
+            PollOutcome::Answered { seen, has_changes } if now < self.outdated_at(seen) => {
+                State::Following(isolated.resume(self.next_poll(now, has_changes), seen))
             }
-            PollOutcome::Answered { news, .. } => State::Isolated(Isolated {
-                due: self.next_poll(now, news),
+            PollOutcome::Answered { has_changes, .. } => State::Isolated(Isolated {
+                due: self.next_poll(now, has_changes),
                 ..isolated
             }),
             PollOutcome::AtCapacity(others) => {
@@ -81,8 +81,8 @@
         }
     }
 
-    fn next_poll(&self, now: Timestamp, news: bool) -> Timestamp {
-        if news {
+    fn next_poll(&self, now: Timestamp, has_changes: bool) -> Timestamp {
+        if has_changes {
             now + self.settings.poll_pause
         } else {
             now
--- a/crates/relay/src/member/sources.rs
+++ b/crates/relay/src/member/sources.rs
@@ -33,7 +33,7 @@
             let until = self.startup_ends;
             return Source::Starting { until };
         }
-        let join = following.found + self.settings.join_timeout;
+        let join = following.found_at + self.settings.join_timeout;
         let until = fresh.map_or(join, |(_, until)| until.max(join));
         self.joining_until(now, until)
     }
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -30,7 +30,7 @@
 impl Upstream {
     /// Returns the relay if it was polled directly. A follower that fails is
     /// simply not polled again.
-    fn direct(&self) -> Option<NodeIdentity> {
+    fn relay_if_direct(&self) -> Option<NodeIdentity> {
         (self.relay.address == Some(self.address)).then(|| self.relay.clone())
     }
 }
@@ -62,7 +62,7 @@
     pub(crate) due: Timestamp,
     pub(crate) upstream: Upstream,
     /// When the record was found to name the relay.
-    pub(crate) found: Timestamp,
+    pub(crate) found_at: Timestamp,
     /// Time at which the store is known to have responded to this relay or the
     /// previous one; `None` before any response.
     pub(crate) seen: Option<Timestamp>,
@@ -119,7 +119,7 @@
         Following {
             due: now,
             upstream: Upstream { address, relay },
-            found: now,
+            found_at: now,
             seen: self.seen,
             joined: false,
         }
@@ -154,7 +154,7 @@
     ) -> Searching {
         let fresh_until = fresh_until.unwrap_or(claim_from);
         Searching {
-            lost: self.upstream.direct(),
+            lost: self.upstream.relay_if_direct(),
             claim_from,
             seen: self.seen,
             store_answered_at: self.store_answered_at(),
@@ -166,7 +166,7 @@
     /// for too long.
     pub(crate) fn upstream_outdated(self, due: Timestamp, claim_from: Timestamp) -> Searching {
         Searching {
-            lost: self.upstream.direct(),
+            lost: self.upstream.relay_if_direct(),
             store_answered_at: self.store_answered_at(),
             last_upstream: Some(self.upstream),
             claim_from,
@@ -186,7 +186,7 @@
     /// Returns when the store responded to this member in the search that led
     /// here, or `None` once a relay has reported a later response.
     fn store_answered_at(&self) -> Option<Timestamp> {
-        (!self.joined).then_some(self.found)
+        (!self.joined).then_some(self.found_at)
     }
 
     /// Polls a follower that the relay at capacity named.
@@ -209,7 +209,7 @@
         Following {
             due,
             upstream: self.upstream,
-            found: due,
+            found_at: due,
             seen: Some(seen),
             joined: true,
         }
@@ -219,7 +219,7 @@
     /// but not to its relay, or because the relay does not respond.
     pub(crate) fn search(self, due: Timestamp, claim_from: Timestamp) -> Searching {
         Searching {
-            lost: self.upstream.direct(),
+            lost: self.upstream.relay_if_direct(),
             claim_from,
             ..Searching::at(due)
         }
--- a/crates/relay/tests/member.rs
+++ b/crates/relay/tests/member.rs
@@ -52,8 +52,8 @@
     assert_eq!(member.poll(at(0)), Some(Action::Read));
     member.on_read(at(4), found(identity(2, 1), 5));
     assert_eq!(member.poll(at(4)), Some(Action::Poll(address(2))));
-    let (seen, news) = (at(10), false);
-    member.on_poll(at(12), PollOutcome::Answered { seen, news });
+    let (seen, has_changes) = (at(10), false);
+    member.on_poll(at(12), PollOutcome::Answered { seen, has_changes });
     member
 }
 
@@ -162,8 +162,8 @@
 fn outdated() -> Member {
     let mut member = follower();
     member.poll(at(12));
-    let (seen, news) = (at(10), true);
-    member.on_poll(at(1_300), PollOutcome::Answered { seen, news });
+    let (seen, has_changes) = (at(10), true);
+    member.on_poll(at(1_300), PollOutcome::Answered { seen, has_changes });
     member
 }
 
@@ -199,8 +199,8 @@
 fn state_from_a_lost_relay_is_used_while_it_is_fresh() {
     let mut member = follower();
     member.poll(at(1_600));
-    let (seen, news) = (at(1_590), false);
-    member.on_poll(at(1_600), PollOutcome::Answered { seen, news });
+    let (seen, has_changes) = (at(1_590), false);
+    member.on_poll(at(1_600), PollOutcome::Answered { seen, has_changes });
     member.poll(at(1_600));
     member.on_poll(at(1_700), PollOutcome::Failed);
     let until = at(2_790);
@@ -221,15 +221,15 @@
     member.on_read(at(2_300), ReadResult::Failed);
     assert_eq!(member.source(at(2_300)), Source::Unavailable);
     assert_eq!(member.poll(at(2_300)), Some(Action::Poll(address(2))));
-    let (seen, news) = (at(10), false);
-    member.on_poll(at(2_800), PollOutcome::Answered { seen, news });
+    let (seen, has_changes) = (at(10), false);
+    member.on_poll(at(2_800), PollOutcome::Answered { seen, has_changes });
     assert_eq!(member.poll(at(2_800)), Some(Action::Poll(address(2))));
-    member.on_poll(at(3_310), PollOutcome::Answered { seen, news });
+    member.on_poll(at(3_310), PollOutcome::Answered { seen, has_changes });
     assert_eq!(member.poll(at(3_310)), Some(Action::Read));
     member.on_read(at(4_310), ReadResult::Failed);
     assert_eq!(member.poll(at(4_310)), Some(Action::Poll(address(2))));
     let seen = at(4_400);
-    member.on_poll(at(4_410), PollOutcome::Answered { seen, news });
+    member.on_poll(at(4_410), PollOutcome::Answered { seen, has_changes });
     let until = at(5_600);
     assert_eq!(member.source(at(4_410)), Source::Relay { until, seen });
 }
@@ -242,13 +242,13 @@
     member.poll(at(1_300));
     member.on_read(at(1_304), ReadResult::Failed);
     member.poll(at(1_304));
-    let (seen, news) = (at(10), false);
-    member.on_poll(at(2_310), PollOutcome::Answered { seen, news });
+    let (seen, has_changes) = (at(10), false);
+    member.on_poll(at(2_310), PollOutcome::Answered { seen, has_changes });
     assert_eq!(member.poll(at(2_310)), Some(Action::Read));
     member.on_read(at(2_314), found(identity(2, 1), 5));
     assert_eq!(member.source(at(2_314)), Source::Unavailable);
     assert_eq!(member.poll(at(2_314)), Some(Action::Poll(address(2))));
-    member.on_poll(at(3_820), PollOutcome::Answered { seen, news });
+    member.on_poll(at(3_820), PollOutcome::Answered { seen, has_changes });
     assert_eq!(member.poll(at(3_820)), Some(Action::Read));
     member.on_read(at(3_824), found(identity(2, 1), 5));
     assert_eq!(member.poll(at(3_824)), Some(Action::Read));
@@ -270,8 +270,8 @@
     member.on_read(at(3_114), found(identity(4, 1), 9));
     assert_eq!(member.poll(at(3_114)), Some(Action::Poll(address(4))));
     assert_eq!(member.active_upstream(), None);
-    let (seen, news) = (at(3_110), false);
-    member.on_poll(at(3_118), PollOutcome::Answered { seen, news });
+    let (seen, has_changes) = (at(3_110), false);
+    member.on_poll(at(3_118), PollOutcome::Answered { seen, has_changes });
     assert_eq!(member.active_upstream(), Some(address(4)));
 }
 
@@ -279,8 +279,8 @@
 fn next_poll_is_delayed_after_changes() {
     let mut member = follower();
     member.poll(at(12));
-    let (seen, news) = (at(40), true);
-    member.on_poll(at(50), PollOutcome::Answered { seen, news });
+    let (seen, has_changes) = (at(40), true);
+    member.on_poll(at(50), PollOutcome::Answered { seen, has_changes });
     assert_eq!(member.poll(at(149)), None);
     assert_eq!(member.poll(at(150)), Some(Action::Poll(address(2))));
 }
@@ -309,8 +309,8 @@
     member.poll(at(3_004));
     member.on_poll(at(3_010), PollOutcome::AtCapacity(vec![address(1), address(9)]));
     assert_eq!(member.poll(at(3_010)), Some(Action::Poll(address(9))));
-    let (seen, news) = (at(10), false);
-    member.on_poll(at(3_020), PollOutcome::Answered { seen, news });
+    let (seen, has_changes) = (at(10), false);
+    member.on_poll(at(3_020), PollOutcome::Answered { seen, has_changes });
     assert_eq!(member.poll(at(3_169)), None);
     let until = at(3_254);
     assert_eq!(member.source(at(3_169)), Source::Joining { until });
@@ -448,13 +448,13 @@
 fn member_rejected_by_the_store_returns_to_its_lost_relay() {
     let mut member = follower();
     member.poll(at(12));
-    let (seen, news) = (at(10), false);
-    member.on_poll(at(1_300), PollOutcome::Answered { seen, news });
+    let (seen, has_changes) = (at(10), false);
+    member.on_poll(at(1_300), PollOutcome::Answered { seen, has_changes });
     assert_eq!(member.poll(at(1_300)), Some(Action::Read));
     member.on_read(at(1_304), ReadResult::Failed);
     assert_eq!(member.poll(at(1_304)), Some(Action::Poll(address(2))));
-    let (seen, news) = (at(1_490), false);
-    member.on_poll(at(1_510), PollOutcome::Answered { seen, news });
+    let (seen, has_changes) = (at(1_490), false);
+    member.on_poll(at(1_510), PollOutcome::Answered { seen, has_changes });
     let until = at(2_690);
     assert_eq!(member.source(at(1_510)), Source::Relay { until, seen });
     // The relay does not respond either, so the store is read again after a
--- a/crates/relay/tests/tiers.rs
+++ b/crates/relay/tests/tiers.rs
@@ -147,7 +147,7 @@
             let silent = self.nodes[&upstream].frozen;
             let outcome = if !silent && now >= ends {
                 let seen = Timestamp::from_millis(self.seen(upstream));
-                PollOutcome::Answered { seen, news: false }
+                PollOutcome::Answered { seen, has_changes: false }
             } else if now >= asked + silence {
                 PollOutcome::Failed
             } else if deadline.is_some_and(|deadline| time >= deadline) {
--- a/crates/relay/tests/tree.rs
+++ b/crates/relay/tests/tree.rs
@@ -150,7 +150,7 @@
             }
             Call::Held(held, to) if held.is_due(time, self.seen(to)) => {
                 let seen = self.seen(to);
-                let outcome = PollOutcome::Answered { seen, news: false };
+                let outcome = PollOutcome::Answered { seen, has_changes: false };
                 return Some(Call::Responding(self.arrival(), outcome));
             }
             Call::Held(..) => return Some(call),
--- a/crates/relay/tests/zone.rs
+++ b/crates/relay/tests/zone.rs
@@ -171,7 +171,7 @@
                     _ => Timestamp::from_millis(upstream.store_answered),
                 };
                 let outcome = if answered {
-                    PollOutcome::Answered { seen, news: false }
+                    PollOutcome::Answered { seen, has_changes: false }
                 } else {
                     PollOutcome::Failed
                 };
--- a/crates/router/src/gateway/relay.rs
+++ b/crates/router/src/gateway/relay.rs
@@ -289,7 +289,7 @@
             self.fetch_configuration(address).await;
         }
         self.health.heard(seen);
-        PollOutcome::Answered { seen, news: told }
+        PollOutcome::Answered { seen, has_changes: told }
     }
 
     /// What changed is forgotten, or more than the link should carry for each
--- a/crates/suspects/src/signed_timestamp.rs
+++ b/crates/suspects/src/signed_timestamp.rs
@@ -10,8 +10,8 @@
 /// Invariant: the time may lie before the origin, so that observations made
 /// before this gateway started keep their age. When such times were clamped to
 /// the origin, old evidence passed on by a newly started gateway looked recent
-/// and withdrew later crashes; in 30 s of random restarts a request
-/// still reached nine back ends after it should have been held.
+/// and withdrew later crashes; in 30 s of random restarts a request still
+/// reached nine back ends after it should have been held.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SignedTimestamp(i64);
 
--- a/crates/suspects/src/unconfirmed.rs
+++ b/crates/suspects/src/unconfirmed.rs
@@ -74,7 +74,7 @@
     }
 
     /// Returns the open broken attempts that do not count as crashes yet.
-    pub fn unpresumed(&self) -> impl Iterator<Item = &BrokenAttempt> {
+    pub fn not_presumed(&self) -> impl Iterator<Item = &BrokenAttempt> {
         let open = self.breaks.values().flatten();
         open.filter(|found| !found.presumed)
     }
--- a/crates/suspects/src/update.rs
+++ b/crates/suspects/src/update.rs
@@ -41,8 +41,7 @@
     /// When many back ends crash together there are many first crashes, and
     /// hardly any is followed by a second one. Sending 1,074 of them to all 74
     /// gateways cost a fifth more processor time and a tenth of the served
-    /// requests in a run
-    /// of 30 s.
+    /// requests in a run of 30 s.
     Repeated,
 }
 
