--- a/crates/suspects/src/record.rs
+++ b/crates/suspects/src/record.rs
@@ -26,26 +26,26 @@
 
 impl HeldRecord {
     /// Returns the record as this gateway would write it, or `None` if it is up
-    /// to date. It contains the requests held here, and those already in the
-    /// record that were not released here.
+    /// to date. It contains the requests of [`Suspects::to_persist`], and those
+    /// already in the record that were not released here.
     pub fn updated(&self, suspects: &Suspects, now: Timestamp) -> Option<HeldRecord> {
-        let own = suspects.updates_since(0, UpdateScope::Repeated, now).suspects;
+        let reports = suspects.updates_since(0, UpdateScope::Repeated, now).suspects;
         let kept = suspects.to_persist();
-        let stays = |there: &&SuspectReport| {
-            suspects.get(there.request).is_none() || kept.contains_key(&there.request)
+        let stays = |stored: &&SuspectReport| {
+            suspects.get(stored.request).is_none() || kept.contains_key(&stored.request)
         };
         let mut held: Vec<SuspectReport> = self.held.iter().filter(stays).cloned().collect();
         let mut changed = held.len() != self.held.len();
-        for report in own
+        for report in reports
             .into_iter()
-            .filter(|own| kept.contains_key(&own.request))
+            .filter(|report| kept.contains_key(&report.request))
         {
-            let there = held
+            let stored = held
                 .iter()
-                .position(|there| there.request == report.request);
-            match there {
-                Some(place) if !adds_crashes(&report, &held[place]) => continue,
-                Some(place) => held[place] = report,
+                .position(|stored| stored.request == report.request);
+            match stored {
+                Some(index) if !adds_crashes(&report, &held[index]) => continue,
+                Some(index) => held[index] = report,
                 None => held.push(report),
             }
             changed = true;
@@ -66,7 +66,7 @@
 
 /// Whether `report` adds crashes to a stored report of a request that is not
 /// held yet.
-fn adds_crashes(report: &SuspectReport, there: &SuspectReport) -> bool {
+fn adds_crashes(report: &SuspectReport, stored: &SuspectReport) -> bool {
     let processes = |report: &SuspectReport| {
         let crashes = report.crashes.iter();
         crashes
@@ -74,5 +74,5 @@
             .collect::<BTreeSet<_>>()
             .len()
     };
-    processes(there) < CRASHES_UNTIL_HELD && processes(report) > processes(there)
+    processes(stored) < CRASHES_UNTIL_HELD && processes(report) > processes(stored)
 }
