--- a/crates/limits/src/rate_limiter/contact.rs
+++ b/crates/limits/src/rate_limiter/contact.rs
@@ -46,7 +46,7 @@
     first_sent: Option<Timestamp>,
     /// When the last request other than a hello was sent.
     last_request: Timestamp,
-    /// When the last request that was answered was sent.
+    /// When the last request that the ledger processed was sent.
     confirmed: Option<Timestamp>,
     /// Whether the ledger has to be told what this gateway holds.
     report_due: bool,
