--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -21,7 +21,7 @@
 use rand_chacha::ChaCha8Rng;
 use threadledge_coordination::{LoadReport, OwnershipView};
 use threadledge_suspects::{BrokenAttempt, Suspects, UnconfirmedCrashes};
-use threadledge_tenants::{Admission, TenantPolicy, KeyChanges, KeyIndex};
+use threadledge_tenants::{Admission, KeyChanges, KeyIndex, TenantPolicy};
 use threadledge_types::deployment::{
     BackEnd, BackEndName, Configuration, ConfigurationVersion, Route, RouteName, ServiceName,
 };
--- a/crates/dispatch/src/dispatcher/admitting.rs
+++ b/crates/dispatch/src/dispatcher/admitting.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use threadledge_tenants::{Admission, TenantPolicy, AuthError, KeyChanges, authorize};
+use threadledge_tenants::{Admission, AuthError, KeyChanges, TenantPolicy, authorize};
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{Configuration, KeyDigest};
 
--- a/crates/dispatch/src/dispatcher/crashes.rs
+++ b/crates/dispatch/src/dispatcher/crashes.rs
@@ -7,7 +7,9 @@
 
 use std::net::SocketAddr;
 
-use threadledge_suspects::{BrokenAttempt, CRASHES_UNTIL_HELD, RequestHash, SuspectUpdate, Suspects};
+use threadledge_suspects::{
+    BrokenAttempt, CRASHES_UNTIL_HELD, RequestHash, SuspectUpdate, Suspects,
+};
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::BackEndName;
 
--- a/crates/limits/src/ledger.rs
+++ b/crates/limits/src/ledger.rs
@@ -11,9 +11,9 @@
 //! rates once every machine that may hold a share has sent a request, or once
 //! everything granted before has expired.
 
-mod tenant_bucket;
-mod recovery;
 mod gateway;
+mod recovery;
+mod tenant_bucket;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -22,12 +22,14 @@
 use threadledge_types::deployment::{RateLimit, TenantName};
 use threadledge_types::{MachineName, Timestamp};
 
-use crate::messages::{QuotaResponse, QuotaRequest, Echo, HolderRecord, Share, TenantQuotaRequest, TenantGrant};
+use crate::messages::{
+    Echo, HolderRecord, QuotaRequest, QuotaResponse, Share, TenantGrant, TenantQuotaRequest,
+};
 use crate::settings::{MAX_PAUSE, Settings};
-use tenant_bucket::TenantBucket;
-use recovery::Recovery;
+use gateway::{Gateway, Holding};
 pub use recovery::Predecessor;
-use gateway::{Holding, Gateway};
+use recovery::Recovery;
+use tenant_bucket::TenantBucket;
 
 /// Result of the election that makes a gateway the ledger.
 #[derive(Clone, Debug)]
@@ -182,7 +184,12 @@
 
     /// Updates the sender and grants tokens and shares. Returns `None` if the
     /// request is older than the last one known from its sender.
-    fn process(&mut self, now: Timestamp, request: &QuotaRequest, echo: Echo) -> Option<Vec<TenantGrant>> {
+    fn process(
+        &mut self,
+        now: Timestamp,
+        request: &QuotaRequest,
+        echo: Echo,
+    ) -> Option<Vec<TenantGrant>> {
         let sent = echo.at + Duration::from_micros(echo.elapsed_us);
         self.update_gateway(now, request, sent.min(now))?;
         let mut grants = Vec::with_capacity(request.tenants.len());
@@ -194,7 +201,12 @@
 
     /// Replaces what is known of the sender by what its request reports.
     /// Returns `None` if the request is stale.
-    fn update_gateway(&mut self, now: Timestamp, request: &QuotaRequest, sent: Timestamp) -> Option<()> {
+    fn update_gateway(
+        &mut self,
+        now: Timestamp,
+        request: &QuotaRequest,
+        sent: Timestamp,
+    ) -> Option<()> {
         if let Some(gateway) = self.gateways.get_mut(&request.from) {
             if !gateway.accepts(request) {
                 return None;
@@ -203,7 +215,9 @@
             self.deadlines.remove(&deadline);
         }
         let known = self.gateways.remove(&request.from);
-        let is_new = known.as_ref().is_none_or(|known| known.incarnation != request.incarnation);
+        let is_new = known
+            .as_ref()
+            .is_none_or(|known| known.incarnation != request.incarnation);
         let mut gateway = known.unwrap_or_else(|| Gateway::new(request.incarnation));
         self.remove_holdings(now, &gateway);
         gateway.on_request(request, sent);
@@ -244,7 +258,12 @@
         }
     }
 
-    fn grant(&mut self, now: Timestamp, from: &MachineName, request: &TenantQuotaRequest) -> TenantGrant {
+    fn grant(
+        &mut self,
+        now: Timestamp,
+        from: &MachineName,
+        request: &TenantQuotaRequest,
+    ) -> TenantGrant {
         let name = request.name.clone();
         let Some(bucket) = self.buckets.get_mut(&name) else {
             // The tenant has no limit in this configuration.
--- a/crates/limits/src/ledger/recovery.rs
+++ b/crates/limits/src/ledger/recovery.rs
@@ -86,9 +86,7 @@
         match self {
             Recovery::Complete => true,
             Recovery::Pending {
-                ledgers,
-                lease_end,
-                ..
+                ledgers, lease_end, ..
             } => *lease_end <= now || ledgers.is_empty(),
         }
     }
--- a/crates/limits/src/ledger/tenant_bucket.rs
+++ b/crates/limits/src/ledger/tenant_bucket.rs
@@ -5,8 +5,8 @@
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{RateLimit, TenantName};
 
+use super::gateway::{Gateway, Holding};
 use super::recovery::MAX_SHARE;
-use super::gateway::{Holding, Gateway};
 use crate::bucket::{Bucket, BucketLimits};
 use crate::messages::Share;
 use crate::settings::Settings;
@@ -61,7 +61,12 @@
 
     /// Returns the same bucket with another limit. The caller has to add the
     /// holdings again; shares are fractions of the limit and stay valid.
-    pub(super) fn with_limit(mut self, now: Timestamp, limit: RateLimit, settings: &Settings) -> Self {
+    pub(super) fn with_limit(
+        mut self,
+        now: Timestamp,
+        limit: RateLimit,
+        settings: &Settings,
+    ) -> Self {
         self.refill(now);
         TenantBucket {
             bucket: self.bucket,
@@ -92,7 +97,10 @@
 
     /// Sets the share that the ledger owns even if no gateway reports any.
     pub(super) fn set_unreserved(&mut self, unreserved: Share) {
-        self.total = self.reclaimed.max(unreserved.0.into()).min(Share::WHOLE.0.into());
+        self.total = self
+            .reclaimed
+            .max(unreserved.0.into())
+            .min(Share::WHOLE.0.into());
     }
 
     /// Puts back unused tokens.
@@ -138,8 +146,11 @@
     pub(super) fn remove_holding(&mut self, holding: Holding, silent: bool) {
         let share = u64::from(holding.share.0);
         self.held = self.held.saturating_sub(share);
-        self.reported_rate_millis = self.reported_rate_millis.saturating_sub(u64::from(holding.rate));
-        self.rounding_excess = (self.rounding_excess - self.rounding_excess_of(holding.share)).max(0.0);
+        self.reported_rate_millis = self
+            .reported_rate_millis
+            .saturating_sub(u64::from(holding.rate));
+        self.rounding_excess =
+            (self.rounding_excess - self.rounding_excess_of(holding.share)).max(0.0);
         if silent {
             self.reserved = self.reserved.saturating_sub(share);
         }
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -16,10 +16,12 @@
 mod bucket;
 pub mod ledger;
 pub mod messages;
-pub mod settings;
 pub mod rate_limiter;
+pub mod settings;
 
 pub use ledger::{Ledger, Predecessor};
-pub use messages::{QuotaResponse, QuotaRequest, HolderRecord, Share, TenantQuotaRequest, TenantGrant};
+pub use messages::{
+    HolderRecord, QuotaRequest, QuotaResponse, Share, TenantGrant, TenantQuotaRequest,
+};
+pub use rate_limiter::{Admission, RateLimiter, RefusalReason};
 pub use settings::Settings;
-pub use rate_limiter::{Admission, RefusalReason, RateLimiter};
--- a/crates/limits/src/rate_limiter.rs
+++ b/crates/limits/src/rate_limiter.rs
@@ -12,10 +12,10 @@
 use threadledge_types::{Incarnation, MachineName, Timestamp};
 
 use crate::bucket::BucketLimits;
-use crate::messages::{QuotaResponse, QuotaRequest, TenantQuotaRequest, TenantGrant};
+use crate::messages::{QuotaRequest, QuotaResponse, TenantGrant, TenantQuotaRequest};
 use crate::settings::{
-    QUOTA_REQUEST_INTERVAL, IDLE_AFTER, MAX_PAUSE, MAX_WAIT, MIN_PAUSE, STARTUP_WAIT,
-    Settings, URGENT_REQUEST_INTERVAL,
+    IDLE_AFTER, MAX_PAUSE, MAX_WAIT, MIN_PAUSE, QUOTA_REQUEST_INTERVAL, STARTUP_WAIT, Settings,
+    URGENT_REQUEST_INTERVAL,
 };
 use allowance::Allowance;
 use contact::LedgerContact;
--- a/crates/limits/src/rate_limiter/allowance.rs
+++ b/crates/limits/src/rate_limiter/allowance.rs
@@ -8,7 +8,7 @@
 
 use crate::bucket::{Bucket, BucketLimits};
 use crate::messages::{Share, TenantQuotaRequest};
-use crate::settings::{QUOTA_REQUEST_INTERVAL, MAX_PAUSE};
+use crate::settings::{MAX_PAUSE, QUOTA_REQUEST_INTERVAL};
 
 /// Time constant of the decaying mean of arrivals, in seconds.
 const RATE_TIME_CONSTANT_S: f64 = 1.0;
@@ -84,7 +84,9 @@
         fallback_since: Timestamp,
         limits: BucketLimits,
     ) -> Result<(), Duration> {
-        let (since, bucket) = self.fallback.get_or_insert((fallback_since, Bucket::empty(fallback_since)));
+        let (since, bucket) = self
+            .fallback
+            .get_or_insert((fallback_since, Bucket::empty(fallback_since)));
         if *since != fallback_since {
             // A quota request in between may have told the ledger that the
             // share is not in use.
@@ -129,7 +131,11 @@
 
     /// Builds the part of a quota request for this tenant and resets its
     /// counters.
-    pub(super) fn build_request(&mut self, now: Timestamp, name: &TenantName) -> TenantQuotaRequest {
+    pub(super) fn build_request(
+        &mut self,
+        now: Timestamp,
+        name: &TenantName,
+    ) -> TenantQuotaRequest {
         self.update_rate(now);
         // Tokens that would expire before the next quota request are returned
         // and replaced with this one.
--- a/crates/limits/src/rate_limiter/contact.rs
+++ b/crates/limits/src/rate_limiter/contact.rs
@@ -5,7 +5,7 @@
 use threadledge_coordination::Term;
 use threadledge_types::Timestamp;
 
-use crate::messages::{QuotaResponse, Echo};
+use crate::messages::{Echo, QuotaResponse};
 use crate::settings::{FALLBACK_AFTER, STARTUP_PERIOD, Settings};
 
 /// Time between two hellos to a ledger that does not respond.
@@ -90,7 +90,9 @@
 
     /// Whether this gateway has just started and no ledger has responded yet.
     pub(super) fn is_starting(&self, now: Timestamp) -> bool {
-        let long = self.first_sent.is_some_and(|first| now >= first + STARTUP_PERIOD);
+        let long = self
+            .first_sent
+            .is_some_and(|first| now >= first + STARTUP_PERIOD);
         self.confirmed.is_none() && !long
     }
 
@@ -147,7 +149,10 @@
         response: &QuotaResponse,
     ) -> Option<Timestamp> {
         let QuotaResponse::Ledger {
-            term, at, lease_at_risk, ..
+            term,
+            at,
+            lease_at_risk,
+            ..
         } = response
         else {
             self.on_failure(now, number);
@@ -158,7 +163,9 @@
             self.on_failure(now, number);
             return None;
         }
-        let in_flight = self.in_flight.filter(|in_flight| in_flight.number == number)?;
+        let in_flight = self
+            .in_flight
+            .filter(|in_flight| in_flight.number == number)?;
         self.in_flight = None;
         if self.term != Some(*term) {
             self.term = Some(*term);
@@ -182,7 +189,10 @@
     }
 
     pub(super) fn on_failure(&mut self, now: Timestamp, number: u64) {
-        if self.in_flight.is_none_or(|in_flight| in_flight.number != number) {
+        if self
+            .in_flight
+            .is_none_or(|in_flight| in_flight.number != number)
+        {
             return;
         }
         self.in_flight = None;
--- a/crates/limits/tests/limits/steps.rs
+++ b/crates/limits/tests/limits/steps.rs
@@ -7,8 +7,8 @@
 use threadledge_limits::ledger::LedgerElection;
 use threadledge_limits::messages::Echo;
 use threadledge_limits::{
-    Admission, QuotaResponse, QuotaRequest, HolderRecord, Ledger, Predecessor, RefusalReason, Share, RateLimiter,
-    TenantQuotaRequest, TenantGrant,
+    Admission, HolderRecord, Ledger, Predecessor, QuotaRequest, QuotaResponse, RateLimiter,
+    RefusalReason, Share, TenantGrant, TenantQuotaRequest,
 };
 use threadledge_types::deployment::{RateLimit, TenantName};
 use threadledge_types::{Incarnation, MachineName, Timestamp};
@@ -88,7 +88,12 @@
 }
 
 /// Delivers a request that was sent at `sent` to the ledger at `arrives`.
-fn send_request(ledger: &mut Ledger, sent: u64, arrives: u64, params: &RequestParams<'_>) -> Option<TenantGrant> {
+fn send_request(
+    ledger: &mut Ledger,
+    sent: u64,
+    arrives: u64,
+    params: &RequestParams<'_>,
+) -> Option<TenantGrant> {
     let request = QuotaRequest {
         from: machine(params.from),
         incarnation: Incarnation(params.incarnation),
@@ -240,7 +245,9 @@
     let unrecorded = RequestParams { from: "s", ..A };
     let granted = send_request(&mut ledger, 1_000, 1_000, &unrecorded).expect("it is accepted");
     assert_eq!(granted.share, Share(0));
-    let wanted = ledger.record_to_write(at(1_000)).expect("it is not recorded");
+    let wanted = ledger
+        .record_to_write(at(1_000))
+        .expect("it is not recorded");
     assert!(wanted.machines.contains(&machine("s")));
     ledger.on_record_written(wanted);
     let again = RequestParams {
@@ -304,7 +311,10 @@
         limiter.admit(at(790), &tenant(), at(790)),
         Admission::Wait(_)
     ));
-    assert_eq!(limiter.admit(at(810), &tenant(), at(790)), Admission::Admitted);
+    assert_eq!(
+        limiter.admit(at(810), &tenant(), at(790)),
+        Admission::Admitted
+    );
     // The share expires, counted from the last request that was answered.
     let over = limiter.admit(at(10) + beyond_share_lifetime(), &tenant(), at(0));
     assert!(matches!(
@@ -408,5 +418,9 @@
     let mut ledger = successor(&["a", "b"], &["b"]);
     let granted = send_request(&mut ledger, 0, 0, &A).expect("it is accepted");
     assert_eq!((granted.tokens, granted.over_limit), (0, false));
-    assert!((1..250).contains(&granted.retry_after_ms), "{}", granted.retry_after_ms);
+    assert!(
+        (1..250).contains(&granted.retry_after_ms),
+        "{}",
+        granted.retry_after_ms
+    );
 }
--- a/crates/limits/tests/limits/world.rs
+++ b/crates/limits/tests/limits/world.rs
@@ -7,7 +7,8 @@
 use threadledge_coordination::Term;
 use threadledge_limits::ledger::LedgerElection;
 use threadledge_limits::{
-    Admission, QuotaResponse, QuotaRequest, HolderRecord, Ledger, Predecessor, Settings, RateLimiter,
+    Admission, HolderRecord, Ledger, Predecessor, QuotaRequest, QuotaResponse, RateLimiter,
+    Settings,
 };
 use threadledge_types::deployment::{RateLimit, TenantName};
 use threadledge_types::{Incarnation, MachineName, Timestamp};
@@ -357,7 +358,9 @@
             };
             let message = match &message {
                 Message::QuotaRequest(request) => Message::QuotaRequest(request.clone()),
-                Message::QuotaResponse(number, answer) => Message::QuotaResponse(*number, answer.clone()),
+                Message::QuotaResponse(number, answer) => {
+                    Message::QuotaResponse(*number, answer.clone())
+                }
             };
             let due = due + copy * self.random(SECOND_US);
             self.network.push(InFlight {
@@ -397,7 +400,11 @@
         match sent.message {
             Message::QuotaRequest(request) => {
                 let answer = self.handle_request(sent.to, now, &request);
-                self.send(sent.to, sent.from, Message::QuotaResponse(request.number, answer));
+                self.send(
+                    sent.to,
+                    sent.from,
+                    Message::QuotaResponse(request.number, answer),
+                );
             }
             Message::QuotaResponse(number, answer) => {
                 if self.nodes[sent.to].incarnation != sent.incarnation {
@@ -406,7 +413,10 @@
                 let one = &mut self.nodes[sent.to];
                 // The gateway waits for one response at a time, and no longer
                 // than the timeout.
-                if one.in_flight.is_some_and(|(in_flight, _)| in_flight == number) {
+                if one
+                    .in_flight
+                    .is_some_and(|(in_flight, _)| in_flight == number)
+                {
                     one.in_flight = None;
                     one.limiter.on_response(now, number, answer);
                     self.wake(sent.to);
@@ -415,7 +425,12 @@
         }
     }
 
-    fn handle_request(&mut self, node: usize, now: Timestamp, request: &QuotaRequest) -> QuotaResponse {
+    fn handle_request(
+        &mut self,
+        node: usize,
+        now: Timestamp,
+        request: &QuotaRequest,
+    ) -> QuotaResponse {
         let office_us = settings().lease.as_micros() as u64;
         let time = self.now;
         let one = &mut self.nodes[node];
--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -6,8 +6,8 @@
 //! makes no decisions, keeps no state and does not retry.
 
 pub mod grants;
-pub mod store;
 pub mod header_codec;
+pub mod store;
 
 use std::future::Future;
 use std::pin::Pin;
@@ -20,10 +20,10 @@
 use threadledge_types::deployment::{BackEnd, Configuration, DrainedZone};
 
 pub use grants::GrantTransport;
+pub use header_codec::{HeaderCodec, RequestMetadata, ResponseMetadata};
 pub use store::{
     Change, Changes, Collection, Entry, Listing, Malformed, Page, RecordStore, StoreError,
 };
-pub use header_codec::{ResponseMetadata, RequestMetadata, HeaderCodec};
 
 /// Boxed future of a call to the platform.
 pub type PortFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -25,7 +25,7 @@
 use threadledge_coordination::NodeIdentity;
 
 pub use held::HeldPoll;
-pub use member::{Action, PollOutcome, Member, Source};
+pub use member::{Action, Member, PollOutcome, Source};
 pub use settings::Settings;
 
 fn default_members() -> u32 {
--- a/crates/relay/src/member.rs
+++ b/crates/relay/src/member.rs
@@ -16,7 +16,7 @@
 
 use crate::RelayRecord;
 use crate::settings::Settings;
-use crate::state::{Isolated, Following, Relaying, Searching, Step};
+use crate::state::{Following, Isolated, Relaying, Searching, Step};
 
 /// Call to make. Each call is followed by exactly one event, whatever its
 /// result.
@@ -175,9 +175,8 @@
     /// Returns the gateway that is polled.
     pub fn upstream(&self) -> Option<SocketAddr> {
         match &self.state {
-            State::Following(Following { upstream, .. }) | State::Isolated(Isolated { upstream, .. }) => {
-                Some(upstream.address)
-            }
+            State::Following(Following { upstream, .. })
+            | State::Isolated(Isolated { upstream, .. }) => Some(upstream.address),
             _ => None,
         }
     }
--- a/crates/relay/src/member/claims.rs
+++ b/crates/relay/src/member/claims.rs
@@ -57,7 +57,9 @@
                 recorded_members: self.members,
                 recount_at,
             }),
-            WriteResult::Conflict(Some(found)) => self.handle_record(now, relaying.step_down(now), found),
+            WriteResult::Conflict(Some(found)) => {
+                self.handle_record(now, relaying.step_down(now), found)
+            }
             WriteResult::Conflict(None) | WriteResult::NotDone | WriteResult::Unknown => {
                 State::Relaying(Relaying {
                     due,
--- a/crates/relay/src/member/polls.rs
+++ b/crates/relay/src/member/polls.rs
@@ -5,8 +5,8 @@
 use rand::RngExt;
 use threadledge_types::Timestamp;
 
-use super::{PollOutcome, Member, State};
-use crate::state::{Isolated, Following, Upstream};
+use super::{Member, PollOutcome, State};
+use crate::state::{Following, Isolated, Upstream};
 
 impl Member {
     /// Handles the outcome of a poll, including a failed one.
@@ -30,10 +30,12 @@
                     ..following
                 })
             }
-            PollOutcome::AtCapacity(others) => match self.pick_follower(following.upstream.address, &others) {
-                Some(address) => State::Following(following.redirect(now, address)),
-                None => State::Searching(following.rejected(now + self.settings.retry_delay)),
-            },
+            PollOutcome::AtCapacity(others) => {
+                match self.pick_follower(following.upstream.address, &others) {
+                    Some(address) => State::Following(following.redirect(now, address)),
+                    None => State::Searching(following.rejected(now + self.settings.retry_delay)),
+                }
+            }
             // A gateway that has not joined a relay itself has no state to pass
             // on.
             PollOutcome::Answered { .. } if !following.joined => {
@@ -50,7 +52,12 @@
         }
     }
 
-    fn polled_while_isolated(&mut self, now: Timestamp, isolated: Isolated, outcome: PollOutcome) -> State {
+    fn polled_while_isolated(
+        &mut self,
+        now: Timestamp,
+        isolated: Isolated,
+        outcome: PollOutcome,
+    ) -> State {
         match outcome {
             PollOutcome::Answered { seen, has_changes } if now < self.outdated_at(seen) => {
                 State::Following(isolated.resume(self.next_poll(now, has_changes), seen))
--- a/crates/relay/src/member/reads.rs
+++ b/crates/relay/src/member/reads.rs
@@ -15,9 +15,15 @@
             self.recorded_members = found.value.members;
         }
         match self.take_state() {
-            State::Searching(searching) => self.state = self.read_while_searching(now, searching, result),
-            State::Isolated(isolated) => self.state = self.read_while_isolated(now, isolated, result),
-            State::Relaying(relaying) => self.state = self.read_while_relaying(now, relaying, result),
+            State::Searching(searching) => {
+                self.state = self.read_while_searching(now, searching, result)
+            }
+            State::Isolated(isolated) => {
+                self.state = self.read_while_isolated(now, isolated, result)
+            }
+            State::Relaying(relaying) => {
+                self.state = self.read_while_relaying(now, relaying, result)
+            }
             other => self.state = other,
         }
     }
@@ -96,7 +102,9 @@
             }
             // Other members claim first, and may have done so by the next read.
             _ if lost && now < searching.claim_from => State::Searching(Searching {
-                due: searching.claim_from.min(now + self.settings.recheck_interval),
+                due: searching
+                    .claim_from
+                    .min(now + self.settings.recheck_interval),
                 step: Step::Read,
                 ..searching
             }),
@@ -109,7 +117,12 @@
     }
 
     /// Handles a read made while neither the store nor the relay was usable.
-    fn read_while_isolated(&self, now: Timestamp, isolated: Isolated, result: ReadResult<RelayRecord>) -> State {
+    fn read_while_isolated(
+        &self,
+        now: Timestamp,
+        isolated: Isolated,
+        result: ReadResult<RelayRecord>,
+    ) -> State {
         let ReadResult::Found(found) = result else {
             return State::Isolated(Isolated {
                 due: now,
@@ -136,7 +149,12 @@
         })
     }
 
-    fn read_while_relaying(&self, now: Timestamp, relaying: Relaying, result: ReadResult<RelayRecord>) -> State {
+    fn read_while_relaying(
+        &self,
+        now: Timestamp,
+        relaying: Relaying,
+        result: ReadResult<RelayRecord>,
+    ) -> State {
         if let ReadResult::Found(Some(found)) = result {
             // The result of the read may be older than the claim.
             if found.revision > relaying.revision && found.value.holder != self.me {
--- a/crates/relay/src/member/sources.rs
+++ b/crates/relay/src/member/sources.rs
@@ -17,7 +17,9 @@
         }
         match searching.store_answered_at {
             None => Source::Unavailable,
-            Some(store_answered_at) => self.joining_until(now, store_answered_at + self.settings.join_timeout),
+            Some(store_answered_at) => {
+                self.joining_until(now, store_answered_at + self.settings.join_timeout)
+            }
         }
     }
 
--- a/crates/relay/tests/member.rs
+++ b/crates/relay/tests/member.rs
@@ -5,7 +5,7 @@
 
 use threadledge_coordination::NodeIdentity;
 use threadledge_coordination::action::{Condition, ReadResult, Versioned, WriteResult};
-use threadledge_relay::{Action, PollOutcome, Member, RelayRecord, Settings, Source};
+use threadledge_relay::{Action, Member, PollOutcome, RelayRecord, Settings, Source};
 use threadledge_types::{Incarnation, MachineName, Timestamp};
 
 const CLAIM_DELAY: Duration = Duration::from_millis(200);
@@ -289,7 +289,10 @@
 fn relay_at_capacity_redirects_members_and_is_not_replaced() {
     let mut member = follower();
     member.poll(at(12));
-    member.on_poll(at(20), PollOutcome::AtCapacity(vec![address(1), address(9)]));
+    member.on_poll(
+        at(20),
+        PollOutcome::AtCapacity(vec![address(1), address(9)]),
+    );
     assert_eq!(member.poll(at(20)), Some(Action::Poll(address(9))));
     member.on_poll(at(30), PollOutcome::Failed);
     member.poll(at(230));
@@ -307,7 +310,10 @@
     member.poll(at(3_000));
     member.on_read(at(3_004), found(identity(2, 1), 5));
     member.poll(at(3_004));
-    member.on_poll(at(3_010), PollOutcome::AtCapacity(vec![address(1), address(9)]));
+    member.on_poll(
+        at(3_010),
+        PollOutcome::AtCapacity(vec![address(1), address(9)]),
+    );
     assert_eq!(member.poll(at(3_010)), Some(Action::Poll(address(9))));
     let (seen, has_changes) = (at(10), false);
     member.on_poll(at(3_020), PollOutcome::Answered { seen, has_changes });
--- a/crates/relay/tests/tiers.rs
+++ b/crates/relay/tests/tiers.rs
@@ -7,7 +7,7 @@
 
 use threadledge_coordination::NodeIdentity;
 use threadledge_coordination::action::{Condition, ReadResult, Versioned, WriteResult};
-use threadledge_relay::{Action, PollOutcome, Member, RelayRecord, Settings, Source};
+use threadledge_relay::{Action, Member, PollOutcome, RelayRecord, Settings, Source};
 use threadledge_types::{Incarnation, MachineName, Timestamp};
 
 /// Duration of a call to a store in another region.
@@ -78,8 +78,14 @@
 impl Fleet {
     fn new() -> Self {
         let nodes = [
-            (REGION_RELAY, node(REGION_RELAY, Settings::for_region(), "region")),
-            (ZONE_RELAY, node(ZONE_RELAY, Settings::for_region(), "region")),
+            (
+                REGION_RELAY,
+                node(REGION_RELAY, Settings::for_region(), "region"),
+            ),
+            (
+                ZONE_RELAY,
+                node(ZONE_RELAY, Settings::for_region(), "region"),
+            ),
             (FOLLOWER, node(FOLLOWER, Settings::default(), "zone")),
         ];
         let holder = identity(ZONE_RELAY);
@@ -147,7 +153,10 @@
             let silent = self.nodes[&upstream].frozen;
             let outcome = if !silent && now >= ends {
                 let seen = Timestamp::from_millis(self.seen(upstream));
-                PollOutcome::Answered { seen, has_changes: false }
+                PollOutcome::Answered {
+                    seen,
+                    has_changes: false,
+                }
             } else if now >= asked + silence {
                 PollOutcome::Failed
             } else if deadline.is_some_and(|deadline| time >= deadline) {
--- a/crates/relay/tests/tree.rs
+++ b/crates/relay/tests/tree.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use threadledge_coordination::NodeIdentity;
 use threadledge_coordination::action::{Condition, ReadResult, Versioned, WriteResult};
-use threadledge_relay::{Action, PollOutcome, HeldPoll, Member, RelayRecord, Settings, Source};
+use threadledge_relay::{Action, HeldPoll, Member, PollOutcome, RelayRecord, Settings, Source};
 use threadledge_types::{Incarnation, MachineName, Timestamp};
 
 const STEP_MS: u64 = 5;
@@ -146,11 +146,16 @@
             Call::Store(_, action) => self.answer_store(index, action),
             Call::Polling(_, to) => return Some(self.deliver_poll(index, to)),
             Call::Held(..) if deadline.is_some_and(|deadline| time >= deadline) => {
-                self.nodes[index].member.on_poll(time, PollOutcome::TimedOut);
+                self.nodes[index]
+                    .member
+                    .on_poll(time, PollOutcome::TimedOut);
             }
             Call::Held(held, to) if held.is_due(time, self.seen(to)) => {
                 let seen = self.seen(to);
-                let outcome = PollOutcome::Answered { seen, has_changes: false };
+                let outcome = PollOutcome::Answered {
+                    seen,
+                    has_changes: false,
+                };
                 return Some(Call::Responding(self.arrival(), outcome));
             }
             Call::Held(..) => return Some(call),
--- a/crates/relay/tests/zone.rs
+++ b/crates/relay/tests/zone.rs
@@ -6,7 +6,7 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use threadledge_coordination::NodeIdentity;
 use threadledge_coordination::action::{Condition, ReadResult, Versioned, WriteResult};
-use threadledge_relay::{Action, PollOutcome, Member, RelayRecord, Settings, Source};
+use threadledge_relay::{Action, Member, PollOutcome, RelayRecord, Settings, Source};
 use threadledge_types::{Incarnation, MachineName, Timestamp};
 
 const MEMBERS: u16 = 5;
@@ -171,7 +171,10 @@
                     _ => Timestamp::from_millis(upstream.store_answered),
                 };
                 let outcome = if answered {
-                    PollOutcome::Answered { seen, has_changes: false }
+                    PollOutcome::Answered {
+                        seen,
+                        has_changes: false,
+                    }
                 } else {
                     PollOutcome::Failed
                 };
--- a/crates/router/src/gateway/coordination.rs
+++ b/crates/router/src/gateway/coordination.rs
@@ -277,7 +277,9 @@
         let settled = !matches!(source, Source::Starting { .. });
         let candidate = self.knows_back_ends && settled;
         let behind = match source {
-            Source::Relay { .. } | Source::Joining { .. } | Source::Unavailable => FOLLOWER_PATIENCE,
+            Source::Relay { .. } | Source::Joining { .. } | Source::Unavailable => {
+                FOLLOWER_PATIENCE
+            }
             Source::Store | Source::Starting { .. } => Duration::ZERO,
         };
         let near = patience::by_store(self.store_health.call_time());
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -17,7 +17,7 @@
 use parking_lot::Mutex;
 use prometheus::Registry;
 use threadledge_coordination::NodeIdentity;
-use threadledge_limits::{Admission, QuotaResponse, QuotaRequest, RefusalReason, Settings};
+use threadledge_limits::{Admission, QuotaRequest, QuotaResponse, RefusalReason, Settings};
 use threadledge_net::timer;
 use threadledge_ports::Ports;
 use threadledge_types::Timestamp;
--- a/crates/router/src/gateway/limits/ask.rs
+++ b/crates/router/src/gateway/limits/ask.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use threadledge_limits::settings::QUOTA_REQUEST_TIMEOUT;
-use threadledge_limits::{QuotaResponse, QuotaRequest};
+use threadledge_limits::{QuotaRequest, QuotaResponse};
 use threadledge_net::timer;
 
 use super::super::peers::PeerClient;
@@ -69,6 +69,9 @@
         }
         let (_, address) = holder?;
         let asked = self.client.limits(address?, &ask);
-        timer::timeout(QUOTA_REQUEST_TIMEOUT, asked).await.ok().flatten()
+        timer::timeout(QUOTA_REQUEST_TIMEOUT, asked)
+            .await
+            .ok()
+            .flatten()
     }
 }
--- a/crates/router/src/gateway/limits/office.rs
+++ b/crates/router/src/gateway/limits/office.rs
@@ -169,7 +169,9 @@
         let told = !relayed || lease.is_some();
         let settled = !matches!(source, Source::Starting { .. });
         let behind = match source {
-            Source::Relay { .. } | Source::Joining { .. } | Source::Unavailable => FOLLOWER_PATIENCE,
+            Source::Relay { .. } | Source::Joining { .. } | Source::Unavailable => {
+                FOLLOWER_PATIENCE
+            }
             Source::Store | Source::Starting { .. } => Duration::ZERO,
         };
         let heard = self.limits.with(|state, now| {
--- a/crates/router/src/gateway/limits/state.rs
+++ b/crates/router/src/gateway/limits/state.rs
@@ -7,7 +7,7 @@
 
 use threadledge_coordination::election::Election;
 use threadledge_coordination::{NodeIdentity, Term};
-use threadledge_limits::{QuotaResponse, QuotaRequest, Ledger, Settings, RateLimiter};
+use threadledge_limits::{Ledger, QuotaRequest, QuotaResponse, RateLimiter, Settings};
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{RateLimit, TenantName};
 
--- a/crates/router/src/gateway/peers.rs
+++ b/crates/router/src/gateway/peers.rs
@@ -13,7 +13,7 @@
 use parking_lot::Mutex;
 use threadledge_coordination::LoadReport;
 use threadledge_limits::settings::QUOTA_REQUEST_TIMEOUT;
-use threadledge_limits::{QuotaResponse, QuotaRequest};
+use threadledge_limits::{QuotaRequest, QuotaResponse};
 use threadledge_net::{
     HttpClient, Instant, LargePace, PoolSettings, ServeReport, ServerLimits, StopSignal, serve,
 };
@@ -183,7 +183,9 @@
     /// Asks the gateway that keeps the ledger for tokens. `None`: it did not
     /// answer.
     pub(super) async fn limits(&self, to: SocketAddr, ask: &QuotaRequest) -> Option<QuotaResponse> {
-        let asked = self.client.post_json(to, LIMITS_PATH, ask, QUOTA_REQUEST_TIMEOUT);
+        let asked = self
+            .client
+            .post_json(to, LIMITS_PATH, ask, QUOTA_REQUEST_TIMEOUT);
         asked.await.ok()
     }
 
--- a/crates/router/src/gateway/relay.rs
+++ b/crates/router/src/gateway/relay.rs
@@ -12,7 +12,7 @@
 use threadledge_coordination::action::{Freshness, ReadResult, Versioned, WriteResult};
 use threadledge_net::timer;
 use threadledge_ports::{Entry, Ports};
-use threadledge_relay::{Action, PollOutcome, Member, RelayRecord};
+use threadledge_relay::{Action, Member, PollOutcome, RelayRecord};
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::Topology;
 
@@ -118,7 +118,7 @@
         match self.member.poll(now) {
             Some(Action::Read) => self.read().await,
             Some(Action::Claim(record, condition)) => {
-                let relayed = self.member.relays();
+                let relayed = self.member.is_relay();
                 let claim = self.ports.relays.write(&self.record, &record, condition);
                 let result = claim.await;
                 self.heard_from_store(now, matches!(result, WriteResult::Accepted(_)));
@@ -139,10 +139,10 @@
             self.sources.tell_fresher();
             return;
         }
-        self.sources.set(source, self.member.relays());
+        self.sources.set(source, self.member.is_relay());
         self.sources.tell_fresher();
         self.neighbours
-            .set_place(self.member.upstream(), self.member.relays());
+            .set_place(self.member.upstream(), self.member.is_relay());
         let (fleet, until) = self.sources.fleet_shared_until();
         if let Some(fleet) = fleet {
             self.dispatch
@@ -168,7 +168,7 @@
 
     async fn read(&mut self) {
         let started = self.clock.now();
-        let relayed = self.member.relays();
+        let relayed = self.member.is_relay();
         let listed = self.ports.relays.list(Freshness::Stale).await;
         if listed.is_ok() {
             self.health.took(self.clock.now().since(started));
@@ -193,7 +193,7 @@
             return records.own;
         }
         self.neighbours.set_others(records.beside);
-        if self.member.relays() {
+        if self.member.is_relay() {
             // A relay that is new has not heard of all its followers yet; the
             // record counts them as they were.
             let recorded = records.own.as_ref().map_or(0, |own| own.value.members);
@@ -232,7 +232,9 @@
         }
         let followed = match polled {
             Polled::Answered(FollowAnswer::News(news)) => self.take(asked, address, *news).await,
-            Polled::Answered(FollowAnswer::Full { followers }) => PollOutcome::AtCapacity(followers),
+            Polled::Answered(FollowAnswer::Full { followers }) => {
+                PollOutcome::AtCapacity(followers)
+            }
             Polled::Answered(FollowAnswer::Leaving) | Polled::Silent => PollOutcome::Failed,
             Polled::Late => PollOutcome::TimedOut,
         };
@@ -261,7 +263,12 @@
         answer.map_or(Polled::Silent, Polled::Answered)
     }
 
-    async fn take(&mut self, asked: Timestamp, address: SocketAddr, news: FollowNews) -> PollOutcome {
+    async fn take(
+        &mut self,
+        asked: Timestamp,
+        address: SocketAddr,
+        news: FollowNews,
+    ) -> PollOutcome {
         let now = self.clock.now();
         // The time on the way counts as age: a poll may have been answered
         // long before its answer came.
@@ -289,7 +296,10 @@
             self.fetch_configuration(address).await;
         }
         self.health.heard(seen);
-        PollOutcome::Answered { seen, has_changes: told }
+        PollOutcome::Answered {
+            seen,
+            has_changes: told,
+        }
     }
 
     /// What changed is forgotten, or more than the link should carry for each
--- a/crates/router/src/gateway/suspects.rs
+++ b/crates/router/src/gateway/suspects.rs
@@ -18,7 +18,7 @@
 use parking_lot::Mutex;
 use threadledge_dispatch::dispatcher::Look;
 use threadledge_ports::Ports;
-use threadledge_suspects::{RequestHash, UpdateScope, SuspectUpdate};
+use threadledge_suspects::{RequestHash, SuspectUpdate, UpdateScope};
 
 use super::dispatch::Dispatch;
 use super::followers::Followers;
--- a/crates/router/src/gateway/suspects/look.rs
+++ b/crates/router/src/gateway/suspects/look.rs
@@ -164,7 +164,8 @@
         let mut request = Request::new(Method::Get, url);
         request.insert_header(HOST, address.to_string());
         request.insert_header(CONNECTION, "close");
-        self.wording.set_target(&mut request, ANSWER_TIMEOUT, process);
+        self.wording
+            .set_target(&mut request, ANSWER_TIMEOUT, process);
         Some(request)
     }
 }
--- a/crates/router/src/gateway/usage.rs
+++ b/crates/router/src/gateway/usage.rs
@@ -10,7 +10,7 @@
     Condition, Freshness, ReadResult, StoreRevision, WriteResult,
 };
 use threadledge_dispatch::Attempt;
-use threadledge_ports::{PortFuture, Changes, Collection, Page, Ports, RecordStore, StoreError};
+use threadledge_ports::{Changes, Collection, Page, PortFuture, Ports, RecordStore, StoreError};
 
 /// The counters. Clones share them.
 #[derive(Clone)]
--- a/crates/router/tests/gateway/follow.rs
+++ b/crates/router/tests/gateway/follow.rs
@@ -13,7 +13,7 @@
 use threadledge::gateway::store_health::StoreHealth;
 use threadledge::proxy::Clock;
 use threadledge_coordination::action::Freshness;
-use threadledge_ports::{PortFuture, Changes, Collection, Entry, Page, StoreError};
+use threadledge_ports::{Changes, Collection, Entry, Page, PortFuture, StoreError};
 use threadledge_relay::Source;
 use threadledge_types::Timestamp;
 
@@ -77,7 +77,11 @@
         })
     }
 
-    fn changes(&self, after: u64, wait: Duration) -> PortFuture<'_, Result<Changes<u64>, StoreError>> {
+    fn changes(
+        &self,
+        after: u64,
+        wait: Duration,
+    ) -> PortFuture<'_, Result<Changes<u64>, StoreError>> {
         let length = if wait == WAIT { "long" } else { "short" };
         let reply = self.next(format!("{length} watch after {after}"));
         Box::pin(async move {
--- a/crates/suspects/src/lib.rs
+++ b/crates/suspects/src/lib.rs
@@ -12,17 +12,17 @@
 //! This crate opens no sockets and reads no clock.
 
 pub mod identity;
-mod signed_timestamp;
-pub mod update;
 mod recent;
 pub mod record;
+mod signed_timestamp;
 mod suspect;
 mod suspects;
 pub mod unconfirmed;
+pub mod update;
 
 pub use identity::{BodyDigest, CallerId, IdentityBuilder, RequestHash, RequestIdentity};
-pub use update::{UpdateScope, SuspectUpdate};
 pub use record::HeldRecord;
 pub use suspect::{CRASHES_UNTIL_HELD, Suspect};
-pub use suspects::{PersistReason, MAX_SUSPECTS, Suspects};
+pub use suspects::{MAX_SUSPECTS, PersistReason, Suspects};
 pub use unconfirmed::{BrokenAttempt, UnconfirmedCrashes};
+pub use update::{SuspectUpdate, UpdateScope};
--- a/crates/suspects/src/record.rs
+++ b/crates/suspects/src/record.rs
@@ -6,9 +6,9 @@
 use serde::{Deserialize, Serialize};
 use threadledge_types::Timestamp;
 
-use crate::update::{UpdateScope, SuspectUpdate, SuspectReport};
 use crate::suspect::CRASHES_UNTIL_HELD;
 use crate::suspects::Suspects;
+use crate::update::{SuspectReport, SuspectUpdate, UpdateScope};
 
 /// Maximum number of requests in the record, below the store's limit for one
 /// object. The latest ones stay.
@@ -29,7 +29,9 @@
     /// to date. It contains the requests of [`Suspects::to_persist`], and those
     /// already in the record that were not released here.
     pub fn updated(&self, suspects: &Suspects, now: Timestamp) -> Option<HeldRecord> {
-        let reports = suspects.updates_since(0, UpdateScope::Repeated, now).suspects;
+        let reports = suspects
+            .updates_since(0, UpdateScope::Repeated, now)
+            .suspects;
         let kept = suspects.to_persist();
         let stays = |stored: &&SuspectReport| {
             suspects.get(stored.request).is_none() || kept.contains_key(&stored.request)
--- a/crates/suspects/src/suspects.rs
+++ b/crates/suspects/src/suspects.rs
@@ -7,8 +7,8 @@
 use threadledge_types::deployment::BackEndName;
 
 use crate::identity::{RequestHash, RequestIdentity};
-use crate::signed_timestamp::SignedTimestamp;
 use crate::recent::RecentSuccesses;
+use crate::signed_timestamp::SignedTimestamp;
 use crate::suspect::Suspect;
 
 /// Maximum number of remembered requests, at about 500 bytes each. Requests
@@ -115,7 +115,11 @@
         if kept.len() > MAX_REPEATED_PERSISTED {
             kept.clear();
         }
-        kept.extend(self.held.iter().map(|request| (*request, PersistReason::Held)));
+        kept.extend(
+            self.held
+                .iter()
+                .map(|request| (*request, PersistReason::Held)),
+        );
         kept
     }
 
@@ -189,7 +193,11 @@
 
     /// Withdraws the crashes of a process up to `at`. Returns `None` if there
     /// were none, and otherwise whether any request had several crashes.
-    pub(crate) fn withdraw_crashes(&mut self, process: &BackEndName, at: SignedTimestamp) -> Option<bool> {
+    pub(crate) fn withdraw_crashes(
+        &mut self,
+        process: &BackEndName,
+        at: SignedTimestamp,
+    ) -> Option<bool> {
         let requests = self.by_process.get(process).cloned()?;
         let mut was_repeated = None;
         for request in requests {
@@ -221,10 +229,18 @@
         true
     }
 
-    pub(crate) fn remember_withdrawn(&mut self, process: &BackEndName, at: SignedTimestamp, was_repeated: bool) {
+    pub(crate) fn remember_withdrawn(
+        &mut self,
+        process: &BackEndName,
+        at: SignedTimestamp,
+        was_repeated: bool,
+    ) {
         let changed = self.changes;
         if self.withdrawn.len() >= MAX_WITHDRAWN && !self.withdrawn.contains_key(process) {
-            let oldest = self.withdrawn.iter().min_by_key(|(_, seen)| seen.last_change);
+            let oldest = self
+                .withdrawn
+                .iter()
+                .min_by_key(|(_, seen)| seen.last_change);
             if let Some(oldest) = oldest.map(|(process, _)| process.clone()) {
                 self.withdrawn.remove(&oldest);
             }
--- a/crates/suspects/src/update.rs
+++ b/crates/suspects/src/update.rs
@@ -161,7 +161,10 @@
     }
 
     fn merge_report(&mut self, report: &SuspectReport, now: Timestamp) {
-        if let Some(released) = report.released_ms.map(|age| SignedTimestamp::before_now(now, age)) {
+        if let Some(released) = report
+            .released_ms
+            .map(|age| SignedTimestamp::before_now(now, age))
+        {
             let suspect = self.entry(report.request, &report.label);
             let known = suspect.released;
             if known.is_none_or(|known| released > known.plus(MAX_SKEW)) {
--- a/crates/suspects/tests/suspects.rs
+++ b/crates/suspects/tests/suspects.rs
@@ -4,7 +4,7 @@
 
 use threadledge_suspects::{
     BodyDigest, CRASHES_UNTIL_HELD, HeldRecord, IdentityBuilder, MAX_SUSPECTS, RequestIdentity,
-    UpdateScope, Suspects,
+    Suspects, UpdateScope,
 };
 use threadledge_types::Timestamp;
 
@@ -222,7 +222,11 @@
     crash(&mut relay, 0, &one, "p-1");
     crash(&mut relay, 1, &two, "p-1");
     let told = relay.changes();
-    assert!(relay.updates_since(0, UpdateScope::Repeated, after(2)).is_empty());
+    assert!(
+        relay
+            .updates_since(0, UpdateScope::Repeated, after(2))
+            .is_empty()
+    );
     crash(&mut relay, 3, &two, "p-2");
     let news = relay.updates_since(told, UpdateScope::Repeated, after(4));
     assert_eq!(news.suspects.len(), 1);
--- a/crates/tenants/src/authorization.rs
+++ b/crates/tenants/src/authorization.rs
@@ -8,7 +8,7 @@
     ConfigurationVersion, KeyDigest, RateLimit, Route, TenantName,
 };
 
-use crate::index::{TenantPolicy, KeyIndex};
+use crate::index::{KeyIndex, TenantPolicy};
 
 /// Authorization of a request to use its route.
 #[derive(Clone, Debug)]
--- a/crates/tenants/src/index.rs
+++ b/crates/tenants/src/index.rs
@@ -104,7 +104,9 @@
 
 /// Returns two tenants that hold the same key, if there are any. Such a key
 /// does not identify its callers' tenant.
-pub fn find_shared_key(tenants: &BTreeMap<TenantName, Tenant>) -> Option<(&TenantName, &TenantName)> {
+pub fn find_shared_key(
+    tenants: &BTreeMap<TenantName, Tenant>,
+) -> Option<(&TenantName, &TenantName)> {
     let mut holders = HashMap::new();
     for (name, tenant) in tenants {
         for key in &tenant.keys {
--- a/crates/tenants/src/lib.rs
+++ b/crates/tenants/src/lib.rs
@@ -8,4 +8,4 @@
 mod index;
 
 pub use authorization::{Admission, AuthError, authorize, effective_priority};
-pub use index::{TenantPolicy, KeyChanges, KeyIndex, find_shared_key};
+pub use index::{KeyChanges, KeyIndex, TenantPolicy, find_shared_key};
--- a/crates/tenants/tests/tenants.rs
+++ b/crates/tenants/tests/tenants.rs
@@ -59,7 +59,11 @@
 
 /// Returns the name of the tenant that holds the key, or the reason for the
 /// denial.
-fn authorized_tenant(index: &KeyIndex, public: bool, key: Option<&str>) -> Result<Option<String>, AuthError> {
+fn authorized_tenant(
+    index: &KeyIndex,
+    public: bool,
+    key: Option<&str>,
+) -> Result<Option<String>, AuthError> {
     let digest = key.map(digest);
     let caller = authorize(index, true, &route(public), digest.as_ref())?;
     Ok(caller.map(|caller| caller.name.to_string()))
@@ -69,13 +73,25 @@
 fn known_key_identifies_its_tenant_and_unknown_key_is_denied_on_every_route() {
     let index = index(&tenants(&[("a", &["a-1", "a-2"]), ("b", &["b-1"])]));
     for public in [false, true] {
-        assert_eq!(authorized_tenant(&index, public, Some("a-2")), Ok(Some("a".to_owned())));
-        assert_eq!(authorized_tenant(&index, public, Some("b-1")), Ok(Some("b".to_owned())));
+        assert_eq!(
+            authorized_tenant(&index, public, Some("a-2")),
+            Ok(Some("a".to_owned()))
+        );
+        assert_eq!(
+            authorized_tenant(&index, public, Some("b-1")),
+            Ok(Some("b".to_owned()))
+        );
         for unknown in ["b-2", "", "a-1, a-2", "a-1 "] {
-            assert_eq!(authorized_tenant(&index, public, Some(unknown)), Err(AuthError::UnknownKey));
+            assert_eq!(
+                authorized_tenant(&index, public, Some(unknown)),
+                Err(AuthError::UnknownKey)
+            );
         }
     }
-    assert_eq!(authorized_tenant(&index, false, None), Err(AuthError::MissingKey));
+    assert_eq!(
+        authorized_tenant(&index, false, None),
+        Err(AuthError::MissingKey)
+    );
     assert_eq!(authorized_tenant(&index, true, None), Ok(None));
 }
 
@@ -95,7 +111,8 @@
         ("plain".into(), tenant(&["plain-1"], None)),
     ]);
     let index = index(&all);
-    let priority_of = |key: &str| effective_priority(index.find(&digest(key)).map(AsRef::as_ref), &route(false));
+    let priority_of =
+        |key: &str| effective_priority(index.find(&digest(key)).map(AsRef::as_ref), &route(false));
     assert_eq!(priority_of("first-1"), 0);
     assert_eq!(priority_of("plain-1"), 2);
     assert_eq!(effective_priority(None, &route(true)), 2);
