--- a/crates/limits/src/ledger.rs
+++ b/crates/limits/src/ledger.rs
@@ -249,6 +249,7 @@
         Some(())
     }
 
+    /// Removes a gateway's holdings from the tenants' buckets.
     fn remove_holdings(&mut self, now: Timestamp, gateway: &Gateway) {
         for (name, holding) in &gateway.holdings {
             if let Some(bucket) = self.buckets.get_mut(name) {
@@ -258,6 +259,7 @@
         }
     }
 
+    /// Grants tokens and a share of one tenant to a gateway.
     fn grant(
         &mut self,
         now: Timestamp,
@@ -328,6 +330,7 @@
         }
     }
 
+    /// Updates the share that the ledger owns without any reports.
     fn update_unreserved(&mut self, now: Timestamp) {
         let unreserved = self.recovery.unreserved_share(now);
         if unreserved == self.unreserved {
@@ -353,6 +356,7 @@
 /// their shares.
 const UNKNOWN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
+/// Converts the time until the next token to a retry delay.
 fn retry_delay_ms(pause: Option<Duration>) -> u32 {
     let pause = pause.unwrap_or(UNKNOWN_RETRY_DELAY);
     let pause = pause.min(MAX_PAUSE);
--- a/crates/limits/src/rate_limiter.rs
+++ b/crates/limits/src/rate_limiter.rs
@@ -273,6 +273,8 @@
         }
     }
 
+    /// Builds the parts of a request for all tenants. Shares that must not be
+    /// reported are dropped.
     fn tenant_requests(&mut self, now: Timestamp) -> Vec<TenantQuotaRequest> {
         let can_report_shares = self.contact.can_report_shares(now, &self.settings);
         let mut requests = Vec::with_capacity(self.allowances.len());
@@ -312,6 +314,7 @@
         }
     }
 
+    /// Adds granted tokens and shares, and ends the use of shares.
     fn apply_grants(&mut self, now: Timestamp, sent: Timestamp, grants: Vec<TenantGrant>) {
         let expires = sent + self.settings.token_lifetime();
         for allowance in self.allowances.values_mut() {
--- a/crates/relay/src/member/polls.rs
+++ b/crates/relay/src/member/polls.rs
@@ -19,6 +19,7 @@
         };
     }
 
+    /// Handles a poll made while following a relay.
     fn polled(&mut self, now: Timestamp, following: Following, outcome: PollOutcome) -> State {
         let claim_from = now + self.claim_delay;
         match outcome {
@@ -52,6 +53,8 @@
         }
     }
 
+    /// Handles a poll made while the store responds neither to this member nor
+    /// to its relay.
     fn polled_while_isolated(
         &mut self,
         now: Timestamp,
@@ -88,6 +91,7 @@
         }
     }
 
+    /// Returns when to poll again after a response.
     fn next_poll(&self, now: Timestamp, has_changes: bool) -> Timestamp {
         if has_changes {
             now + self.settings.poll_pause
--- a/crates/relay/src/member/reads.rs
+++ b/crates/relay/src/member/reads.rs
@@ -28,6 +28,7 @@
         }
     }
 
+    /// Handles a read made by a member without a relay.
     fn read_while_searching(
         &self,
         now: Timestamp,
@@ -82,6 +83,7 @@
         }
     }
 
+    /// Follows the relay that the record names, or claims the record.
     pub(super) fn handle_record(
         &self,
         now: Timestamp,
@@ -149,6 +151,7 @@
         })
     }
 
+    /// Handles a read made by the relay itself.
     fn read_while_relaying(
         &self,
         now: Timestamp,
--- a/crates/relay/src/member/sources.rs
+++ b/crates/relay/src/member/sources.rs
@@ -6,6 +6,7 @@
 use crate::state::{Following, Searching};
 
 impl Member {
+    /// Returns the source of a member without a relay.
     pub(super) fn searching_source(&self, now: Timestamp, searching: &Searching) -> Source {
         if let Some(seen) = searching.seen.filter(|seen| now < self.outdated_at(*seen)) {
             let until = self.outdated_at(seen);
@@ -23,6 +24,7 @@
         }
     }
 
+    /// Returns the source of a member that follows a relay.
     pub(super) fn following_source(&self, now: Timestamp, following: &Following) -> Source {
         let fresh = following.seen.map(|seen| (seen, self.outdated_at(seen)));
         if following.joined {
@@ -40,6 +42,7 @@
         self.joining_until(now, until)
     }
 
+    /// Returns [`Source::Joining`] before `until` and the store from then on.
     fn joining_until(&self, now: Timestamp, until: Timestamp) -> Source {
         if now < until {
             Source::Joining { until }
--- a/crates/relay/tests/member.rs
+++ b/crates/relay/tests/member.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn first_member_of_a_zone_claims_after_its_patience() {
+fn first_member_of_a_zone_claims_after_its_delay() {
     let member = relay();
     assert!(member.is_relay());
     assert_eq!(member.source(at(208)), Source::Store);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn poll_that_is_still_held_when_what_was_told_is_too_old_is_given_up() {
+fn held_poll_is_given_up_when_the_received_state_is_too_old() {
     let mut member = follower();
     member.poll(at(12));
     assert_eq!(member.poll_deadline(), Some(at(1_210)));
@@ -331,7 +331,7 @@
 }
 
 #[test]
-fn relay_that_never_answered_leaves_the_store_to_be_watched() {
+fn member_watches_the_store_if_its_relay_never_answered() {
     let mut member = member();
     member.poll(at(3_000));
     member.on_read(at(3_004), found(identity(2, 1), 5));
--- a/crates/suspects/src/suspect.rs
+++ b/crates/suspects/src/suspect.rs
@@ -92,6 +92,8 @@
         callers.any(|caller| self.is_held(caller))
     }
 
+    /// Counts the processes that crashed for the callers selected by `counts`,
+    /// or returns zero if the request succeeded for any of these callers.
     fn crashes_without_success(&self, counts: impl Fn(&CallerId) -> bool) -> usize {
         if self.successes.keys().any(&counts) {
             return 0;
@@ -104,6 +106,7 @@
             .len()
     }
 
+    /// Counts the crashes for this caller after its last success.
     fn crashes_since_success(&self, caller: CallerId) -> usize {
         let success = self.successes.get(&caller);
         let crashes = self.crashes.iter();
--- a/crates/suspects/src/suspects.rs
+++ b/crates/suspects/src/suspects.rs
@@ -229,6 +229,8 @@
         true
     }
 
+    /// Remembers a process whose crash was withdrawn, evicting the oldest one
+    /// if necessary.
     pub(crate) fn remember_withdrawn(
         &mut self,
         process: &BackEndName,
@@ -265,6 +267,7 @@
         }
     }
 
+    /// Assigns the next change number to a request.
     pub(crate) fn mark_changed(&mut self, request: RequestHash) {
         self.changes += 1;
         if let Some(suspect) = self.suspects.get_mut(&request) {
@@ -303,6 +306,8 @@
         })
     }
 
+    /// Removes the request that was last suspected longest ago, preferring
+    /// those that are not held.
     fn evict_one(&mut self) {
         let all = self.suspects.iter();
         let first = all.min_by_key(|(request, suspect)| {
@@ -316,6 +321,7 @@
         }
     }
 
+    /// Removes requests that are no longer under suspicion and not held.
     fn remove_expired(&mut self, now: Timestamp) {
         let held = &self.held;
         let before = self.suspects.len();
--- a/crates/suspects/src/unconfirmed.rs
+++ b/crates/suspects/src/unconfirmed.rs
@@ -40,86 +40,87 @@
 /// Open broken attempts per process.
 #[derive(Debug, Default)]
 pub struct UnconfirmedCrashes {
-    breaks: BTreeMap<BackEndName, Vec<BrokenAttempt>>,
+    attempts: BTreeMap<BackEndName, Vec<BrokenAttempt>>,
 }
 
 impl UnconfirmedCrashes {
     /// Adds a broken attempt and returns whether its process has to be checked.
     /// The first one of a process starts a check, and later ones wait for its
     /// result.
-    pub fn add(&mut self, found: BrokenAttempt) -> bool {
-        let now = found.at;
+    pub fn add(&mut self, attempt: BrokenAttempt) -> bool {
+        let now = attempt.at;
         let is_open = |known: &BrokenAttempt| now.since(known.at) < OPEN_PERIOD;
-        self.breaks.retain(|_, breaks| breaks.iter().any(is_open));
-        let breaks = self.breaks.entry(found.process.clone()).or_default();
-        breaks.retain(is_open);
-        let first = breaks.is_empty();
-        if breaks.len() < MAX_OPEN {
-            breaks.push(found);
+        self.attempts
+            .retain(|_, attempts| attempts.iter().any(is_open));
+        let attempts = self.attempts.entry(attempt.process.clone()).or_default();
+        attempts.retain(is_open);
+        let first = attempts.is_empty();
+        if attempts.len() < MAX_OPEN {
+            attempts.push(attempt);
         }
         first
     }
 
     /// Whether the process has an open broken attempt.
     pub fn contains(&self, process: &BackEndName) -> bool {
-        self.breaks.contains_key(process)
+        self.attempts.contains_key(process)
     }
 
     /// Counts the processes that may have crashed under a request of this
     /// caller.
     pub fn possible_crashes(&self, identity: &RequestIdentity) -> usize {
-        let open = self.breaks.values();
-        open.filter(|breaks| breaks.iter().any(|known| known.identity == *identity))
+        let open = self.attempts.values();
+        open.filter(|attempts| attempts.iter().any(|known| known.identity == *identity))
             .count()
     }
 
     /// Returns the open broken attempts that do not count as crashes yet.
     pub fn not_presumed(&self) -> impl Iterator<Item = &BrokenAttempt> {
-        let open = self.breaks.values().flatten();
-        open.filter(|found| !found.presumed)
+        let open = self.attempts.values().flatten();
+        open.filter(|attempt| !attempt.presumed)
     }
 
     /// Counts the broken attempts of this request at this process as crashes
     /// from now on.
     pub fn mark_presumed(&mut self, process: &BackEndName, identity: &RequestIdentity) {
-        let open = self.breaks.get_mut(process).into_iter().flatten();
-        for found in open.filter(|found| found.identity == *identity) {
-            found.presumed = true;
+        let open = self.attempts.get_mut(process).into_iter().flatten();
+        for attempt in open.filter(|attempt| attempt.identity == *identity) {
+            attempt.presumed = true;
         }
     }
 
     /// Returns the processes with open broken attempts.
     pub fn processes(&self) -> Vec<BackEndName> {
-        self.breaks.keys().cloned().collect()
+        self.attempts.keys().cloned().collect()
     }
 
     /// Removes broken attempts disproved by a response of the process to
     /// something sent at `sent`.
     pub fn on_response(&mut self, sent: Timestamp, process: &BackEndName) {
-        let Some(breaks) = self.breaks.get_mut(process) else {
+        let Some(attempts) = self.attempts.get_mut(process) else {
             return;
         };
-        breaks.retain(|known| known.at > sent);
-        if breaks.is_empty() {
-            self.breaks.remove(process);
+        attempts.retain(|known| known.at > sent);
+        if attempts.is_empty() {
+            self.attempts.remove(process);
         }
     }
 
     /// Removes broken attempts of a request that succeeded for this caller,
     /// because it does not crash back ends.
     pub fn on_success(&mut self, identity: &RequestIdentity) {
-        if self.breaks.is_empty() {
+        if self.attempts.is_empty() {
             return;
         }
-        self.breaks.retain(|_, breaks| {
-            breaks.retain(|known| known.identity != *identity);
-            !breaks.is_empty()
+        self.attempts.retain(|_, attempts| {
+            attempts.retain(|known| known.identity != *identity);
+            !attempts.is_empty()
         });
     }
 
     /// Removes and returns the broken attempts of a process that has crashed,
     /// which explains them.
     pub fn remove_ended(&mut self, process: &BackEndName) -> Vec<BrokenAttempt> {
-        self.breaks.remove(process).unwrap_or_default()
+        self.attempts.remove(process).unwrap_or_default()
     }
 }
--- a/crates/suspects/src/update.rs
+++ b/crates/suspects/src/update.rs
@@ -114,16 +114,16 @@
         let changed = changed.filter(|(_, suspect)| suspect.last_change > changes);
         let changed = changed.filter(|(_, suspect)| all || suspect.is_relevant_to_all());
         let answered = self.withdrawn.iter();
-        let answered = answered.filter(|(_, seen)| seen.last_change > changes);
-        let answered = answered.filter(|(_, seen)| all || seen.was_repeated);
+        let answered = answered.filter(|(_, answered)| answered.last_change > changes);
+        let answered = answered.filter(|(_, answered)| all || answered.was_repeated);
         SuspectUpdate {
             suspects: changed
                 .map(|(request, suspect)| report(*request, suspect, now))
                 .collect(),
             answered: answered
-                .map(|(process, seen)| AnsweredReport {
+                .map(|(process, answered)| AnsweredReport {
                     back_end: process.clone(),
-                    age_ms: seen.at.age_ms(now),
+                    age_ms: answered.at.age_ms(now),
                 })
                 .collect(),
         }
@@ -131,28 +131,30 @@
 
     /// Merges the evidence of another gateway and returns whether any of it was
     /// new.
-    pub fn merge(&mut self, news: &SuspectUpdate, now: Timestamp) -> bool {
+    pub fn merge(&mut self, update: &SuspectUpdate, now: Timestamp) -> bool {
         let before = self.changes();
-        for seen in &news.answered {
-            self.merge_answered(seen, now);
+        for answered in &update.answered {
+            self.merge_answered(answered, now);
         }
-        for report in &news.suspects {
+        for report in &update.suspects {
             self.merge_report(report, now);
         }
         self.changes() != before
     }
 
-    fn merge_answered(&mut self, seen: &AnsweredReport, now: Timestamp) {
-        let at = SignedTimestamp::before_now(now, seen.age_ms);
-        let known = self.withdrawn.get(&seen.back_end);
+    /// Withdraws the crashes of a process that responded later.
+    fn merge_answered(&mut self, answered: &AnsweredReport, now: Timestamp) {
+        let at = SignedTimestamp::before_now(now, answered.age_ms);
+        let known = self.withdrawn.get(&answered.back_end);
         if known.is_some_and(|known| at <= known.at.plus(MAX_SKEW)) {
             return;
         }
-        let was_repeated = self.withdraw_crashes(&seen.back_end, at);
+        let was_repeated = self.withdraw_crashes(&answered.back_end, at);
         self.changes += 1;
-        self.remember_withdrawn(&seen.back_end, at, was_repeated.unwrap_or(true));
+        self.remember_withdrawn(&answered.back_end, at, was_repeated.unwrap_or(true));
     }
 
+    /// Sets the label of a request whose label is not known yet.
     fn merge_label(&mut self, report: &SuspectReport) {
         let suspect = self.suspects.get_mut(&report.request);
         if let Some(suspect) = suspect.filter(|suspect| suspect.label.is_empty()) {
@@ -160,6 +162,7 @@
         }
     }
 
+    /// Merges the crashes, successes and release of one request.
     fn merge_report(&mut self, report: &SuspectReport, now: Timestamp) {
         if let Some(released) = report
             .released_ms
@@ -199,6 +202,7 @@
     }
 }
 
+/// Builds the report of one request.
 fn report(request: RequestHash, suspect: &Suspect, now: Timestamp) -> SuspectReport {
     let crashes = suspect.crashes.iter();
     let successes = suspect.successes.iter();
