--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -12,7 +12,7 @@
 use crate::ownership::{LONGEST_SLEEP, Ownership, ReadConsequence};
 use crate::record::{CoordinatorLease, NodeIdentity, OwnershipRecord, Term};
 use crate::settings::Settings;
-use crate::tokens::{TokenAsk, TokenGrant};
+use crate::tokens::{TokenGrant, TokenRequest};
 
 /// Election and ownership of one service, as one node sees them.
 ///
@@ -47,8 +47,8 @@
     }
 
     /// Sets how much longer than others this node waits before it takes over.
-    pub fn set_patience(&mut self, patience: Duration) {
-        self.election.set_patience(patience);
+    pub fn set_takeover_delay(&mut self, patience: Duration) {
+        self.election.set_takeover_delay(patience);
     }
 
     /// Says whether this node may become coordinator.
@@ -59,7 +59,7 @@
     /// Whether it decides by the back ends that are registered: a standby has
     /// no use for them, and need not be told of each change. A node that was
     /// elected is told before it is polled.
-    pub fn wants_back_ends(&self) -> bool {
+    pub fn needs_back_ends(&self) -> bool {
         !self.ownership.is_idle()
     }
 
@@ -70,8 +70,8 @@
 
     /// Says whether cold back ends bear few requests; they are then given few
     /// keys.
-    pub fn set_frail_when_cold(&mut self, frail: bool) {
-        self.ownership.set_frail_when_cold(frail);
+    pub fn set_reduced_when_cold(&mut self, frail: bool) {
+        self.ownership.set_reduced_when_cold(frail);
     }
 
     /// Takes what a router saw of the load.
@@ -81,12 +81,16 @@
 
     /// Answers routers that ask for tokens for back ends that name a limit.
     /// `None`: this node does not surely hold the office.
-    pub fn give_tokens(&mut self, now: Timestamp, asks: &[TokenAsk]) -> Option<Vec<TokenGrant>> {
-        if !self.election.may_act(now) || self.election.hands_back() {
+    pub fn grant_tokens(
+        &mut self,
+        now: Timestamp,
+        asks: &[TokenRequest],
+    ) -> Option<Vec<TokenGrant>> {
+        if !self.election.holds_lease(now) || self.election.hands_back() {
             return None;
         }
         let confirmed = self.election.is_unrivalled(now);
-        Some(self.ownership.give_tokens(now, asks, confirmed))
+        Some(self.ownership.grant_tokens(now, asks, confirmed))
     }
 
     /// Begins a planned stop: no further order is given, and the office goes
@@ -97,18 +101,18 @@
     }
 
     /// Whether the office was given back, or never held.
-    pub fn stopped(&self) -> bool {
-        self.stopping && (self.election.retired() || self.election.leading().is_none())
+    pub fn is_stopped(&self) -> bool {
+        self.stopping && (self.election.retired() || self.election.leading_term().is_none())
     }
 
     /// The term of this node, while it is the coordinator.
-    pub fn leading(&self) -> Option<Term> {
-        self.election.leading()
+    pub fn leading_term(&self) -> Option<Term> {
+        self.election.leading_term()
     }
 
     /// Term and holder of the office as last seen.
-    pub fn known(&self) -> Option<(Term, Option<&NodeIdentity>)> {
-        self.election.known()
+    pub fn last_seen_holder(&self) -> Option<(Term, Option<&NodeIdentity>)> {
+        self.election.last_seen_holder()
     }
 
     /// The record, while this node is the coordinator.
@@ -126,7 +130,7 @@
     /// When to call [`Coordinator::poll`] next, at the latest.
     pub fn next_wake(&self, now: Timestamp) -> Timestamp {
         let election = self.election.next_wake();
-        let ownership = (self.election.may_act(now) && !self.stopping)
+        let ownership = (self.election.holds_lease(now) && !self.stopping)
             .then(|| self.ownership.next_wake(now))
             .flatten();
         let longest = now + LONGEST_SLEEP;
@@ -140,11 +144,11 @@
     pub fn poll(&mut self, now: Timestamp) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.stopping && self.ownership.quiet() {
-            self.election.hand_back(now);
+            self.election.resign(now);
         }
         actions.extend(self.election.poll(now));
         self.watch_lease(now);
-        if self.election.may_act(now) && !self.stopping {
+        if self.election.holds_lease(now) && !self.stopping {
             let store_answers = self.election.just_confirmed(now);
             actions.extend(self.ownership.poll(now, store_answers));
         }
@@ -152,11 +156,11 @@
     }
 
     fn watch_lease(&mut self, now: Timestamp) {
-        let Some(term) = self.election.leading() else {
+        let Some(term) = self.election.leading_term() else {
             self.lapsed = false;
             return;
         };
-        let lapsed = !self.election.may_act(now);
+        let lapsed = !self.election.holds_lease(now);
         if lapsed && !self.lapsed {
             self.notices.push(Notice::LeaseLapsed { term });
         }
@@ -194,8 +198,8 @@
         match self.ownership.on_read(now, result) {
             ReadConsequence::None => None,
             ReadConsequence::Call(action) => Some(*action),
-            ReadConsequence::Overtaken => {
-                let change = self.election.overtaken(now);
+            ReadConsequence::Superseded => {
+                let change = self.election.on_superseded(now);
                 self.apply(now, change);
                 None
             }
@@ -210,7 +214,7 @@
         result: WriteResult<OwnershipRecord>,
     ) {
         if self.ownership.on_write(now, attempted, result) {
-            let change = self.election.overtaken(now);
+            let change = self.election.on_superseded(now);
             self.apply(now, change);
         }
     }
@@ -218,7 +222,7 @@
     /// The record changed in the store, as a watch tells.
     pub fn on_record_observed(&mut self, now: Timestamp, found: Versioned<OwnershipRecord>) {
         if self.ownership.on_observed(now, found) {
-            let change = self.election.overtaken(now);
+            let change = self.election.on_superseded(now);
             self.apply(now, change);
         }
     }
--- a/crates/coordination/src/election.rs
+++ b/crates/coordination/src/election.rs
@@ -116,7 +116,7 @@
     }
 
     /// Sets how much longer than others this node waits before it takes over.
-    pub fn set_patience(&mut self, patience: Duration) {
+    pub fn set_takeover_delay(&mut self, patience: Duration) {
         self.patience = patience;
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// The term in office, if this node is the coordinator as far as it knows.
-    pub fn leading(&self) -> Option<Term> {
+    pub fn leading_term(&self) -> Option<Term> {
         match &self.state {
             State::Leading { lease, .. } => Some(lease.term),
             State::Standby | State::Retired => None,
@@ -134,7 +134,7 @@
     }
 
     /// Whether orders may be given: this node surely holds the office.
-    pub fn may_act(&self, now: Timestamp) -> bool {
+    pub fn holds_lease(&self, now: Timestamp) -> bool {
         match &self.state {
             State::Leading { confirmed_at, .. } => now < *confirmed_at + self.settings.lease,
             State::Standby | State::Retired => false,
@@ -160,11 +160,11 @@
     /// Whether the store has just confirmed the office, so that it will very
     /// likely take the next write.
     pub fn just_confirmed(&self, now: Timestamp) -> bool {
-        self.leading().is_some() && now.since(self.confirmed) < JUST_CONFIRMED
+        self.leading_term().is_some() && now.since(self.confirmed) < JUST_CONFIRMED
     }
 
     /// Term and holder as last seen.
-    pub fn known(&self) -> Option<(Term, Option<&NodeIdentity>)> {
+    pub fn last_seen_holder(&self) -> Option<(Term, Option<&NodeIdentity>)> {
         match &self.state {
             State::Leading { lease, .. } => Some((lease.term, lease.holder.as_ref())),
             State::Standby | State::Retired => {
@@ -176,7 +176,7 @@
 
     /// Gives the office back with the next call. No order may be given after
     /// this.
-    pub fn hand_back(&mut self, now: Timestamp) {
+    pub fn resign(&mut self, now: Timestamp) {
         self.candidate = false;
         match self.state {
             State::Leading { .. } if self.handing_back => {}
@@ -195,7 +195,7 @@
 
     /// Another node wrote a record with a higher term: looks at the lease
     /// again at once.
-    pub fn overtaken(&mut self, now: Timestamp) -> Option<Change> {
+    pub fn on_superseded(&mut self, now: Timestamp) -> Option<Change> {
         let change = self.step_down();
         self.next_call = now;
         change
--- a/crates/coordination/src/election/answers.rs
+++ b/crates/coordination/src/election/answers.rs
@@ -30,7 +30,7 @@
             seen.since = now;
             seen.verified = false;
         }
-        self.next_call = now + self.settings.retry_pause;
+        self.next_call = now + self.settings.retry_delay;
     }
 
     fn on_found(
@@ -115,7 +115,7 @@
                 if matches!(self.state, State::Standby) {
                     // The write may have taken effect: look before anything
                     // else, and do not count the silence as the holder's.
-                    self.next_call = now + self.settings.retry_pause;
+                    self.next_call = now + self.settings.retry_delay;
                     self.forget_freshness();
                 }
                 None
@@ -154,7 +154,7 @@
     }
 
     pub(super) fn step_down(&mut self) -> Option<Change> {
-        let term = self.leading()?;
+        let term = self.leading_term()?;
         if self.handing_back {
             self.state = State::Retired;
         } else {
--- a/crates/coordination/src/election/office.rs
+++ b/crates/coordination/src/election/office.rs
@@ -17,7 +17,7 @@
         lease: CoordinatorLease,
         revision: StoreRevision,
     ) -> Option<Change> {
-        let was_leading = self.leading();
+        let was_leading = self.leading_term();
         let term = lease.term;
         let predecessor = self.predecessor(now);
         let earlier_orders_end = match &self.state {
@@ -74,5 +74,5 @@
 
 /// A duration by the slowest clock.
 fn slowest(duration: Duration, settings: &Settings) -> Duration {
-    duration + duration * settings.clock_rate_percent / 100
+    duration + duration * settings.clock_drift_percent / 100
 }
--- a/crates/coordination/src/holders.rs
+++ b/crates/coordination/src/holders.rs
@@ -254,7 +254,7 @@
     }
 
     /// Says whether cold back ends bear few requests.
-    pub fn set_frail_when_cold(&mut self, frail: bool) {
+    pub fn set_reduced_when_cold(&mut self, frail: bool) {
         self.frail_when_cold = frail;
     }
 
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -42,5 +42,5 @@
     Term,
 };
 pub use settings::Settings;
-pub use tokens::{TOKEN_LIFE, TokenAsk, TokenGrant};
+pub use tokens::{TOKEN_LIFETIME, TokenGrant, TokenRequest};
 pub use view::{KeyOwner, OwnershipView};
--- a/crates/coordination/src/ownership.rs
+++ b/crates/coordination/src/ownership.rs
@@ -36,10 +36,10 @@
 use crate::order::OrderId;
 use crate::record::{OwnershipRecord, Term};
 use crate::settings::Settings;
-use crate::tokens::{TokenAsk, TokenGrant, TokenLedger};
+use crate::tokens::{TokenBuckets, TokenGrant, TokenRequest};
 
 use former::FormerOwners;
-pub use orders::ORDERS_AT_ONCE;
+pub use orders::MAX_ORDERS_IN_FLIGHT;
 use orders::under_way;
 use overdue::OverdueWatch;
 use tracked::{Tracked, owners};
@@ -53,7 +53,7 @@
     /// This call is to be made at once.
     Call(Box<Action>),
     /// Another node has taken the record over.
-    Overtaken,
+    Superseded,
 }
 
 /// How far this node has come with the record.
@@ -79,7 +79,7 @@
     settings: Settings,
     holders: Holders,
     load: LoadMap,
-    tokens: TokenLedger,
+    tokens: TokenBuckets,
     next_balancing: Timestamp,
     /// Until when a new coordinator waits for reports of load.
     load_awaited: Timestamp,
@@ -113,7 +113,7 @@
             settings,
             holders: Holders::default(),
             load: LoadMap::default(),
-            tokens: TokenLedger::default(),
+            tokens: TokenBuckets::default(),
             next_balancing: Timestamp::ZERO,
             load_awaited: Timestamp::ZERO,
             term: Term::default(),
@@ -157,8 +157,8 @@
     }
 
     /// Says whether cold back ends bear few requests.
-    pub fn set_frail_when_cold(&mut self, frail: bool) {
-        self.holders.set_frail_when_cold(frail);
+    pub fn set_reduced_when_cold(&mut self, frail: bool) {
+        self.holders.set_reduced_when_cold(frail);
     }
 
     /// Takes what a router saw of the load.
@@ -175,16 +175,16 @@
 
     /// Answers routers that ask for tokens. Called only while the office is
     /// surely held; `confirmed`: nobody else can hold it yet.
-    pub fn give_tokens(
+    pub fn grant_tokens(
         &mut self,
         now: Timestamp,
-        asks: &[TokenAsk],
+        asks: &[TokenRequest],
         confirmed: bool,
     ) -> Vec<TokenGrant> {
         let earlier = self.predecessor.map(|predecessor| predecessor.orders_end);
         let sure = confirmed && earlier.is_none_or(|end| now >= end);
         asks.iter()
-            .map(|ask| self.tokens.give(now, ask, sure))
+            .map(|ask| self.tokens.grant(now, ask, sure))
             .collect()
     }
 
@@ -255,7 +255,7 @@
         let under_way = under_way(&self.tracked);
         let has_room = |tracked: &&Tracked| {
             let count = tracked.owner().and_then(|owner| under_way.get(&owner.name));
-            count.is_none_or(|count| *count < ORDERS_AT_ONCE)
+            count.is_none_or(|count| *count < MAX_ORDERS_IN_FLIGHT)
         };
         let orders = self
             .tracked
@@ -286,7 +286,7 @@
     }
 
     fn gathered(&self, now: Timestamp) -> Option<Timestamp> {
-        let gathered = self.first_seen? + self.settings.gather;
+        let gathered = self.first_seen? + self.settings.registration_wait;
         (gathered > now).then_some(gathered)
     }
 
--- a/crates/coordination/src/ownership/draft.rs
+++ b/crates/coordination/src/ownership/draft.rs
@@ -10,14 +10,14 @@
 use crate::order::HandoverToken;
 use crate::plan::{self, Assignment, Held};
 use crate::record::{Fence, OwnershipRecord, Slice, SliceState};
-use crate::tokens::TokenLedger;
+use crate::tokens::TokenBuckets;
 
 /// What a draft is made from.
 pub(super) struct Draft<'a> {
     pub(super) now: Timestamp,
     pub(super) holders: &'a Holders,
     pub(super) load: &'a LoadMap,
-    pub(super) tokens: &'a TokenLedger,
+    pub(super) tokens: &'a TokenBuckets,
     pub(super) tracked: &'a [Tracked],
     /// Back ends have had time to register.
     pub(super) gathered: bool,
@@ -204,7 +204,7 @@
     now: Timestamp,
     holders: &Holders,
     load: &LoadMap,
-    tokens: &TokenLedger,
+    tokens: &TokenBuckets,
     tracked: &[Tracked],
 ) -> Vec<Candidate> {
     let owners = owners(tracked);
--- a/crates/coordination/src/ownership/former.rs
+++ b/crates/coordination/src/ownership/former.rs
@@ -119,7 +119,7 @@
             let distance = settings.distance(holders.zone(&former.holder.owner.name));
             let timeout = match distance {
                 Distance::Near => settings.order_timeout,
-                Distance::Far => settings.order_wait(&OrderKind::Release, distance),
+                Distance::Far => settings.answer_timeout(&OrderKind::Release, distance),
             };
             orders.push(former.release(OrderId(*next_order), distance, timeout));
         }
--- a/crates/coordination/src/ownership/moves.rs
+++ b/crates/coordination/src/ownership/moves.rs
@@ -162,11 +162,11 @@
         }
         let own = self
             .settings
-            .hold_over(tracked.arrivals.latest(), self.settings.hold);
+            .hold_expiry(tracked.arrivals.latest(), self.settings.hold);
         let earlier = match self.predecessor {
             Some(predecessor) if !tracked.fenced_here => {
-                let orders_end = predecessor.orders_end + self.settings.longest_grant_wait();
-                self.settings.hold_over(orders_end, predecessor.hold)
+                let orders_end = predecessor.orders_end + self.settings.max_grant_transit();
+                self.settings.hold_expiry(orders_end, predecessor.hold)
             }
             _ => Timestamp::ZERO,
         };
--- a/crates/coordination/src/ownership/orders.rs
+++ b/crates/coordination/src/ownership/orders.rs
@@ -15,7 +15,7 @@
 
 /// Orders that wait for the answer of one back end at the most. One that holds
 /// many slices is asked about the others as it answers.
-pub const ORDERS_AT_ONCE: usize = 6;
+pub const MAX_ORDERS_IN_FLIGHT: usize = 6;
 
 /// Time to the next renewal while a release that was given up may still be
 /// carried out: the keys that it takes are unserved until then. A back end that
@@ -63,14 +63,14 @@
                 continue;
             };
             let count = under_way.entry(owner.name.clone()).or_default();
-            if *count >= ORDERS_AT_ONCE {
+            if *count >= MAX_ORDERS_IN_FLIGHT {
                 continue;
             }
             *count += 1;
             self.next_order += 1;
             let id = OrderId(self.next_order);
             let distance = self.settings.distance(self.holders.zone(&owner.name));
-            let timeout = self.settings.order_wait(&kind, distance);
+            let timeout = self.settings.answer_timeout(&kind, distance);
             tracked.sent(id, &kind, now + timeout);
             let order = Order {
                 id,
--- a/crates/coordination/src/ownership/store.rs
+++ b/crates/coordination/src/ownership/store.rs
@@ -18,7 +18,7 @@
         self.busy = false;
         let found = match result {
             ReadResult::Failed => {
-                self.next_store_call = now + self.settings.retry_pause;
+                self.next_store_call = now + self.settings.retry_delay;
                 return ReadConsequence::None;
             }
             ReadResult::Found(found) => found,
@@ -28,7 +28,7 @@
             Phase::Reading | Phase::Adopting => self.adopt(now, found),
             Phase::Active { .. } => {
                 if self.on_conflict(now, found) {
-                    return ReadConsequence::Overtaken;
+                    return ReadConsequence::Superseded;
                 }
                 ReadConsequence::None
             }
@@ -57,7 +57,7 @@
         }
         if found.value.term > self.term {
             self.end_term();
-            return ReadConsequence::Overtaken;
+            return ReadConsequence::Superseded;
         }
         let mut record = found.value;
         if record.check().is_err() {
@@ -97,14 +97,14 @@
             }
             WriteResult::Conflict(found) => self.on_conflict(now, found),
             WriteResult::NotDone => {
-                self.next_store_call = now + self.settings.retry_pause;
+                self.next_store_call = now + self.settings.retry_delay;
                 false
             }
             WriteResult::Unknown => {
                 // Reads back before anything else: what the store holds
                 // decides, and a write that still takes effect later meets
                 // the condition of the next one.
-                self.next_store_call = now + self.settings.retry_pause;
+                self.next_store_call = now + self.settings.retry_delay;
                 self.read_back = true;
                 false
             }
--- a/crates/coordination/src/ownership/tracked.rs
+++ b/crates/coordination/src/ownership/tracked.rs
@@ -203,11 +203,11 @@
             }
             Ok(OrderReply::Fenced) => {
                 self.fenced = true;
-                self.next_order = now + settings.retry_pause;
+                self.next_order = now + settings.retry_delay;
             }
             Ok(OrderReply::Malformed | OrderReply::OtherProcess)
             | Err(OrderFault::NotSent | OrderFault::Withheld) => {
-                self.next_order = now + settings.retry_pause;
+                self.next_order = now + settings.retry_delay;
             }
             Err(OrderFault::NoAnswer) => self.next_order = now,
         }
--- a/crates/coordination/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -30,18 +30,18 @@
     pub order_timeout: Duration,
     /// How long an order to another region may be on its way: its connection
     /// is kept for that long, and ended then.
-    pub far_order: Duration,
+    pub far_order_timeout: Duration,
     /// Zones of this region; `None` where all are.
     pub near_zones: Option<BTreeSet<ZoneName>>,
     /// Longest wait for a back end to finish its work on keys that it
     /// releases.
     pub release_timeout: Duration,
     /// Pause before an order or a store call that failed is made again.
-    pub retry_pause: Duration,
+    pub retry_delay: Duration,
     /// Time for back ends to register before the first assignment.
-    pub gather: Duration,
+    pub registration_wait: Duration,
     /// How much slower than ours a back end's clock may run, in percent.
-    pub clock_rate_percent: u32,
+    pub clock_drift_percent: u32,
 }
 
 impl Default for Settings {
@@ -54,12 +54,12 @@
             hold: Duration::from_secs(3),
             grant_renewal: Duration::from_millis(700),
             order_timeout: Duration::from_millis(500),
-            far_order: FAR_ORDER,
+            far_order_timeout: FAR_ORDER,
             near_zones: None,
             release_timeout: Duration::from_secs(2),
-            retry_pause: Duration::from_millis(200),
-            gather: Duration::from_millis(1_500),
-            clock_rate_percent: 2,
+            retry_delay: Duration::from_millis(200),
+            registration_wait: Duration::from_millis(1_500),
+            clock_drift_percent: 2,
         }
     }
 }
@@ -88,7 +88,7 @@
                 "order-timeout",
                 self.order_timeout,
                 "far-order",
-                self.far_order,
+                self.far_order_timeout,
             ),
             (
                 "lease-renewal",
@@ -119,35 +119,35 @@
 
     /// How long to wait for the answer to an order before its connection is
     /// ended; nothing of it arrives later.
-    pub fn order_wait(&self, kind: &OrderKind, distance: Distance) -> Duration {
+    pub fn answer_timeout(&self, kind: &OrderKind, distance: Distance) -> Duration {
         let answer = match kind {
             OrderKind::Grant(_) => self.order_timeout,
             OrderKind::Release => self.release_timeout,
         };
         match distance {
             Distance::Near => answer,
-            Distance::Far => answer.max(self.far_order),
+            Distance::Far => answer.max(self.far_order_timeout),
         }
     }
 
     /// How long a grant of another coordinator, wherever it runs, may be on its
     /// way.
-    pub fn longest_grant_wait(&self) -> Duration {
+    pub fn max_grant_transit(&self) -> Duration {
         match self.near_zones {
             None => self.order_timeout,
-            Some(_) => self.order_timeout.max(self.far_order),
+            Some(_) => self.order_timeout.max(self.far_order_timeout),
         }
     }
 
     /// When a grant that arrived at `arrival` at the latest has surely run
     /// out, by the slowest clock.
-    pub fn hold_over(&self, arrival: Timestamp, hold: Duration) -> Timestamp {
-        let drift = hold * self.clock_rate_percent / 100;
+    pub fn hold_expiry(&self, arrival: Timestamp, hold: Duration) -> Timestamp {
+        let drift = hold * self.clock_drift_percent / 100;
         arrival + hold + drift + HOLD_MARGIN
     }
 }
 
-/// Default of [`Settings::far_order`].
+/// Default of [`Settings::far_order_timeout`].
 const FAR_ORDER: Duration = Duration::from_secs(3);
 /// Added to every hold that is waited out, for rounding on the way.
 const HOLD_MARGIN: Duration = Duration::from_millis(20);
--- a/crates/coordination/src/tokens.rs
+++ b/crates/coordination/src/tokens.rs
@@ -7,7 +7,7 @@
 //! from the others.
 //!
 //! Invariant: the tokens that can be used within any time are at most what the
-//! limit allows in that time and [`TOKEN_LIFE`], and two buckets full. Tokens
+//! limit allows in that time and [`TOKEN_LIFETIME`], and two buckets full. Tokens
 //! end by themselves, a coordinator begins with empty buckets, and two that
 //! may both hold the office give out [`UNSURE_PART`] each.
 
@@ -21,10 +21,10 @@
 use crate::holders::Candidate;
 
 /// How long a token may be used, from when it was asked for.
-pub const TOKEN_LIFE: Duration = Duration::from_millis(500);
+pub const TOKEN_LIFETIME: Duration = Duration::from_millis(500);
 /// Limits below this are read as this, in requests a second: who sends nothing
 /// would never hear that a limit has ended.
-pub const LEAST_RATE: f64 = 0.1;
+pub const MIN_RATE: f64 = 0.1;
 /// Part of a limit that a coordinator gives out while another one may do so.
 const UNSURE_PART: f64 = 0.4;
 /// Tokens that a bucket holds besides a part of a second's.
@@ -47,7 +47,7 @@
 /// A router asks for tokens for one back end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct TokenAsk {
+pub struct TokenRequest {
     /// The back end.
     pub back_end: BackEndName,
     /// Its limit as this router last heard it, in requests a second.
@@ -62,7 +62,7 @@
 pub struct TokenGrant {
     /// The back end.
     pub back_end: BackEndName,
-    /// Tokens, good for [`TOKEN_LIFE`] from the ask.
+    /// Tokens, good for [`TOKEN_LIFETIME`] from the ask.
     pub tokens: u32,
     /// Time until there is another one, in milliseconds, if these are fewer
     /// than were needed.
@@ -121,21 +121,21 @@
 
 /// The buckets of one service, while this node coordinates it.
 #[derive(Clone, Debug, Default)]
-pub struct TokenLedger {
+pub struct TokenBuckets {
     accounts: BTreeMap<BackEndName, Account>,
 }
 
-impl TokenLedger {
+impl TokenBuckets {
     /// Another term begins: nothing is left of what was saved up before.
     pub fn clear(&mut self) {
         self.accounts.clear();
     }
 
     /// Answers an ask. `sure`: nobody else gives out tokens now.
-    pub fn give(&mut self, now: Timestamp, ask: &TokenAsk, sure: bool) -> TokenGrant {
+    pub fn grant(&mut self, now: Timestamp, ask: &TokenRequest, sure: bool) -> TokenGrant {
         let part = if sure { 1.0 } else { UNSURE_PART };
         self.forget_old(now);
-        let rate = ask.rate.max(LEAST_RATE);
+        let rate = ask.rate.max(MIN_RATE);
         let account = self
             .accounts
             .entry(ask.back_end.clone())
--- a/crates/coordination/tests/orders.rs
+++ b/crates/coordination/tests/orders.rs
@@ -6,7 +6,7 @@
 use threadledge_coordination::action::{ReadResult, Versioned, WriteResult};
 use threadledge_coordination::holders::{Holders, Ineligible};
 use threadledge_coordination::occupancy::SharedAddress;
-use threadledge_coordination::ownership::{ORDERS_AT_ONCE, Ownership, ReadConsequence};
+use threadledge_coordination::ownership::{MAX_ORDERS_IN_FLIGHT, Ownership, ReadConsequence};
 use threadledge_coordination::{
     Action, Fence, Notice, Order, OrderFault, OrderId, OrderKind, OrderReply, Owner,
     OwnershipRecord, Settings, Slice, SliceState, Term,
@@ -95,9 +95,13 @@
     let mut waiting = sent(ownership.poll(now, true));
     let mut granted = 0;
     while !waiting.is_empty() {
-        assert!(waiting.len() <= ORDERS_AT_ONCE, "{} at once", waiting.len());
+        assert!(
+            waiting.len() <= MAX_ORDERS_IN_FLIGHT,
+            "{} at once",
+            waiting.len()
+        );
         let wake = ownership.next_wake(now);
-        let spins = waiting.len() == ORDERS_AT_ONCE && wake.is_some_and(|wake| wake <= now);
+        let spins = waiting.len() == MAX_ORDERS_IN_FLIGHT && wake.is_some_and(|wake| wake <= now);
         assert!(!spins, "nothing can be sent before an answer");
         let order = waiting.remove(0);
         ownership.on_order(now, &order, Ok(OrderReply::Granted));
@@ -212,7 +216,7 @@
     let now = Timestamp::from_millis(10_000);
     let mut ownership = taken_over(now);
     let hanging = sent(ownership.poll(now, true));
-    assert_eq!(hanging.len(), ORDERS_AT_ONCE);
+    assert_eq!(hanging.len(), MAX_ORDERS_IN_FLIGHT);
     assert!(sent(ownership.poll(now, true)).is_empty());
     let mut newcomer = back_end();
     newcomer.name = "b-2".into();
@@ -220,7 +224,7 @@
     // Also where the registration of the one that is gone went before.
     ownership.set_back_ends(now, &[newcomer]);
     let (asked, record) = divided(ownership.poll(now, true));
-    assert_eq!(asked.len(), ORDERS_AT_ONCE);
+    assert_eq!(asked.len(), MAX_ORDERS_IN_FLIGHT);
     assert!(asked.iter().all(|order| order.to.name.as_str() == "b-1"));
     // Those that were never granted in this term go on without an answer.
     let record = record.expect("written");
--- a/crates/coordination/tests/simulation/handed_back.rs
+++ b/crates/coordination/tests/simulation/handed_back.rs
@@ -25,8 +25,9 @@
         back_end.cut_until = until;
         let second = loop {
             world.step();
-            let leading = (0..3)
-                .find(|node| *node != first && world.nodes[*node].coordinator.leading().is_some());
+            let leading = (0..3).find(|node| {
+                *node != first && world.nodes[*node].coordinator.leading_term().is_some()
+            });
             if let Some(second) = leading {
                 break second;
             }
--- a/crates/coordination/tests/simulation/joined.rs
+++ b/crates/coordination/tests/simulation/joined.rs
@@ -94,7 +94,7 @@
                 Action::WriteRecord(next, _) => {
                     let first = next.slices[0].holder().expect("owned").name.clone();
                     if let (Some(arrived), true) = (alone, first == e.name) {
-                        let held_until = settings.hold_over(arrived, settings.hold);
+                        let held_until = settings.hold_expiry(arrived, settings.hold);
                         let both = both.expect("granted");
                         assert!(
                             now + Duration::from_millis(20) >= held_until,
--- a/crates/coordination/tests/simulation/named.rs
+++ b/crates/coordination/tests/simulation/named.rs
@@ -236,7 +236,7 @@
 fn cold_back_end_that_bears_little_gets_its_share_once_it_is_warm() {
     let mut world = World::settled(16);
     for node in &mut world.nodes {
-        node.coordinator.set_frail_when_cold(true);
+        node.coordinator.set_reduced_when_cold(true);
     }
     let cold_until = world.now + SECOND * 3;
     let name = world.add_cold_back_end(50, SECOND * 3);
@@ -266,7 +266,7 @@
 fn keys_go_to_cold_back_ends_where_there_are_no_others() {
     let mut world = World::new(17, 3, 0);
     for node in &mut world.nodes {
-        node.coordinator.set_frail_when_cold(true);
+        node.coordinator.set_reduced_when_cold(true);
     }
     world.add_cold_back_end(1, SECOND * 20);
     assert!(world.until_served(SECOND * 8).is_some());
@@ -300,7 +300,7 @@
     let coordinator = world.coordinator().expect("one coordinates");
     world.nodes[coordinator].coordinator.stop();
     world.run(Duration::from_millis(300));
-    assert!(world.nodes[coordinator].coordinator.stopped());
+    assert!(world.nodes[coordinator].coordinator.is_stopped());
     world.nodes[coordinator].up = false;
     world.run(SECOND);
     assert!(world.coordinator().is_some_and(|next| next != coordinator));
@@ -320,7 +320,7 @@
     let coordinator = world.coordinator().expect("one coordinates");
     world.nodes[coordinator].coordinator.stop();
     world.run(SECOND);
-    assert!(world.nodes[coordinator].coordinator.stopped());
+    assert!(world.nodes[coordinator].coordinator.is_stopped());
 }
 
 #[test]
--- a/crates/coordination/tests/simulation/schedules.rs
+++ b/crates/coordination/tests/simulation/schedules.rs
@@ -55,7 +55,7 @@
     let leading = world
         .nodes
         .iter()
-        .filter(|node| node.coordinator.leading().is_some())
+        .filter(|node| node.coordinator.leading_term().is_some())
         .count();
     assert_eq!(leading, 1, "seed {seed}");
 }
@@ -100,7 +100,7 @@
 
 fn restart_all(world: &mut World) {
     for index in 0..world.nodes.len() {
-        let stopped = world.nodes[index].coordinator.stopped();
+        let stopped = world.nodes[index].coordinator.is_stopped();
         if !world.nodes[index].up || stopped {
             world.start_node(index);
         }
--- a/crates/coordination/tests/simulation/world.rs
+++ b/crates/coordination/tests/simulation/world.rs
@@ -278,7 +278,7 @@
     /// Tells a node what is registered, once it decides by it.
     fn tell_node(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        if !node.up || !node.untold || !node.coordinator.wants_back_ends() {
+        if !node.up || !node.untold || !node.coordinator.needs_back_ends() {
             return;
         }
         let back_ends: Vec<BackEnd> = self.registered.values().cloned().collect();
@@ -289,9 +289,9 @@
     pub fn coordinator(&self) -> Option<usize> {
         let holder = self.lease.read()?.value.holder?;
         self.nodes.iter().position(|node| {
-            let known = node.coordinator.known();
+            let known = node.coordinator.last_seen_holder();
             node.up
-                && node.coordinator.leading().is_some()
+                && node.coordinator.leading_term().is_some()
                 && known.and_then(|(_, holder)| holder) == Some(&holder)
         })
     }
--- a/crates/coordination/tests/tokens.rs
+++ b/crates/coordination/tests/tokens.rs
@@ -5,7 +5,7 @@
 use threadledge_coordination::holders::Candidate;
 use threadledge_coordination::load::LoadMap;
 use threadledge_coordination::plan::{Held, rebalance};
-use threadledge_coordination::tokens::{TOKEN_LIFE, TokenAsk, TokenLedger};
+use threadledge_coordination::tokens::{TOKEN_LIFETIME, TokenBuckets, TokenRequest};
 use threadledge_coordination::{Owner, TokenGrant};
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{BackEndName, KeyRange};
@@ -18,8 +18,8 @@
     format!("b-{number:02}").into()
 }
 
-fn ask(rate: f64, needed: u32) -> TokenAsk {
-    TokenAsk {
+fn ask(rate: f64, needed: u32) -> TokenRequest {
+    TokenRequest {
         back_end: name(0),
         rate,
         needed,
@@ -36,7 +36,7 @@
     let within = |from: &Timestamp| {
         let window = given
             .iter()
-            .filter(|(at, _)| at >= from && at.since(*from) < WINDOW + TOKEN_LIFE);
+            .filter(|(at, _)| at >= from && at.since(*from) < WINDOW + TOKEN_LIFETIME);
         window.map(|(_, tokens)| tokens).sum()
     };
     given.iter().map(|(at, _)| within(at)).max().unwrap_or(0)
@@ -44,17 +44,17 @@
 
 /// Asks each ledger for as much as it gives, for 20 s. Each may have been idle
 /// before, or not.
-fn pressed(ledgers: &mut [(TokenLedger, bool)], rate: f64, idle: Duration) -> u32 {
+fn pressed(ledgers: &mut [(TokenBuckets, bool)], rate: f64, idle: Duration) -> u32 {
     let mut now = start();
     let mut given = Vec::new();
     for (ledger, sure) in ledgers.iter_mut() {
-        ledger.give(now, &ask(rate, 0), *sure);
+        ledger.grant(now, &ask(rate, 0), *sure);
     }
     now = now + idle;
     let until = now + Duration::from_secs(20);
     while now < until {
         for (ledger, sure) in ledgers.iter_mut() {
-            let grant = ledger.give(now, &ask(rate, 16), *sure);
+            let grant = ledger.grant(now, &ask(rate, 16), *sure);
             given.push((now, grant.tokens));
         }
         now = now + STEP;
@@ -67,7 +67,7 @@
     for rate in [0.1, 0.5, 2.1, 10.0, 300.0] {
         let allowed = 1.5 * rate * WINDOW.as_secs_f64() + 5.0;
         for idle in [Duration::ZERO, Duration::from_secs(3)] {
-            let ledger = TokenLedger::default;
+            let ledger = TokenBuckets::default;
             let one = pressed(&mut [(ledger(), true)], rate, idle);
             assert!(f64::from(one) <= allowed, "{rate}: {one} of {allowed}");
             let mut both = [(ledger(), false), (ledger(), false)];
@@ -82,10 +82,10 @@
 #[test]
 fn ask_by_no_proper_limit_is_read_as_one_by_the_least() {
     for rate in [0.0, -1.0, f64::NAN] {
-        let mut ledger = TokenLedger::default();
-        ledger.give(start(), &ask(rate, 0), true);
+        let mut ledger = TokenBuckets::default();
+        ledger.grant(start(), &ask(rate, 0), true);
         let later = start() + Duration::from_secs(3);
-        let grant = ledger.give(later, &ask(rate, 1), true);
+        let grant = ledger.grant(later, &ask(rate, 1), true);
         assert_eq!((grant.tokens, grant.wait_ms), (0, 7_000), "{rate}");
         let mut candidates = candidates(3);
         ledger.bound_weights(later, &mut candidates, 100.0);
@@ -95,20 +95,20 @@
 
 #[test]
 fn new_coordinator_begins_without_tokens() {
-    let mut ledger = TokenLedger::default();
-    ledger.give(start(), &ask(100.0, 0), true);
+    let mut ledger = TokenBuckets::default();
+    ledger.grant(start(), &ask(100.0, 0), true);
     let later = start() + Duration::from_secs(3);
     ledger.clear();
-    assert_eq!(ledger.give(later, &ask(100.0, 16), true).tokens, 0);
+    assert_eq!(ledger.grant(later, &ask(100.0, 16), true).tokens, 0);
 }
 
 #[test]
 fn lower_limit_counts_at_once_and_a_higher_one_when_nobody_asks_by_the_lower() {
-    let mut ledger = TokenLedger::default();
+    let mut ledger = TokenBuckets::default();
     let mut now = start();
     let mut wait = |millis: u64, rate: f64| {
         now = now + Duration::from_millis(millis);
-        let TokenGrant { wait_ms, .. } = ledger.give(now, &ask(rate, 1_000), true);
+        let TokenGrant { wait_ms, .. } = ledger.grant(now, &ask(rate, 1_000), true);
         wait_ms
     };
     wait(0, 10.0);
@@ -141,8 +141,8 @@
 
 /// Ten owners with 100 requests a second, the first of which names a limit.
 fn bounded(rate: f64) -> Vec<Candidate> {
-    let mut ledger = TokenLedger::default();
-    ledger.give(start(), &ask(rate, 1), true);
+    let mut ledger = TokenBuckets::default();
+    ledger.grant(start(), &ask(rate, 1), true);
     let mut candidates = candidates(10);
     ledger.bound_weights(start(), &mut candidates, 100.0);
     candidates
@@ -162,8 +162,8 @@
 
 #[test]
 fn limit_that_nobody_asks_by_any_more_bounds_nothing() {
-    let mut ledger = TokenLedger::default();
-    ledger.give(start(), &ask(2.0, 1), true);
+    let mut ledger = TokenBuckets::default();
+    ledger.grant(start(), &ask(2.0, 1), true);
     let mut candidates = candidates(10);
     let later = start() + Duration::from_secs(5);
     ledger.bound_weights(later, &mut candidates, 100.0);
@@ -172,15 +172,15 @@
 
 #[test]
 fn owners_that_all_name_limits_share_by_them() {
-    let mut ledger = TokenLedger::default();
+    let mut ledger = TokenBuckets::default();
     let mut candidates = candidates(3);
     for (number, rate) in [1.0, 2.0, 1.0].into_iter().enumerate() {
         let back_end = name(number);
-        let ask = TokenAsk {
+        let ask = TokenRequest {
             back_end,
             ..ask(rate, 1)
         };
-        ledger.give(start(), &ask, true);
+        ledger.grant(start(), &ask, true);
     }
     ledger.bound_weights(start(), &mut candidates, 100.0);
     assert!((share(&candidates, 1) - 0.5).abs() < 1e-9);
--- a/crates/dispatch/src/dispatcher/limits.rs
+++ b/crates/dispatch/src/dispatcher/limits.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use threadledge_coordination::{KeyOwner, TokenAsk, TokenGrant};
+use threadledge_coordination::{KeyOwner, TokenGrant, TokenRequest};
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{BackEndName, ServiceName};
 
@@ -48,7 +48,7 @@
 
     /// What to ask the coordinator of each service for. Each ask must be
     /// followed by [`Dispatcher::on_tokens`] or [`Dispatcher::on_no_tokens`].
-    pub fn take_token_asks(&mut self) -> BTreeMap<ServiceName, Vec<TokenAsk>> {
+    pub fn take_token_asks(&mut self) -> BTreeMap<ServiceName, Vec<TokenRequest>> {
         let back_ends = &self.back_ends;
         self.limited.take_asks(|name| {
             let known = back_ends.get(name)?;
@@ -71,7 +71,7 @@
     }
 
     /// Nobody answered what was asked of the coordinator of a service.
-    pub fn on_no_tokens(&mut self, now: Timestamp, service: &ServiceName, asks: &[TokenAsk]) {
+    pub fn on_no_tokens(&mut self, now: Timestamp, service: &ServiceName, asks: &[TokenRequest]) {
         for ask in asks {
             self.limited.on_silence(now, &ask.back_end);
         }
--- a/crates/dispatch/src/limited.rs
+++ b/crates/dispatch/src/limited.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use rand_chacha::ChaCha8Rng;
-use threadledge_coordination::tokens::{LEAST_RATE, TOKEN_LIFE, TokenAsk, TokenGrant};
+use threadledge_coordination::tokens::{MIN_RATE, TOKEN_LIFETIME, TokenGrant, TokenRequest};
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{BackEndName, ServiceName};
 
@@ -106,7 +106,7 @@
                 }
                 return;
             }
-            ToldLimit::Rate(rate) if rate < UNBOUNDED_RATE => rate.max(LEAST_RATE),
+            ToldLimit::Rate(rate) if rate < UNBOUNDED_RATE => rate.max(MIN_RATE),
             ToldLimit::Rate(_) | ToldLimit::None => return self.lift(name, sent),
         };
         let Some(limited) = self.limited.get_mut(name) else {
@@ -206,8 +206,8 @@
     pub(crate) fn take_asks(
         &mut self,
         service_of: impl Fn(&BackEndName) -> Option<ServiceName>,
-    ) -> BTreeMap<ServiceName, Vec<TokenAsk>> {
-        let mut asks: BTreeMap<ServiceName, Vec<TokenAsk>> = BTreeMap::new();
+    ) -> BTreeMap<ServiceName, Vec<TokenRequest>> {
+        let mut asks: BTreeMap<ServiceName, Vec<TokenRequest>> = BTreeMap::new();
         for (name, limited) in &mut self.limited {
             if limited.needed == 0 || limited.asking {
                 continue;
@@ -217,7 +217,7 @@
                 continue;
             };
             limited.asking = true;
-            asks.entry(service).or_default().push(TokenAsk {
+            asks.entry(service).or_default().push(TokenRequest {
                 back_end: name.clone(),
                 rate: limited.rate,
                 needed,
@@ -233,7 +233,7 @@
         };
         limited.asking = false;
         limited.drop_ended(now);
-        let ends = asked + TOKEN_LIFE;
+        let ends = asked + TOKEN_LIFETIME;
         if now < ends {
             // No answer fills the memory, whatever it says.
             let count = grant.tokens.min(MOST_NEEDED) as usize;
--- a/crates/dispatch/tests/dispatcher/limited.rs
+++ b/crates/dispatch/tests/dispatcher/limited.rs
@@ -7,9 +7,9 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use threadledge_coordination::tokens::TokenLedger;
+use threadledge_coordination::tokens::TokenBuckets;
 use threadledge_coordination::{
-    Fence, Owner, OwnershipRecord, OwnershipView, Slice, SliceState, Term, TokenAsk, TokenGrant,
+    Fence, Owner, OwnershipRecord, OwnershipView, Slice, SliceState, Term, TokenGrant, TokenRequest,
 };
 use threadledge_dispatch::{
     Attempt, BackEndNews, Begun, Call, Dispatcher, Outcome, RefusalReason, RequestFacts, Settings,
@@ -47,7 +47,7 @@
 struct Asked {
     number: usize,
     service: ServiceName,
-    asks: Vec<TokenAsk>,
+    asks: Vec<TokenRequest>,
     at: Timestamp,
 }
 
@@ -57,7 +57,7 @@
     routers: Vec<Dispatcher>,
     keyed: bool,
     limit: f64,
-    ledger: TokenLedger,
+    ledger: TokenBuckets,
     /// Routers reach the coordinator.
     reachable: bool,
     now: Timestamp,
@@ -94,7 +94,7 @@
             routers: (0..count).map(router).collect(),
             keyed,
             limit,
-            ledger: TokenLedger::default(),
+            ledger: TokenBuckets::default(),
             reachable: true,
             now,
             begun: now,
@@ -201,7 +201,7 @@
                 continue;
             }
             let ledger = &mut self.ledger;
-            let grants = asked.asks.iter().map(|ask| ledger.give(now, ask, true));
+            let grants = asked.asks.iter().map(|ask| ledger.grant(now, ask, true));
             let grants: Vec<_> = grants.collect();
             router.on_tokens(now, &asked.service, asked.at, &grants);
         }
@@ -372,11 +372,11 @@
 fn give_token(station: &mut Station) {
     let service = ServiceName::from("keyed");
     for asks in station.dispatcher.take_token_asks().into_values() {
-        let mut ledger = TokenLedger::default();
-        ledger.give(station.now, &asks[0], true);
+        let mut ledger = TokenBuckets::default();
+        ledger.grant(station.now, &asks[0], true);
         station.after(2_000);
         let asked = station.now;
-        let grant = ledger.give(asked, &asks[0], true);
+        let grant = ledger.grant(asked, &asks[0], true);
         assert_eq!(grant.tokens, 1);
         station
             .dispatcher
@@ -460,9 +460,9 @@
     let begun = station.begin_with("keyed", Some(7)).expect("admitted");
     assert!(matches!(station.next(&begun), Step::Wait(_)));
     let asked = station.now;
-    let mut ledger = TokenLedger::default();
+    let mut ledger = TokenBuckets::default();
     for (service, asks) in station.dispatcher.take_token_asks() {
-        let grant = ledger.give(asked, &asks[0], true);
+        let grant = ledger.grant(asked, &asks[0], true);
         station.after(5);
         let now = station.now;
         station.dispatcher.on_tokens(now, &service, asked, &[grant]);
--- a/crates/router/src/gateway/coordination.rs
+++ b/crates/router/src/gateway/coordination.rs
@@ -11,7 +11,7 @@
 use parking_lot::Mutex;
 use threadledge_coordination::action::{Freshness, ReadResult, Versioned};
 use threadledge_coordination::{
-    Action, Coordinator, LoadReport, NodeIdentity, OwnershipRecord, Settings, TokenAsk,
+    Action, Coordinator, LoadReport, NodeIdentity, OwnershipRecord, Settings, TokenRequest,
 };
 use threadledge_net::{StopSignal, timer};
 use threadledge_ports::Ports;
@@ -58,7 +58,7 @@
     /// A gateway asks for tokens of a service's back ends.
     Tokens(
         ServiceName,
-        Vec<TokenAsk>,
+        Vec<TokenRequest>,
         async_channel::Sender<TokenReply>,
     ),
     /// A planned stop began.
@@ -196,7 +196,7 @@
             Event::Load(service, report) => {
                 if let Some(coordinator) = self.coordinators.get_mut(&service) {
                     coordinator.add_load(now, &report);
-                    if coordinator.leading().is_none() {
+                    if coordinator.leading_term().is_none() {
                         self.participation.sources.put_load(&service, report);
                     }
                 }
@@ -222,7 +222,7 @@
         let coordinators = &self.coordinators;
         let wants = |service: &&ServiceName| {
             let coordinator = coordinators.get(*service);
-            coordinator.is_some_and(Coordinator::wants_back_ends)
+            coordinator.is_some_and(Coordinator::needs_back_ends)
         };
         let due: Vec<ServiceName> = self.untold.iter().filter(wants).cloned().collect();
         if due.is_empty() {
@@ -250,7 +250,7 @@
         self.untold.extend(moved.cloned());
         for (name, service) in &configuration.services {
             if let Some(coordinator) = self.coordinators.get_mut(name) {
-                coordinator.set_frail_when_cold(service.cold_rate.is_some());
+                coordinator.set_reduced_when_cold(service.cold_rate.is_some());
                 continue;
             }
             if !service.keyed || self.stopping {
@@ -263,7 +263,7 @@
                 ..
             } = self.participation.clone();
             let mut coordinator = Coordinator::new(me, name.clone(), settings, patience);
-            coordinator.set_frail_when_cold(service.cold_rate.is_some());
+            coordinator.set_reduced_when_cold(service.cold_rate.is_some());
             self.coordinators.insert(name.clone(), coordinator);
             self.untold.insert(name.clone());
         }
@@ -289,7 +289,7 @@
             // The relay will tell of the lease: no need to ask the store.
             let told = !relayed || self.participation.sources.lease(service).is_some();
             coordinator.set_candidate(candidate && told);
-            coordinator.set_patience(patience);
+            coordinator.set_takeover_delay(patience);
         }
     }
 
@@ -329,7 +329,7 @@
         let mut calls = Vec::new();
         let relayed = self.participation.sources.relayed();
         for (service, coordinator) in &mut self.coordinators {
-            let first_look = coordinator.known().is_none();
+            let first_look = coordinator.last_seen_holder().is_none();
             for action in coordinator.poll(now) {
                 let action = match action {
                     // The relay has told of the lease: hundreds that start
@@ -348,7 +348,7 @@
         for (service, action) in calls {
             self.start(now, service, action);
         }
-        let stopped = self.coordinators.values().all(Coordinator::stopped);
+        let stopped = self.coordinators.values().all(Coordinator::is_stopped);
         if self.stopping && stopped {
             self.stopped.stop();
         }
--- a/crates/router/src/gateway/coordination/reports.rs
+++ b/crates/router/src/gateway/coordination/reports.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use threadledge_coordination::TokenAsk;
+use threadledge_coordination::TokenRequest;
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::ServiceName;
 
@@ -30,11 +30,13 @@
         let report = self
             .dispatch
             .with(|dispatcher, now| dispatcher.owners_report(now, service));
-        if coordinator.leading().is_some() {
+        if coordinator.leading_term().is_some() {
             coordinator.add_load(now, &report);
             return;
         }
-        let holder = coordinator.known().and_then(|(_, holder)| holder);
+        let holder = coordinator
+            .last_seen_holder()
+            .and_then(|(_, holder)| holder);
         if let Some(address) = holder.and_then(|holder| holder.address) {
             let peers = &self.participation.peers;
             peers.report(address, service.clone(), report);
@@ -63,7 +65,7 @@
             let mut report = self
                 .dispatch
                 .with(|dispatcher, _now| dispatcher.take_load(service));
-            if coordinator.leading().is_some() {
+            if coordinator.leading_term().is_some() {
                 coordinator.add_load(now, &report);
                 continue;
             }
@@ -74,7 +76,9 @@
             if let Some(below) = below.remove(service) {
                 report.merge(below);
             }
-            let holder = coordinator.known().and_then(|(_, holder)| holder);
+            let holder = coordinator
+                .last_seen_holder()
+                .and_then(|(_, holder)| holder);
             let Some(address) = holder.and_then(|holder| holder.address) else {
                 continue;
             };
@@ -92,15 +96,17 @@
         &mut self,
         now: Timestamp,
         service: &ServiceName,
-        asks: &[TokenAsk],
+        asks: &[TokenRequest],
     ) -> TokenReply {
         let Some(coordinator) = self.coordinators.get_mut(service) else {
             return TokenReply::Elsewhere { coordinator: None };
         };
-        if let Some(grants) = coordinator.give_tokens(now, asks) {
+        if let Some(grants) = coordinator.grant_tokens(now, asks) {
             return TokenReply::Granted { grants };
         }
-        let holder = coordinator.known().and_then(|(_, holder)| holder);
+        let holder = coordinator
+            .last_seen_holder()
+            .and_then(|(_, holder)| holder);
         let other = holder.filter(|holder| **holder != self.participation.me);
         TokenReply::Elsewhere {
             coordinator: other.and_then(|holder| holder.address),
--- a/crates/router/src/gateway/limits/office.rs
+++ b/crates/router/src/gateway/limits/office.rs
@@ -105,7 +105,9 @@
             let changed = shared.changed.next();
             let told = self.sources.lease_changes().next();
             let in_use = self.limits.with(|state, _now| state.spender.has_limits());
-            let holds = self.limits.with(|state, _now| state.election.leading());
+            let holds = self
+                .limits
+                .with(|state, _now| state.election.leading_term());
             if !in_use && holds.is_none() {
                 changed.await;
                 continue;
@@ -177,9 +179,11 @@
         let heard = self.limits.with(|state, now| {
             let candidate = state.spender.has_limits() && !state.leaving;
             state.election.set_candidate(candidate && settled && told);
-            state.election.set_patience(self.place.patience + behind);
+            state
+                .election
+                .set_takeover_delay(self.place.patience + behind);
             let before = state.spender.term();
-            let seen = state.election.known();
+            let seen = state.election.last_seen_holder();
             let seen = seen.map(|(term, holder)| (term, holder.and_then(|one| one.address)));
             if let Some((term, address)) = seen {
                 state.hear_of(now, term, address);
@@ -286,7 +290,7 @@
         let (leading, record) = self.limits.with(|state, now| {
             let ledger = state.ledger.as_mut();
             let record = ledger.and_then(|ledger| ledger.record_to_write(now));
-            (state.election.leading(), record)
+            (state.election.leading_term(), record)
         });
         self.won = self.won.filter(|won| leading == Some(won.term));
         if let Some(won) = self.won {
@@ -331,7 +335,7 @@
         self.revision = Some(revision);
         self.won = None;
         self.limits.with(|state, now| {
-            if state.election.leading() != Some(won.term) {
+            if state.election.leading_term() != Some(won.term) {
                 return;
             }
             let office = LedgerElection {
@@ -372,7 +376,9 @@
     }
 
     fn overtaken(&mut self) {
-        let change = self.limits.with(|state, now| state.election.overtaken(now));
+        let change = self
+            .limits
+            .with(|state, now| state.election.on_superseded(now));
         self.take_change(change);
     }
 }
--- a/crates/router/src/gateway/limits/state.rs
+++ b/crates/router/src/gateway/limits/state.rs
@@ -97,7 +97,7 @@
     /// is known to hold it, its holder has not answered for `patience`, or says
     /// that it may end.
     pub(super) fn doubts_ledger(&self, now: Timestamp, patience: Duration) -> bool {
-        let held = self.election.leading().is_some() || self.leaving;
+        let held = self.election.leading_term().is_some() || self.leaving;
         let unknown = self.holder.is_none_or(|(_, address)| address.is_none());
         let lost = self
             .spender
@@ -110,19 +110,19 @@
     pub(super) fn leave(&mut self, now: Timestamp) {
         self.leaving = true;
         self.ledger = None;
-        self.election.hand_back(now);
+        self.election.resign(now);
     }
 
     /// Answers an ask; says whether a record has to be written.
     pub(super) fn answer(&mut self, now: Timestamp, ask: &QuotaRequest) -> (QuotaResponse, bool) {
-        if !self.election.may_act(now) {
+        if !self.election.holds_lease(now) {
             return (QuotaResponse::NotLeader, false);
         }
         match &mut self.ledger {
             Some(ledger) => {
                 let mut answer = ledger.handle_request(now, ask);
                 if let QuotaResponse::Ledger { lease_at_risk, .. } = &mut answer {
-                    *lease_at_risk = !self.election.may_act(now + AILING_BEFORE);
+                    *lease_at_risk = !self.election.holds_lease(now + AILING_BEFORE);
                 }
                 (answer, ledger.needs_record_update(now))
             }
--- a/crates/router/src/gateway/settings/cores.rs
+++ b/crates/router/src/gateway/settings/cores.rs
@@ -28,7 +28,7 @@
             takeover_after: seconds(ownership.takeover_after_s),
             hold: seconds(ownership.hold_s),
             grant_renewal: seconds(ownership.grant_renewal_s),
-            far_order: seconds(ownership.far_order_s),
+            far_order_timeout: seconds(ownership.far_order_s),
             near_zones: self.near_zones(),
             ..threadledge_coordination::Settings::default()
         }
--- a/crates/router/src/gateway/settings/tables.rs
+++ b/crates/router/src/gateway/settings/tables.rs
@@ -173,7 +173,7 @@
             lease_s: core.lease.as_secs_f64(),
             lease_renewal_s: core.lease_renewal.as_secs_f64(),
             takeover_after_s: core.takeover_after.as_secs_f64(),
-            far_order_s: core.far_order.as_secs_f64(),
+            far_order_s: core.far_order_timeout.as_secs_f64(),
         }
     }
 }
--- a/crates/router/src/gateway/tokens.rs
+++ b/crates/router/src/gateway/tokens.rs
@@ -7,7 +7,7 @@
 
 use async_std::task;
 use serde::{Deserialize, Serialize};
-use threadledge_coordination::{TokenAsk, TokenGrant};
+use threadledge_coordination::{TokenGrant, TokenRequest};
 use threadledge_net::timer;
 use threadledge_types::deployment::ServiceName;
 
@@ -23,7 +23,7 @@
 #[serde(rename_all = "kebab-case")]
 pub(super) struct ServiceTokenAsk {
     pub(super) service: ServiceName,
-    pub(super) asks: Vec<TokenAsk>,
+    pub(super) asks: Vec<TokenRequest>,
 }
 
 /// The answer of one gateway to such an ask.
@@ -69,7 +69,7 @@
         }
     }
 
-    async fn ask(self, service: ServiceName, asks: Vec<TokenAsk>) {
+    async fn ask(self, service: ServiceName, asks: Vec<TokenRequest>) {
         let asked = self.dispatch.clock().now();
         let ask = ServiceTokenAsk { service, asks };
         let granted = timer::timeout(TOKEN_TIMEOUT, self.granted(&ask)).await;
