--- a/crates/coordination/src/action.rs
+++ b/crates/coordination/src/action.rs
@@ -1,4 +1,4 @@
-//! What a coordinator asks its shell to do, and what it tells operators.
+//! Calls that a coordinator asks its caller to make, and notices for operators.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 /// Revision of an object in the store.
 pub type StoreRevision = u64;
 
-/// On what a write depends.
+/// Precondition of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
     /// No object of that name exists.
@@ -20,16 +20,16 @@
     Revision(StoreRevision),
 }
 
-/// How current an answer must be.
+/// Consistency that a read requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// It reflects every write that was acknowledged before the call.
+    /// The result reflects every write that was acknowledged before the call.
     Linearizable,
-    /// It may be seconds old.
+    /// The result may be seconds old.
     Stale,
 }
 
-/// A call to make. Each is answered by one event, whatever becomes of it.
+/// A call to make. Exactly one event reports its result, even if it fails.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Read the coordinator's lease.
@@ -53,76 +53,78 @@
     pub revision: StoreRevision,
 }
 
-/// What became of a read.
+/// Result of a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadResult<T> {
-    /// The object as it is; `None` when there is none.
+    /// The current object; `None` if it does not exist.
     Found(Option<Versioned<T>>),
     /// The store did not answer.
     Failed,
 }
 
-/// What became of a conditional write.
+/// Result of a conditional write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteResult<T> {
-    /// It took effect, at this revision.
+    /// The write took effect at this revision.
     Accepted(StoreRevision),
-    /// The condition did not hold; the object as it is, if the store told.
+    /// The condition did not hold. Contains the current object if the store
+    /// returned it.
     Conflict(Option<Versioned<T>>),
-    /// It surely took no effect.
+    /// The write certainly had no effect.
     NotDone,
-    /// It may have taken effect, or may do so later while its condition holds.
+    /// The write may have taken effect, or may still do so while its condition
+    /// holds.
     Unknown,
 }
 
-/// A change of what the coordinator believes, for the log.
+/// A change in the coordinator's state, reported for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// This node coordinates now.
+    /// This node became the coordinator.
     Elected {
-        /// Since this term.
+        /// Its new term.
         term: Term,
     },
-    /// Another node coordinates.
+    /// Another node became the coordinator.
     Deposed {
-        /// The term that ended here.
+        /// The term of this node, which has ended.
         term: Term,
     },
-    /// The coordinator cannot confirm its lease any more and gives no orders.
+    /// The coordinator can no longer confirm its lease and sends no orders.
     LeaseLapsed {
         /// Its term.
         term: Term,
     },
-    /// This node took the record over, with so many slices.
+    /// This node took over the ownership record.
     RecordAdopted {
         /// Its term.
         term: Term,
-        /// Slices in it.
+        /// Number of slices in the record.
         slices: usize,
     },
-    /// Keys are being taken back.
+    /// Keys are being taken back from their owner.
     ReleaseStarted {
         /// The keys.
         range: KeyRange,
-        /// From whom.
+        /// The owner that is asked to release them.
         owner: BackEndName,
-        /// The release's fence.
+        /// Fencing token of the release.
         fence: Fence,
-        /// Why.
+        /// Reason for the release.
         reason: ReleaseReason,
     },
-    /// Keys were given to a back end.
+    /// Keys were assigned to a back end.
     Assigned {
         /// The keys.
         range: KeyRange,
-        /// To whom.
+        /// The new owner.
         owner: BackEndName,
-        /// The grant's fence.
+        /// Fencing token of the grant.
         fence: Fence,
-        /// The former owner handed its state over.
+        /// Whether the former owner handed its state over.
         warm: bool,
     },
-    /// A back end no longer answers orders.
+    /// A back end stopped answering orders.
     HolderLost {
         /// The back end.
         owner: BackEndName,
@@ -132,11 +134,11 @@
         /// The back end.
         owner: BackEndName,
     },
-    /// The first order in a row that was given up without an answer.
+    /// An order timed out or failed, as the first one in a row.
     OrderGivenUp {
         /// The order.
         order: Order,
-        /// How long its answer was waited for.
+        /// How long the coordinator waited for the answer.
         waited: Duration,
         /// Why there is no answer.
         fault: OrderFault,
@@ -145,42 +147,42 @@
     HolderAnswers {
         /// The back end.
         owner: BackEndName,
-        /// Orders that were given up meanwhile.
+        /// Number of orders that failed in the meantime.
         given_up: u32,
-        /// Since the first of them was given up.
+        /// Time since the first of them failed.
         silent_for: Duration,
     },
-    /// Several back ends are registered at one address, where only one
-    /// process can run.
+    /// Several back ends are registered at one address, where only one process
+    /// can run.
     AddressShared(SharedAddress),
-    /// A back end has seen a higher fence than ours.
+    /// A back end refused an order because it had seen a higher fencing token.
     OrderFenced {
         /// The back end.
         owner: BackEndName,
         /// The keys.
         range: KeyRange,
-        /// Our fence.
+        /// Fencing token of the refused order.
         fence: Fence,
     },
-    /// The record in the store is broken and was not taken.
+    /// The record in the store is invalid and was replaced by an empty one.
     RecordBroken,
 }
 
-/// Why keys are taken back.
+/// Why keys are taken back from their owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseReason {
     /// The back end is leaving.
     Draining,
-    /// It asked routers for rest.
+    /// The back end asked routers for a rest.
     Resting,
-    /// Its registration is gone.
+    /// The back end is no longer registered.
     Unregistered,
-    /// It no longer answers.
+    /// The back end no longer answers orders.
     Lost,
-    /// Another back end has less to do.
+    /// Other back ends have less load.
     Balance,
-    /// It refused the grant.
+    /// The back end rejected a grant as malformed.
     Refused,
-    /// A later process runs at its address.
+    /// Another process runs at the back end's address.
     Replaced,
 }
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -1,4 +1,5 @@
-//! One node's part in the coordination of one service.
+//! The state machine of one node that takes part in the coordination of one
+//! service.
 
 use std::time::Duration;
 
@@ -14,11 +15,11 @@
 use crate::settings::Settings;
 use crate::tokens::{TokenGrant, TokenRequest};
 
-/// Election and ownership of one service, as one node sees them.
+/// Combines the election and the ownership record of one service on one node.
 ///
-/// The shell calls [`Coordinator::poll`] whenever something happened or
-/// [`Coordinator::next_wake`] has come, makes the calls it is told to make,
-/// and reports the end of each.
+/// The caller invokes [`Coordinator::poll`] after every event and when
+/// [`Coordinator::next_wake`] is due, performs the returned calls, and reports
+/// the result of each.
 #[derive(Debug)]
 pub struct Coordinator {
     election: Election,
@@ -29,8 +30,8 @@
 }
 
 impl Coordinator {
-    /// A standby. `patience` differs from node to node, so that standbys take
-    /// over in turn.
+    /// Creates a standby. `takeover_delay` differs between nodes, so that
+    /// standbys take over one after the other.
     pub fn new(
         me: NodeIdentity,
         service: ServiceName,
@@ -46,41 +47,42 @@
         }
     }
 
-    /// Sets how much longer than others this node waits before it takes over.
+    /// Sets how much longer than the configured time this node waits before it
+    /// takes over.
     pub fn set_takeover_delay(&mut self, patience: Duration) {
         self.election.set_takeover_delay(patience);
     }
 
-    /// Says whether this node may become coordinator.
+    /// Sets whether this node may become coordinator.
     pub fn set_candidate(&mut self, candidate: bool) {
         self.election.set_candidate(candidate && !self.stopping);
     }
 
-    /// Whether it decides by the back ends that are registered: a standby has
-    /// no use for them, and need not be told of each change. A node that was
-    /// elected is told before it is polled.
+    /// Returns whether this node needs the registered back ends. A standby does
+    /// not use them, so the caller need not report each change to it. A node
+    /// that was elected must get them before it is polled.
     pub fn needs_back_ends(&self) -> bool {
         !self.ownership.is_idle()
     }
 
-    /// Takes the back ends that are registered now, of all services.
+    /// Replaces the set of registered back ends, which covers all services.
     pub fn set_back_ends(&mut self, now: Timestamp, back_ends: &[BackEnd]) {
         self.ownership.set_back_ends(now, back_ends);
     }
 
-    /// Says whether cold back ends bear few requests; they are then given few
-    /// keys.
+    /// Sets whether cold back ends can serve only few requests. They are then
+    /// assigned fewer keys.
     pub fn set_reduced_when_cold(&mut self, frail: bool) {
         self.ownership.set_reduced_when_cold(frail);
     }
 
-    /// Takes what a router saw of the load.
+    /// Adds the load that a router reported.
     pub fn add_load(&mut self, now: Timestamp, report: &LoadReport) {
         self.ownership.add_load(now, report);
     }
 
-    /// Answers routers that ask for tokens for back ends that name a limit.
-    /// `None`: this node does not surely hold the office.
+    /// Answers token requests from routers for back ends that announce a limit.
+    /// Returns `None` if this node cannot be sure that it is the coordinator.
     pub fn grant_tokens(
         &mut self,
         now: Timestamp,
@@ -93,41 +95,43 @@
         Some(self.ownership.grant_tokens(now, asks, confirmed))
     }
 
-    /// Begins a planned stop: no further order is given, and the office goes
-    /// back once every order has been answered.
+    /// Begins a planned stop: no further order is sent, and the lease is
+    /// released once every order has been answered.
     pub fn stop(&mut self) {
         self.stopping = true;
         self.election.set_candidate(false);
     }
 
-    /// Whether the office was given back, or never held.
+    /// Returns whether a planned stop is complete: the lease was released or
+    /// was never held.
     pub fn is_stopped(&self) -> bool {
         self.stopping && (self.election.retired() || self.election.leading_term().is_none())
     }
 
-    /// The term of this node, while it is the coordinator.
+    /// Returns the term of this node while it is the coordinator.
     pub fn leading_term(&self) -> Option<Term> {
         self.election.leading_term()
     }
 
-    /// Term and holder of the office as last seen.
+    /// Returns the term and holder of the lease as last seen.
     pub fn last_seen_holder(&self) -> Option<(Term, Option<&NodeIdentity>)> {
         self.election.last_seen_holder()
     }
 
-    /// The record, while this node is the coordinator.
+    /// Returns the ownership record while this node is the coordinator.
     pub fn record(&self) -> Option<&OwnershipRecord> {
         self.ownership.record()
     }
 
-    /// What there is to tell operators.
+    /// Returns and clears the notices for operators.
     pub fn take_notices(&mut self) -> Vec<Notice> {
         let mut notices = std::mem::take(&mut self.notices);
         notices.extend(self.ownership.take_notices());
         notices
     }
 
-    /// When to call [`Coordinator::poll`] next, at the latest.
+    /// Returns the latest time at which [`Coordinator::poll`] must be called
+    /// next.
     pub fn next_wake(&self, now: Timestamp) -> Timestamp {
         let election = self.election.next_wake();
         let ownership = (self.election.holds_lease(now) && !self.stopping)
@@ -140,7 +144,7 @@
             .fold(longest, Timestamp::min)
     }
 
-    /// The calls to make now.
+    /// Returns the calls to make now.
     pub fn poll(&mut self, now: Timestamp) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.stopping && self.ownership.quiet() {
@@ -167,7 +171,7 @@
         self.lapsed = lapsed;
     }
 
-    /// A read of the lease ended.
+    /// Handles the result of a lease read.
     pub fn on_lease_read(
         &mut self,
         now: Timestamp,
@@ -178,7 +182,7 @@
         self.apply(now, change);
     }
 
-    /// A write of the lease ended.
+    /// Handles the result of a lease write.
     pub fn on_lease_write(
         &mut self,
         now: Timestamp,
@@ -189,7 +193,8 @@
         self.apply(now, change);
     }
 
-    /// A read of the record ended. What follows is to be done at once.
+    /// Handles the result of a record read. The caller must make the returned
+    /// call at once.
     pub fn on_record_read(
         &mut self,
         now: Timestamp,
@@ -206,7 +211,7 @@
         }
     }
 
-    /// A write of the record ended.
+    /// Handles the result of a record write.
     pub fn on_record_write(
         &mut self,
         now: Timestamp,
@@ -219,7 +224,7 @@
         }
     }
 
-    /// The record changed in the store, as a watch tells.
+    /// Handles a change of the record that a watch of the store reported.
     pub fn on_record_observed(&mut self, now: Timestamp, found: Versioned<OwnershipRecord>) {
         if self.ownership.on_observed(now, found) {
             let change = self.election.on_superseded(now);
@@ -227,7 +232,7 @@
         }
     }
 
-    /// An order ended.
+    /// Handles the result of an order.
     pub fn on_order(
         &mut self,
         now: Timestamp,
--- a/crates/coordination/src/election.rs
+++ b/crates/coordination/src/election.rs
@@ -1,13 +1,13 @@
-//! Election of the coordinator: a lease in the store, taken and renewed by
-//! conditional writes.
+//! Election of the coordinator by a lease in the store, which is taken and
+//! renewed with conditional writes.
 //!
-//! A standby looks at the lease by cheap, possibly stale reads. Only when it
-//! has seen no renewal for long enough, at a store that answers, does it look
-//! closely and take the lease. Two that do so at once meet at the store: one
-//! condition fails.
+//! A standby polls the lease with cheap, possibly stale reads. If it has seen
+//! no renewal for long enough while the store answered, it makes a linearizable
+//! read and then takes the lease. If two standbys do so at the same time, the
+//! condition of one of the writes fails.
 //!
-//! A coordinator acts only within its lease, counted from the start of the
-//! last call that proved that it still held the office.
+//! A coordinator acts only within its lease. The lease counts from the start of
+//! the last call that proved that it was still the coordinator.
 
 mod answers;
 mod office;
@@ -20,33 +20,33 @@
 use crate::record::{CoordinatorLease, NodeIdentity, Term};
 use crate::settings::Settings;
 
-/// What a coordinator must know of the one before it.
+/// What a coordinator must know about earlier coordinators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Predecessor {
-    /// It has surely given its last order by then.
+    /// Time by which they have certainly sent their last order.
     pub orders_end: Timestamp,
-    /// How long its grants last.
+    /// How long their grants last.
     pub hold: Duration,
 }
 
-/// Changes of the office.
+/// A change of the coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     /// This node was elected.
     Elected {
         /// Its term.
         term: Term,
-        /// Who may have been coordinator until now.
+        /// The coordinators that may have been active until now, if any.
         predecessor: Option<Predecessor>,
     },
-    /// Another node was elected.
+    /// This node lost the lease to another node.
     Deposed {
         /// The term that ended.
         term: Term,
     },
 }
 
-/// How long after a confirmation by the store it counts as answering.
+/// How long after a confirmed lease the store is expected to answer.
 const JUST_CONFIRMED: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Debug)]
@@ -56,20 +56,20 @@
         lease: CoordinatorLease,
         revision: StoreRevision,
         confirmed_at: Timestamp,
-        /// Coordinators before this one give no order later than this.
+        /// Coordinators before this one send no order after this time.
         earlier_orders_end: Timestamp,
     },
     Retired,
 }
 
-/// The lease as this node last saw it change.
+/// The lease in the state in which this node last saw it change.
 #[derive(Clone, Debug)]
 struct Seen {
     lease: CoordinatorLease,
     revision: StoreRevision,
-    /// No renewal was seen since then, at a store that answers.
+    /// No renewal has been seen since then, while the store answered.
     since: Timestamp,
-    /// The last look was a linearizable one.
+    /// Whether the last read was linearizable.
     verified: bool,
 }
 
@@ -78,27 +78,28 @@
     started: Timestamp,
 }
 
-/// Election and proof of office of one node for one service.
+/// The election state of one node for one service.
 #[derive(Debug)]
 pub struct Election {
     me: NodeIdentity,
     settings: Settings,
-    /// Added to the patience of this node, so that standbys come in turn.
+    /// How long this node waits in addition to [`Settings::takeover_after`], so
+    /// that standbys take over one after the other.
     patience: Duration,
     state: State,
     seen: Option<Seen>,
-    /// No object was found by the last linearizable look.
+    /// Whether the last linearizable read found no lease.
     absent: bool,
     call: Option<Call>,
     next_call: Timestamp,
-    /// When the store last confirmed the office.
+    /// When the store last confirmed the lease of this node.
     confirmed: Timestamp,
     candidate: bool,
     handing_back: bool,
 }
 
 impl Election {
-    /// A standby. `patience` differs from node to node.
+    /// Creates a standby. `takeover_delay` differs between nodes.
     pub fn new(me: NodeIdentity, settings: Settings, patience: Duration) -> Self {
         Election {
             me,
@@ -115,17 +116,19 @@
         }
     }
 
-    /// Sets how much longer than others this node waits before it takes over.
+    /// Sets how much longer than the configured time this node waits before it
+    /// takes over.
     pub fn set_takeover_delay(&mut self, patience: Duration) {
         self.patience = patience;
     }
 
-    /// Says whether this node may become coordinator.
+    /// Sets whether this node may become coordinator.
     pub fn set_candidate(&mut self, candidate: bool) {
         self.candidate = candidate;
     }
 
-    /// The term in office, if this node is the coordinator as far as it knows.
+    /// Returns the current term if this node is the coordinator as far as it
+    /// knows.
     pub fn leading_term(&self) -> Option<Term> {
         match &self.state {
             State::Leading { lease, .. } => Some(lease.term),
@@ -133,7 +136,8 @@
         }
     }
 
-    /// Whether orders may be given: this node surely holds the office.
+    /// Returns whether this node certainly holds the lease, so that it may send
+    /// orders.
     pub fn holds_lease(&self, now: Timestamp) -> bool {
         match &self.state {
             State::Leading { confirmed_at, .. } => now < *confirmed_at + self.settings.lease,
@@ -141,8 +145,8 @@
         }
     }
 
-    /// Whether no standby can have taken the office yet, as the store confirmed
-    /// it so lately.
+    /// Returns whether the store confirmed the lease so recently that no
+    /// standby can have taken over yet.
     pub fn is_unrivalled(&self, now: Timestamp) -> bool {
         match &self.state {
             State::Leading { confirmed_at, .. } => {
@@ -152,18 +156,18 @@
         }
     }
 
-    /// Whether the office is being given back.
+    /// Returns whether the lease is being released.
     pub fn hands_back(&self) -> bool {
         self.handing_back
     }
 
-    /// Whether the store has just confirmed the office, so that it will very
-    /// likely take the next write.
+    /// Returns whether the store has just confirmed the lease, so that it will
+    /// very likely accept the next write.
     pub fn just_confirmed(&self, now: Timestamp) -> bool {
         self.leading_term().is_some() && now.since(self.confirmed) < JUST_CONFIRMED
     }
 
-    /// Term and holder as last seen.
+    /// Returns the term and holder of the lease as last seen.
     pub fn last_seen_holder(&self) -> Option<(Term, Option<&NodeIdentity>)> {
         match &self.state {
             State::Leading { lease, .. } => Some((lease.term, lease.holder.as_ref())),
@@ -174,8 +178,7 @@
         }
     }
 
-    /// Gives the office back with the next call. No order may be given after
-    /// this.
+    /// Releases the lease with the next call. No order may be sent after this.
     pub fn resign(&mut self, now: Timestamp) {
         self.candidate = false;
         match self.state {
@@ -188,20 +191,21 @@
         }
     }
 
-    /// Whether the office was given back, or never held.
+    /// Returns whether the lease was released after [`Election::resign`], or
+    /// was not held then.
     pub fn retired(&self) -> bool {
         matches!(self.state, State::Retired)
     }
 
-    /// Another node wrote a record with a higher term: looks at the lease
-    /// again at once.
+    /// Steps down because another node wrote a record with a higher term, and
+    /// reads the lease again at once.
     pub fn on_superseded(&mut self, now: Timestamp) -> Option<Change> {
         let change = self.step_down();
         self.next_call = now;
         change
     }
 
-    /// When to call [`Election::poll`] next, at the latest.
+    /// Returns the latest time at which [`Election::poll`] must be called next.
     pub fn next_wake(&self) -> Option<Timestamp> {
         if self.call.is_some() || matches!(self.state, State::Retired) {
             return None;
@@ -209,7 +213,7 @@
         Some(self.next_call)
     }
 
-    /// The call to make now, if any. One runs at a time.
+    /// Returns the call to make now, if any. At most one call runs at a time.
     pub fn poll(&mut self, now: Timestamp) -> Option<Action> {
         if self.call.is_some() || now < self.next_call {
             return None;
@@ -231,9 +235,11 @@
         Some(action)
     }
 
-    /// The next write of the lease. One that hands the office back tells how
-    /// long `earlier_orders` may go on: the next holder does not see whom this
-    /// one took it from, who may still be cut off from the store and renewing.
+    /// Returns the next write of the lease of this node. A write that releases
+    /// the lease states for how long earlier coordinators may still send
+    /// orders. The next holder cannot see from whom this node took the lease,
+    /// and that coordinator may be cut off from the store and still renew
+    /// grants.
     fn renewed(&self, lease: &CoordinatorLease, earlier_orders: Duration) -> CoordinatorLease {
         let mut renewed = lease.clone();
         renewed.renewals += 1;
@@ -270,11 +276,12 @@
         self.take()
     }
 
-    /// The office is vacant: it was handed back, or its holder was an earlier
-    /// life of this very process's machine.
+    /// Returns when the lease becomes free to take without waiting for a
+    /// timeout: it was released, or its holder was an earlier process on this
+    /// machine.
     ///
-    /// One that was handed back is taken by one standby after the other, not
-    /// by all at once.
+    /// A released lease is taken by one standby after the other, not by all at
+    /// once.
     fn free_at(&self, seen: &Seen) -> Option<Timestamp> {
         match &seen.lease.holder {
             None => Some(seen.since + self.patience),
--- a/crates/coordination/src/election/answers.rs
+++ b/crates/coordination/src/election/answers.rs
@@ -1,4 +1,4 @@
-//! What the store's answers say about the lease.
+//! Handles the store's answers to calls for the lease.
 
 use threadledge_types::Timestamp;
 
@@ -7,7 +7,7 @@
 use crate::record::CoordinatorLease;
 
 impl Election {
-    /// A read was answered, or was not.
+    /// Handles the result of a read.
     pub fn on_read(
         &mut self,
         now: Timestamp,
@@ -24,7 +24,8 @@
         }
     }
 
-    /// A store that does not answer proves nothing about the coordinator.
+    /// Restarts the wait for a takeover, because a store that does not answer
+    /// proves nothing about the coordinator.
     fn store_was_silent(&mut self, now: Timestamp) {
         if let Some(seen) = &mut self.seen {
             seen.since = now;
@@ -92,7 +93,8 @@
         }
     }
 
-    /// A write was answered, or was not. `attempted` is what was written.
+    /// Handles the result of a write. `attempted` is the lease that was
+    /// written.
     pub fn on_write(
         &mut self,
         now: Timestamp,
@@ -113,8 +115,9 @@
             WriteResult::NotDone | WriteResult::Unknown => {
                 self.store_was_silent(now);
                 if matches!(self.state, State::Standby) {
-                    // The write may have taken effect: look before anything
-                    // else, and do not count the silence as the holder's.
+                    // The write may have taken effect. Read the lease before
+                    // anything else, and do not count the store's silence as
+                    // the holder's.
                     self.next_call = now + self.settings.retry_delay;
                     self.forget_freshness();
                 }
@@ -123,7 +126,8 @@
         }
     }
 
-    /// Makes the next look a linearizable one.
+    /// Discards what was seen of the lease, so that the next read is
+    /// linearizable.
     fn forget_freshness(&mut self) {
         self.seen = None;
         self.absent = false;
@@ -136,7 +140,7 @@
         found: Versioned<CoordinatorLease>,
     ) -> Option<Change> {
         if found.value.holder.as_ref() == Some(&self.me) {
-            // A write whose answer was lost took effect after all.
+            // A write whose answer was lost has taken effect.
             return self.lead(now, call.started, found.value, found.revision);
         }
         let change = self.step_down();
--- a/crates/coordination/src/election/office.rs
+++ b/crates/coordination/src/election/office.rs
@@ -1,4 +1,4 @@
-//! Taking the office, and who may still act in it.
+//! Becomes coordinator and computes until when earlier coordinators may act.
 
 use std::time::Duration;
 
@@ -46,15 +46,16 @@
         Some(Change::Elected { term, predecessor })
     }
 
-    /// Who may still give orders, as of an election that ended `now`.
+    /// Returns which earlier coordinators may still send orders after an
+    /// election that ended at `now`.
     fn predecessor(&self, now: Timestamp) -> Option<Predecessor> {
         let longest = Predecessor {
             orders_end: now + slowest(self.settings.lease, &self.settings),
             hold: self.settings.hold,
         };
         let Some(seen) = &self.seen else {
-            // What stood there before was not seen: the worst is assumed,
-            // unless nothing did.
+            // The previous lease was not seen. Assume the longest durations,
+            // unless there certainly was none.
             return (!self.absent).then_some(longest);
         };
         if seen.lease.holder.is_none() {
@@ -72,7 +73,7 @@
     }
 }
 
-/// A duration by the slowest clock.
+/// Returns `duration` as measured by the slowest clock.
 fn slowest(duration: Duration, settings: &Settings) -> Duration {
     duration + duration * settings.clock_drift_percent / 100
 }
--- a/crates/coordination/src/holders.rs
+++ b/crates/coordination/src/holders.rs
@@ -1,4 +1,4 @@
-//! What the coordinator knows of each back end that holds or may hold keys.
+//! State of each back end that holds or may hold keys.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,32 +10,33 @@
 use crate::order::{Order, OrderFault, OrderId};
 use crate::record::Owner;
 
-/// Connections in a row that could not be opened before a back end counts as
+/// Consecutive failed connection attempts after which a back end counts as
 /// lost.
 const FAILED_CONNECTS_UNTIL_LOST: u32 = 2;
-/// Orders in a row without an answer before a back end counts as lost. Some
+/// Consecutive unanswered orders after which a back end counts as lost. Some
 /// back ends answer requests while they leave orders unanswered.
 const UNANSWERED_UNTIL_LOST: u32 = 6;
-/// How long a lost back end is given nothing, unless it answers an order.
+/// How long a lost back end is assigned no keys, unless it answers an order.
 const LOST_COOLDOWN: Duration = Duration::from_secs(3);
 
-/// Longest rest by which keys are kept away from a back end.
+/// Longest rest for which keys are withheld from a back end.
 const LONGEST_REST: Duration = Duration::from_secs(5);
-/// Where more than one in so many owners rests, their keys stay.
+/// Owners that rest lose their keys only if at most one in this many back ends
+/// rests.
 const MANY_REST: usize = 3;
 
-/// How long after a release was given up it may still be carried out: back ends
-/// were seen to do so up to 12 seconds late.
+/// How long after it was sent an unanswered release may still be executed. Back
+/// ends were seen to execute orders up to 12 seconds late.
 pub const LATE_ORDERS: Duration = Duration::from_secs(15);
 
-/// Part of its share of keys that a cold back end is given that bears few
-/// requests. Routers spare it by themselves; without any keys it would wait
-/// for the next time that keys are balanced: 0.735 of all requests were served
-/// in place of 0.748 (mean of four days on which a zone came back cold, 140
-/// owners).
+/// Fraction of its share of keys that a cold back end is assigned if cold back
+/// ends can serve only few requests. Routers limit their requests to it anyway.
+/// With no keys at all it would have to wait for the next rebalancing: then
+/// 0.735 of all requests were served instead of 0.748 (mean of four days on
+/// which a zone came back cold, 140 owners).
 const COLD_PART: f64 = 0.4;
 
-/// One registered back end of the service.
+/// A registered back end of the service.
 #[derive(Clone, Debug)]
 struct Registered {
     owner: Owner,
@@ -53,26 +54,26 @@
     silence: Option<Silence>,
     /// When an overdue grant was last counted as unanswered.
     overdue_counted: Option<Timestamp>,
-    /// Until then releases that were given up may take keys from it.
+    /// Until then, unanswered releases may still take keys from the back end.
     releases_until: Timestamp,
     refused: bool,
 }
 
-/// Orders that were given up since a back end last answered one.
+/// A period in which a back end has answered no order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Silence {
-    /// How many.
+    /// Number of orders that failed in this period.
     pub given_up: u32,
-    /// When the first of them was given up.
+    /// When the first of them failed.
     pub since: Timestamp,
 }
 
-/// What the fault of an order says about its back end.
+/// Consequences of a failed order for the state of its back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultNews {
-    /// It is the first order in a row that was given up.
+    /// Whether this is the first consecutive failure.
     pub silent: bool,
-    /// The back end counts as lost from now on.
+    /// Whether the back end counts as lost from now on.
     pub lost: bool,
 }
 
@@ -83,11 +84,11 @@
     Draining,
     /// It is not registered.
     Unregistered,
-    /// It asked routers for rest.
+    /// It asked routers for a rest.
     Resting,
-    /// It does not answer.
+    /// It does not answer orders.
     Lost,
-    /// It did not understand a grant.
+    /// It rejected a grant as malformed.
     Refused,
     /// Another process runs at its address.
     Replaced,
@@ -98,33 +99,35 @@
 pub struct Candidate {
     /// The back end.
     pub owner: Owner,
-    /// What it can do relative to others.
+    /// Its capacity relative to the other candidates.
     pub weight: f64,
-    /// Most of all requests that it takes, as a part, if it names a limit that
-    /// is less than its usual share.
+    /// Largest fraction of all requests that it takes, if it announces a limit
+    /// below its usual share.
     pub most: Option<f64>,
 }
 
-/// Back ends by name.
+/// State of the service's back ends, by name.
 #[derive(Debug, Default)]
 pub struct Holders {
     registered: BTreeMap<BackEndName, Registered>,
     occupancy: Occupancy,
     contacts: BTreeMap<BackEndName, Contact>,
-    /// Those that said to a router that they leave. Invariant: no registration
-    /// takes that back: it may be older.
+    /// Back ends that told a router that they are leaving. Invariant: no
+    /// registration reverts this, because the registration may be older.
     said_leaving: BTreeSet<BackEndName>,
-    /// Those that asked routers for rest, and until when they get no keys.
+    /// Back ends that asked routers for a rest, with the time until which they
+    /// are assigned no keys.
     resting: BTreeMap<BackEndName, Timestamp>,
-    /// Cold back ends bear few requests.
+    /// Whether cold back ends can serve only few requests.
     frail_when_cold: bool,
-    /// Some back end may have become unfit to own keys since it was asked last.
+    /// Whether some back end may have become ineligible to own keys since the
+    /// last call of [`Holders::take_changed`].
     changed: bool,
 }
 
 impl Holders {
-    /// Takes the back ends that are registered now. `last_order` is the last
-    /// order sent so far, `is_owner` says who owns keys.
+    /// Replaces the set of registered back ends. `last_order` is the last order
+    /// sent so far, and `is_owner` returns whether a back end owns keys.
     pub fn set_registered(
         &mut self,
         now: Timestamp,
@@ -163,15 +166,16 @@
         self.registered.insert(back_end.name.clone(), entry);
     }
 
-    /// A router was told by a back end that it leaves.
+    /// Records that a back end told a router that it is leaving.
     pub fn on_leaving(&mut self, name: &BackEndName) {
         if self.is_registered(name) {
             self.changed |= self.said_leaving.insert(name.clone());
         }
     }
 
-    /// A router was asked by a back end for rest, of which so much is left.
-    /// Twice that long it gets no keys: what overloaded it lasts as a rule.
+    /// Records that a back end asked a router for a rest, of which `left`
+    /// remains. It is assigned no keys for twice that time, because the cause
+    /// of an overload usually persists.
     pub fn on_resting(&mut self, now: Timestamp, name: &BackEndName, left: Duration) {
         if !self.is_registered(name) {
             return;
@@ -183,8 +187,8 @@
         self.changed = true;
     }
 
-    /// Whether a back end rests and others can take its keys. Where many rest
-    /// the others would be the next ones.
+    /// Returns whether a back end is resting and others can take its keys. If
+    /// many rest, the others would be overloaded next.
     fn rests(&self, now: Timestamp, name: &BackEndName) -> bool {
         let resting = |until: &Timestamp| now < *until;
         if !self.resting.get(name).is_some_and(resting) {
@@ -194,8 +198,8 @@
         count * MANY_REST <= self.registered.len()
     }
 
-    /// Whether it is known from routers alone that a back end should not keep
-    /// its keys: it still answers requests for them.
+    /// Returns whether only routers reported that a back end should not keep
+    /// its keys. Such a back end still answers requests for them.
     pub fn is_said_only(&self, name: &BackEndName, reason: Ineligible) -> bool {
         let registered = self.registered.get(name);
         let draining = registered.is_some_and(|registered| registered.draining);
@@ -206,29 +210,29 @@
         }
     }
 
-    /// Whether some back end may have become unfit to own keys since this was
-    /// asked last: nobody looks through all of them for each order.
+    /// Returns and clears whether some back end may have become ineligible to
+    /// own keys. Avoids checking all of them for each order.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Whether no back end of the service is registered.
+    /// Returns whether no back end of the service is registered.
     pub fn is_empty(&self) -> bool {
         self.registered.is_empty()
     }
 
-    /// Whether a back end of the service is registered under `name`.
+    /// Returns whether a back end of the service is registered under `name`.
     pub fn is_registered(&self, name: &BackEndName) -> bool {
         self.registered.contains_key(name)
     }
 
-    /// Zone of a back end that is registered.
+    /// Returns the zone of a registered back end.
     pub fn zone(&self, name: &BackEndName) -> Option<&ZoneName> {
         let registered = self.registered.get(name)?;
         Some(&registered.zone)
     }
 
-    /// Why `name` may not own keys; `None` when it may.
+    /// Returns why `name` may not own keys, or `None` if it may.
     pub fn ineligible(&self, name: &BackEndName, now: Timestamp) -> Option<Ineligible> {
         let Some(registered) = self.registered.get(name) else {
             return Some(Ineligible::Unregistered);
@@ -253,13 +257,13 @@
             .then_some(Ineligible::Lost)
     }
 
-    /// Says whether cold back ends bear few requests.
+    /// Sets whether cold back ends can serve only few requests.
     pub fn set_reduced_when_cold(&mut self, frail: bool) {
         self.frail_when_cold = frail;
     }
 
-    /// Every back end that may be given keys, by name, with its weight.
-    /// `is_owner` says who owns keys.
+    /// Returns every back end that may be assigned keys, sorted by name, with
+    /// its weight. `is_owner` returns whether a back end owns keys.
     pub fn candidates(
         &self,
         now: Timestamp,
@@ -277,7 +281,7 @@
             .collect()
     }
 
-    /// Part of its share that a back end can do now.
+    /// Returns the fraction of its capacity that a back end can use now.
     fn part_now(&self, registered: &Registered, now: Timestamp) -> f64 {
         if self.frail_when_cold && now < registered.cold_until {
             COLD_PART
@@ -286,12 +290,13 @@
         }
     }
 
-    /// Whether a back end is known to have ended, so that it holds nothing.
+    /// Returns whether a back end is known to have ended, so that it holds
+    /// nothing.
     pub fn has_ended(&self, name: &BackEndName) -> bool {
         self.occupancy.has_ended(name) || self.successor(name).is_some()
     }
 
-    /// The later life of a back end that has started again.
+    /// Returns the newer process of a back end that has restarted.
     pub fn successor(&self, name: &BackEndName) -> Option<&Owner> {
         name.started_ms()?;
         let (later, registered) = self.registered.range(name..).nth(0)?;
@@ -301,13 +306,14 @@
         later.is_restart_of(name).then_some(&registered.owner)
     }
 
-    /// Whether an order to `owner` would tell which of several processes runs
-    /// at its address.
+    /// Returns whether an order to `owner` would show which of several
+    /// processes is running at its address.
     pub fn in_doubt(&self, owner: &Owner) -> bool {
         self.occupancy.in_doubt(owner)
     }
 
-    /// A back end answered an order. Returns the silence that this ended.
+    /// Records that a back end answered an order. Returns the period of silence
+    /// that this ended, if any.
     pub fn on_answer(&mut self, order: &Order) -> Option<Silence> {
         self.changed |= self.occupancy.on_answer(order);
         let contact = self.contacts.get_mut(&order.to.name)?;
@@ -320,35 +326,38 @@
         silence
     }
 
-    /// Another process answered an order to a back end: it has ended, whatever
-    /// its registration says. Says whether that is new.
+    /// Records that another process answered an order to a back end, so that
+    /// the back end has ended regardless of its registration. Returns whether
+    /// this was not known before.
     pub fn on_other_process(&mut self, name: &BackEndName) -> bool {
         self.changed = true;
         self.occupancy.on_other_process(name)
     }
 
-    /// A back end did not understand a grant.
+    /// Records that a back end rejected a grant as malformed.
     pub fn on_malformed(&mut self, name: &BackEndName) {
         self.changed = true;
         self.contacts.entry(name.clone()).or_default().refused = true;
     }
 
-    /// Whether releases that were given up may still take keys from `name`.
+    /// Returns whether unanswered releases may still take keys from `name`.
     pub fn may_lose_keys(&self, name: &BackEndName, now: Timestamp) -> bool {
         let contact = self.contacts.get(name);
         contact.is_some_and(|contact| now < contact.releases_until)
     }
 
-    /// A release was given up: it may be carried out later.
+    /// Records that a release was not answered, so that it may be executed
+    /// later.
     pub fn on_lost_release(&mut self, now: Timestamp, name: &BackEndName) {
         let contact = self.contacts.entry(name.clone()).or_default();
         contact.releases_until = now + LATE_ORDERS;
     }
 
-    /// A grant to a back end of another region is overdue. Grants of several
-    /// ranges stand in the same full link: they count as one silence, which
-    /// began with the first of them. Counted one by one, six ranges made a
-    /// sound back end count as lost within 0.5 s.
+    /// Records that a grant to a back end of another region is overdue. Grants
+    /// of several ranges are queued in the same full link, so they count as one
+    /// failure per timeout, starting with the first. When they were counted
+    /// separately, six ranges made a healthy back end count as lost within 0.5
+    /// s.
     pub fn on_overdue(
         &mut self,
         now: Timestamp,
@@ -364,7 +373,7 @@
         self.on_fault(now, name, OrderFault::NoAnswer)
     }
 
-    /// A back end left an order without an answer.
+    /// Records that an order to a back end has no answer.
     pub fn on_fault(&mut self, now: Timestamp, name: &BackEndName, fault: OrderFault) -> FaultNews {
         let contact = self.contacts.entry(name.clone()).or_default();
         match fault {
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,20 +1,20 @@
-//! Who owns which keys of one service, decided by one coordinator at a time.
+//! Key ownership of one service, decided by one elected coordinator at a time.
 //!
-//! Two objects of a linearizable store carry everything that must last:
+//! Two objects of a linearizable store hold all durable state:
 //!
-//! - the [`CoordinatorLease`] names the coordinator. Taking it by a
-//!   conditional write is the election ([`election`]);
-//! - the [`OwnershipRecord`] names the owner of every key, the fence of every
-//!   grant and the handovers that are running ([`ownership`]).
+//! - the [`CoordinatorLease`] names the coordinator. A node is elected by
+//!   taking it with a conditional write ([`election`]);
+//! - the [`OwnershipRecord`] names the owner of every key, the fencing token of
+//!   every grant and the handovers in progress ([`ownership`]).
 //!
-//! The coordinator renews grants at back ends directly, without the store.
-//! What makes two coordinators harmless are the fences: a new one regrants
-//! every slice under a higher fence before it moves any, and from then on each
-//! back end refuses the earlier one.
+//! The coordinator renews grants directly at the back ends, without the store.
+//! Fencing tokens make two concurrent coordinators safe: a new coordinator
+//! regrants every slice under a higher fence before it moves any key, and from
+//! then on each back end refuses orders of the earlier coordinator.
 //!
-//! Nothing here opens a socket, reads a clock or draws randomness. A
-//! [`Coordinator`] is stepped with a time and an event, and says which calls
-//! to make. The simulator and the binary run the same code.
+//! This crate opens no socket, reads no clock and draws no randomness. The
+//! caller steps a [`Coordinator`] with a time and an event, and it returns the
+//! calls to make. The simulator and the binary run the same code.
 
 pub mod action;
 pub mod coordinator;
--- a/crates/coordination/src/load.rs
+++ b/crates/coordination/src/load.rs
@@ -1,8 +1,8 @@
-//! How busy keys and how fast back ends are, as routers report it.
+//! Load of keys and speed of back ends, as reported by routers.
 //!
-//! Reports count requests by key: one key alone may be asked for more than all
-//! others together. What is older counts less, so that the map follows keys
-//! that become busy within seconds.
+//! Reports count requests per key, because a single key may get more requests
+//! than all others together. Older requests count less, so that the map follows
+//! changes within seconds.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,30 +13,32 @@
 
 /// Number of keys.
 const KEYS: usize = 1 << 16;
-/// Time after which a request counts for half.
+/// Half-life of the weight of a request.
 const HALF_LIFE: Duration = Duration::from_secs(4);
-/// The same for what tells sudden changes.
+/// Half-life of the weight of a request for the detection of sudden changes.
 const RECENT_HALF_LIFE: Duration = Duration::from_millis(800);
-/// Keys of one cell, in which sudden changes are looked for.
+/// Number of keys in a cell. Sudden changes are detected per cell.
 const CELL_KEYS: usize = 256;
-/// Standard deviations by which what is recent must differ from what was
-/// usual in a cell to count as a sudden change.
+/// Standard deviations by which the recent requests of a cell must differ from
+/// the usual ones to count as a sudden change.
 const SUDDEN: f64 = 5.0;
-/// Recent requests below which nothing counts as a sudden change.
+/// Minimum number of recent requests to detect a sudden change.
 const LEAST_RECENT: f64 = 40.0;
-/// Time after which a measured speed counts for half.
+/// Half-life of the weight of a speed measurement.
 const SPEED_HALF_LIFE: Duration = Duration::from_secs(15);
-/// Part of the measure that goes by the number of keys alone, so that keys
-/// that nobody asks for are spread as well.
+/// Fraction of the weight that is spread evenly over all keys, so that keys
+/// without requests are distributed as well.
 const KEYS_PART: f64 = 0.1;
-/// Requests below which the load of keys says nothing yet.
+/// Minimum number of requests for the load of keys to count.
 const LEAST_REQUESTS: f64 = 40.0;
-/// Samples below which the speed of a back end says little.
+/// Number of samples at the average speed that the speed of every back end is
+/// mixed with, so that a few samples say little.
 const SPEED_PRIOR: f64 = 4.0;
-/// How much faster or slower than the others a back end may count.
+/// Maximum factor by which a back end may count as faster or slower than the
+/// others.
 const SPEED_RANGE: f64 = 3.0;
 
-/// What one router saw of one service since its last report.
+/// What one router measured for one service since its last report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct LoadReport {
@@ -44,16 +46,17 @@
     pub requests: Vec<KeyCount>,
     /// Speeds of back ends.
     pub speeds: Vec<SpeedSample>,
-    /// Back ends that said that they leave, of which the store does not say so.
+    /// Back ends that announced that they are leaving while the store does not
+    /// say so.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub leaving: Vec<BackEndName>,
-    /// Back ends that asked this router for rest.
+    /// Back ends that asked this router for a rest.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub resting: Vec<RestingBackEnd>,
 }
 
 impl LoadReport {
-    /// Adds what another report says.
+    /// Adds the contents of another report.
     pub fn merge(&mut self, other: LoadReport) {
         let mut requests: BTreeMap<ShardKey, u32> = self
             .requests
@@ -91,46 +94,47 @@
         self.resting.extend(other.resting);
     }
 
-    /// Whether it says of no back end that it should not keep its keys.
+    /// Returns whether the report names no back end that should not keep its
+    /// keys.
     pub fn tells_no_owner(&self) -> bool {
         self.leaving.is_empty() && self.resting.is_empty()
     }
 
-    /// Whether it says nothing.
+    /// Returns whether the report is empty.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty() && self.speeds.is_empty() && self.tells_no_owner()
     }
 }
 
-/// Requests for one key.
+/// Number of requests for one key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct KeyCount {
     /// The key.
     pub key: ShardKey,
-    /// Requests.
+    /// Number of requests.
     pub count: u32,
 }
 
-/// A back end that asked a router for rest.
+/// A back end that asked a router for a rest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct RestingBackEnd {
     /// The back end.
     pub back_end: BackEndName,
-    /// What is left of the rest, in milliseconds.
+    /// Remaining time of the rest, in milliseconds.
     pub left_ms: u64,
 }
 
-/// How long requests took at one back end.
+/// Time that requests took at one back end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct SpeedSample {
     /// The back end.
     pub back_end: BackEndName,
-    /// Requests measured.
+    /// Number of requests measured.
     pub count: u32,
-    /// Time of work of all of them, in seconds.
+    /// Total working time of these requests, in seconds.
     pub work_s: f64,
 }
 
@@ -143,16 +147,16 @@
 /// The load of one service.
 #[derive(Clone, Debug, Default)]
 pub struct LoadMap {
-    /// Requests by key; empty before the first report.
+    /// Decaying number of requests by key; empty before the first report.
     counts: Vec<f64>,
-    /// The same, of the last second or so.
+    /// The same for about the last second.
     recent: Vec<f64>,
     speeds: BTreeMap<BackEndName, Speed>,
     faded_at: Timestamp,
 }
 
 impl LoadMap {
-    /// Takes what a router saw.
+    /// Adds a router's report.
     pub fn add(&mut self, now: Timestamp, report: &LoadReport) {
         self.fade(now);
         if !report.requests.is_empty() {
@@ -197,8 +201,9 @@
         }
     }
 
-    /// Takes over what is recent where it differs too much from what was usual
-    /// to be chance: keys that became busy or quiet all at once.
+    /// Replaces the counts of each cell by the recent ones where these differ
+    /// too much to be random variation, so that keys that suddenly become busy
+    /// or quiet are recognized at once.
     pub fn notice_sudden_changes(&mut self) {
         let usual: f64 = self.counts.iter().sum();
         let recent: f64 = self.recent.iter().sum();
@@ -223,19 +228,19 @@
         }
     }
 
-    /// Whether enough was seen to go by.
+    /// Returns whether enough requests were seen to rely on the counts.
     pub fn speaks(&self) -> bool {
         self.counts.iter().sum::<f64>() >= LEAST_REQUESTS
     }
 
-    /// Requests a second for all keys together, lately.
+    /// Returns the recent rate of requests for all keys together, per second.
     pub fn requests_per_s(&self) -> f64 {
         let counted: f64 = self.counts.iter().sum();
         counted * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64()
     }
 
-    /// How fast a back end is relative to the others; 1 when nothing is
-    /// known of it.
+    /// Returns how fast a back end is relative to the others, or 1 if this is
+    /// unknown.
     pub fn speed(&self, name: &BackEndName) -> f64 {
         let total = self
             .speeds
@@ -255,7 +260,7 @@
         (usual / work).clamp(1.0 / SPEED_RANGE, SPEED_RANGE)
     }
 
-    /// The measure by which keys are divided.
+    /// Returns the weights by which keys are distributed.
     pub fn measure(&self) -> Measure {
         let total: f64 = self.counts.iter().sum();
         let by_load = if total >= LEAST_REQUESTS {
@@ -279,17 +284,20 @@
     }
 }
 
-/// Weighs ranges of keys; all keys together weigh 1.
+/// Weights of ranges of keys. All keys together weigh 1.
 #[derive(Clone, Debug)]
 pub struct Measure {
-    /// Weight of all keys before each; empty when all weigh the same.
+    /// Total weight of all keys before each key; empty if all keys weigh the
+    /// same.
     sums: Vec<f64>,
-    /// Requests that it was made from; `None` when it goes by keys alone.
+    /// Number of requests that the weights are based on; `None` if all keys
+    /// weigh the same.
     requests: Option<f64>,
 }
 
 impl Measure {
-    /// Weight of all keys below `key`, which may be one past the last.
+    /// Returns the weight of all keys below `key`, which may be one past the
+    /// last.
     fn below(&self, key: u32) -> f64 {
         if self.sums.is_empty() {
             return f64::from(key) / KEYS as f64;
@@ -297,8 +305,8 @@
         self.sums.get(key as usize).copied().unwrap_or(1.0)
     }
 
-    /// Standard deviation of what is measured of a part of all keys that weighs
-    /// `weight`, relative to that weight: requests come by chance.
+    /// Returns the relative standard deviation of the measured weight of keys
+    /// that weigh `weight`, because requests arrive at random.
     pub fn noise(&self, weight: f64) -> f64 {
         match self.requests {
             Some(requests) => 1.0 / (requests * weight).max(f64::MIN_POSITIVE).sqrt(),
@@ -306,13 +314,13 @@
         }
     }
 
-    /// Weight of a range.
+    /// Returns the weight of a range.
     pub fn of(&self, range: KeyRange) -> f64 {
         self.below(u32::from(range.last.0) + 1) - self.below(u32::from(range.first.0))
     }
 
-    /// How many of the first keys of `range` weigh `wanted` together, at
-    /// least 1 and at most all.
+    /// Returns how many of the first keys of `range` together weigh `wanted`,
+    /// at least 1 and at most all.
     pub fn keys_for(&self, range: KeyRange, wanted: f64) -> u32 {
         let first = u32::from(range.first.0);
         let base = self.below(first);
--- a/crates/coordination/src/occupancy.rs
+++ b/crates/coordination/src/occupancy.rs
@@ -1,15 +1,15 @@
-//! Which process runs at an address.
+//! Determines which process runs at an address.
 //!
-//! One address serves one process at a time, and a process that has ended
-//! never comes back under its name: a back end that starts again under its id is
-//! another life, with another name. Registrations do not tell which one runs:
-//! each is a statement of its writer that may take effect after the writer
-//! has ended, and a process that lives may lack one. Only an answer given at
-//! the address tells:
+//! One address serves one process at a time, and a process that has ended never
+//! returns under its name: a back end that restarts under its id is a new
+//! process with a new name. Registrations do not show which process is running.
+//! Each is a statement of its writer and may take effect after the writer has
+//! ended, and a running process may lack one. Only an answer from the address
+//! is proof:
 //!
-//! - a process that answers an order to it runs, so that all others that had
-//!   registered there before the order was sent have ended;
-//! - one for which another process answers has ended.
+//! - a process that answers an order addressed to it is running, so all others
+//!   that had registered there before the order was sent have ended;
+//! - a process has ended if another process answers for it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -19,8 +19,8 @@
 use crate::order::{Order, OrderId};
 use crate::record::Owner;
 
-/// Registrations by address, over all services, and who is known to have
-/// ended.
+/// Registrations by address over all services, and the back ends that are known
+/// to have ended.
 #[derive(Debug, Default)]
 pub struct Occupancy {
     by_address: BTreeMap<SocketAddr, Vec<Registrant>>,
@@ -31,18 +31,18 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Registrant {
     name: BackEndName,
-    /// When it registered, as the store counts.
+    /// Number of the registration, assigned by the store in increasing order.
     registration: u64,
     /// The last order that was sent before this registration was known.
     known_after: OrderId,
 }
 
-/// What changed with the registrations.
+/// Changes found in a new set of registrations.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Newcomers {
-    /// Addresses at which a registration is new.
+    /// Addresses with a new registration.
     pub addresses: Vec<SocketAddr>,
-    /// Those of them that another registration has too.
+    /// Those of them that have more than one registration.
     pub shared: Vec<SharedAddress>,
 }
 
@@ -51,13 +51,13 @@
 pub struct SharedAddress {
     /// The address.
     pub address: SocketAddr,
-    /// The registrations there, the latest last.
+    /// The back ends registered there, in order of registration.
     pub back_ends: Vec<BackEndName>,
 }
 
 impl Occupancy {
-    /// Takes the back ends that are registered now. `last_order` is the last
-    /// order sent so far, `is_owner` says who owns keys.
+    /// Replaces the set of registered back ends. `last_order` is the last order
+    /// sent so far, and `is_owner` returns whether a back end owns keys.
     pub fn set_registered(
         &mut self,
         all: &[BackEnd],
@@ -101,49 +101,51 @@
         newcomers
     }
 
-    /// The process that an order names answered it. Those that had registered
-    /// at its address before it was sent have ended. Says whether that is new of
-    /// any.
+    /// Handles an answer from the process that an order addressed. The others
+    /// that had registered at its address before the order was sent have ended.
+    /// Returns whether any of them was not known to have ended.
     pub fn on_answer(&mut self, order: &Order) -> bool {
         let Some(there) = self.by_address.get(&order.to.address) else {
             return false;
         };
         let known = self.ended.len();
         let before = there.iter().filter(|each| each.known_after < order.id);
-        // The next life answers for the one before it.
+        // A restarted process also answers for the process before it.
         let others = before
             .filter(|each| each.name != order.to.name && !each.name.is_restart_of(&order.to.name));
         self.ended.extend(others.map(|each| each.name.clone()));
         self.ended.len() > known
     }
 
-    /// Another process answered an order to `name`. Says whether that is new.
+    /// Handles an answer from a process other than `name` to an order for
+    /// `name`. Returns whether `name` was not known to have ended.
     pub fn on_other_process(&mut self, name: &BackEndName) -> bool {
         self.ended.insert(name.clone())
     }
 
-    /// Whether a back end is known to have ended.
+    /// Returns whether a back end is known to have ended.
     pub fn has_ended(&self, name: &BackEndName) -> bool {
         self.ended.contains(name)
     }
 
-    /// Whether an order to `owner` would tell which of several processes runs
-    /// at its address.
+    /// Returns whether an order to `owner` would show which of several
+    /// processes is running at its address.
     pub fn in_doubt(&self, owner: &Owner) -> bool {
         !self.has_ended(&owner.name) && self.rivals(owner).next().is_some()
     }
 
-    /// Whether `owner` may be given keys: it is not known to have ended, and
-    /// nobody else at its address owns keys. One who does is asked just now, and
-    /// it is not worth moving keys before the answer. Nobody asks the others, so
-    /// that they are no reason to wait: one that has ended shows with the first
-    /// order to it.
+    /// Returns whether `owner` may be assigned keys: it is not known to have
+    /// ended, and no other back end at its address owns keys. One that owns
+    /// keys is already being asked, and moving keys is not worthwhile before
+    /// its answer. Others are never asked, so there is no answer to wait for.
+    /// If `owner` itself has ended, the first order to it shows that.
     pub fn may_run(&self, owner: &Owner, is_owner: impl Fn(&BackEndName) -> bool) -> bool {
         let mut rivals = self.rivals(owner);
         !self.has_ended(&owner.name) && !rivals.any(|rival| is_owner(&rival.name))
     }
 
-    /// Others that are registered at the address of `owner` and may run there.
+    /// Returns the other back ends that are registered at the address of
+    /// `owner` and may be running there.
     fn rivals<'a>(&'a self, owner: &'a Owner) -> impl Iterator<Item = &'a Registrant> {
         let there = self.by_address.get(&owner.address).into_iter().flatten();
         there.filter(|each| each.name != owner.name && !self.has_ended(&each.name))
--- a/crates/coordination/src/order.rs
+++ b/crates/coordination/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders to back ends, and what becomes of them.
+//! Orders that a coordinator sends to back ends, and their results.
 
 use std::time::Duration;
 
@@ -7,20 +7,20 @@
 
 use crate::record::{Fence, Owner};
 
-/// Number of one order of one coordinator.
+/// Identifies one order of one coordinator.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrderId(pub u64);
 
-/// What a back end gives for keys that it released; the next owner starts
-/// warm with it.
+/// State that a back end returns for keys that it released. The next owner uses
+/// it to start warm.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct HandoverToken(pub String);
 
-/// One order to one back end.
+/// An order to one back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Its number.
+    /// Identifies the order.
     pub id: OrderId,
     /// The back end.
     pub to: Owner,
@@ -28,11 +28,11 @@
     pub range: KeyRange,
     /// The fencing token.
     pub fence: Fence,
-    /// What to do with them.
+    /// The operation.
     pub kind: OrderKind,
-    /// Where the back end is.
+    /// Whether the back end is in another region.
     pub distance: Distance,
-    /// How long to wait for the answer before the connection is ended.
+    /// How long to wait for the answer before the connection is closed.
     pub timeout: Duration,
 }
 
@@ -41,22 +41,22 @@
 pub enum Distance {
     /// In this region.
     Near,
-    /// In another region, behind a link that all traffic between the two
-    /// shares: what is sent may stand in it for seconds.
+    /// In another region, behind a link that carries all traffic between the
+    /// two regions. A message may be queued in that link for seconds.
     Far,
 }
 
-/// What an order asks for.
+/// The operation that an order requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderKind {
-    /// Hold the keys, or go on holding them.
+    /// Grants the keys, or renews the grant.
     Grant(GrantOrder),
-    /// Stop new work on the keys and give them back.
+    /// Stops new work on the keys and releases them.
     Release,
 }
 
 impl OrderKind {
-    /// Name in logs.
+    /// Returns the name used in logs.
     pub const fn as_str(&self) -> &'static str {
         match self {
             OrderKind::Grant(_) => "grant",
@@ -65,39 +65,41 @@
     }
 }
 
-/// Terms of a grant.
+/// Parameters of a grant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GrantOrder {
-    /// How long the keys are held, from the arrival of the order.
+    /// How long the grant lasts, counted from the arrival of the order.
     pub hold: Duration,
-    /// Token of the former owner.
+    /// Handover token of the former owner.
     pub handover: Option<HandoverToken>,
 }
 
-/// What a back end answered.
+/// The answer of a back end to an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderReply {
-    /// The grant was taken.
+    /// The grant was accepted.
     Granted,
-    /// The keys were given back and no work on them runs.
+    /// The keys were released and no work on them is running.
     Released(Option<HandoverToken>),
-    /// A higher fence was seen on one of the keys.
+    /// The order was refused because a higher fencing token was seen for one of
+    /// the keys.
     Fenced,
     /// The back end did not understand the order.
     Malformed,
-    /// Another process than the one meant runs at the address, and did not
-    /// carry the order out.
+    /// A process other than the addressed one runs at the address. It did not
+    /// execute the order.
     OtherProcess,
 }
 
-/// Why there is no answer.
+/// Why an order has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderFault {
-    /// No connection could be opened: the order surely never arrives.
+    /// No connection could be opened, so the order certainly never arrives.
     NotSent,
-    /// This node has too many orders under way to that back end: the order
-    /// surely never arrives, and nothing is learned of the back end.
+    /// This node has too many orders in flight to that back end. The order
+    /// certainly never arrives, and its failure says nothing about the back
+    /// end.
     Withheld,
-    /// The order was sent, or part of it: it may be carried out, now or later.
+    /// The order was sent, at least in part. It may be executed now or later.
     NoAnswer,
 }
--- a/crates/coordination/src/ownership.rs
+++ b/crates/coordination/src/ownership.rs
@@ -1,17 +1,18 @@
-//! The ownership record in the hands of the coordinator: which grants to
-//! renew, what to take back and what to give out.
+//! The coordinator's handling of the ownership record: which grants to renew,
+//! which keys to take back and which to assign.
 //!
-//! The record in the store decides. A new owner is written there before it is
-//! granted anything, on the condition that nobody else wrote:
+//! The record in the store is authoritative. A new owner is written to it
+//! before it receives a grant, on the condition that nobody else has written in
+//! between:
 //!
-//! 1. the owner is asked to release under the next fence, or its hold is
-//!    waited out;
-//! 2. the next owner is written, under the same fence;
+//! 1. the owner is asked to release the keys under the next fencing token, or
+//!    the coordinator waits until its grant has expired;
+//! 2. the next owner is written to the record, under the same fencing token;
 //! 3. the next owner is granted the keys.
 //!
-//! A coordinator that is lost before the second step leaves the former owner
-//! in the record, and its successor grants it the keys again under a fence
-//! that is at least that of the release.
+//! If the coordinator fails before the second step, the record still names the
+//! former owner. The next coordinator then grants it the keys again, under a
+//! fencing token at least as high as that of the release.
 
 mod arrivals;
 mod draft;
@@ -45,23 +46,23 @@
 use tracked::{Tracked, owners};
 use writes::WriteBudget;
 
-/// What follows from a read of the record.
+/// Consequence of a read of the record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadConsequence {
-    /// Nothing to do at once.
+    /// Nothing needs to be done at once.
     None,
-    /// This call is to be made at once.
+    /// This call must be made at once.
     Call(Box<Action>),
-    /// Another node has taken the record over.
+    /// Another node has taken over the record.
     Superseded,
 }
 
-/// How far this node has come with the record.
+/// Progress of this node in taking over the record.
 #[derive(Debug)]
 enum Phase {
-    /// Another node coordinates.
+    /// Another node is the coordinator.
     Idle,
-    /// The record has to be read before it can be taken over.
+    /// The record must be read before it can be taken over.
     Reading,
     /// The record is being written for the first time in this term.
     Adopting,
@@ -72,7 +73,7 @@
     },
 }
 
-/// The record, and what is under way for each of its slices.
+/// The ownership record and the state of the orders for each of its slices.
 #[derive(Debug)]
 pub struct Ownership {
     service: ServiceName,
@@ -81,32 +82,34 @@
     load: LoadMap,
     tokens: TokenBuckets,
     next_balancing: Timestamp,
-    /// Until when a new coordinator waits for reports of load.
+    /// Until then, a new coordinator waits for load reports.
     load_awaited: Timestamp,
     term: Term,
     predecessor: Option<Predecessor>,
     phase: Phase,
     tracked: Vec<Tracked>,
-    /// The record was taken since owners that may not keep keys were looked for.
+    /// Whether the tracked ranges were rebuilt since owners were last checked
+    /// for eligibility.
     retracked: bool,
     former: FormerOwners,
     overdue: OverdueWatch,
-    /// A call to the store is running.
+    /// Whether a call to the store is running.
     busy: bool,
-    /// A write was not answered: the record is read back before the next one.
+    /// Whether a write had no answer, so that the record must be read before
+    /// the next write.
     read_back: bool,
     next_store_call: Timestamp,
     writes: WriteBudget,
-    /// When the first back end was seen.
+    /// When the first back end was registered.
     first_seen: Option<Timestamp>,
     next_order: u64,
     notices: Vec<Notice>,
-    /// To be told once the write that is under way is accepted.
+    /// Notices to report once the write in progress is accepted.
     drafted: Vec<Notice>,
 }
 
 impl Ownership {
-    /// Of a node that does not coordinate.
+    /// Creates the state of a node that is not the coordinator.
     pub fn new(service: ServiceName, settings: Settings) -> Self {
         Ownership {
             service,
@@ -134,7 +137,7 @@
         }
     }
 
-    /// Takes the back ends that are registered now, of all services.
+    /// Replaces the set of registered back ends, which covers all services.
     pub fn set_back_ends(&mut self, now: Timestamp, back_ends: &[BackEnd]) {
         let last_order = OrderId(self.next_order);
         let owners = owners(&self.tracked);
@@ -146,7 +149,8 @@
         for address in newcomers.addresses {
             self.ask_who_runs(now, address);
         }
-        // One gateway tells: the one that decides by it.
+        // Only the coordinator reports shared addresses, so that each one is
+        // logged by a single gateway.
         if !matches!(self.phase, Phase::Idle) {
             self.notices
                 .extend(newcomers.shared.into_iter().map(Notice::AddressShared));
@@ -156,12 +160,12 @@
         }
     }
 
-    /// Says whether cold back ends bear few requests.
+    /// Sets whether cold back ends can serve only few requests.
     pub fn set_reduced_when_cold(&mut self, frail: bool) {
         self.holders.set_reduced_when_cold(frail);
     }
 
-    /// Takes what a router saw of the load.
+    /// Adds the load that a router reported.
     pub fn add_load(&mut self, now: Timestamp, report: &LoadReport) {
         self.load.add(now, report);
         for name in &report.leaving {
@@ -173,8 +177,9 @@
         }
     }
 
-    /// Answers routers that ask for tokens. Called only while the office is
-    /// surely held; `confirmed`: nobody else can hold it yet.
+    /// Answers token requests from routers. Must be called only while this node
+    /// certainly holds the lease. `confirmed` states that no other node can
+    /// hold it yet.
     pub fn grant_tokens(
         &mut self,
         now: Timestamp,
@@ -188,7 +193,7 @@
             .collect()
     }
 
-    /// This node was elected.
+    /// Starts a term after this node was elected.
     pub fn begin_term(&mut self, now: Timestamp, term: Term, predecessor: Option<Predecessor>) {
         self.term = term;
         self.predecessor = predecessor;
@@ -200,7 +205,7 @@
         self.next_store_call = now;
     }
 
-    /// Another node was elected.
+    /// Ends the term after another node was elected.
     pub fn end_term(&mut self) {
         self.phase = Phase::Idle;
         self.tracked.clear();
@@ -208,17 +213,17 @@
         self.overdue.clear();
     }
 
-    /// Whether another node coordinates.
+    /// Returns whether another node is the coordinator.
     pub fn is_idle(&self) -> bool {
         matches!(self.phase, Phase::Idle)
     }
 
-    /// What there is to tell operators.
+    /// Returns and clears the notices for operators.
     pub fn take_notices(&mut self) -> Vec<Notice> {
         std::mem::take(&mut self.notices)
     }
 
-    /// The record of this term, once it is in the store.
+    /// Returns the record of this term once it is in the store.
     pub fn record(&self) -> Option<&OwnershipRecord> {
         match &self.phase {
             Phase::Active { record, .. } => Some(record),
@@ -226,15 +231,17 @@
         }
     }
 
-    /// Whether no order waits for its answer, and none may still arrive.
+    /// Returns whether no order is awaiting an answer and none may still
+    /// arrive.
     pub fn quiet(&self) -> bool {
         let ended = |tracked: &Tracked| tracked.in_flight.is_none();
         self.tracked.iter().all(ended) && !self.overdue.any_overdue() && self.former.quiet()
     }
 
-    /// What to do now. Called only while the office is surely held. Keys that
-    /// their owner could keep are taken back only while the store answers: a
-    /// key that nobody holds can be given out only by a write.
+    /// Returns the calls to make now. Must be called only while this node
+    /// certainly holds the lease. Keys that their owner could keep are taken
+    /// back only while the store answers, because keys without a holder can be
+    /// assigned only by a write.
     pub fn poll(&mut self, now: Timestamp, store_answers: bool) -> Vec<Action> {
         let mut actions = Vec::new();
         if let Some(call) = self.store_call(now, store_answers) {
@@ -245,13 +252,15 @@
         actions
     }
 
-    /// When to call [`Ownership::poll`] next, at the latest.
+    /// Returns the latest time at which [`Ownership::poll`] must be called
+    /// next.
     pub fn next_wake(&self, now: Timestamp) -> Option<Timestamp> {
         if matches!(self.phase, Phase::Idle) {
             return None;
         }
-        // An order that waits for earlier ones to the same back end is sent
-        // when one of those ends, which wakes this node by itself.
+        // An order that is held back by the limit of orders in flight is sent
+        // when one of those ends. That event triggers a poll, so it needs no
+        // timer.
         let under_way = under_way(&self.tracked);
         let has_room = |tracked: &&Tracked| {
             let count = tracked.owner().and_then(|owner| under_way.get(&owner.name));
@@ -322,12 +331,12 @@
     }
 }
 
-/// Time between two looks for owners with too much.
+/// Time between two checks for owners with too many keys.
 const BALANCING_PAUSE: Duration = Duration::from_millis(700);
-/// Time after a take-over in which keys are not taken from their owners before
-/// some load was reported: the earlier coordinator had divided them by load,
-/// and by their number alone they look uneven.
+/// Time after a takeover during which keys are not moved for balance until load
+/// was reported. The previous coordinator assigned them by load, so by their
+/// number alone they look uneven.
 const LOAD_PATIENCE: Duration = Duration::from_secs(4);
-/// Longest time between two calls of [`Ownership::poll`] that the shell
-/// should allow, so that cool-downs end in time.
+/// Longest time between two calls of [`Ownership::poll`]. It ensures that
+/// cooldowns end in time.
 pub const LONGEST_SLEEP: Duration = Duration::from_millis(500);
--- a/crates/coordination/src/ownership/draft.rs
+++ b/crates/coordination/src/ownership/draft.rs
@@ -1,4 +1,4 @@
-//! The record as it should be, drafted from what is tracked.
+//! Computes the next record from the tracked ranges.
 
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::KeyRange;
@@ -12,32 +12,32 @@
 use crate::record::{Fence, OwnershipRecord, Slice, SliceState};
 use crate::tokens::TokenBuckets;
 
-/// What a draft is made from.
+/// Input of a draft.
 pub(super) struct Draft<'a> {
     pub(super) now: Timestamp,
     pub(super) holders: &'a Holders,
     pub(super) load: &'a LoadMap,
     pub(super) tokens: &'a TokenBuckets,
     pub(super) tracked: &'a [Tracked],
-    /// Back ends have had time to register.
+    /// Whether back ends have had time to register.
     pub(super) gathered: bool,
-    /// For each range tracked, whether its owner has given it back, and the
-    /// token.
+    /// For each tracked range: `Some` if its owner no longer holds it, with the
+    /// handover token if there is one.
     pub(super) released: Vec<Option<Option<HandoverToken>>>,
 }
 
-/// A draft, and what it changes.
+/// A drafted record and the notices about its changes.
 pub(super) struct Drafted {
     pub(super) record: OwnershipRecord,
     pub(super) notices: Vec<Notice>,
 }
 
-/// A range of the record in the making.
+/// A range of the drafted record.
 struct Piece {
     slice: Slice,
-    /// Token with which the former owner gave the keys back.
+    /// Handover token that the former owner returned with the keys.
     handover: Option<HandoverToken>,
-    /// The owner has answered the grant.
+    /// Whether the owner has accepted the grant.
     granted: bool,
 }
 
@@ -64,7 +64,8 @@
         Drafted { record, notices }
     }
 
-    /// One range as it should stand in the record, but for a new owner.
+    /// Computes the next state of one tracked range. Does not assign a new
+    /// owner to unowned keys.
     fn piece(&self, record: &mut OwnershipRecord, index: usize, tracked: &Tracked) -> Piece {
         let mut piece = Piece {
             slice: tracked.slice.clone(),
@@ -91,7 +92,7 @@
         piece
     }
 
-    /// Gives what nobody owns to those that should have it.
+    /// Assigns the unowned ranges to candidates.
     fn give_out(&self, pieces: Vec<Piece>, notices: &mut Vec<Notice>) -> Vec<Piece> {
         let is_unowned = |piece: &Piece| matches!(piece.slice.state, SliceState::Unowned);
         let untouched = pieces.iter().all(is_unowned);
@@ -110,8 +111,8 @@
     }
 }
 
-/// Puts assignments, which come in the order of the keys, in the place of the
-/// unowned ranges that they were made from.
+/// Replaces each unowned range by the assignments that were made from it.
+/// Assignments are in key order.
 fn place(
     pieces: Vec<Piece>,
     assignments: Vec<Assignment>,
@@ -156,9 +157,9 @@
     }
 }
 
-/// What is worth doing only when the record is written anyway: tokens that
-/// were used go, and neighbours that one owner holds are granted as one under
-/// a higher fence, which costs one renewal instead of two.
+/// Applies changes that are not worth a write of their own. Removes used
+/// handover tokens, and merges adjacent ranges of one owner under a higher
+/// fencing token, which saves one renewal for each merge.
 fn tidy(record: &mut OwnershipRecord, granted: &[bool]) {
     for (slice, granted) in record.slices.iter_mut().zip(granted) {
         if let SliceState::Owned { handover, .. } = &mut slice.state
@@ -182,7 +183,8 @@
     record.slices = joined;
 }
 
-/// Both are owned by one back end, and neither waits for its handover.
+/// Returns whether both slices belong to one back end and neither has a
+/// handover pending.
 fn same_settled_owner(left: &Slice, right: &Slice) -> bool {
     match (&left.state, &right.state) {
         (
@@ -199,7 +201,8 @@
     }
 }
 
-/// Candidates, weighed by slots, speed and the limits that they name.
+/// Returns the candidates, weighted by slots, measured speed and announced
+/// limits.
 pub(super) fn candidates(
     now: Timestamp,
     holders: &Holders,
@@ -216,7 +219,7 @@
     candidates
 }
 
-/// What every owner holds.
+/// Returns the ranges that owners hold.
 pub(super) fn held<'a>(slices: impl Iterator<Item = &'a Slice>) -> Vec<Held> {
     let holding = |slice: &Slice| match &slice.state {
         SliceState::Owned { owner, .. } => Some(Held {
@@ -228,8 +231,9 @@
     slices.filter_map(holding).collect()
 }
 
-/// A record whose slices do not cover the keys once each says nothing that
-/// can be relied on: everything starts unowned, above every fence seen.
+/// Returns the replacement for an invalid record. If the slices do not cover
+/// each key exactly once, nothing in the record can be relied on, so all keys
+/// become unowned, under a fencing token above every one seen.
 pub(super) fn mended(broken: &OwnershipRecord) -> OwnershipRecord {
     let highest = broken.slices.iter().map(|slice| slice.fence).max();
     let highest = highest.unwrap_or_default().max(broken.next_fence);
--- a/crates/coordination/src/ownership/former.rs
+++ b/crates/coordination/src/ownership/former.rs
@@ -1,10 +1,11 @@
-//! Back ends that lost keys without having answered the release.
+//! Tracks back ends that lost keys without having answered the release.
 //!
-//! Their hold was waited out, but an order of ours may still lie with them: a
-//! back end that stood still, or that carries orders out late, would take the
-//! keys beside their owner. It is asked to release them until it answers: from
-//! then on it refuses every earlier grant. The record names them, so that the
-//! next coordinator goes on asking.
+//! Their grants have expired, but an order of this node may still be queued at
+//! them. A back end that was suspended, or that executes orders late, would
+//! then take the keys while another back end owns them. The coordinator
+//! therefore repeats the release until the back end answers, because from then
+//! on the back end refuses every earlier grant. The record lists these back
+//! ends, so that the next coordinator continues.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -18,37 +19,39 @@
 use crate::record::{FormerHolder, Slice};
 use crate::settings::Settings;
 
-/// Time between two releases that a former owner did not answer.
+/// Time between two releases to a former owner that did not answer.
 const PAUSE: Duration = Duration::from_millis(500);
 
-/// One of them, with the order that it is asked by.
+/// An unanswered release and the state of its orders.
 #[derive(Clone, Debug)]
 struct Asked {
     holder: FormerHolder,
-    /// This coordinator asks since then, while an order may be carried out.
+    /// When this coordinator began to repeat the release. It stops once no
+    /// order can still be executed.
     since: Timestamp,
     in_flight: Option<OrderId>,
     next_order: Timestamp,
 }
 
-/// All former owners that have not answered.
+/// All releases that former owners have not answered.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FormerOwners {
     unanswered: Vec<Asked>,
 }
 
 impl FormerOwners {
-    /// Goes on asking those whom an earlier coordinator asked.
+    /// Takes over the unanswered releases of an earlier coordinator.
     pub(super) fn take_over(&mut self, now: Timestamp, holders: &[FormerHolder]) {
         let holders = holders.iter().cloned();
         self.unanswered
             .extend(holders.map(|holder| Asked::new(now, holder)));
     }
 
-    /// The record changes from what is `tracked` to `slices`.
+    /// Updates the releases when the record changes from the state in `tracked`
+    /// to `slices`.
     pub(super) fn follow(&mut self, now: Timestamp, tracked: &[Tracked], slices: &[Slice]) {
-        // A release under an earlier fence would take keys back that the back
-        // end was given again.
+        // A release with an earlier fencing token would take back keys that the
+        // back end has been granted again.
         for asked in std::mem::take(&mut self.unanswered) {
             let left = parts_without(&asked.holder, slices);
             if left == [asked.holder.range] {
@@ -83,18 +86,19 @@
         }
     }
 
-    /// Who has not answered, for the record.
+    /// Returns the unanswered releases for the record.
     pub(super) fn told(&self) -> Vec<FormerHolder> {
         let asked = self.unanswered.iter();
         asked.map(|asked| asked.holder.clone()).collect()
     }
 
-    /// Forgets all.
+    /// Removes all releases.
     pub(super) fn clear(&mut self) {
         self.unanswered.clear();
     }
 
-    /// Releases to send now, one at a time to each back end.
+    /// Returns the releases to send now, at most one in flight for each back
+    /// end.
     pub(super) fn orders(
         &mut self,
         now: Timestamp,
@@ -102,7 +106,8 @@
         holders: &Holders,
         next_order: &mut u64,
     ) -> Vec<Order> {
-        // The next life of one that ended would give back what it was granted.
+        // A back end that has restarted would release the keys that were
+        // granted to its new process.
         self.unanswered
             .retain(|former| !holders.has_ended(&former.holder.owner.name));
         self.unanswered
@@ -126,7 +131,8 @@
         orders
     }
 
-    /// An order ended. Says whether it was one to a former owner.
+    /// Handles the result of an order. Returns whether the order was one of
+    /// these releases.
     pub(super) fn on_order(
         &mut self,
         now: Timestamp,
@@ -151,14 +157,14 @@
         was_here
     }
 
-    /// Whether no order waits for its answer.
+    /// Returns whether no release is awaiting an answer.
     pub(super) fn quiet(&self) -> bool {
         self.unanswered
             .iter()
             .all(|former| former.in_flight.is_none())
     }
 
-    /// When the next order is due.
+    /// Returns when the next release is due.
     pub(super) fn next_wake(&self) -> Option<Timestamp> {
         let asked = self.asked();
         let waiting = self.unanswered.iter();
@@ -166,7 +172,7 @@
         waiting.map(|former| former.next_order).min()
     }
 
-    /// Back ends that have an order to answer.
+    /// Returns the back ends that have a release in flight.
     fn asked(&self) -> BTreeSet<BackEndName> {
         let asked = self.unanswered.iter();
         let asked = asked.filter(|former| former.in_flight.is_some());
@@ -199,7 +205,8 @@
     }
 }
 
-/// The parts of a former holder's keys that it does not own in `slices`.
+/// Returns the parts of a former holder's range that it does not own in
+/// `slices`.
 fn parts_without(holder: &FormerHolder, slices: &[Slice]) -> Vec<KeyRange> {
     let mut parts: Vec<KeyRange> = Vec::new();
     for slice in slices {
--- a/crates/coordination/src/ownership/moves.rs
+++ b/crates/coordination/src/ownership/moves.rs
@@ -1,4 +1,4 @@
-//! Keys that are taken back from their owners, and the record that follows.
+//! Takes keys back from their owners and computes the record that follows.
 
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::KeyRange;
@@ -12,9 +12,10 @@
 use crate::record::{Fence, OwnershipRecord};
 
 impl Ownership {
-    /// Finds owners that have started again. Their keys stay with them under a
-    /// higher fence: a renewal that was sent to the former life may have reached
-    /// the next one, so that nobody else may have them before it answered.
+    /// Finds owners that have restarted. They keep their keys under a higher
+    /// fencing token: a renewal sent to the previous process may have reached
+    /// the new one, so no other back end may get the keys before the new
+    /// process has answered.
     pub(super) fn find_successors(&mut self) {
         for tracked in &mut self.tracked {
             let owner = tracked.slice.holder();
@@ -23,10 +24,10 @@
         }
     }
 
-    /// Begins to take keys back from owners that may not keep them. `fence` is
-    /// above that of every grant. Those that only told routers that
-    /// they leave or rest keep them until the store answers: nobody else could be
-    /// given them before.
+    /// Starts to release keys of owners that may not keep them. `fence` must be
+    /// higher than the fencing token of every grant. Owners of which only
+    /// routers reported that they leave or rest keep their keys while the store
+    /// does not answer, because the keys could not be assigned to others.
     pub(super) fn take_back(&mut self, now: Timestamp, fence: Fence, store_answers: bool) {
         for tracked in &mut self.tracked {
             let Some(owner) = tracked.owner().cloned() else {
@@ -51,14 +52,15 @@
         }
     }
 
-    /// Takes keys from those with too many, when nothing else is under way.
+    /// Starts to release keys of owners that hold too many, unless another move
+    /// is in progress.
     pub(super) fn start_balancing(&mut self, now: Timestamp, fence: Fence) {
         let settled = |tracked: &Tracked| tracked.releasing.is_none() && tracked.owner().is_some();
         if now < self.next_balancing || !self.tracked.iter().all(settled) {
             return;
         }
-        // Set whatever follows: the next look is then right after the store
-        // answered again, and not at the end of the time that this counts.
+        // Set before any early return. Otherwise the next check would come
+        // right after the store answers again instead of a full interval later.
         self.next_balancing = now + BALANCING_PAUSE;
         if now < self.load_awaited && !self.load.speaks() {
             return;
@@ -96,9 +98,9 @@
         }
     }
 
-    /// Whether the record may have to change. A draft is made from all slices,
-    /// and asked for after each answer to a renewal: hardly ever is there
-    /// anything to write.
+    /// Returns whether the record may have to change. A draft is computed from
+    /// all slices and this is checked after each answer to a renewal, while
+    /// there is hardly ever anything to write.
     pub(super) fn wants_write(&self, now: Timestamp) -> bool {
         let pending = |(index, tracked): (usize, &Tracked)| {
             tracked.fenced
@@ -109,7 +111,7 @@
         self.tracked.iter().enumerate().any(pending)
     }
 
-    /// The record as it should be.
+    /// Computes the next record.
     pub(super) fn next_record(
         &mut self,
         now: Timestamp,
@@ -137,26 +139,28 @@
         record
     }
 
-    /// Whether a slice's owner has given it back; with the token, if any.
+    /// Returns `Some` if the owner of a range no longer holds it, with the
+    /// handover token if there is one.
     pub(super) fn released(&self, now: Timestamp, index: usize) -> Option<Option<HandoverToken>> {
         let tracked = self.tracked.get(index)?;
         if let Some(handover) = &tracked.released {
             return Some(handover.clone());
         }
         let over = self.release_over(tracked)?;
-        // One that has not ended may arrive at any time, also when its end was
-        // due: this process may have stood still.
+        // A grant that has not ended may arrive at any time, even after its
+        // connection should have been closed, because this process may have
+        // been suspended.
         let arrived = self.has_ended(tracked) || !tracked.arrivals.any_open();
         (arrived && now >= over).then_some(None)
     }
 
-    /// When the owner of a slice that is being released holds it no longer
-    /// even if it never answers.
+    /// Returns when the grant of a range that is being released has certainly
+    /// expired, even if the owner never answers.
     pub(super) fn release_over(&self, tracked: &Tracked) -> Option<Timestamp> {
         tracked.releasing?;
-        // Only an answer proves that; to wait the hold out all the same served
-        // 0.934 of the credit in time in place of 0.952 (mean of six days on
-        // which two fifths of the owners crash and start again).
+        // Only an answer proves this. Waiting for the grants to expire anyway
+        // served 0.934 of the credit in time instead of 0.952 (mean of six days
+        // on which two fifths of the owners crash and restart).
         if self.has_ended(tracked) {
             return Some(Timestamp::ZERO);
         }
@@ -173,7 +177,7 @@
         Some(own.max(earlier))
     }
 
-    /// Whether the owner is known to have ended.
+    /// Returns whether the owner is known to have ended.
     fn has_ended(&self, tracked: &Tracked) -> bool {
         let owner = tracked.owner();
         owner.is_some_and(|owner| self.holders.has_ended(&owner.name))
--- a/crates/coordination/src/ownership/orders.rs
+++ b/crates/coordination/src/ownership/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to back ends, and their answers.
+//! Sends orders to back ends and handles their answers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,17 +13,17 @@
 use crate::holders::FaultNews;
 use crate::order::{Order, OrderFault, OrderId, OrderKind, OrderReply};
 
-/// Orders that wait for the answer of one back end at the most. One that holds
-/// many slices is asked about the others as it answers.
+/// Maximum number of orders in flight to one back end. A back end that holds
+/// many slices gets further orders as it answers.
 pub const MAX_ORDERS_IN_FLIGHT: usize = 6;
 
-/// Time to the next renewal while a release that was given up may still be
-/// carried out: the keys that it takes are unserved until then. A back end that
-/// answered no order for 12 s had its keys unserved for 0.69 s after it was
-/// served again, in place of 3.34 s (worst of 20 seeds in the model).
+/// Delay of the next renewal while an unanswered release may still be executed,
+/// because keys that it takes are unserved until the renewal. For a back end
+/// that answered no order for 12 s, keys were unserved for 0.69 s after it was
+/// served again, instead of 3.34 s (worst of 20 seeds in the model).
 const QUICK_RENEWAL: Duration = Duration::from_millis(150);
 
-/// Orders that wait for an answer, by back end.
+/// Returns the number of orders in flight for each back end.
 pub(super) fn under_way(tracked: &[Tracked]) -> BTreeMap<BackEndName, usize> {
     let mut counts: BTreeMap<BackEndName, usize> = BTreeMap::new();
     for tracked in tracked {
@@ -35,8 +35,8 @@
     counts
 }
 
-/// What is tracked of a range of keys: an order concerns nothing else, and
-/// thousands of slices are renewed each second.
+/// Returns the tracked ranges that overlap `range`. An order concerns no
+/// others, and thousands of slices are renewed each second.
 fn within(tracked: &mut [Tracked], range: KeyRange) -> &mut [Tracked] {
     let begin = tracked.partition_point(|each| each.slice.range.last < range.first);
     let end = tracked.partition_point(|each| each.slice.range.first <= range.last);
@@ -90,8 +90,8 @@
         actions.extend(releases.into_iter().map(Action::Send));
     }
 
-    /// A grant that is on its way to another region was not answered in time.
-    /// It is sent again, and goes on being waited for.
+    /// Handles a grant to another region that was not answered in time. It is
+    /// sent again, and the first one remains open.
     fn on_overdue(&mut self, now: Timestamp, order: &Order) {
         let waited = self.settings.order_timeout;
         let news = self.holders.on_overdue(now, &order.to.name, waited);
@@ -101,7 +101,7 @@
         }
     }
 
-    /// An order was answered, or was not.
+    /// Handles the result of an order.
     pub fn on_order(
         &mut self,
         now: Timestamp,
@@ -114,7 +114,7 @@
             Ok(OrderReply::Malformed) if matches!(order.kind, OrderKind::Grant(_)) => {
                 self.holders.on_malformed(&order.to.name);
             }
-            // It does not tell which process answered.
+            // This reply does not tell which process answered.
             Ok(OrderReply::Malformed) => {}
             Ok(OrderReply::OtherProcess) => {
                 if self.holders.on_other_process(&order.to.name) {
@@ -123,9 +123,10 @@
                 }
             }
             Ok(_) => self.answered(now, order),
-            // It was counted when it became overdue.
+            // The fault was counted when the order became overdue.
             Err(OrderFault::NoAnswer) if was_overdue => {}
-            // One whose registration has gone too is expected to be silent.
+            // A former owner whose registration is also gone is expected not to
+            // answer.
             Err(_) if to_former_owner && !self.holders.is_registered(&order.to.name) => {}
             Err(fault) => self.given_up(now, order, order.timeout, *fault),
         }
@@ -144,16 +145,16 @@
                 tracked.next_order = tracked.next_order.min(now + QUICK_RENEWAL);
             }
         }
-        // An order that was on its way when the registration came tells
-        // nothing of it.
+        // An order that was already in flight when the registration arrived
+        // tells nothing about it.
         if result == Ok(OrderReply::Granted) && self.holders.in_doubt(&order.to) {
             self.ask_who_runs(now, order.to.address);
         }
     }
 
-    /// Asks back ends at one address at once which of them runs there, with
-    /// the order that is next anyway. One that is under way may wait for a
-    /// process that is gone.
+    /// Sends the next order to all owners at an address at once, to learn which
+    /// of them runs there. An order already in flight may wait for a process
+    /// that has ended.
     pub(super) fn ask_who_runs(&mut self, now: Timestamp, address: SocketAddr) {
         for tracked in &mut self.tracked {
             if tracked
--- a/crates/coordination/src/ownership/overdue.rs
+++ b/crates/coordination/src/ownership/overdue.rs
@@ -1,10 +1,11 @@
-//! Grants to other regions whose answers are awaited beyond the usual time.
+//! Tracks grants to other regions whose connections stay open beyond the order
+//! timeout.
 //!
-//! The link between two regions may be full: what is sent then stands in it for
-//! seconds. Such a grant is overdue after the usual time, so that it is sent
-//! again and its back end counts as silent, but its connection stays: the
-//! answer that comes late tells that the back end is well, and until when its
-//! hold lasts.
+//! The link between two regions may be full, so that messages are queued in it
+//! for seconds. After the order timeout such a grant is overdue: it is sent
+//! again and its back end counts as silent, but its connection stays open. A
+//! late answer then shows that the back end is alive and until when its grant
+//! lasts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,17 +14,19 @@
 use crate::order::{Order, OrderId, OrderKind};
 use crate::settings::Settings;
 
-/// Grants whose connections are kept beyond the usual time.
+/// Grants whose connections stay open beyond the order timeout.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OverdueWatch {
-    /// Those that are not overdue yet, and when they are.
+    /// Grants that are not overdue yet, each with the time at which it becomes
+    /// overdue.
     awaited: BTreeMap<OrderId, (Timestamp, Order)>,
-    /// Those that are overdue and have not ended.
+    /// Overdue grants that have not ended.
     overdue: BTreeSet<OrderId>,
 }
 
 impl OverdueWatch {
-    /// Watches a grant whose connection is kept beyond the usual time.
+    /// Starts to track a grant whose connection stays open beyond the order
+    /// timeout.
     pub(super) fn watch(&mut self, now: Timestamp, order: &Order, settings: &Settings) {
         let longer = order.timeout > settings.order_timeout;
         if !longer || order.kind == OrderKind::Release {
@@ -33,7 +36,7 @@
         self.awaited.insert(order.id, (due, order.clone()));
     }
 
-    /// Grants that have become overdue.
+    /// Returns the grants that have become overdue since the last call.
     pub(super) fn take_due(&mut self, now: Timestamp) -> Vec<Order> {
         let mut due = Vec::new();
         self.awaited.retain(|_, (at, order)| {
@@ -47,23 +50,23 @@
         due
     }
 
-    /// An order ended. Says whether it was overdue.
+    /// Records that an order ended. Returns whether it was overdue.
     pub(super) fn ended(&mut self, order: &Order) -> bool {
         self.awaited.remove(&order.id);
         self.overdue.remove(&order.id)
     }
 
-    /// Whether an overdue order has not ended.
+    /// Returns whether an overdue grant has not ended.
     pub(super) fn any_overdue(&self) -> bool {
         !self.overdue.is_empty()
     }
 
-    /// When the next grant is overdue.
+    /// Returns when the next grant becomes overdue.
     pub(super) fn next_due(&self) -> Option<Timestamp> {
         self.awaited.values().map(|(at, _)| *at).min()
     }
 
-    /// Forgets all.
+    /// Removes all grants.
     pub(super) fn clear(&mut self) {
         self.awaited.clear();
         self.overdue.clear();
--- a/crates/coordination/src/ownership/store.rs
+++ b/crates/coordination/src/ownership/store.rs
@@ -1,4 +1,4 @@
-//! The record between this coordinator and the store.
+//! Reads and writes of the record in the store.
 
 use threadledge_types::Timestamp;
 
@@ -9,7 +9,7 @@
 use crate::record::OwnershipRecord;
 
 impl Ownership {
-    /// The record was read, or could not be.
+    /// Handles the result of a read of the record.
     pub fn on_read(
         &mut self,
         now: Timestamp,
@@ -35,9 +35,9 @@
         }
     }
 
-    /// Writes the record for the first time in this term: every owner stays,
-    /// under a higher fence, so that the earlier coordinator's orders are
-    /// refused from the owner's answer on.
+    /// Writes the record for the first time in this term. Every owner keeps its
+    /// keys under a higher fencing token, so that it refuses orders of the
+    /// earlier coordinator as soon as it has answered.
     pub(super) fn adopt(
         &mut self,
         now: Timestamp,
@@ -51,7 +51,8 @@
             return ReadConsequence::Call(Box::new(write));
         };
         if found.value.term == self.term {
-            // Written by this node already; the answer was lost.
+            // This node has already written the record, and the answer was
+            // lost.
             self.take_own(now, found);
             return ReadConsequence::None;
         }
@@ -75,8 +76,8 @@
         ReadConsequence::Call(Box::new(write))
     }
 
-    /// A write of the record was answered, or was not. Says whether another
-    /// node has overtaken this one.
+    /// Handles the result of a write of the record. Returns whether another
+    /// node has superseded this one.
     pub fn on_write(
         &mut self,
         now: Timestamp,
@@ -101,9 +102,9 @@
                 false
             }
             WriteResult::Unknown => {
-                // Reads back before anything else: what the store holds
-                // decides, and a write that still takes effect later meets
-                // the condition of the next one.
+                // Read the record back before anything else, because the state
+                // in the store is authoritative. If the write still takes
+                // effect later, the condition of the next write fails.
                 self.next_store_call = now + self.settings.retry_delay;
                 self.read_back = true;
                 false
@@ -135,7 +136,8 @@
         false
     }
 
-    /// The record changed in the store, as a watch tells.
+    /// Handles a change of the record that a watch of the store reported.
+    /// Returns whether another node has superseded this one.
     pub fn on_observed(&mut self, now: Timestamp, found: Versioned<OwnershipRecord>) -> bool {
         match &self.phase {
             Phase::Active { revision, .. } if found.revision > *revision => {
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Works on from a record of this term that is in the store.
+    /// Continues from a record of this term that is in the store.
     pub(super) fn take_own(&mut self, now: Timestamp, found: Versioned<OwnershipRecord>) {
         let first_of_term = !matches!(self.phase, Phase::Active { .. }) && self.tracked.is_empty();
         if first_of_term {
--- a/crates/coordination/src/ownership/tracked.rs
+++ b/crates/coordination/src/ownership/tracked.rs
@@ -1,4 +1,4 @@
-//! What is under way for one range of keys.
+//! Order state of one range of keys.
 
 use std::collections::BTreeSet;
 
@@ -10,33 +10,34 @@
 use crate::record::{Fence, Owner, Slice, SliceState};
 use crate::settings::Settings;
 
-/// A range of one slice of the record, with the state of its orders.
+/// A range within one slice of the record, with the state of its orders.
 ///
-/// A range that is taken back is tracked by itself; the record keeps naming
-/// its owner until the next one is written. A coordinator that follows then
-/// finds the former owner there and grants it the keys again.
+/// A range that is being taken back is tracked separately, while the record
+/// names its owner until the next write. A coordinator that takes over in
+/// between finds the former owner there and grants it the keys again.
 #[derive(Clone, Debug)]
 pub(super) struct Tracked {
     pub(super) slice: Slice,
-    /// The keys are being taken back under this fence.
+    /// Fencing token under which the keys are being taken back.
     pub(super) releasing: Option<Fence>,
-    /// The keys were given back, with the token if there was one.
+    /// `Some` once the owner has released the keys, with the handover token if
+    /// there is one.
     pub(super) released: Option<Option<HandoverToken>>,
-    /// The order that waits for its answer.
+    /// The order that is awaiting an answer.
     pub(super) in_flight: Option<OrderId>,
     pub(super) next_order: Timestamp,
     /// Grants of this node that may still arrive.
     pub(super) arrivals: Arrivals,
-    /// The back end answered an order of this term for these keys: it refuses
-    /// those of earlier coordinators.
+    /// Whether the back end has answered an order of this term for these keys,
+    /// so that it refuses orders of earlier coordinators.
     pub(super) fenced_here: bool,
-    /// The back end refused our fence.
+    /// Whether the back end refused the current fencing token.
     pub(super) fenced: bool,
-    /// The grant in force was answered.
+    /// Whether the current grant was accepted.
     pub(super) granted: bool,
-    /// The owner has started again: its next life, which holds nothing of the
-    /// former one. Nothing is sent before the record names it, since it would
-    /// take what was meant for the former.
+    /// The new process of an owner that has restarted. It holds nothing of the
+    /// previous one. No order is sent before the record names it, because it
+    /// would take orders that were meant for the previous process.
     pub(super) successor: Option<Owner>,
 }
 
@@ -56,21 +57,23 @@
         }
     }
 
-    /// The back end that may hold the keys.
+    /// Returns the back end that may hold the keys.
     pub(super) fn owner(&self) -> Option<&Owner> {
         self.slice.holder()
     }
 
-    /// Takes the keys back under `fence`, which is above that of the grant.
+    /// Starts to take the keys back under `fence`, which must be higher than
+    /// the fencing token of the grant.
     pub(super) fn release(&mut self, now: Timestamp, fence: Fence) {
         self.releasing = Some(fence);
-        // A grant in flight may still arrive; the higher fence wins.
+        // A grant in flight may still arrive; the higher fencing token takes
+        // precedence.
         self.in_flight = None;
         self.next_order = now;
     }
 
-    /// Cuts the range so that `range` is tracked by itself; the pieces go on
-    /// as the whole did.
+    /// Splits the range so that `range` is tracked separately. Every part keeps
+    /// the state of the whole.
     pub(super) fn cut(self, range: KeyRange) -> Vec<Tracked> {
         let mut pieces = Vec::with_capacity(3);
         let before = u32::from(range.first.0) - u32::from(self.slice.range.first.0);
@@ -91,13 +94,14 @@
         pieces.into_iter().map(piece).collect()
     }
 
-    /// Sends the next order now, and no longer awaits the one under way.
+    /// Schedules the next order for now and stops waiting for the one in
+    /// flight.
     pub(super) fn ask_again(&mut self, now: Timestamp) {
         self.in_flight = None;
         self.next_order = now;
     }
 
-    /// Whether there is ever something to send.
+    /// Returns whether there is an order to send, now or later.
     pub(super) fn wants_order(&self) -> bool {
         match (&self.slice.state, self.releasing) {
             (SliceState::Unowned, _) => false,
@@ -106,12 +110,12 @@
         }
     }
 
-    /// Fence of the next order.
+    /// Returns the fencing token of the next order.
     pub(super) fn order_fence(&self) -> Fence {
         self.releasing.unwrap_or(self.slice.fence)
     }
 
-    /// What to send next.
+    /// Returns the next order to send.
     pub(super) fn order_kind(&self, settings: &Settings) -> Option<OrderKind> {
         if !self.wants_order() {
             return None;
@@ -122,7 +126,8 @@
         if self.releasing.is_some() {
             return Some(OrderKind::Release);
         }
-        // A renewal repeats the grant; the token was used by then.
+        // A renewal repeats the grant. The handover token was used by the first
+        // one.
         let handover = handover.clone().filter(|_| !self.granted);
         Some(OrderKind::Grant(GrantOrder {
             hold: settings.hold,
@@ -130,8 +135,8 @@
         }))
     }
 
-    /// The next order is sent; its connection is ended at `until` at the
-    /// latest.
+    /// Records that the next order is sent and that its connection is closed at
+    /// `until` at the latest.
     pub(super) fn sent(&mut self, id: OrderId, kind: &OrderKind, until: Timestamp) {
         self.in_flight = Some(id);
         if let OrderKind::Grant(_) = kind {
@@ -139,7 +144,7 @@
         }
     }
 
-    /// The order in flight is not waited for any longer; it may still arrive.
+    /// Stops waiting for an overdue order, which may still arrive.
     pub(super) fn overdue(&mut self, now: Timestamp, id: OrderId) {
         if self.in_flight == Some(id) {
             self.in_flight = None;
@@ -147,7 +152,8 @@
         }
     }
 
-    /// An order ended; one that was overdue proves when it arrived.
+    /// Records the result of an order. The end of an overdue grant determines
+    /// when it arrived at the latest.
     pub(super) fn ended(
         &mut self,
         now: Timestamp,
@@ -155,9 +161,9 @@
         result: &Result<OrderReply, OrderFault>,
         settings: &Settings,
     ) {
-        // A release gives nothing: the hold that is waited out goes on from
-        // the last grant. Counted from each release as well, the keys of a
-        // back end that answers none never went to others.
+        // A release grants nothing, so the expiry counts from the last grant.
+        // When it counted from each release as well, the keys of a back end
+        // that answered no release never went to others.
         match result {
             Ok(OrderReply::Granted) | Err(OrderFault::NoAnswer) => {
                 self.arrivals.ended(order.id, now);
@@ -178,7 +184,8 @@
         }
     }
 
-    /// Whether `order` is a grant of all these keys as the next one would be.
+    /// Returns whether `order` is a grant of all these keys under the current
+    /// fencing token.
     fn in_force(&self, order: &Order) -> bool {
         let range = self.slice.range;
         let covered = order.range.first <= range.first && range.last <= order.range.last;
@@ -213,7 +220,8 @@
         }
     }
 
-    /// Goes on with `slice`, in the part of it that is tracked here.
+    /// Returns the state of this range as part of `slice`, a slice of a later
+    /// record.
     fn carried_to(&self, now: Timestamp, slice: &Slice) -> Tracked {
         let mut next = if self.slice.fence == slice.fence && same_owner(&self.slice, slice) {
             self.clone()
@@ -222,7 +230,8 @@
         };
         next.slice = slice.clone();
         if same_owner(&self.slice, slice) {
-            // A grant in flight may still arrive while it waits.
+            // A grant in flight may still arrive even if its answer is no
+            // longer awaited.
             next.arrivals = self.arrivals.clone();
             next.fenced_here = self.fenced_here;
         }
@@ -235,7 +244,7 @@
     }
 }
 
-/// Every back end that may hold keys.
+/// Returns every back end that may hold keys.
 pub(super) fn owners(tracked: &[Tracked]) -> BTreeSet<BackEndName> {
     let owners = tracked.iter().filter_map(Tracked::owner);
     owners.map(|owner| owner.name.clone()).collect()
@@ -248,14 +257,15 @@
     }
 }
 
-/// The slices of a changed record, each with what was under way for its keys.
+/// Returns the tracked ranges of a changed record, with the order state that
+/// existed for their keys.
 ///
-/// A slice is tracked in as many pieces as before where keys of it are being
-/// taken back, and as a whole otherwise.
+/// A slice stays split where some of its keys are being taken back. Otherwise
+/// it is tracked as a whole.
 pub(super) fn retrack(now: Timestamp, earlier: Vec<Tracked>, slices: &[Slice]) -> Vec<Tracked> {
     let mut tracked: Vec<Tracked> = Vec::with_capacity(slices.len());
-    // Both are in the order of their keys: each range is looked for where the
-    // one before it was found.
+    // Both lists are in key order, so the search for each slice starts where
+    // the previous one ended.
     let mut from = 0;
     for slice in slices {
         let ends_before = |before: &&Tracked| before.slice.range.last < slice.range.first;
@@ -284,7 +294,8 @@
     tracked
 }
 
-/// Joins a piece to the one before it. What is sure of both alone is sure.
+/// Merges a range into the one before it. The result only claims what holds for
+/// both.
 fn join(last: &mut Tracked, piece: &Tracked) {
     last.slice.range.last = piece.slice.range.last;
     last.arrivals.join(&piece.arrivals);
--- a/crates/coordination/src/ownership/writes.rs
+++ b/crates/coordination/src/ownership/writes.rs
@@ -1,33 +1,33 @@
-//! How often the record is written.
+//! Limits how often the record is written.
 //!
-//! Every gateway that watches the store is sent the whole record after each
-//! write: up to 23 writes a second were seen while back ends of another region
-//! came and went, more than the link to it carries.
+//! Every gateway that watches the store receives the whole record after each
+//! write. Up to 23 writes per second were seen while back ends of another
+//! region came and went, which exceeded the capacity of the link to it.
 
 use std::time::Duration;
 
 use threadledge_types::Timestamp;
 
-/// Mean time between two writes while keys move all the time.
+/// Mean time between two writes while keys move continuously.
 const GAP: Duration = Duration::from_millis(100);
-/// Writes that may be made ahead of that, so that keys that move now and then
-/// do so at once.
+/// Number of writes that may be made ahead of the mean rate, so that occasional
+/// moves are written at once.
 const AHEAD: u32 = 4;
 
-/// Writes that may be made.
+/// Rate limit for writes of the record.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct WriteBudget {
-    /// The writes so far are paid for by then, one each [`GAP`].
+    /// When the writes made so far are paid off, at one per [`WRITE_INTERVAL`].
     paid: Timestamp,
 }
 
 impl WriteBudget {
-    /// From when on the next write may be made.
+    /// Returns when the next write may be made.
     pub(super) fn from(self, now: Timestamp) -> Timestamp {
         now + self.paid.since(now + GAP * AHEAD)
     }
 
-    /// A write was made.
+    /// Records a write.
     pub(super) fn wrote(&mut self, now: Timestamp) {
         self.paid = self.paid.max(now) + GAP;
     }
--- a/crates/coordination/src/plan.rs
+++ b/crates/coordination/src/plan.rs
@@ -1,4 +1,4 @@
-//! Which back end should own which keys.
+//! Decides which back end should own which keys.
 
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
@@ -9,29 +9,30 @@
 use crate::load::Measure;
 use crate::record::Owner;
 
-/// Parts of a fair share that an owner may have too much before keys are
-/// taken from it.
+/// Surplus above which keys are taken from an owner, as a fraction of its fair
+/// share.
 const TOLERATED_SURPLUS: f64 = 0.3;
-/// The same while some candidate has hardly anything, as one that is new.
+/// The same while some candidate is nearly empty, as a new one is.
 const TOLERATED_BESIDE_EMPTY: f64 = 0.05;
-/// Standard deviations of the measure by which a surplus must differ from
-/// chance.
+/// Standard deviations of the measured load by which a surplus must exceed
+/// random variation.
 const DEVIATIONS: f64 = 2.5;
-/// The same while some candidate has hardly anything: the keys of many owners
-/// go to it, so that chance evens out.
+/// The same while some candidate is nearly empty. The keys of many owners move
+/// to it, so that random variations average out.
 const DEVIATIONS_BESIDE_EMPTY: f64 = 1.0;
-/// Parts of a fair share below which a candidate has hardly anything.
+/// Fraction of its fair share below which a candidate is nearly empty.
 const HARDLY_ANYTHING: f64 = 0.4;
-/// Parts of a fair share that a candidate must lack to be worth a move.
+/// Deficit from which moving keys to a candidate is worthwhile, as a fraction
+/// of its fair share.
 const WORTHWHILE_LACK: f64 = 0.1;
-/// Parts of a fair share below which no piece is cut off.
+/// Smallest piece that is cut from a range, as a fraction of a fair share.
 const SMALLEST_PIECE: f64 = 0.08;
-/// How much more than another a candidate must be able to do for one busy key
-/// to be moved to it.
+/// Factor by which a candidate's weight must exceed the owner's for a single
+/// busy key to be moved to it.
 const MUCH_STRONGER: f64 = 1.25;
-/// Parts of a fair share above which one key counts as heavy.
+/// Fraction of a fair share above which a single key counts as heavy.
 const HEAVY: f64 = 1.1;
-/// Pieces taken back at once at the most.
+/// Maximum number of pieces taken back at once.
 const MOST_PIECES: usize = 12;
 
 /// A range and its new owner.
@@ -39,7 +40,7 @@
 pub struct Assignment {
     /// The keys.
     pub range: KeyRange,
-    /// Their owner.
+    /// The new owner.
     pub owner: Owner,
 }
 
@@ -48,12 +49,12 @@
 pub struct Held {
     /// The keys.
     pub range: KeyRange,
-    /// Who holds them.
+    /// The owner.
     pub owner: BackEndName,
 }
 
-/// How needy a candidate is: what it lacks as a part of what is fair for it.
-/// Greater is needier, and of equals the first by name.
+/// Relative need of a candidate: its deficit as a fraction of its fair share.
+/// Orders by need; of equal candidates, the first by name is the greater.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Need {
     lacks: f64,
@@ -75,14 +76,15 @@
     }
 }
 
-/// What every candidate holds, against the share that is fair by weight.
-/// Candidates are named by their place in the list, which is sorted by name.
+/// What every candidate holds compared with its fair share by weight.
+/// Candidates are identified by their index in the list, which is sorted by
+/// name.
 struct Shares<'a> {
     candidates: &'a [Candidate],
     total_weight: f64,
     held: Vec<f64>,
-    /// The candidates by need: nobody walks over thousands of them for each
-    /// range that is given out.
+    /// Candidates ordered by need. Avoids iterating over thousands of
+    /// candidates for each range that is assigned.
     needs: BTreeSet<Need>,
 }
 
@@ -111,12 +113,14 @@
         self.candidates.binary_search_by(by_name).ok()
     }
 
-    /// What a candidate should hold; all shares together are 1.
+    /// Returns the fraction of all load that a candidate should hold. All fair
+    /// shares add up to 1.
     fn fair(&self, index: usize) -> f64 {
         self.candidates[index].weight / self.total_weight
     }
 
-    /// What a candidate lacks; negative when it holds too much.
+    /// Returns how much a candidate holds less than its fair share; negative if
+    /// it holds more.
     fn lacks(&self, index: usize) -> f64 {
         self.fair(index) - self.held[index]
     }
@@ -128,14 +132,14 @@
         }
     }
 
-    /// The candidate that lacks most of its share; of equals the first by
-    /// name.
+    /// Returns the candidate with the greatest need. Of equal candidates,
+    /// returns the first by name.
     fn neediest(&self) -> Option<usize> {
         self.needs.last().map(|need| need.index)
     }
 
-    /// Parts of a fair share that each owner may have too much, before what
-    /// chance adds; and standard deviations of that.
+    /// Returns the tolerated surplus as a fraction of a fair share, and the
+    /// number of standard deviations that random variation may add.
     fn tolerances(&self) -> (f64, f64) {
         if self.any_hardly_has() {
             (TOLERATED_BESIDE_EMPTY, DEVIATIONS_BESIDE_EMPTY)
@@ -144,27 +148,29 @@
         }
     }
 
-    /// Whether some candidate has hardly anything.
+    /// Returns whether some candidate is nearly empty.
     fn any_hardly_has(&self) -> bool {
         let neediest = self.needs.last();
         neediest.is_some_and(|need| need.lacks > 1.0 - HARDLY_ANYTHING)
     }
 
-    /// The candidate that would be least overloaded with `weight` more.
+    /// Returns the candidate with the lowest load relative to its fair share
+    /// after `weight` is added.
     fn strongest(&self, weight: f64) -> Option<usize> {
         let load = |index: &usize| (self.held[*index] + weight) / self.fair(*index);
         (0..self.candidates.len()).min_by(|left, right| load(left).total_cmp(&load(right)))
     }
 
-    /// Whether the owner of one key that weighs more than its share has a
-    /// much stronger one beside it.
+    /// Returns whether some candidate is strong enough to take over a single
+    /// key that weighs more than the owner's share.
     fn has_much_stronger(&self, owner: usize) -> bool {
         let much = self.candidates[owner].weight * MUCH_STRONGER;
         let mut candidates = self.candidates.iter();
         candidates.any(|candidate| candidate.weight > much)
     }
 
-    /// What those candidates lack together for whom a move is worth it.
+    /// Returns the total deficit of the candidates to which a move is
+    /// worthwhile.
     fn worthwhile(&self) -> f64 {
         let needs = self.needs.iter().rev();
         needs
@@ -180,8 +186,8 @@
     }
 }
 
-/// Gives every unowned range to the candidates that lack most, cutting ranges
-/// where one candidate would get too much.
+/// Assigns every unowned range to the candidates with the greatest need. Splits
+/// ranges where one candidate would get too much.
 pub fn assign(
     unowned: &[KeyRange],
     held: &[Held],
@@ -216,9 +222,9 @@
     assignments
 }
 
-/// The first keys of `range` that weigh `wanted`, and the rest; all of it when
-/// the rest would be smaller than a piece worth having. A key that alone
-/// weighs too much is cut off by itself.
+/// Splits off the first keys of `range` that weigh `wanted`, and returns them
+/// and the rest. Returns the whole range if the rest would be smaller than the
+/// smallest piece. A single key that weighs too much is split off separately.
 fn cut_front(
     range: KeyRange,
     wanted: f64,
@@ -244,14 +250,15 @@
     }
 }
 
-/// Weight of the last of the first `keys` keys of `range`.
+/// Returns the weight of the last of the first `keys` keys of `range`.
 fn last_weight(range: KeyRange, keys: u32, measure: &Measure) -> f64 {
     let all = range.split_after(keys).map_or(range, |(piece, _)| piece);
     let others = range.split_after(keys - 1);
     measure.of(all) - others.map_or(0.0, |(piece, _)| measure.of(piece))
 }
 
-/// The end of `range` that weighs `wanted` with the fewest keys.
+/// Returns the piece that weighs `wanted` from the front or the back of
+/// `range`, whichever needs fewer keys.
 fn cut_end(range: KeyRange, wanted: f64, measure: &Measure) -> KeyRange {
     let weight = measure.of(range);
     if wanted >= weight {
@@ -270,15 +277,16 @@
         .map_or(range, |(front, _)| front)
 }
 
-/// Ranges to take back from those that hold too much, so that candidates that
-/// hold too little can be given their share.
+/// Returns the ranges to take back from owners that hold too much, so that
+/// candidates that hold too little can be assigned their share.
 pub fn rebalance(held: &[Held], candidates: &[Candidate], measure: &Measure) -> Vec<KeyRange> {
     let mut shares = Shares::new(candidates, held, measure);
     let mut missing = shares.worthwhile();
     let (least, deviations) = shares.tolerances();
     let tolerated = |owner: usize| {
         let fair = shares.fair(owner);
-        // What is beyond a limit is refused, however it came to be there.
+        // Requests beyond a limit are refused, so a surplus counts even if it
+        // may be random variation.
         if candidates[owner].most.is_some() {
             return fair * TOLERATED_SURPLUS;
         }
@@ -292,7 +300,7 @@
         .iter()
         .filter(|(index, _)| candidates[*index].most.is_some());
     let beyond_limits: f64 = beyond_limits.map(|(_, surplus)| surplus).sum();
-    // Others take that in small parts, though none lacks enough for a move.
+    // Others take this in small parts, even if none has a deficit worth a move.
     missing = missing.max(beyond_limits);
     let limited = |donor: &(usize, f64)| candidates[donor.0].most.is_some();
     donors.sort_by(|left, right| {
@@ -313,8 +321,8 @@
             }
             let piece = cut_end(range, wanted, measure);
             let weight = measure.of(piece);
-            // One key may weigh more than a whole share: moving it to a back
-            // end that is no faster would only make that one the busiest.
+            // A single key may weigh more than a whole share. Moving it to a
+            // back end that is no faster would only make that one the busiest.
             let heavy = piece.len() == 1 && weight > shares.fair(donor) * HEAVY;
             if heavy && !shares.has_much_stronger(donor) {
                 continue;
@@ -327,7 +335,8 @@
     taken
 }
 
-/// The ranges of one owner, those with the most weight a key first.
+/// Returns the ranges of one owner, those with the greatest weight per key
+/// first.
 fn densest_first(held: &[Held], owner: &BackEndName, measure: &Measure) -> Vec<KeyRange> {
     let density = |range: &KeyRange| measure.of(*range) / f64::from(range.len());
     let mut ranges: Vec<KeyRange> = held
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -1,4 +1,4 @@
-//! The objects that the store keeps for one service.
+//! The objects that the store holds for one service.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 
 use crate::order::HandoverToken;
 
-/// Number of a coordinator's time in office; each election raises it.
+/// Number of a coordinator's term. Each election increases it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -22,8 +22,8 @@
     }
 }
 
-/// Fencing token of one grant. A key that passes to another back end carries
-/// a higher one.
+/// Fencing token of one grant. A key that moves to another back end gets a
+/// higher one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -36,57 +36,58 @@
     }
 }
 
-/// One life of one router process.
+/// Identifies one run of a router process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct NodeIdentity {
-    /// Machine.
+    /// Machine that the router runs on.
     pub node: MachineName,
-    /// Which life of that machine's router.
+    /// Distinguishes the runs of the router on that machine.
     pub incarnation: Incarnation,
-    /// Where other routers reach it.
+    /// Address at which other routers reach it.
     #[serde(default)]
     pub address: Option<SocketAddr>,
 }
 
-/// Who coordinates, and the proof of life.
+/// The lease of the coordinator. Each renewal shows that the coordinator is
+/// alive.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct CoordinatorLease {
-    /// Raised by each election.
+    /// Increased by each election.
     pub term: Term,
-    /// The coordinator; `None` after it handed its office back.
+    /// The coordinator; `None` after it has released the lease.
     pub holder: Option<NodeIdentity>,
-    /// Raised by each renewal of one term.
+    /// Increased by each renewal within a term.
     pub renewals: u64,
-    /// How long after a confirmed renewal the holder goes on renewing grants,
+    /// How long after a confirmed renewal the holder continues to renew grants,
     /// in milliseconds.
     pub lease_ms: u64,
     /// How long the grants of the holder last, in milliseconds.
     pub hold_ms: u64,
-    /// In a lease that was handed back: how long after it coordinators before
-    /// the last holder may still give orders, in milliseconds.
+    /// In a released lease: how long after the release coordinators before the
+    /// last holder may still send orders, in milliseconds.
     #[serde(default)]
     pub earlier_orders_ms: u64,
 }
 
-/// Owners of all keys of one service.
+/// The owners of all keys of one service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct OwnershipRecord {
-    /// Term of the coordinator that wrote it.
+    /// Term of the coordinator that wrote the record.
     pub term: Term,
-    /// Above every fence ever used.
+    /// Higher than every fencing token ever used.
     pub next_fence: Fence,
-    /// Slices in the order of their keys, without gaps or overlaps.
+    /// Slices in key order, without gaps or overlaps.
     pub slices: Vec<Slice>,
-    /// Back ends that lost keys without having answered the release. They go
-    /// on being asked, also by the next coordinator.
+    /// Back ends that lost keys without having answered the release. The
+    /// coordinator keeps asking them, and so does the next one.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub former: Vec<FormerHolder>,
 }
 
-/// Keys that a back end may still take by an order that it has not carried
-/// out yet.
+/// Keys that a back end may still take because of an order that it has not
+/// executed yet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct FormerHolder {
@@ -94,19 +95,20 @@
     pub owner: Owner,
     /// The keys.
     pub range: KeyRange,
-    /// Fence of the release that was not answered; above every grant of these
-    /// keys to this back end.
+    /// Fencing token of the unanswered release. It is higher than that of every
+    /// grant of these keys to this back end.
     pub fence: Fence,
 }
 
-/// A range of keys with one state. Written as `slice_form` says.
+/// A range of keys in one state. `slice_serde` defines its serialized form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Slice {
     /// The keys.
     pub range: KeyRange,
-    /// Fence of the grant, or of the release that made it unowned.
+    /// Fencing token of the grant, or of the release that made the slice
+    /// unowned.
     pub fence: Fence,
-    /// Who has them.
+    /// Whether a back end owns the keys, and which.
     pub state: SliceState,
 }
 
@@ -114,14 +116,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum SliceState {
-    /// Nobody holds the keys.
+    /// No back end holds the keys.
     Unowned,
-    /// A back end may hold them until it is released or its hold runs out,
-    /// and goes on doing so while they are being taken back.
+    /// A back end may hold the keys until it releases them or its grant
+    /// expires. This includes the time while the keys are being taken back.
     Owned {
         /// The back end.
         owner: Owner,
-        /// Token of the former owner's handover, until the first renewal.
+        /// Handover token of the former owner, kept until the first renewal.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         handover: Option<HandoverToken>,
     },
@@ -130,23 +132,23 @@
 /// A back end that may hold keys.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Owner {
-    /// This life of it.
+    /// Name of this run of the back end.
     pub name: BackEndName,
-    /// Where it takes orders.
+    /// Address at which it takes orders.
     pub address: SocketAddr,
 }
 
 /// What is wrong with a record that was read from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordFault {
-    /// The slices leave keys out, overlap or are out of order.
+    /// The slices have gaps, overlap or are out of order.
     Coverage,
-    /// A slice has a fence that is not below `next-fence`.
+    /// A slice has a fencing token that is not below `next-fence`.
     Fence,
 }
 
 impl OwnershipRecord {
-    /// A record in which nobody owns anything.
+    /// Creates a record in which no key has an owner.
     pub fn empty(term: Term) -> Self {
         OwnershipRecord {
             term,
@@ -160,18 +162,18 @@
         }
     }
 
-    /// Takes a fence that was never used.
+    /// Allocates a fencing token that was never used.
     pub fn take_fence(&mut self) -> Fence {
         let fence = self.next_fence;
         self.next_fence = Fence(fence.0 + 1);
         fence
     }
 
-    /// Checks what every writer keeps.
+    /// Checks the invariants that every writer maintains.
     ///
     /// # Errors
     ///
-    /// What is broken.
+    /// Returns the first violated invariant.
     pub fn check(&self) -> Result<(), RecordFault> {
         let mut next = 0_u32;
         for slice in &self.slices {
@@ -189,7 +191,7 @@
         Ok(())
     }
 
-    /// Joins neighbours that one grant covered before it was split.
+    /// Merges adjacent slices that belong to one grant that was split.
     pub fn join_neighbours(&mut self) {
         let mut joined: Vec<Slice> = Vec::with_capacity(self.slices.len());
         for slice in self.slices.drain(..) {
@@ -203,7 +205,7 @@
 }
 
 impl Slice {
-    /// The back end that may hold the keys.
+    /// Returns the back end that may hold the keys.
     pub fn holder(&self) -> Option<&Owner> {
         match &self.state {
             SliceState::Unowned => None,
--- a/crates/coordination/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -1,4 +1,4 @@
-//! Durations of coordination, and the rules between them.
+//! Durations of the coordination protocol and the constraints between them.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,40 +7,41 @@
 
 use crate::order::{Distance, OrderKind};
 
-/// Durations of one coordinator. [`Settings::check`] holds them to each
-/// other.
+/// Durations used by one coordinator. [`Settings::check`] checks the
+/// constraints between them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How long after a confirmed renewal a coordinator goes on renewing
-    /// grants and giving orders.
+    /// How long after a confirmed renewal a coordinator continues to renew
+    /// grants and send orders.
     pub lease: Duration,
     /// Time between renewals of the coordinator's lease.
     pub lease_renewal: Duration,
-    /// Time between two looks of a standby at the lease.
+    /// Time between two reads of the lease by a standby.
     pub standby_poll: Duration,
-    /// How long a lease must stay unrenewed, seen by a store that answers,
+    /// How long a lease must go without renewal, while the store answers,
     /// before a standby takes over.
     pub takeover_after: Duration,
-    /// How long a grant lasts at a back end, from its arrival there.
+    /// How long a grant lasts at a back end, counted from its arrival there.
     pub hold: Duration,
     /// Time between renewals of a grant.
     pub grant_renewal: Duration,
-    /// Longest wait for a back end's answer to an order before it is sent
-    /// again and counts as unanswered.
+    /// How long to wait for a back end's answer to an order before the order is
+    /// sent again and counts as unanswered.
     pub order_timeout: Duration,
-    /// How long an order to another region may be on its way: its connection
-    /// is kept for that long, and ended then.
+    /// How long an order to another region may take. Its connection stays open
+    /// for this time and is then closed.
     pub far_order_timeout: Duration,
-    /// Zones of this region; `None` where all are.
+    /// Zones of this region; `None` if all zones are in it.
     pub near_zones: Option<BTreeSet<ZoneName>>,
-    /// Longest wait for a back end to finish its work on keys that it
+    /// How long to wait for a back end to finish its work on keys that it
     /// releases.
     pub release_timeout: Duration,
-    /// Pause before an order or a store call that failed is made again.
+    /// Delay before a failed order or store call is repeated.
     pub retry_delay: Duration,
     /// Time for back ends to register before the first assignment.
     pub registration_wait: Duration,
-    /// How much slower than ours a back end's clock may run, in percent.
+    /// How much slower than the coordinator's clock a back end's clock may run,
+    /// in percent.
     pub clock_drift_percent: u32,
 }
 
@@ -67,18 +68,18 @@
 /// Two durations that contradict each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Contradiction {
-    /// The one that is too long.
+    /// Name of the duration that is too long.
     pub longer: &'static str,
-    /// The one that it must stay below.
+    /// Name of the duration that it must stay below.
     pub shorter: &'static str,
 }
 
 impl Settings {
-    /// Holds the durations to each other.
+    /// Checks the constraints between the durations.
     ///
     /// # Errors
     ///
-    /// The first two that contradict each other.
+    /// Returns the first two durations that contradict each other.
     pub fn check(&self) -> Result<(), Contradiction> {
         let ordered = [
             ("lease-renewal", self.lease_renewal, "lease", self.lease),
@@ -105,8 +106,8 @@
         Ok(())
     }
 
-    /// How far away a back end in `zone` is. One whose zone nobody knows may be
-    /// anywhere.
+    /// Returns how far away a back end in `zone` is. A back end in an unknown
+    /// zone may be anywhere.
     pub fn distance(&self, zone: Option<&ZoneName>) -> Distance {
         let Some(near) = &self.near_zones else {
             return Distance::Near;
@@ -117,8 +118,8 @@
         }
     }
 
-    /// How long to wait for the answer to an order before its connection is
-    /// ended; nothing of it arrives later.
+    /// Returns how long to wait for the answer to an order before its
+    /// connection is closed. Nothing of the order arrives after that.
     pub fn answer_timeout(&self, kind: &OrderKind, distance: Distance) -> Duration {
         let answer = match kind {
             OrderKind::Grant(_) => self.order_timeout,
@@ -130,8 +131,8 @@
         }
     }
 
-    /// How long a grant of another coordinator, wherever it runs, may be on its
-    /// way.
+    /// Returns how long a grant of another coordinator, which may run in any
+    /// region, can be in transit.
     pub fn max_grant_transit(&self) -> Duration {
         match self.near_zones {
             None => self.order_timeout,
@@ -139,8 +140,8 @@
         }
     }
 
-    /// When a grant that arrived at `arrival` at the latest has surely run
-    /// out, by the slowest clock.
+    /// Returns when a grant that arrived at `arrival` at the latest has
+    /// certainly expired, even by the slowest clock.
     pub fn hold_expiry(&self, arrival: Timestamp, hold: Duration) -> Timestamp {
         let drift = hold * self.clock_drift_percent / 100;
         arrival + hold + drift + HOLD_MARGIN
@@ -149,5 +150,5 @@
 
 /// Default of [`Settings::far_order_timeout`].
 const FAR_ORDER: Duration = Duration::from_secs(3);
-/// Added to every hold that is waited out, for rounding on the way.
+/// Added to every grant duration that is waited out, to allow for rounding.
 const HOLD_MARGIN: Duration = Duration::from_millis(20);
--- a/crates/coordination/src/slice_form.rs
+++ b/crates/coordination/src/slice_form.rs
@@ -1,10 +1,10 @@
-//! How slices are written: in the store's record, and from gateway to gateway.
+//! Serialization of slices, in the store's record and between gateways.
 //!
-//! A record has a slice for each owner, an object of the store a largest size
-//! and a link a speed, so that a slice is written as a row without names of
-//! fields: `[first, last, fence]` where nobody owns it, else
-//! `[first, last, fence, owner, address]`, with the token of a handover behind
-//! them. The longer form, with names of fields, is read as well.
+//! A record has at least one slice for each owner, objects of the store have a
+//! maximum size and links have limited bandwidth. A slice is therefore written
+//! as an array without field names: `[first, last, fence]` if it is unowned,
+//! otherwise `[first, last, fence, owner, address]`, optionally followed by a
+//! handover token. The longer form with field names is accepted as well.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
     }
 }
 
-/// The form with names of fields.
+/// Slice in the form with field names.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct NamedSlice {
--- a/crates/coordination/src/tokens.rs
+++ b/crates/coordination/src/tokens.rs
@@ -1,15 +1,16 @@
-//! Tokens for back ends that name a limit: the requests a second that they
-//! take from all routers together.
+//! Tokens for back ends that announce a limit on the requests per second that
+//! they take from all routers together.
 //!
 //! The coordinator of a service keeps a token bucket for each such back end,
-//! and routers ask it for a token for each request. Nobody has to know how
-//! many routers there are, and one that asks for nothing holds nothing back
-//! from the others.
+//! and routers request a token from it for each request. No node needs to know
+//! the number of routers, and a router that requests nothing takes nothing from
+//! the others.
 //!
-//! Invariant: the tokens that can be used within any time are at most what the
-//! limit allows in that time and [`TOKEN_LIFETIME`], and two buckets full. Tokens
-//! end by themselves, a coordinator begins with empty buckets, and two that
-//! may both hold the office give out [`UNSURE_PART`] each.
+//! Invariant: the tokens that can be used within any period are at most what
+//! the limit allows in that period plus [`TOKEN_LIFETIME`], plus two full
+//! buckets. This holds because tokens expire, a coordinator starts with empty
+//! buckets, and two nodes that may both be coordinator grant
+//! [`UNCONFIRMED_PART`] each.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,56 +21,60 @@
 
 use crate::holders::Candidate;
 
-/// How long a token may be used, from when it was asked for.
+/// How long a token may be used, counted from the request for it.
 pub const TOKEN_LIFETIME: Duration = Duration::from_millis(500);
-/// Limits below this are read as this, in requests a second: who sends nothing
-/// would never hear that a limit has ended.
+/// Lower bound on limits, in requests per second. A router that sent no
+/// requests at all would never learn that a limit has ended.
 pub const MIN_RATE: f64 = 0.1;
-/// Part of a limit that a coordinator gives out while another one may do so.
+/// Fraction of a limit that a coordinator grants while another node may also be
+/// coordinator.
 const UNSURE_PART: f64 = 0.4;
-/// Tokens that a bucket holds besides a part of a second's.
+/// Tokens that a bucket holds in addition to [`BUCKET_SECONDS`].
 const DEPTH: f64 = 1.0;
-/// Part of a second's tokens that a bucket holds.
+/// Seconds of a limit's tokens that a bucket holds.
 const DEPTH_PART: f64 = 0.25;
-/// How long nobody must have asked by a lower limit before a higher one counts:
-/// routers that have not heard of it yet ask by the lower one.
+/// How long no request must have named a lower limit before a higher one takes
+/// effect. Routers that have not heard of the higher limit yet still name the
+/// lower one.
 const RAISED_AFTER: Duration = Duration::from_secs(1);
-/// How long after the last ask a back end counts as limited.
+/// How long after the last request for its tokens a back end counts as limited.
 const LIMITED_FOR: Duration = Duration::from_secs(4);
 /// Longest time that a router is told to wait for a token.
 const LONGEST_WAIT: Duration = Duration::from_secs(10);
-/// Part of its limit for which an owner keeps keys: requests come by chance.
+/// Fraction of its limit for which an owner keeps keys, because requests arrive
+/// at random.
 const KEPT_PART: f64 = 0.7;
-/// Limited owners together keep no more than this part of all requests, if
-/// there are others.
+/// Maximum fraction of all requests that limited owners together keep, if there
+/// are other owners.
 const MOST_KEPT: f64 = 0.95;
 
-/// A router asks for tokens for one back end.
+/// A router's request for tokens of one back end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct TokenRequest {
     /// The back end.
     pub back_end: BackEndName,
-    /// Its limit as this router last heard it, in requests a second.
+    /// The back end's limit as this router last heard it, in requests per
+    /// second.
     pub rate: f64,
-    /// Tokens that are needed now.
+    /// Number of tokens needed now.
     pub needed: u32,
 }
 
-/// What a router got for one back end.
+/// Tokens granted to a router for one back end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct TokenGrant {
     /// The back end.
     pub back_end: BackEndName,
-    /// Tokens, good for [`TOKEN_LIFETIME`] from the ask.
+    /// Number of tokens, usable for [`TOKEN_LIFETIME`] from the request.
     pub tokens: u32,
-    /// Time until there is another one, in milliseconds, if these are fewer
-    /// than were needed.
+    /// Time until another token is available, in milliseconds, if fewer were
+    /// granted than needed.
     pub wait_ms: u32,
 }
 
-/// The bucket of one back end.
+/// The token bucket of one back end.
 #[derive(Clone, Copy, Debug)]
 struct Account {
     rate: f64,
@@ -111,7 +116,7 @@
         taken
     }
 
-    /// Time until there is a whole token.
+    /// Returns the time until a whole token is available.
     fn wait(&self, part: f64) -> Duration {
         let lacks = (1.0 - self.level).max(0.0);
         let wait = Duration::try_from_secs_f64(lacks / (self.rate * part));
@@ -119,19 +124,20 @@
     }
 }
 
-/// The buckets of one service, while this node coordinates it.
+/// Token buckets of one service, kept by its coordinator.
 #[derive(Clone, Debug, Default)]
 pub struct TokenBuckets {
     accounts: BTreeMap<BackEndName, Account>,
 }
 
 impl TokenBuckets {
-    /// Another term begins: nothing is left of what was saved up before.
+    /// Removes all buckets when a term begins, so that no saved tokens remain.
     pub fn clear(&mut self) {
         self.accounts.clear();
     }
 
-    /// Answers an ask. `sure`: nobody else gives out tokens now.
+    /// Grants tokens for a request. `exclusive` states that no other node
+    /// grants tokens now.
     pub fn grant(&mut self, now: Timestamp, ask: &TokenRequest, sure: bool) -> TokenGrant {
         let part = if sure { 1.0 } else { UNSURE_PART };
         self.forget_old(now);
@@ -160,14 +166,15 @@
             .retain(|_, account| now.since(account.asked_at) < LIMITED_FOR);
     }
 
-    /// The limit of a back end that was asked for lately.
+    /// Returns the limit of a back end for which tokens were requested
+    /// recently.
     fn limit(&self, now: Timestamp, name: &BackEndName) -> Option<f64> {
         let account = self.accounts.get(name)?;
         (now.since(account.asked_at) < LIMITED_FOR).then_some(account.rate)
     }
 
-    /// Bounds what limited candidates should hold by what they take, where
-    /// `requests` a second come for all keys together.
+    /// Lowers the weights of limited candidates to what their limits allow, if
+    /// `requests` per second arrive for all keys together.
     pub fn bound_weights(&self, now: Timestamp, candidates: &mut [Candidate], requests: f64) {
         if self.accounts.is_empty() || requests <= 0.0 {
             return;
@@ -189,7 +196,8 @@
         }
         let by_others = others > total * f64::EPSILON;
         if by_others && kept > MOST_KEPT {
-            // They take nearly everything: their usual shares will do.
+            // Limited owners take nearly everything, so the usual shares are
+            // used.
             candidates
                 .iter_mut()
                 .for_each(|candidate| candidate.most = None);
--- a/crates/coordination/src/view.rs
+++ b/crates/coordination/src/view.rs
@@ -1,10 +1,10 @@
-//! Who owns a key, as the request path asks.
+//! Lookup of key owners for the request path.
 
 use threadledge_types::deployment::{BackEndName, KeyRange, ShardKey};
 
 use crate::record::{Fence, OwnershipRecord, SliceState, Term};
 
-/// The ownership record in the form in which keys are looked up.
+/// The ownership record in a form for looking up keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OwnershipView {
     term: Term,
@@ -18,17 +18,17 @@
     owner: KeyOwner,
 }
 
-/// What is known of a key's owner.
+/// The owner of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyOwner {
-    /// This back end owns it.
+    /// This back end owns the key.
     Owned(BackEndName),
-    /// Nobody owns it.
+    /// No back end owns the key.
     Unowned,
 }
 
 impl OwnershipView {
-    /// The view of one record.
+    /// Creates the view of a record.
     pub fn of(record: &OwnershipRecord) -> Self {
         let slices = record.slices.iter().map(|slice| ViewSlice {
             range: slice.range,
@@ -44,17 +44,17 @@
         }
     }
 
-    /// Term of the record.
+    /// Returns the term of the record.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Number of slices.
+    /// Returns the number of slices.
     pub fn slices(&self) -> usize {
         self.slices.len()
     }
 
-    /// The owner of `key` and the fence under which it owns it.
+    /// Returns the owner of `key` and the fencing token of its grant.
     pub fn owner(&self, key: ShardKey) -> (&KeyOwner, Fence) {
         let index = self.slices.partition_point(|slice| slice.range.last < key);
         match self.slices.get(index) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Keys owned by each back end, in the order of the slices.
+    /// Returns every owned range with its owner, in key order.
     pub fn owned(&self) -> impl Iterator<Item = (KeyRange, &BackEndName)> {
         self.slices.iter().filter_map(|slice| match &slice.owner {
             KeyOwner::Owned(name) => Some((slice.range, name)),
