--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -10,7 +10,7 @@
 use crate::election::{Change, Election};
 use crate::load::LoadReport;
 use crate::order::{Order, OrderFault, OrderReply};
-use crate::ownership::{LONGEST_SLEEP, Ownership, ReadConsequence};
+use crate::ownership::{MAX_POLL_INTERVAL, Ownership, ReadConsequence};
 use crate::record::{CoordinatorLease, NodeIdentity, OwnershipRecord, Term};
 use crate::settings::Settings;
 use crate::tokens::{TokenGrant, TokenRequest};
@@ -36,10 +36,10 @@
         me: NodeIdentity,
         service: ServiceName,
         settings: Settings,
-        patience: Duration,
+        takeover_delay: Duration,
     ) -> Self {
         Coordinator {
-            election: Election::new(me, settings.clone(), patience),
+            election: Election::new(me, settings.clone(), takeover_delay),
             ownership: Ownership::new(service, settings),
             lapsed: false,
             stopping: false,
@@ -49,8 +49,8 @@
 
     /// Sets how much longer than the configured time this node waits before it
     /// takes over.
-    pub fn set_takeover_delay(&mut self, patience: Duration) {
-        self.election.set_takeover_delay(patience);
+    pub fn set_takeover_delay(&mut self, takeover_delay: Duration) {
+        self.election.set_takeover_delay(takeover_delay);
     }
 
     /// Sets whether this node may become coordinator.
@@ -72,8 +72,8 @@
 
     /// Sets whether cold back ends can serve only few requests. They are then
     /// assigned fewer keys.
-    pub fn set_reduced_when_cold(&mut self, frail: bool) {
-        self.ownership.set_reduced_when_cold(frail);
+    pub fn set_reduced_when_cold(&mut self, reduced: bool) {
+        self.ownership.set_reduced_when_cold(reduced);
     }
 
     /// Adds the load that a router reported.
@@ -86,13 +86,13 @@
     pub fn grant_tokens(
         &mut self,
         now: Timestamp,
-        asks: &[TokenRequest],
+        requests: &[TokenRequest],
     ) -> Option<Vec<TokenGrant>> {
-        if !self.election.holds_lease(now) || self.election.hands_back() {
+        if !self.election.holds_lease(now) || self.election.is_resigning() {
             return None;
         }
-        let confirmed = self.election.is_unrivalled(now);
-        Some(self.ownership.grant_tokens(now, asks, confirmed))
+        let confirmed = self.election.excludes_takeover(now);
+        Some(self.ownership.grant_tokens(now, requests, confirmed))
     }
 
     /// Begins a planned stop: no further order is sent, and the lease is
@@ -105,7 +105,7 @@
     /// Returns whether a planned stop is complete: the lease was released or
     /// was never held.
     pub fn is_stopped(&self) -> bool {
-        self.stopping && (self.election.retired() || self.election.leading_term().is_none())
+        self.stopping && (self.election.has_resigned() || self.election.leading_term().is_none())
     }
 
     /// Returns the term of this node while it is the coordinator.
@@ -137,7 +137,7 @@
         let ownership = (self.election.holds_lease(now) && !self.stopping)
             .then(|| self.ownership.next_wake(now))
             .flatten();
-        let longest = now + LONGEST_SLEEP;
+        let longest = now + MAX_POLL_INTERVAL;
         [election, ownership]
             .into_iter()
             .flatten()
@@ -147,19 +147,20 @@
     /// Returns the calls to make now.
     pub fn poll(&mut self, now: Timestamp) -> Vec<Action> {
         let mut actions = Vec::new();
-        if self.stopping && self.ownership.quiet() {
+        if self.stopping && self.ownership.has_no_pending_orders() {
             self.election.resign(now);
         }
         actions.extend(self.election.poll(now));
-        self.watch_lease(now);
+        self.report_lapse(now);
         if self.election.holds_lease(now) && !self.stopping {
-            let store_answers = self.election.just_confirmed(now);
+            let store_answers = self.election.recently_confirmed(now);
             actions.extend(self.ownership.poll(now, store_answers));
         }
         actions
     }
 
-    fn watch_lease(&mut self, now: Timestamp) {
+    /// Adds a notice when the lease of this node lapses.
+    fn report_lapse(&mut self, now: Timestamp) {
         let Some(term) = self.election.leading_term() else {
             self.lapsed = false;
             return;
@@ -179,7 +180,7 @@
         result: ReadResult<CoordinatorLease>,
     ) {
         let change = self.election.on_read(now, freshness, result);
-        self.apply(now, change);
+        self.apply_change(now, change);
     }
 
     /// Handles the result of a lease write.
@@ -190,7 +191,7 @@
         result: WriteResult<CoordinatorLease>,
     ) {
         let change = self.election.on_write(now, attempted, result);
-        self.apply(now, change);
+        self.apply_change(now, change);
     }
 
     /// Handles the result of a record read. The caller must make the returned
@@ -205,7 +206,7 @@
             ReadConsequence::Call(action) => Some(*action),
             ReadConsequence::Superseded => {
                 let change = self.election.on_superseded(now);
-                self.apply(now, change);
+                self.apply_change(now, change);
                 None
             }
         }
@@ -220,7 +221,7 @@
     ) {
         if self.ownership.on_write(now, attempted, result) {
             let change = self.election.on_superseded(now);
-            self.apply(now, change);
+            self.apply_change(now, change);
         }
     }
 
@@ -228,7 +229,7 @@
     pub fn on_record_observed(&mut self, now: Timestamp, found: Versioned<OwnershipRecord>) {
         if self.ownership.on_observed(now, found) {
             let change = self.election.on_superseded(now);
-            self.apply(now, change);
+            self.apply_change(now, change);
         }
     }
 
@@ -242,7 +243,8 @@
         self.ownership.on_order(now, order, result);
     }
 
-    fn apply(&mut self, now: Timestamp, change: Option<Change>) {
+    /// Starts or ends a term after an election.
+    fn apply_change(&mut self, now: Timestamp, change: Option<Change>) {
         match change {
             None => {}
             Some(Change::Elected { term, predecessor }) => {
--- a/crates/coordination/src/election.rs
+++ b/crates/coordination/src/election.rs
@@ -10,7 +10,7 @@
 //! the last call that proved that it was still the coordinator.
 
 mod answers;
-mod office;
+mod leadership;
 
 use std::time::Duration;
 
@@ -47,24 +47,29 @@
 }
 
 /// How long after a confirmed lease the store is expected to answer.
-const JUST_CONFIRMED: Duration = Duration::from_millis(100);
+const RECENT_CONFIRMATION: Duration = Duration::from_millis(100);
 
+/// Role of this node.
 #[derive(Clone, Debug)]
 enum State {
+    /// Another node may hold the lease.
     Standby,
+    /// This node holds the lease, as far as it knows.
     Leading {
         lease: CoordinatorLease,
         revision: StoreRevision,
+        /// Start of the last call that proved that this node holds the lease.
         confirmed_at: Timestamp,
         /// Coordinators before this one send no order after this time.
         earlier_orders_end: Timestamp,
     },
-    Retired,
+    /// This node takes no further part in elections.
+    Resigned,
 }
 
 /// The lease in the state in which this node last saw it change.
 #[derive(Clone, Debug)]
-struct Seen {
+struct SeenLease {
     lease: CoordinatorLease,
     revision: StoreRevision,
     /// No renewal has been seen since then, while the store answered.
@@ -73,6 +78,7 @@
     verified: bool,
 }
 
+/// A store call in progress.
 #[derive(Clone, Copy, Debug)]
 struct Call {
     started: Timestamp,
@@ -85,41 +91,41 @@
     settings: Settings,
     /// How long this node waits in addition to [`Settings::takeover_after`], so
     /// that standbys take over one after the other.
-    patience: Duration,
+    takeover_delay: Duration,
     state: State,
-    seen: Option<Seen>,
+    seen: Option<SeenLease>,
     /// Whether the last linearizable read found no lease.
     absent: bool,
     call: Option<Call>,
     next_call: Timestamp,
     /// When the store last confirmed the lease of this node.
-    confirmed: Timestamp,
+    last_confirmed: Timestamp,
     candidate: bool,
-    handing_back: bool,
+    resigning: bool,
 }
 
 impl Election {
     /// Creates a standby. `takeover_delay` differs between nodes.
-    pub fn new(me: NodeIdentity, settings: Settings, patience: Duration) -> Self {
+    pub fn new(me: NodeIdentity, settings: Settings, takeover_delay: Duration) -> Self {
         Election {
             me,
             settings,
-            patience,
+            takeover_delay,
             state: State::Standby,
             seen: None,
             absent: false,
             call: None,
             next_call: Timestamp::ZERO,
-            confirmed: Timestamp::ZERO,
+            last_confirmed: Timestamp::ZERO,
             candidate: false,
-            handing_back: false,
+            resigning: false,
         }
     }
 
     /// Sets how much longer than the configured time this node waits before it
     /// takes over.
-    pub fn set_takeover_delay(&mut self, patience: Duration) {
-        self.patience = patience;
+    pub fn set_takeover_delay(&mut self, takeover_delay: Duration) {
+        self.takeover_delay = takeover_delay;
     }
 
     /// Sets whether this node may become coordinator.
@@ -132,7 +138,7 @@
     pub fn leading_term(&self) -> Option<Term> {
         match &self.state {
             State::Leading { lease, .. } => Some(lease.term),
-            State::Standby | State::Retired => None,
+            State::Standby | State::Resigned => None,
         }
     }
 
@@ -141,37 +147,37 @@
     pub fn holds_lease(&self, now: Timestamp) -> bool {
         match &self.state {
             State::Leading { confirmed_at, .. } => now < *confirmed_at + self.settings.lease,
-            State::Standby | State::Retired => false,
+            State::Standby | State::Resigned => false,
         }
     }
 
     /// Returns whether the store confirmed the lease so recently that no
     /// standby can have taken over yet.
-    pub fn is_unrivalled(&self, now: Timestamp) -> bool {
+    pub fn excludes_takeover(&self, now: Timestamp) -> bool {
         match &self.state {
             State::Leading { confirmed_at, .. } => {
                 now < *confirmed_at + self.settings.takeover_after
             }
-            State::Standby | State::Retired => false,
+            State::Standby | State::Resigned => false,
         }
     }
 
     /// Returns whether the lease is being released.
-    pub fn hands_back(&self) -> bool {
-        self.handing_back
+    pub fn is_resigning(&self) -> bool {
+        self.resigning
     }
 
     /// Returns whether the store has just confirmed the lease, so that it will
     /// very likely accept the next write.
-    pub fn just_confirmed(&self, now: Timestamp) -> bool {
-        self.leading_term().is_some() && now.since(self.confirmed) < JUST_CONFIRMED
+    pub fn recently_confirmed(&self, now: Timestamp) -> bool {
+        self.leading_term().is_some() && now.since(self.last_confirmed) < RECENT_CONFIRMATION
     }
 
     /// Returns the term and holder of the lease as last seen.
     pub fn last_seen_holder(&self) -> Option<(Term, Option<&NodeIdentity>)> {
         match &self.state {
             State::Leading { lease, .. } => Some((lease.term, lease.holder.as_ref())),
-            State::Standby | State::Retired => {
+            State::Standby | State::Resigned => {
                 let seen = self.seen.as_ref()?;
                 Some((seen.lease.term, seen.lease.holder.as_ref()))
             }
@@ -182,19 +188,19 @@
     pub fn resign(&mut self, now: Timestamp) {
         self.candidate = false;
         match self.state {
-            State::Leading { .. } if self.handing_back => {}
+            State::Leading { .. } if self.resigning => {}
             State::Leading { .. } => {
-                self.handing_back = true;
+                self.resigning = true;
                 self.next_call = now;
             }
-            State::Standby | State::Retired => self.state = State::Retired,
+            State::Standby | State::Resigned => self.state = State::Resigned,
         }
     }
 
     /// Returns whether the lease was released after [`Election::resign`], or
     /// was not held then.
-    pub fn retired(&self) -> bool {
-        matches!(self.state, State::Retired)
+    pub fn has_resigned(&self) -> bool {
+        matches!(self.state, State::Resigned)
     }
 
     /// Steps down because another node wrote a record with a higher term, and
@@ -207,7 +213,7 @@
 
     /// Returns the latest time at which [`Election::poll`] must be called next.
     pub fn next_wake(&self) -> Option<Timestamp> {
-        if self.call.is_some() || matches!(self.state, State::Retired) {
+        if self.call.is_some() || matches!(self.state, State::Resigned) {
             return None;
         }
         Some(self.next_call)
@@ -219,7 +225,7 @@
             return None;
         }
         let action = match &self.state {
-            State::Retired => return None,
+            State::Resigned => return None,
             State::Leading {
                 lease,
                 revision,
@@ -243,13 +249,15 @@
     fn renewed(&self, lease: &CoordinatorLease, earlier_orders: Duration) -> CoordinatorLease {
         let mut renewed = lease.clone();
         renewed.renewals += 1;
-        if self.handing_back {
+        if self.resigning {
             renewed.holder = None;
             renewed.earlier_orders_ms = millis(earlier_orders);
         }
         renewed
     }
 
+    /// Returns the call of a standby: a read of the lease, or a write that takes
+    /// it.
     fn standby_action(&mut self, now: Timestamp) -> Action {
         let Some(seen) = &self.seen else {
             if !self.candidate {
@@ -263,17 +271,17 @@
         if !self.candidate {
             return Action::ReadLease(Freshness::Stale);
         }
-        let free = self.free_at(seen).is_some_and(|at| now >= at);
+        let free = self.vacant_at(seen).is_some_and(|at| now >= at);
         if !free {
-            let patience = self.settings.takeover_after + self.patience;
-            if now.since(seen.since) < patience {
+            let silence_limit = self.settings.takeover_after + self.takeover_delay;
+            if now.since(seen.since) < silence_limit {
                 return Action::ReadLease(Freshness::Stale);
             }
             if !seen.verified {
                 return Action::ReadLease(Freshness::Linearizable);
             }
         }
-        self.take()
+        self.take_lease()
     }
 
     /// Returns when the lease becomes free to take without waiting for a
@@ -282,9 +290,9 @@
     ///
     /// A released lease is taken by one standby after the other, not by all at
     /// once.
-    fn free_at(&self, seen: &Seen) -> Option<Timestamp> {
+    fn vacant_at(&self, seen: &SeenLease) -> Option<Timestamp> {
         match &seen.lease.holder {
-            None => Some(seen.since + self.patience),
+            None => Some(seen.since + self.takeover_delay),
             Some(holder) => {
                 let mine = holder.node == self.me.node && holder != &self.me;
                 mine.then_some(seen.since)
@@ -292,6 +300,7 @@
         }
     }
 
+    /// Returns the lease for the first term, held by this node.
     fn first_lease(&self) -> CoordinatorLease {
         CoordinatorLease {
             term: Term(1),
@@ -303,7 +312,8 @@
         }
     }
 
-    fn take(&self) -> Action {
+    /// Returns the write that takes over the last seen lease.
+    fn take_lease(&self) -> Action {
         let Some(seen) = &self.seen else {
             return Action::ReadLease(Freshness::Linearizable);
         };
--- a/crates/coordination/src/election/answers.rs
+++ b/crates/coordination/src/election/answers.rs
@@ -2,7 +2,7 @@
 
 use threadledge_types::Timestamp;
 
-use super::{Call, Change, Election, Seen, State};
+use super::{Call, Change, Election, SeenLease, State};
 use crate::action::{Freshness, ReadResult, Versioned, WriteResult};
 use crate::record::CoordinatorLease;
 
@@ -17,7 +17,7 @@
         let call = self.call.take()?;
         match result {
             ReadResult::Failed => {
-                self.store_was_silent(now);
+                self.on_store_failure(now);
                 None
             }
             ReadResult::Found(found) => self.on_found(now, call, freshness, found),
@@ -26,7 +26,7 @@
 
     /// Restarts the wait for a takeover, because a store that does not answer
     /// proves nothing about the coordinator.
-    fn store_was_silent(&mut self, now: Timestamp) {
+    fn on_store_failure(&mut self, now: Timestamp) {
         if let Some(seen) = &mut self.seen {
             seen.since = now;
             seen.verified = false;
@@ -55,35 +55,36 @@
             return None;
         };
         if fresh && found.value.holder.as_ref() == Some(&self.me) {
-            return self.lead(now, call.started, found.value, found.revision);
+            return self.become_leader(now, call.started, found.value, found.revision);
         }
         if found.value.holder.as_ref() == Some(&self.me) {
             // A write whose answer was lost took effect late.
-            self.forget_freshness();
+            self.forget_seen();
             self.next_call = now;
             return None;
         }
         self.observe(now, fresh, found);
         self.next_call = now + self.settings.standby_poll;
         if let Some(seen) = &self.seen {
-            let patience = self.settings.takeover_after + self.patience;
-            let due = seen.verified && now.since(seen.since) >= patience;
+            let silence_limit = self.settings.takeover_after + self.takeover_delay;
+            let due = seen.verified && now.since(seen.since) >= silence_limit;
             if self.candidate && due {
                 self.next_call = now;
             }
-            if let Some(free) = self.free_at(seen).filter(|_| self.candidate) {
+            if let Some(free) = self.vacant_at(seen).filter(|_| self.candidate) {
                 self.next_call = self.next_call.min(free.max(now));
             }
         }
         None
     }
 
+    /// Updates the last seen lease.
     fn observe(&mut self, now: Timestamp, fresh: bool, found: Versioned<CoordinatorLease>) {
-        let later = |seen: &Seen| found.revision > seen.revision;
+        let later = |seen: &SeenLease| found.revision > seen.revision;
         match &mut self.seen {
             Some(seen) if !later(seen) => seen.verified = fresh,
             _ => {
-                self.seen = Some(Seen {
+                self.seen = Some(SeenLease {
                     lease: found.value,
                     revision: found.revision,
                     since: now,
@@ -105,21 +106,21 @@
         match result {
             WriteResult::Accepted(revision) => {
                 if attempted.holder.is_none() {
-                    self.state = State::Retired;
+                    self.state = State::Resigned;
                     return None;
                 }
-                self.lead(now, call.started, attempted, revision)
+                self.become_leader(now, call.started, attempted, revision)
             }
             WriteResult::Conflict(Some(found)) => self.on_conflict(now, call, found),
-            WriteResult::Conflict(None) => self.on_gone(now),
+            WriteResult::Conflict(None) => self.on_lease_missing(now),
             WriteResult::NotDone | WriteResult::Unknown => {
-                self.store_was_silent(now);
+                self.on_store_failure(now);
                 if matches!(self.state, State::Standby) {
                     // The write may have taken effect. Read the lease before
                     // anything else, and do not count the store's silence as
                     // the holder's.
                     self.next_call = now + self.settings.retry_delay;
-                    self.forget_freshness();
+                    self.forget_seen();
                 }
                 None
             }
@@ -128,7 +129,7 @@
 
     /// Discards what was seen of the lease, so that the next read is
     /// linearizable.
-    fn forget_freshness(&mut self) {
+    fn forget_seen(&mut self) {
         self.seen = None;
         self.absent = false;
     }
@@ -141,7 +142,7 @@
     ) -> Option<Change> {
         if found.value.holder.as_ref() == Some(&self.me) {
             // A write whose answer was lost has taken effect.
-            return self.lead(now, call.started, found.value, found.revision);
+            return self.become_leader(now, call.started, found.value, found.revision);
         }
         let change = self.step_down();
         self.seen = None;
@@ -150,21 +151,23 @@
         change
     }
 
-    fn on_gone(&mut self, now: Timestamp) -> Option<Change> {
+    /// Steps down because the lease does not exist any more.
+    fn on_lease_missing(&mut self, now: Timestamp) -> Option<Change> {
         let change = self.step_down();
-        self.forget_freshness();
+        self.forget_seen();
         self.next_call = now;
         change
     }
 
+    /// Gives up leadership if this node is the coordinator.
     pub(super) fn step_down(&mut self) -> Option<Change> {
         let term = self.leading_term()?;
-        if self.handing_back {
-            self.state = State::Retired;
+        if self.resigning {
+            self.state = State::Resigned;
         } else {
             self.state = State::Standby;
         }
-        self.forget_freshness();
+        self.forget_seen();
         Some(Change::Deposed { term })
     }
 }
--- a/crates/coordination/src/election/office.rs
+++ b/crates/coordination/src/election/leadership.rs
@@ -10,7 +10,9 @@
 use crate::settings::Settings;
 
 impl Election {
-    pub(super) fn lead(
+    /// Records that this node held the lease at `confirmed_at`. Returns a change
+    /// if it became coordinator.
+    pub(super) fn become_leader(
         &mut self,
         now: Timestamp,
         confirmed_at: Timestamp,
@@ -34,9 +36,9 @@
             confirmed_at,
             earlier_orders_end,
         };
-        self.confirmed = now;
+        self.last_confirmed = now;
         self.next_call = now + self.settings.lease_renewal;
-        if self.handing_back {
+        if self.resigning {
             self.next_call = now;
         }
         if was_leading == Some(term) {
@@ -50,7 +52,7 @@
     /// election that ended at `now`.
     fn predecessor(&self, now: Timestamp) -> Option<Predecessor> {
         let longest = Predecessor {
-            orders_end: now + slowest(self.settings.lease, &self.settings),
+            orders_end: now + with_clock_drift(self.settings.lease, &self.settings),
             hold: self.settings.hold,
         };
         let Some(seen) = &self.seen else {
@@ -61,19 +63,19 @@
         if seen.lease.holder.is_none() {
             let earlier = Duration::from_millis(seen.lease.earlier_orders_ms);
             return Some(Predecessor {
-                orders_end: now + slowest(earlier, &self.settings),
+                orders_end: now + with_clock_drift(earlier, &self.settings),
                 hold: Duration::from_millis(seen.lease.hold_ms),
             });
         }
         let lease = Duration::from_millis(seen.lease.lease_ms);
         Some(Predecessor {
-            orders_end: now + slowest(lease, &self.settings),
+            orders_end: now + with_clock_drift(lease, &self.settings),
             hold: Duration::from_millis(seen.lease.hold_ms),
         })
     }
 }
 
 /// Returns `duration` as measured by the slowest clock.
-fn slowest(duration: Duration, settings: &Settings) -> Duration {
+fn with_clock_drift(duration: Duration, settings: &Settings) -> Duration {
     duration + duration * settings.clock_drift_percent / 100
 }
--- a/crates/coordination/src/holders.rs
+++ b/crates/coordination/src/holders.rs
@@ -6,7 +6,7 @@
 use threadledge_types::deployment::{BackEnd, BackEndName, ServiceName};
 use threadledge_types::{Timestamp, ZoneName};
 
-use crate::occupancy::{Newcomers, Occupancy};
+use crate::occupancy::{Occupancy, RegistrationChanges};
 use crate::order::{Order, OrderFault, OrderId};
 use crate::record::Owner;
 
@@ -20,21 +20,21 @@
 const LOST_COOLDOWN: Duration = Duration::from_secs(3);
 
 /// Longest rest for which keys are withheld from a back end.
-const LONGEST_REST: Duration = Duration::from_secs(5);
+const MAX_REST: Duration = Duration::from_secs(5);
 /// Owners that rest lose their keys only if at most one in this many back ends
 /// rests.
-const MANY_REST: usize = 3;
+const MIN_BACK_ENDS_PER_RESTING: usize = 3;
 
-/// How long after it was sent an unanswered release may still be executed. Back
+/// How long after its timeout an unanswered release may still be executed. Back
 /// ends were seen to execute orders up to 12 seconds late.
-pub const LATE_ORDERS: Duration = Duration::from_secs(15);
+pub const LATE_ORDER_WINDOW: Duration = Duration::from_secs(15);
 
 /// Fraction of its share of keys that a cold back end is assigned if cold back
 /// ends can serve only few requests. Routers limit their requests to it anyway.
 /// With no keys at all it would have to wait for the next rebalancing: then
 /// 0.735 of all requests were served instead of 0.748 (mean of four days on
 /// which a zone came back cold, 140 owners).
-const COLD_PART: f64 = 0.4;
+const COLD_WEIGHT_FACTOR: f64 = 0.4;
 
 /// A registered back end of the service.
 #[derive(Clone, Debug)]
@@ -46,16 +46,20 @@
     cold_until: Timestamp,
 }
 
+/// Results of recent orders to a back end.
 #[derive(Clone, Copy, Debug, Default)]
-struct Contact {
+struct Reachability {
+    /// Consecutive failed connection attempts.
     failed_connects: u32,
+    /// Consecutive unanswered orders.
     unanswered: u32,
     lost_since: Option<Timestamp>,
     silence: Option<Silence>,
     /// When an overdue grant was last counted as unanswered.
     overdue_counted: Option<Timestamp>,
     /// Until then, unanswered releases may still take keys from the back end.
-    releases_until: Timestamp,
+    late_releases_until: Timestamp,
+    /// Whether the back end rejected a grant as malformed.
     refused: bool,
 }
 
@@ -70,9 +74,9 @@
 
 /// Consequences of a failed order for the state of its back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct FaultNews {
+pub struct FaultEffect {
     /// Whether this is the first consecutive failure.
-    pub silent: bool,
+    pub first_failure: bool,
     /// Whether the back end counts as lost from now on.
     pub lost: bool,
 }
@@ -111,15 +115,15 @@
 pub struct Holders {
     registered: BTreeMap<BackEndName, Registered>,
     occupancy: Occupancy,
-    contacts: BTreeMap<BackEndName, Contact>,
+    reachability: BTreeMap<BackEndName, Reachability>,
     /// Back ends that told a router that they are leaving. Invariant: no
     /// registration reverts this, because the registration may be older.
-    said_leaving: BTreeSet<BackEndName>,
+    reported_leaving: BTreeSet<BackEndName>,
     /// Back ends that asked routers for a rest, with the time until which they
     /// are assigned no keys.
     resting: BTreeMap<BackEndName, Timestamp>,
     /// Whether cold back ends can serve only few requests.
-    frail_when_cold: bool,
+    reduced_when_cold: bool,
     /// Whether some back end may have become ineligible to own keys since the
     /// last call of [`Holders::take_changed`].
     changed: bool,
@@ -135,9 +139,9 @@
         all: &[BackEnd],
         last_order: OrderId,
         is_owner: impl Fn(&BackEndName) -> bool,
-    ) -> Newcomers {
+    ) -> RegistrationChanges {
         self.changed = true;
-        let newcomers = self.occupancy.set_registered(all, last_order, is_owner);
+        let changes = self.occupancy.set_registered(all, last_order, is_owner);
         self.registered.clear();
         for back_end in all {
             if back_end.service == *service {
@@ -145,11 +149,11 @@
             }
         }
         let registered = &self.registered;
-        self.contacts
+        self.reachability
             .retain(|name, _| registered.contains_key(name));
-        self.said_leaving
+        self.reported_leaving
             .retain(|name| registered.contains_key(name));
-        newcomers
+        changes
     }
 
     fn register(&mut self, now: Timestamp, back_end: &BackEnd) {
@@ -169,7 +173,7 @@
     /// Records that a back end told a router that it is leaving.
     pub fn on_leaving(&mut self, name: &BackEndName) {
         if self.is_registered(name) {
-            self.changed |= self.said_leaving.insert(name.clone());
+            self.changed |= self.reported_leaving.insert(name.clone());
         }
     }
 
@@ -180,7 +184,7 @@
         if !self.is_registered(name) {
             return;
         }
-        let until = now + left.min(LONGEST_REST) * 2;
+        let until = now + left.min(MAX_REST) * 2;
         self.resting.retain(|_, until| now < *until);
         let known = self.resting.entry(name.clone()).or_insert(until);
         *known = until.max(*known);
@@ -189,18 +193,18 @@
 
     /// Returns whether a back end is resting and others can take its keys. If
     /// many rest, the others would be overloaded next.
-    fn rests(&self, now: Timestamp, name: &BackEndName) -> bool {
+    fn is_resting(&self, now: Timestamp, name: &BackEndName) -> bool {
         let resting = |until: &Timestamp| now < *until;
         if !self.resting.get(name).is_some_and(resting) {
             return false;
         }
         let count = self.resting.values().filter(|until| resting(until)).count();
-        count * MANY_REST <= self.registered.len()
+        count * MIN_BACK_ENDS_PER_RESTING <= self.registered.len()
     }
 
     /// Returns whether only routers reported that a back end should not keep
     /// its keys. Such a back end still answers requests for them.
-    pub fn is_said_only(&self, name: &BackEndName, reason: Ineligible) -> bool {
+    pub fn is_reported_only(&self, name: &BackEndName, reason: Ineligible) -> bool {
         let registered = self.registered.get(name);
         let draining = registered.is_some_and(|registered| registered.draining);
         match reason {
@@ -237,29 +241,29 @@
         let Some(registered) = self.registered.get(name) else {
             return Some(Ineligible::Unregistered);
         };
-        if registered.draining || self.said_leaving.contains(name) {
+        if registered.draining || self.reported_leaving.contains(name) {
             return Some(Ineligible::Draining);
         }
         if self.occupancy.has_ended(name) {
             return Some(Ineligible::Replaced);
         }
-        if self.rests(now, name) {
+        if self.is_resting(now, name) {
             return Some(Ineligible::Resting);
         }
-        let contact = self.contacts.get(name)?;
-        if contact.refused {
+        let reachability = self.reachability.get(name)?;
+        if reachability.refused {
             return Some(Ineligible::Refused);
         }
         let cooling = |since: Timestamp| now.since(since) < LOST_COOLDOWN;
-        contact
+        reachability
             .lost_since
             .is_some_and(cooling)
             .then_some(Ineligible::Lost)
     }
 
     /// Sets whether cold back ends can serve only few requests.
-    pub fn set_reduced_when_cold(&mut self, frail: bool) {
-        self.frail_when_cold = frail;
+    pub fn set_reduced_when_cold(&mut self, reduced: bool) {
+        self.reduced_when_cold = reduced;
     }
 
     /// Returns every back end that may be assigned keys, sorted by name, with
@@ -275,16 +279,16 @@
             .filter(|registered| self.occupancy.may_run(&registered.owner, &is_owner))
             .map(|registered| Candidate {
                 owner: registered.owner.clone(),
-                weight: f64::from(registered.slots) * self.part_now(registered, now),
+                weight: f64::from(registered.slots) * self.weight_factor(registered, now),
                 most: None,
             })
             .collect()
     }
 
     /// Returns the fraction of its capacity that a back end can use now.
-    fn part_now(&self, registered: &Registered, now: Timestamp) -> f64 {
-        if self.frail_when_cold && now < registered.cold_until {
-            COLD_PART
+    fn weight_factor(&self, registered: &Registered, now: Timestamp) -> f64 {
+        if self.reduced_when_cold && now < registered.cold_until {
+            COLD_WEIGHT_FACTOR
         } else {
             1.0
         }
@@ -308,20 +312,20 @@
 
     /// Returns whether an order to `owner` would show which of several
     /// processes is running at its address.
-    pub fn in_doubt(&self, owner: &Owner) -> bool {
-        self.occupancy.in_doubt(owner)
+    pub fn is_ambiguous(&self, owner: &Owner) -> bool {
+        self.occupancy.is_ambiguous(owner)
     }
 
     /// Records that a back end answered an order. Returns the period of silence
     /// that this ended, if any.
     pub fn on_answer(&mut self, order: &Order) -> Option<Silence> {
         self.changed |= self.occupancy.on_answer(order);
-        let contact = self.contacts.get_mut(&order.to.name)?;
-        let silence = contact.silence;
-        *contact = Contact {
-            refused: contact.refused,
-            releases_until: contact.releases_until,
-            ..Contact::default()
+        let reachability = self.reachability.get_mut(&order.to.name)?;
+        let silence = reachability.silence;
+        *reachability = Reachability {
+            refused: reachability.refused,
+            late_releases_until: reachability.late_releases_until,
+            ..Reachability::default()
         };
         silence
     }
@@ -337,20 +341,20 @@
     /// Records that a back end rejected a grant as malformed.
     pub fn on_malformed(&mut self, name: &BackEndName) {
         self.changed = true;
-        self.contacts.entry(name.clone()).or_default().refused = true;
+        self.reachability.entry(name.clone()).or_default().refused = true;
     }
 
     /// Returns whether unanswered releases may still take keys from `name`.
     pub fn may_lose_keys(&self, name: &BackEndName, now: Timestamp) -> bool {
-        let contact = self.contacts.get(name);
-        contact.is_some_and(|contact| now < contact.releases_until)
+        let reachability = self.reachability.get(name);
+        reachability.is_some_and(|reachability| now < reachability.late_releases_until)
     }
 
     /// Records that a release was not answered, so that it may be executed
     /// later.
-    pub fn on_lost_release(&mut self, now: Timestamp, name: &BackEndName) {
-        let contact = self.contacts.entry(name.clone()).or_default();
-        contact.releases_until = now + LATE_ORDERS;
+    pub fn on_unanswered_release(&mut self, now: Timestamp, name: &BackEndName) {
+        let reachability = self.reachability.entry(name.clone()).or_default();
+        reachability.late_releases_until = now + LATE_ORDER_WINDOW;
     }
 
     /// Records that a grant to a back end of another region is overdue. Grants
@@ -363,39 +367,44 @@
         now: Timestamp,
         name: &BackEndName,
         timeout: Duration,
-    ) -> FaultNews {
-        let contact = self.contacts.entry(name.clone()).or_default();
+    ) -> FaultEffect {
+        let reachability = self.reachability.entry(name.clone()).or_default();
         let again = |counted: Timestamp| now.since(counted) < timeout;
-        if contact.overdue_counted.is_some_and(again) {
-            return FaultNews::default();
+        if reachability.overdue_counted.is_some_and(again) {
+            return FaultEffect::default();
         }
-        contact.overdue_counted = Some(now);
+        reachability.overdue_counted = Some(now);
         self.on_fault(now, name, OrderFault::NoAnswer)
     }
 
     /// Records that an order to a back end has no answer.
-    pub fn on_fault(&mut self, now: Timestamp, name: &BackEndName, fault: OrderFault) -> FaultNews {
-        let contact = self.contacts.entry(name.clone()).or_default();
+    pub fn on_fault(
+        &mut self,
+        now: Timestamp,
+        name: &BackEndName,
+        fault: OrderFault,
+    ) -> FaultEffect {
+        let reachability = self.reachability.entry(name.clone()).or_default();
         match fault {
-            OrderFault::Withheld => return FaultNews::default(),
-            OrderFault::NotSent => contact.failed_connects += 1,
-            OrderFault::NoAnswer => contact.unanswered += 1,
+            OrderFault::Withheld => return FaultEffect::default(),
+            OrderFault::NotSent => reachability.failed_connects += 1,
+            OrderFault::NoAnswer => reachability.unanswered += 1,
         }
-        let lost = contact.failed_connects >= FAILED_CONNECTS_UNTIL_LOST
-            || contact.unanswered >= UNANSWERED_UNTIL_LOST;
-        let news = FaultNews {
-            silent: contact.silence.is_none(),
-            lost: lost && contact.lost_since.is_none(),
+        let lost = reachability.failed_connects >= FAILED_CONNECTS_UNTIL_LOST
+            || reachability.unanswered >= UNANSWERED_UNTIL_LOST;
+        let effect = FaultEffect {
+            first_failure: reachability.silence.is_none(),
+            lost: lost && reachability.lost_since.is_none(),
         };
         if lost {
-            contact.lost_since = Some(now);
+            reachability.lost_since = Some(now);
         }
         self.changed |= lost;
-        let silence = contact.silence.get_or_insert(Silence {
+        let silence = reachability.silence.get_or_insert(Silence {
             given_up: 0,
             since: now,
         });
         silence.given_up += 1;
-        news
+        effect
     }
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -27,7 +27,7 @@
 pub mod plan;
 pub mod record;
 pub mod settings;
-mod slice_form;
+mod slice_serde;
 pub mod tokens;
 pub mod view;
 
--- a/crates/coordination/src/load.rs
+++ b/crates/coordination/src/load.rs
@@ -138,6 +138,7 @@
     pub work_s: f64,
 }
 
+/// Decaying sum of the speed samples of one back end.
 #[derive(Clone, Copy, Debug, Default)]
 struct Speed {
     count: f64,
@@ -182,6 +183,7 @@
         }
     }
 
+    /// Decays all counts to `now`.
     fn fade(&mut self, now: Timestamp) {
         let age = now.since(self.faded_at).as_secs_f64();
         self.faded_at = now;
--- a/crates/coordination/src/occupancy.rs
+++ b/crates/coordination/src/occupancy.rs
@@ -34,12 +34,12 @@
     /// Number of the registration, assigned by the store in increasing order.
     registration: u64,
     /// The last order that was sent before this registration was known.
-    known_after: OrderId,
+    last_order_before: OrderId,
 }
 
 /// Changes found in a new set of registrations.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Newcomers {
+pub struct RegistrationChanges {
     /// Addresses with a new registration.
     pub addresses: Vec<SocketAddr>,
     /// Those of them that have more than one registration.
@@ -63,7 +63,7 @@
         all: &[BackEnd],
         last_order: OrderId,
         is_owner: impl Fn(&BackEndName) -> bool,
-    ) -> Newcomers {
+    ) -> RegistrationChanges {
         let registered: BTreeSet<&BackEndName> = all.iter().map(|each| &each.name).collect();
         self.ended
             .retain(|name| registered.contains(name) || is_owner(name));
@@ -77,10 +77,10 @@
             there.push(known.unwrap_or_else(|| Registrant {
                 name: back_end.name.clone(),
                 registration: back_end.registration,
-                known_after: last_order,
+                last_order_before: last_order,
             }));
         }
-        let mut newcomers = Newcomers::default();
+        let mut changes = RegistrationChanges::default();
         for (address, there) in &mut self.by_address {
             there.sort_by_key(|registrant| registrant.registration);
             let known = earlier.get(address);
@@ -88,17 +88,17 @@
             if there.iter().all(is_known) {
                 continue;
             }
-            newcomers.addresses.push(*address);
+            changes.addresses.push(*address);
             if there.len() < 2 {
                 continue;
             }
             let names = there.iter().map(|registrant| registrant.name.clone());
-            newcomers.shared.push(SharedAddress {
+            changes.shared.push(SharedAddress {
                 address: *address,
                 back_ends: names.collect(),
             });
         }
-        newcomers
+        changes
     }
 
     /// Handles an answer from the process that an order addressed. The others
@@ -109,7 +109,9 @@
             return false;
         };
         let known = self.ended.len();
-        let before = there.iter().filter(|each| each.known_after < order.id);
+        let before = there
+            .iter()
+            .filter(|each| each.last_order_before < order.id);
         // A restarted process also answers for the process before it.
         let others = before
             .filter(|each| each.name != order.to.name && !each.name.is_restart_of(&order.to.name));
@@ -130,8 +132,8 @@
 
     /// Returns whether an order to `owner` would show which of several
     /// processes is running at its address.
-    pub fn in_doubt(&self, owner: &Owner) -> bool {
-        !self.has_ended(&owner.name) && self.rivals(owner).next().is_some()
+    pub fn is_ambiguous(&self, owner: &Owner) -> bool {
+        !self.has_ended(&owner.name) && self.others_at_address(owner).next().is_some()
     }
 
     /// Returns whether `owner` may be assigned keys: it is not known to have
@@ -140,13 +142,13 @@
     /// its answer. Others are never asked, so there is no answer to wait for.
     /// If `owner` itself has ended, the first order to it shows that.
     pub fn may_run(&self, owner: &Owner, is_owner: impl Fn(&BackEndName) -> bool) -> bool {
-        let mut rivals = self.rivals(owner);
-        !self.has_ended(&owner.name) && !rivals.any(|rival| is_owner(&rival.name))
+        let mut others = self.others_at_address(owner);
+        !self.has_ended(&owner.name) && !others.any(|other| is_owner(&other.name))
     }
 
     /// Returns the other back ends that are registered at the address of
     /// `owner` and may be running there.
-    fn rivals<'a>(&'a self, owner: &'a Owner) -> impl Iterator<Item = &'a Registrant> {
+    fn others_at_address<'a>(&'a self, owner: &'a Owner) -> impl Iterator<Item = &'a Registrant> {
         let there = self.by_address.get(&owner.address).into_iter().flatten();
         there.filter(|each| each.name != owner.name && !self.has_ended(&each.name))
     }
--- a/crates/coordination/src/ownership.rs
+++ b/crates/coordination/src/ownership.rs
@@ -16,13 +16,13 @@
 
 mod arrivals;
 mod draft;
-mod former;
-mod moves;
+mod former_owners;
 mod orders;
 mod overdue;
+mod releases;
 mod store;
 mod tracked;
-mod writes;
+mod write_budget;
 
 use std::time::Duration;
 
@@ -39,12 +39,12 @@
 use crate::settings::Settings;
 use crate::tokens::{TokenBuckets, TokenGrant, TokenRequest};
 
-use former::FormerOwners;
+use former_owners::FormerOwners;
 pub use orders::MAX_ORDERS_IN_FLIGHT;
-use orders::under_way;
-use overdue::OverdueWatch;
-use tracked::{Tracked, owners};
-use writes::WriteBudget;
+use orders::orders_in_flight;
+use overdue::OverdueGrants;
+use tracked::{TrackedRange, owners};
+use write_budget::WriteBudget;
 
 /// Consequence of a read of the record.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -83,29 +83,30 @@
     tokens: TokenBuckets,
     next_balancing: Timestamp,
     /// Until then, a new coordinator waits for load reports.
-    load_awaited: Timestamp,
+    load_wait_until: Timestamp,
     term: Term,
     predecessor: Option<Predecessor>,
     phase: Phase,
-    tracked: Vec<Tracked>,
+    tracked: Vec<TrackedRange>,
     /// Whether the tracked ranges were rebuilt since owners were last checked
     /// for eligibility.
-    retracked: bool,
+    recheck_owners: bool,
     former: FormerOwners,
-    overdue: OverdueWatch,
+    overdue: OverdueGrants,
     /// Whether a call to the store is running.
-    busy: bool,
+    store_call_running: bool,
     /// Whether a write had no answer, so that the record must be read before
     /// the next write.
-    read_back: bool,
+    read_back_needed: bool,
     next_store_call: Timestamp,
     writes: WriteBudget,
     /// When the first back end was registered.
-    first_seen: Option<Timestamp>,
-    next_order: u64,
+    first_registration: Option<Timestamp>,
+    /// Id of the last order that was created.
+    last_order_id: u64,
     notices: Vec<Notice>,
     /// Notices to report once the write in progress is accepted.
-    drafted: Vec<Notice>,
+    pending_notices: Vec<Notice>,
 }
 
 impl Ownership {
@@ -118,51 +119,51 @@
             load: LoadMap::default(),
             tokens: TokenBuckets::default(),
             next_balancing: Timestamp::ZERO,
-            load_awaited: Timestamp::ZERO,
+            load_wait_until: Timestamp::ZERO,
             term: Term::default(),
             predecessor: None,
             phase: Phase::Idle,
             tracked: Vec::new(),
-            retracked: false,
+            recheck_owners: false,
             former: FormerOwners::default(),
-            overdue: OverdueWatch::default(),
-            busy: false,
-            read_back: false,
+            overdue: OverdueGrants::default(),
+            store_call_running: false,
+            read_back_needed: false,
             next_store_call: Timestamp::ZERO,
             writes: WriteBudget::default(),
-            first_seen: None,
-            next_order: 0,
+            first_registration: None,
+            last_order_id: 0,
             notices: Vec::new(),
-            drafted: Vec::new(),
+            pending_notices: Vec::new(),
         }
     }
 
     /// Replaces the set of registered back ends, which covers all services.
     pub fn set_back_ends(&mut self, now: Timestamp, back_ends: &[BackEnd]) {
-        let last_order = OrderId(self.next_order);
+        let last_order = OrderId(self.last_order_id);
         let owners = owners(&self.tracked);
         let is_owner = |name: &BackEndName| owners.contains(name);
-        let newcomers =
+        let changes =
             self.holders
                 .set_registered(now, &self.service, back_ends, last_order, is_owner);
         self.find_successors();
-        for address in newcomers.addresses {
-            self.ask_who_runs(now, address);
+        for address in changes.addresses {
+            self.probe_address(now, address);
         }
         // Only the coordinator reports shared addresses, so that each one is
         // logged by a single gateway.
         if !matches!(self.phase, Phase::Idle) {
             self.notices
-                .extend(newcomers.shared.into_iter().map(Notice::AddressShared));
+                .extend(changes.shared.into_iter().map(Notice::AddressShared));
         }
-        if self.first_seen.is_none() && !self.holders.is_empty() {
-            self.first_seen = Some(now);
+        if self.first_registration.is_none() && !self.holders.is_empty() {
+            self.first_registration = Some(now);
         }
     }
 
     /// Sets whether cold back ends can serve only few requests.
-    pub fn set_reduced_when_cold(&mut self, frail: bool) {
-        self.holders.set_reduced_when_cold(frail);
+    pub fn set_reduced_when_cold(&mut self, reduced: bool) {
+        self.holders.set_reduced_when_cold(reduced);
     }
 
     /// Adds the load that a router reported.
@@ -183,13 +184,14 @@
     pub fn grant_tokens(
         &mut self,
         now: Timestamp,
-        asks: &[TokenRequest],
+        requests: &[TokenRequest],
         confirmed: bool,
     ) -> Vec<TokenGrant> {
-        let earlier = self.predecessor.map(|predecessor| predecessor.orders_end);
-        let sure = confirmed && earlier.is_none_or(|end| now >= end);
-        asks.iter()
-            .map(|ask| self.tokens.grant(now, ask, sure))
+        let orders_end = self.predecessor.map(|predecessor| predecessor.orders_end);
+        let exclusive = confirmed && orders_end.is_none_or(|end| now >= end);
+        requests
+            .iter()
+            .map(|request| self.tokens.grant(now, request, exclusive))
             .collect()
     }
 
@@ -233,9 +235,11 @@
 
     /// Returns whether no order is awaiting an answer and none may still
     /// arrive.
-    pub fn quiet(&self) -> bool {
-        let ended = |tracked: &Tracked| tracked.in_flight.is_none();
-        self.tracked.iter().all(ended) && !self.overdue.any_overdue() && self.former.quiet()
+    pub fn has_no_pending_orders(&self) -> bool {
+        let ended = |tracked: &TrackedRange| tracked.in_flight.is_none();
+        self.tracked.iter().all(ended)
+            && !self.overdue.any_overdue()
+            && self.former.none_in_flight()
     }
 
     /// Returns the calls to make now. Must be called only while this node
@@ -245,10 +249,10 @@
     pub fn poll(&mut self, now: Timestamp, store_answers: bool) -> Vec<Action> {
         let mut actions = Vec::new();
         if let Some(call) = self.store_call(now, store_answers) {
-            self.busy = true;
+            self.store_call_running = true;
             actions.push(call);
         }
-        self.orders(now, &mut actions);
+        self.send_due_orders(now, &mut actions);
         actions
     }
 
@@ -261,62 +265,67 @@
         // An order that is held back by the limit of orders in flight is sent
         // when one of those ends. That event triggers a poll, so it needs no
         // timer.
-        let under_way = under_way(&self.tracked);
-        let has_room = |tracked: &&Tracked| {
-            let count = tracked.owner().and_then(|owner| under_way.get(&owner.name));
+        let orders_in_flight = orders_in_flight(&self.tracked);
+        let has_room = |tracked: &&TrackedRange| {
+            let count = tracked
+                .owner()
+                .and_then(|owner| orders_in_flight.get(&owner.name));
             count.is_none_or(|count| *count < MAX_ORDERS_IN_FLIGHT)
         };
         let orders = self
             .tracked
             .iter()
             .filter(|_| matches!(self.phase, Phase::Active { .. }))
-            .filter(|tracked| tracked.in_flight.is_none() && tracked.wants_order())
+            .filter(|tracked| tracked.in_flight.is_none() && tracked.needs_order())
             .filter(has_room)
-            .map(|tracked| tracked.next_order);
+            .map(|tracked| tracked.next_order_at);
         let holds = self
             .tracked
             .iter()
-            .filter_map(|tracked| self.release_over(tracked))
+            .filter_map(|tracked| self.release_expiry(tracked))
             .filter(|over| *over > now);
         let active = matches!(self.phase, Phase::Active { .. });
         let overdue = self.overdue.next_due().filter(|_| active);
         let waits = self.next_store_call > now || !active;
-        let store = (!self.busy && waits).then_some(self.next_store_call);
-        let may_write = self.writes.from(now);
-        let write = (!self.busy && may_write > now).then_some(may_write);
+        let store = (!self.store_call_running && waits).then_some(self.next_store_call);
+        let next_write = self.writes.next_write_at(now);
+        let write = (!self.store_call_running && next_write > now).then_some(next_write);
         orders
             .chain(self.former.next_wake())
             .chain(overdue)
             .chain(holds)
             .chain(store)
             .chain(write)
-            .chain(self.gathered(now))
+            .chain(self.registration_wait_end(now))
             .min()
     }
 
-    fn gathered(&self, now: Timestamp) -> Option<Timestamp> {
-        let gathered = self.first_seen? + self.settings.registration_wait;
-        (gathered > now).then_some(gathered)
+    /// Returns until when back ends have time to register, if that is in the
+    /// future.
+    fn registration_wait_end(&self, now: Timestamp) -> Option<Timestamp> {
+        let end = self.first_registration? + self.settings.registration_wait;
+        (end > now).then_some(end)
     }
 
+    /// Returns the store call to make now, if any.
     fn store_call(&mut self, now: Timestamp, store_answers: bool) -> Option<Action> {
-        if self.busy || now < self.next_store_call {
+        if self.store_call_running || now < self.next_store_call {
             return None;
         }
         match &self.phase {
             Phase::Idle => None,
             Phase::Reading | Phase::Adopting => Some(Action::ReadRecord),
-            Phase::Active { .. } if self.read_back => Some(Action::ReadRecord),
+            Phase::Active { .. } if self.read_back_needed => Some(Action::ReadRecord),
             Phase::Active { record, .. } => {
                 let next_fence = record.next_fence;
-                let retracked = std::mem::take(&mut self.retracked);
-                if self.holders.take_changed() || retracked {
-                    self.take_back(now, next_fence, store_answers);
+                let recheck_owners = std::mem::take(&mut self.recheck_owners);
+                if self.holders.take_changed() || recheck_owners {
+                    self.release_ineligible(now, next_fence, store_answers);
                 }
                 if store_answers {
                     self.start_balancing(now, next_fence);
                 }
-                if self.writes.from(now) > now || !self.wants_write(now) {
+                if self.writes.next_write_at(now) > now || !self.needs_write(now) {
                     return None;
                 }
                 let Phase::Active { record, revision } = &self.phase else {
@@ -332,11 +341,11 @@
 }
 
 /// Time between two checks for owners with too many keys.
-const BALANCING_PAUSE: Duration = Duration::from_millis(700);
+const BALANCING_INTERVAL: Duration = Duration::from_millis(700);
 /// Time after a takeover during which keys are not moved for balance until load
 /// was reported. The previous coordinator assigned them by load, so by their
 /// number alone they look uneven.
-const LOAD_PATIENCE: Duration = Duration::from_secs(4);
+const LOAD_REPORT_WAIT: Duration = Duration::from_secs(4);
 /// Longest time between two calls of [`Ownership::poll`]. It ensures that
 /// cooldowns end in time.
-pub const LONGEST_SLEEP: Duration = Duration::from_millis(500);
+pub const MAX_POLL_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/coordination/src/ownership/arrivals.rs
+++ b/crates/coordination/src/ownership/arrivals.rs
@@ -11,7 +11,7 @@
 
 /// A grant that was sent and has neither been answered nor lost its connection.
 #[derive(Clone, Copy, Debug)]
-struct Open {
+struct OpenGrant {
     id: OrderId,
     /// Latest time at which its connection is closed.
     until: Timestamp,
@@ -19,29 +19,29 @@
 
 /// Arrival times of the grants of one range at one back end.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Arrivals {
+pub(super) struct GrantArrivals {
     /// Latest possible arrival of the grants that have ended.
-    ended_by: Timestamp,
-    open: Vec<Open>,
+    last_arrival: Timestamp,
+    open: Vec<OpenGrant>,
 }
 
-impl Arrivals {
+impl GrantArrivals {
     /// Records that a grant is sent and that its connection is closed at
     /// `until` at the latest.
     pub(super) fn sent(&mut self, id: OrderId, until: Timestamp) {
-        self.open.push(Open { id, until });
+        self.open.push(OpenGrant { id, until });
     }
 
     /// Records that a grant was answered or that its connection has ended: it
     /// arrived before `now` or never will.
     pub(super) fn ended(&mut self, id: OrderId, now: Timestamp) {
         if self.remove(id) {
-            self.ended_by = self.ended_by.max(now);
+            self.last_arrival = self.last_arrival.max(now);
         }
     }
 
     /// Removes a grant that was never sent or was refused.
-    pub(super) fn void(&mut self, id: OrderId) {
+    pub(super) fn discard(&mut self, id: OrderId) {
         self.remove(id);
     }
 
@@ -54,12 +54,12 @@
     /// Returns the time after which no grant arrives any more.
     pub(super) fn latest(&self) -> Timestamp {
         let open = self.open.iter().map(|open| open.until);
-        open.fold(self.ended_by, Timestamp::max)
+        open.fold(self.last_arrival, Timestamp::max)
     }
 
     /// Adds the grants of an adjacent range.
-    pub(super) fn join(&mut self, other: &Arrivals) {
-        self.ended_by = self.ended_by.max(other.ended_by);
+    pub(super) fn merge(&mut self, other: &GrantArrivals) {
+        self.last_arrival = self.last_arrival.max(other.last_arrival);
         for open in &other.open {
             if self.open.iter().any(|known| known.id == open.id) {
                 continue;
--- a/crates/coordination/src/ownership/draft.rs
+++ b/crates/coordination/src/ownership/draft.rs
@@ -3,7 +3,7 @@
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::KeyRange;
 
-use super::tracked::{Tracked, owners};
+use super::tracked::{TrackedRange, owners};
 use crate::action::{Notice, ReleaseReason};
 use crate::holders::{Candidate, Holders, Ineligible};
 use crate::load::LoadMap;
@@ -18,22 +18,22 @@
     pub(super) holders: &'a Holders,
     pub(super) load: &'a LoadMap,
     pub(super) tokens: &'a TokenBuckets,
-    pub(super) tracked: &'a [Tracked],
+    pub(super) tracked: &'a [TrackedRange],
     /// Whether back ends have had time to register.
-    pub(super) gathered: bool,
+    pub(super) registration_wait_over: bool,
     /// For each tracked range: `Some` if its owner no longer holds it, with the
     /// handover token if there is one.
     pub(super) released: Vec<Option<Option<HandoverToken>>>,
 }
 
 /// A drafted record and the notices about its changes.
-pub(super) struct Drafted {
+pub(super) struct DraftResult {
     pub(super) record: OwnershipRecord,
     pub(super) notices: Vec<Notice>,
 }
 
 /// A range of the drafted record.
-struct Piece {
+struct DraftRange {
     slice: Slice,
     /// Handover token that the former owner returned with the keys.
     handover: Option<HandoverToken>,
@@ -42,32 +42,39 @@
 }
 
 impl Draft<'_> {
-    pub(super) fn make(&self, current: &OwnershipRecord) -> Drafted {
+    /// Computes the next record from `current`. Returns `current` without
+    /// further changes if no range has changed.
+    pub(super) fn make(&self, current: &OwnershipRecord) -> DraftResult {
         let mut record = current.clone();
-        let mut pieces: Vec<Piece> = Vec::with_capacity(self.tracked.len());
+        let mut pieces: Vec<DraftRange> = Vec::with_capacity(self.tracked.len());
         for (index, tracked) in self.tracked.iter().enumerate() {
-            pieces.push(self.piece(&mut record, index, tracked));
+            pieces.push(self.draft_range(&mut record, index, tracked));
         }
         let mut notices = Vec::new();
-        let pieces = self.give_out(pieces, &mut notices);
+        let pieces = self.assign_unowned(pieces, &mut notices);
         let granted: Vec<bool> = pieces.iter().map(|piece| piece.granted).collect();
         record.slices = pieces.into_iter().map(|piece| piece.slice).collect();
-        let mut plain = record.clone();
-        plain.join_neighbours();
-        if plain == *current {
-            return Drafted {
-                record: plain,
+        let mut merged = record.clone();
+        merged.merge_neighbours();
+        if merged == *current {
+            return DraftResult {
+                record: merged,
                 notices,
             };
         }
-        tidy(&mut record, &granted);
-        Drafted { record, notices }
+        compact(&mut record, &granted);
+        DraftResult { record, notices }
     }
 
     /// Computes the next state of one tracked range. Does not assign a new
     /// owner to unowned keys.
-    fn piece(&self, record: &mut OwnershipRecord, index: usize, tracked: &Tracked) -> Piece {
-        let mut piece = Piece {
+    fn draft_range(
+        &self,
+        record: &mut OwnershipRecord,
+        index: usize,
+        tracked: &TrackedRange,
+    ) -> DraftRange {
+        let mut piece = DraftRange {
             slice: tracked.slice.clone(),
             handover: None,
             granted: tracked.granted,
@@ -84,58 +91,67 @@
                 owner: successor.clone(),
                 handover: None,
             };
-            piece.slice.fence = record.take_fence();
+            piece.slice.fence = record.allocate_fence();
             piece.granted = false;
         } else if tracked.fenced {
-            piece.slice.fence = record.take_fence();
+            piece.slice.fence = record.allocate_fence();
         }
         piece
     }
 
     /// Assigns the unowned ranges to candidates.
-    fn give_out(&self, pieces: Vec<Piece>, notices: &mut Vec<Notice>) -> Vec<Piece> {
-        let is_unowned = |piece: &Piece| matches!(piece.slice.state, SliceState::Unowned);
-        let untouched = pieces.iter().all(is_unowned);
+    fn assign_unowned(
+        &self,
+        pieces: Vec<DraftRange>,
+        notices: &mut Vec<Notice>,
+    ) -> Vec<DraftRange> {
+        let is_unowned = |piece: &DraftRange| matches!(piece.slice.state, SliceState::Unowned);
+        let all_unowned = pieces.iter().all(is_unowned);
         let unowned: Vec<KeyRange> = pieces
             .iter()
             .filter(|piece| is_unowned(piece))
             .map(|piece| piece.slice.range)
             .collect();
-        if unowned.is_empty() || (untouched && !self.gathered) {
+        if unowned.is_empty() || (all_unowned && !self.registration_wait_over) {
             return pieces;
         }
         let candidates = candidates(self.now, self.holders, self.load, self.tokens, self.tracked);
-        let held = held(pieces.iter().map(|piece| &piece.slice));
+        let held = held_ranges(pieces.iter().map(|piece| &piece.slice));
         let assignments = plan::assign(&unowned, &held, &candidates, &self.load.measure());
-        place(pieces, assignments, notices)
+        replace_unowned(pieces, assignments, notices)
     }
 }
 
 /// Replaces each unowned range by the assignments that were made from it.
 /// Assignments are in key order.
-fn place(
-    pieces: Vec<Piece>,
+fn replace_unowned(
+    pieces: Vec<DraftRange>,
     assignments: Vec<Assignment>,
     notices: &mut Vec<Notice>,
-) -> Vec<Piece> {
-    let mut placed = Vec::with_capacity(pieces.len());
+) -> Vec<DraftRange> {
+    let mut replaced = Vec::with_capacity(pieces.len());
     let mut assignments = assignments.into_iter().peekable();
     for piece in pieces {
-        let mut given = false;
+        let mut any_assigned = false;
         while let Some(assignment) =
             assignments.next_if(|next| piece.slice.range.contains(next.range.first))
         {
-            given = true;
-            placed.push(assigned(&piece, assignment, notices));
+            any_assigned = true;
+            replaced.push(assigned_range(&piece, assignment, notices));
         }
-        if !given {
-            placed.push(piece);
+        if !any_assigned {
+            replaced.push(piece);
         }
     }
-    placed
+    replaced
 }
 
-fn assigned(piece: &Piece, assignment: Assignment, notices: &mut Vec<Notice>) -> Piece {
+/// Returns the part of `piece` that an assignment gives to its new owner.
+fn assigned_range(
+    piece: &DraftRange,
+    assignment: Assignment,
+    notices: &mut Vec<Notice>,
+) -> DraftRange {
     let handover = piece.handover.clone();
     notices.push(Notice::Assigned {
         range: assignment.range,
@@ -143,7 +159,7 @@
         fence: piece.slice.fence,
         warm: handover.is_some(),
     });
-    Piece {
+    DraftRange {
         slice: Slice {
             range: assignment.range,
             fence: piece.slice.fence,
@@ -160,7 +176,7 @@
 /// Applies changes that are not worth a write of their own. Removes used
 /// handover tokens, and merges adjacent ranges of one owner under a higher
 /// fencing token, which saves one renewal for each merge.
-fn tidy(record: &mut OwnershipRecord, granted: &[bool]) {
+fn compact(record: &mut OwnershipRecord, granted: &[bool]) {
     for (slice, granted) in record.slices.iter_mut().zip(granted) {
         if let SliceState::Owned { handover, .. } = &mut slice.state
             && *granted
@@ -168,19 +184,19 @@
             *handover = None;
         }
     }
-    record.join_neighbours();
+    record.merge_neighbours();
     let slices = std::mem::take(&mut record.slices);
-    let mut joined: Vec<Slice> = Vec::with_capacity(slices.len());
+    let mut merged_slices: Vec<Slice> = Vec::with_capacity(slices.len());
     for slice in slices {
-        match joined.last_mut() {
+        match merged_slices.last_mut() {
             Some(last) if same_settled_owner(last, &slice) => {
                 last.range.last = slice.range.last;
-                last.fence = record.take_fence();
+                last.fence = record.allocate_fence();
             }
-            _ => joined.push(slice),
+            _ => merged_slices.push(slice),
         }
     }
-    record.slices = joined;
+    record.slices = merged_slices;
 }
 
 /// Returns whether both slices belong to one back end and neither has a
@@ -208,7 +224,7 @@
     holders: &Holders,
     load: &LoadMap,
     tokens: &TokenBuckets,
-    tracked: &[Tracked],
+    tracked: &[TrackedRange],
 ) -> Vec<Candidate> {
     let owners = owners(tracked);
     let mut candidates = holders.candidates(now, |name| owners.contains(name));
@@ -220,7 +236,7 @@
 }
 
 /// Returns the ranges that owners hold.
-pub(super) fn held<'a>(slices: impl Iterator<Item = &'a Slice>) -> Vec<Held> {
+pub(super) fn held_ranges<'a>(slices: impl Iterator<Item = &'a Slice>) -> Vec<Held> {
     let holding = |slice: &Slice| match &slice.state {
         SliceState::Owned { owner, .. } => Some(Held {
             range: slice.range,
@@ -234,7 +250,7 @@
 /// Returns the replacement for an invalid record. If the slices do not cover
 /// each key exactly once, nothing in the record can be relied on, so all keys
 /// become unowned, under a fencing token above every one seen.
-pub(super) fn mended(broken: &OwnershipRecord) -> OwnershipRecord {
+pub(super) fn repaired(broken: &OwnershipRecord) -> OwnershipRecord {
     let highest = broken.slices.iter().map(|slice| slice.fence).max();
     let highest = highest.unwrap_or_default().max(broken.next_fence);
     OwnershipRecord {
--- a/crates/coordination/src/ownership/former.rs
+++ b/crates/coordination/src/ownership/former_owners.rs
@@ -13,30 +13,30 @@
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{BackEndName, KeyRange};
 
-use super::tracked::{Tracked, common, overlap};
-use crate::holders::{Holders, LATE_ORDERS};
+use super::tracked::{TrackedRange, intersection, overlap};
+use crate::holders::{Holders, LATE_ORDER_WINDOW};
 use crate::order::{Distance, Order, OrderFault, OrderId, OrderKind, OrderReply};
 use crate::record::{FormerHolder, Slice};
 use crate::settings::Settings;
 
 /// Time between two releases to a former owner that did not answer.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// An unanswered release and the state of its orders.
 #[derive(Clone, Debug)]
-struct Asked {
+struct PendingRelease {
     holder: FormerHolder,
     /// When this coordinator began to repeat the release. It stops once no
     /// order can still be executed.
     since: Timestamp,
     in_flight: Option<OrderId>,
-    next_order: Timestamp,
+    next_order_at: Timestamp,
 }
 
 /// All releases that former owners have not answered.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FormerOwners {
-    unanswered: Vec<Asked>,
+    unanswered: Vec<PendingRelease>,
 }
 
 impl FormerOwners {
@@ -44,21 +44,21 @@
     pub(super) fn take_over(&mut self, now: Timestamp, holders: &[FormerHolder]) {
         let holders = holders.iter().cloned();
         self.unanswered
-            .extend(holders.map(|holder| Asked::new(now, holder)));
+            .extend(holders.map(|holder| PendingRelease::new(now, holder)));
     }
 
     /// Updates the releases when the record changes from the state in `tracked`
     /// to `slices`.
-    pub(super) fn follow(&mut self, now: Timestamp, tracked: &[Tracked], slices: &[Slice]) {
+    pub(super) fn update(&mut self, now: Timestamp, tracked: &[TrackedRange], slices: &[Slice]) {
         // A release with an earlier fencing token would take back keys that the
         // back end has been granted again.
-        for asked in std::mem::take(&mut self.unanswered) {
-            let left = parts_without(&asked.holder, slices);
-            if left == [asked.holder.range] {
-                self.unanswered.push(asked);
+        for release in std::mem::take(&mut self.unanswered) {
+            let left = parts_not_owned(&release.holder, slices);
+            if left == [release.holder.range] {
+                self.unanswered.push(release);
                 continue;
             }
-            self.ask(now, &asked.holder, left);
+            self.add(now, &release.holder, left);
         }
         for before in tracked {
             let (Some(fence), None, Some(owner)) =
@@ -71,25 +71,25 @@
                 range: before.slice.range,
                 fence,
             };
-            let left = parts_without(&holder, slices);
-            self.ask(now, &holder, left);
+            let left = parts_not_owned(&holder, slices);
+            self.add(now, &holder, left);
         }
     }
 
-    fn ask(&mut self, now: Timestamp, holder: &FormerHolder, ranges: Vec<KeyRange>) {
+    fn add(&mut self, now: Timestamp, holder: &FormerHolder, ranges: Vec<KeyRange>) {
         for range in ranges {
             let part = FormerHolder {
                 range,
                 ..holder.clone()
             };
-            self.unanswered.push(Asked::new(now, part));
+            self.unanswered.push(PendingRelease::new(now, part));
         }
     }
 
     /// Returns the unanswered releases for the record.
-    pub(super) fn told(&self) -> Vec<FormerHolder> {
-        let asked = self.unanswered.iter();
-        asked.map(|asked| asked.holder.clone()).collect()
+    pub(super) fn to_record(&self) -> Vec<FormerHolder> {
+        let releases = self.unanswered.iter();
+        releases.map(|release| release.holder.clone()).collect()
     }
 
     /// Removes all releases.
@@ -99,34 +99,35 @@
 
     /// Returns the releases to send now, at most one in flight for each back
     /// end.
-    pub(super) fn orders(
+    pub(super) fn due_releases(
         &mut self,
         now: Timestamp,
         settings: &Settings,
         holders: &Holders,
-        next_order: &mut u64,
+        last_order_id: &mut u64,
     ) -> Vec<Order> {
         // A back end that has restarted would release the keys that were
         // granted to its new process.
         self.unanswered
-            .retain(|former| !holders.has_ended(&former.holder.owner.name));
-        self.unanswered
-            .retain(|former| former.in_flight.is_some() || now.since(former.since) < LATE_ORDERS);
-        let mut asked = self.asked();
+            .retain(|release| !holders.has_ended(&release.holder.owner.name));
+        self.unanswered.retain(|release| {
+            release.in_flight.is_some() || now.since(release.since) < LATE_ORDER_WINDOW
+        });
+        let mut busy = self.awaiting_answer();
         let mut orders = Vec::new();
-        for former in &mut self.unanswered {
-            if former.next_order > now || asked.contains(&former.holder.owner.name) {
+        for release in &mut self.unanswered {
+            if release.next_order_at > now || busy.contains(&release.holder.owner.name) {
                 continue;
             }
-            asked.insert(former.holder.owner.name.clone());
-            *next_order += 1;
-            former.in_flight = Some(OrderId(*next_order));
-            let distance = settings.distance(holders.zone(&former.holder.owner.name));
+            busy.insert(release.holder.owner.name.clone());
+            *last_order_id += 1;
+            release.in_flight = Some(OrderId(*last_order_id));
+            let distance = settings.distance(holders.zone(&release.holder.owner.name));
             let timeout = match distance {
                 Distance::Near => settings.order_timeout,
                 Distance::Far => settings.answer_timeout(&OrderKind::Release, distance),
             };
-            orders.push(former.release(OrderId(*next_order), distance, timeout));
+            orders.push(release.release(OrderId(*last_order_id), distance, timeout));
         }
         orders
     }
@@ -139,56 +140,62 @@
         order: &Order,
         result: &Result<OrderReply, OrderFault>,
     ) -> bool {
-        let is_it = |former: &Asked| former.in_flight == Some(order.id);
-        let was_here = self.unanswered.iter().any(is_it);
+        let is_this_order = |release: &PendingRelease| release.in_flight == Some(order.id);
+        let was_pending = self.unanswered.iter().any(is_this_order);
         match result {
             Ok(OrderReply::OtherProcess) => {
                 self.unanswered
-                    .retain(|former| former.holder.owner.name != order.to.name);
+                    .retain(|release| release.holder.owner.name != order.to.name);
+            }
+            Ok(OrderReply::Released(_)) => {
+                self.unanswered.retain(|release| !is_this_order(release))
             }
-            Ok(OrderReply::Released(_)) => self.unanswered.retain(|former| !is_it(former)),
             Ok(_) | Err(_) => {
-                for former in self.unanswered.iter_mut().filter(|former| is_it(former)) {
-                    former.in_flight = None;
-                    former.next_order = now + PAUSE;
+                for release in self
+                    .unanswered
+                    .iter_mut()
+                    .filter(|release| is_this_order(release))
+                {
+                    release.in_flight = None;
+                    release.next_order_at = now + RETRY_INTERVAL;
                 }
             }
         }
-        was_here
+        was_pending
     }
 
     /// Returns whether no release is awaiting an answer.
-    pub(super) fn quiet(&self) -> bool {
+    pub(super) fn none_in_flight(&self) -> bool {
         self.unanswered
             .iter()
-            .all(|former| former.in_flight.is_none())
+            .all(|release| release.in_flight.is_none())
     }
 
     /// Returns when the next release is due.
     pub(super) fn next_wake(&self) -> Option<Timestamp> {
-        let asked = self.asked();
+        let busy = self.awaiting_answer();
         let waiting = self.unanswered.iter();
-        let waiting = waiting.filter(|former| !asked.contains(&former.holder.owner.name));
-        waiting.map(|former| former.next_order).min()
+        let waiting = waiting.filter(|release| !busy.contains(&release.holder.owner.name));
+        waiting.map(|release| release.next_order_at).min()
     }
 
     /// Returns the back ends that have a release in flight.
-    fn asked(&self) -> BTreeSet<BackEndName> {
-        let asked = self.unanswered.iter();
-        let asked = asked.filter(|former| former.in_flight.is_some());
-        asked
-            .map(|former| former.holder.owner.name.clone())
+    fn awaiting_answer(&self) -> BTreeSet<BackEndName> {
+        let in_flight = self.unanswered.iter();
+        let in_flight = in_flight.filter(|release| release.in_flight.is_some());
+        in_flight
+            .map(|release| release.holder.owner.name.clone())
             .collect()
     }
 }
 
-impl Asked {
+impl PendingRelease {
     fn new(now: Timestamp, holder: FormerHolder) -> Self {
-        Asked {
+        PendingRelease {
             holder,
             since: now,
             in_flight: None,
-            next_order: now,
+            next_order_at: now,
         }
     }
 
@@ -207,14 +214,14 @@
 
 /// Returns the parts of a former holder's range that it does not own in
 /// `slices`.
-fn parts_without(holder: &FormerHolder, slices: &[Slice]) -> Vec<KeyRange> {
+fn parts_not_owned(holder: &FormerHolder, slices: &[Slice]) -> Vec<KeyRange> {
     let mut parts: Vec<KeyRange> = Vec::new();
     for slice in slices {
         let again = slice.holder().is_some_and(|owner| *owner == holder.owner);
         if again || !overlap(slice.range, holder.range) {
             continue;
         }
-        let part = common(slice.range, holder.range);
+        let part = intersection(slice.range, holder.range);
         match parts.last_mut() {
             Some(last) if u32::from(last.last.0) + 1 == u32::from(part.first.0) => {
                 last.last = part.last;
--- a/crates/coordination/src/ownership/orders.rs
+++ b/crates/coordination/src/ownership/orders.rs
@@ -7,10 +7,10 @@
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{BackEndName, KeyRange};
 
-use super::tracked::Tracked;
+use super::tracked::TrackedRange;
 use super::{Ownership, Phase};
 use crate::action::{Action, Notice};
-use crate::holders::FaultNews;
+use crate::holders::FaultEffect;
 use crate::order::{Order, OrderFault, OrderId, OrderKind, OrderReply};
 
 /// Maximum number of orders in flight to one back end. A back end that holds
@@ -21,10 +21,10 @@
 /// because keys that it takes are unserved until the renewal. For a back end
 /// that answered no order for 12 s, keys were unserved for 0.69 s after it was
 /// served again, instead of 3.34 s (worst of 20 seeds in the model).
-const QUICK_RENEWAL: Duration = Duration::from_millis(150);
+const SHORT_RENEWAL_DELAY: Duration = Duration::from_millis(150);
 
 /// Returns the number of orders in flight for each back end.
-pub(super) fn under_way(tracked: &[Tracked]) -> BTreeMap<BackEndName, usize> {
+pub(super) fn orders_in_flight(tracked: &[TrackedRange]) -> BTreeMap<BackEndName, usize> {
     let mut counts: BTreeMap<BackEndName, usize> = BTreeMap::new();
     for tracked in tracked {
         let Some(owner) = tracked.owner().filter(|_| tracked.in_flight.is_some()) else {
@@ -37,23 +37,24 @@
 
 /// Returns the tracked ranges that overlap `range`. An order concerns no
 /// others, and thousands of slices are renewed each second.
-fn within(tracked: &mut [Tracked], range: KeyRange) -> &mut [Tracked] {
+fn tracked_in(tracked: &mut [TrackedRange], range: KeyRange) -> &mut [TrackedRange] {
     let begin = tracked.partition_point(|each| each.slice.range.last < range.first);
     let end = tracked.partition_point(|each| each.slice.range.first <= range.last);
     &mut tracked[begin..end]
 }
 
 impl Ownership {
-    pub(super) fn orders(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+    /// Adds the orders that are due to `actions`.
+    pub(super) fn send_due_orders(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if !matches!(self.phase, Phase::Active { .. }) {
             return;
         }
         for order in self.overdue.take_due(now) {
             self.on_overdue(now, &order);
         }
-        let mut under_way = under_way(&self.tracked);
+        let mut orders_in_flight = orders_in_flight(&self.tracked);
         for tracked in &mut self.tracked {
-            if tracked.in_flight.is_some() || now < tracked.next_order {
+            if tracked.in_flight.is_some() || now < tracked.next_order_at {
                 continue;
             }
             let Some(kind) = tracked.order_kind(&self.settings) else {
@@ -62,13 +63,13 @@
             let Some(owner) = tracked.owner().cloned() else {
                 continue;
             };
-            let count = under_way.entry(owner.name.clone()).or_default();
+            let count = orders_in_flight.entry(owner.name.clone()).or_default();
             if *count >= MAX_ORDERS_IN_FLIGHT {
                 continue;
             }
             *count += 1;
-            self.next_order += 1;
-            let id = OrderId(self.next_order);
+            self.last_order_id += 1;
+            let id = OrderId(self.last_order_id);
             let distance = self.settings.distance(self.holders.zone(&owner.name));
             let timeout = self.settings.answer_timeout(&kind, distance);
             tracked.sent(id, &kind, now + timeout);
@@ -84,9 +85,9 @@
             self.overdue.watch(now, &order, &self.settings);
             actions.push(Action::Send(order));
         }
-        let releases = self
-            .former
-            .orders(now, &self.settings, &self.holders, &mut self.next_order);
+        let releases =
+            self.former
+                .due_releases(now, &self.settings, &self.holders, &mut self.last_order_id);
         actions.extend(releases.into_iter().map(Action::Send));
     }
 
@@ -94,9 +95,9 @@
     /// sent again, and the first one remains open.
     fn on_overdue(&mut self, now: Timestamp, order: &Order) {
         let waited = self.settings.order_timeout;
-        let news = self.holders.on_overdue(now, &order.to.name, waited);
-        self.tell_fault(order, waited, OrderFault::NoAnswer, news);
-        for tracked in within(&mut self.tracked, order.range) {
+        let effect = self.holders.on_overdue(now, &order.to.name, waited);
+        self.report_fault(order, waited, OrderFault::NoAnswer, effect);
+        for tracked in tracked_in(&mut self.tracked, order.range) {
             tracked.overdue(now, order.id);
         }
     }
@@ -122,13 +123,13 @@
                     self.notices.push(Notice::HolderReplaced { owner });
                 }
             }
-            Ok(_) => self.answered(now, order),
+            Ok(_) => self.on_answer(now, order),
             // The fault was counted when the order became overdue.
             Err(OrderFault::NoAnswer) if was_overdue => {}
             // A former owner whose registration is also gone is expected not to
             // answer.
             Err(_) if to_former_owner && !self.holders.is_registered(&order.to.name) => {}
-            Err(fault) => self.given_up(now, order, order.timeout, *fault),
+            Err(fault) => self.on_order_failed(now, order, order.timeout, *fault),
         }
         if result == Ok(OrderReply::Fenced) {
             self.notices.push(Notice::OrderFenced {
@@ -138,35 +139,37 @@
             });
         }
         let may_lose_keys = self.holders.may_lose_keys(&order.to.name, now);
-        for tracked in within(&mut self.tracked, order.range) {
+        for tracked in tracked_in(&mut self.tracked, order.range) {
             let awaited = tracked.in_flight == Some(order.id);
             tracked.ended(now, order, &result, &self.settings);
             if awaited && may_lose_keys {
-                tracked.next_order = tracked.next_order.min(now + QUICK_RENEWAL);
+                tracked.next_order_at = tracked.next_order_at.min(now + SHORT_RENEWAL_DELAY);
             }
         }
         // An order that was already in flight when the registration arrived
         // tells nothing about it.
-        if result == Ok(OrderReply::Granted) && self.holders.in_doubt(&order.to) {
-            self.ask_who_runs(now, order.to.address);
+        if result == Ok(OrderReply::Granted) && self.holders.is_ambiguous(&order.to) {
+            self.probe_address(now, order.to.address);
         }
     }
 
     /// Sends the next order to all owners at an address at once, to learn which
     /// of them runs there. An order already in flight may wait for a process
     /// that has ended.
-    pub(super) fn ask_who_runs(&mut self, now: Timestamp, address: SocketAddr) {
+    pub(super) fn probe_address(&mut self, now: Timestamp, address: SocketAddr) {
         for tracked in &mut self.tracked {
             if tracked
                 .owner()
                 .is_some_and(|owner| owner.address == address)
             {
-                tracked.ask_again(now);
+                tracked.resend_now(now);
             }
         }
     }
 
-    fn answered(&mut self, now: Timestamp, order: &Order) {
+    /// Records an answer in the state of its back end and reports the end of a
+    /// period of silence.
+    fn on_answer(&mut self, now: Timestamp, order: &Order) {
         let Some(silence) = self.holders.on_answer(order) else {
             return;
         };
@@ -177,16 +180,30 @@
         });
     }
 
-    fn given_up(&mut self, now: Timestamp, order: &Order, waited: Duration, fault: OrderFault) {
+    /// Records an order without an answer in the state of its back end.
+    fn on_order_failed(
+        &mut self,
+        now: Timestamp,
+        order: &Order,
+        waited: Duration,
+        fault: OrderFault,
+    ) {
         if order.kind == OrderKind::Release && fault == OrderFault::NoAnswer {
-            self.holders.on_lost_release(now, &order.to.name);
+            self.holders.on_unanswered_release(now, &order.to.name);
         }
-        let news = self.holders.on_fault(now, &order.to.name, fault);
-        self.tell_fault(order, waited, fault, news);
+        let effect = self.holders.on_fault(now, &order.to.name, fault);
+        self.report_fault(order, waited, fault, effect);
     }
 
-    fn tell_fault(&mut self, order: &Order, waited: Duration, fault: OrderFault, news: FaultNews) {
-        if news.silent {
+    /// Reports a back end that has just become silent or lost.
+    fn report_fault(
+        &mut self,
+        order: &Order,
+        waited: Duration,
+        fault: OrderFault,
+        effect: FaultEffect,
+    ) {
+        if effect.first_failure {
             let order = order.clone();
             self.notices.push(Notice::OrderGivenUp {
                 order,
@@ -194,7 +211,7 @@
                 fault,
             });
         }
-        if news.lost {
+        if effect.lost {
             let owner = order.to.name.clone();
             self.notices.push(Notice::HolderLost { owner });
         }
--- a/crates/coordination/src/ownership/overdue.rs
+++ b/crates/coordination/src/ownership/overdue.rs
@@ -16,7 +16,7 @@
 
 /// Grants whose connections stay open beyond the order timeout.
 #[derive(Clone, Debug, Default)]
-pub(super) struct OverdueWatch {
+pub(super) struct OverdueGrants {
     /// Grants that are not overdue yet, each with the time at which it becomes
     /// overdue.
     awaited: BTreeMap<OrderId, (Timestamp, Order)>,
@@ -24,7 +24,7 @@
     overdue: BTreeSet<OrderId>,
 }
 
-impl OverdueWatch {
+impl OverdueGrants {
     /// Starts to track a grant whose connection stays open beyond the order
     /// timeout.
     pub(super) fn watch(&mut self, now: Timestamp, order: &Order, settings: &Settings) {
--- a/crates/coordination/src/ownership/moves.rs
+++ b/crates/coordination/src/ownership/releases.rs
@@ -3,9 +3,9 @@
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::KeyRange;
 
-use super::draft::{Draft, candidates, held, release_reason};
-use super::tracked::Tracked;
-use super::{BALANCING_PAUSE, Ownership};
+use super::draft::{Draft, candidates, held_ranges, release_reason};
+use super::tracked::TrackedRange;
+use super::{BALANCING_INTERVAL, Ownership};
 use crate::action::{Notice, ReleaseReason};
 use crate::order::HandoverToken;
 use crate::plan;
@@ -28,7 +28,7 @@
     /// higher than the fencing token of every grant. Owners of which only
     /// routers reported that they leave or rest keep their keys while the store
     /// does not answer, because the keys could not be assigned to others.
-    pub(super) fn take_back(&mut self, now: Timestamp, fence: Fence, store_answers: bool) {
+    pub(super) fn release_ineligible(&mut self, now: Timestamp, fence: Fence, store_answers: bool) {
         for tracked in &mut self.tracked {
             let Some(owner) = tracked.owner().cloned() else {
                 continue;
@@ -37,8 +37,8 @@
                 continue;
             }
             if let Some(reason) = self.holders.ineligible(&owner.name, now) {
-                if !store_answers && self.holders.is_said_only(&owner.name, reason) {
-                    self.retracked = true;
+                if !store_answers && self.holders.is_reported_only(&owner.name, reason) {
+                    self.recheck_owners = true;
                     continue;
                 }
                 tracked.release(now, fence);
@@ -55,30 +55,33 @@
     /// Starts to release keys of owners that hold too many, unless another move
     /// is in progress.
     pub(super) fn start_balancing(&mut self, now: Timestamp, fence: Fence) {
-        let settled = |tracked: &Tracked| tracked.releasing.is_none() && tracked.owner().is_some();
+        let settled =
+            |tracked: &TrackedRange| tracked.releasing.is_none() && tracked.owner().is_some();
         if now < self.next_balancing || !self.tracked.iter().all(settled) {
             return;
         }
         // Set before any early return. Otherwise the next check would come
         // right after the store answers again instead of a full interval later.
-        self.next_balancing = now + BALANCING_PAUSE;
-        if now < self.load_awaited && !self.load.speaks() {
+        self.next_balancing = now + BALANCING_INTERVAL;
+        if now < self.load_wait_until && !self.load.speaks() {
             return;
         }
         self.load.notice_sudden_changes();
         let candidates = candidates(now, &self.holders, &self.load, &self.tokens, &self.tracked);
-        let held = held(self.tracked.iter().map(|tracked| &tracked.slice));
+        let held = held_ranges(self.tracked.iter().map(|tracked| &tracked.slice));
         for range in plan::rebalance(&held, &candidates, &self.load.measure()) {
-            self.release_piece(now, range, fence);
+            self.release_range(now, range, fence);
         }
     }
 
-    pub(super) fn release_piece(&mut self, now: Timestamp, range: KeyRange, fence: Fence) {
-        let within = |tracked: &Tracked| tracked.slice.range.contains(range.first);
-        let Some(index) = self.tracked.iter().position(within) else {
+    /// Starts to release `range` and tracks it separately from the rest of its
+    /// slice.
+    pub(super) fn release_range(&mut self, now: Timestamp, range: KeyRange, fence: Fence) {
+        let contains = |tracked: &TrackedRange| tracked.slice.range.contains(range.first);
+        let Some(index) = self.tracked.iter().position(contains) else {
             return;
         };
-        let pieces = self.tracked[index].clone().cut(range);
+        let pieces = self.tracked[index].clone().split_out(range);
         self.tracked.splice(index..=index, pieces);
         let Some(piece) = self
             .tracked
@@ -98,11 +101,11 @@
         }
     }
 
-    /// Returns whether the record may have to change. A draft is computed from
-    /// all slices and this is checked after each answer to a renewal, while
+    /// Returns whether the record may have to change. This check avoids
+    /// computing a draft from all slices after each answer to a renewal, when
     /// there is hardly ever anything to write.
-    pub(super) fn wants_write(&self, now: Timestamp) -> bool {
-        let pending = |(index, tracked): (usize, &Tracked)| {
+    pub(super) fn needs_write(&self, now: Timestamp) -> bool {
+        let pending = |(index, tracked): (usize, &TrackedRange)| {
             tracked.fenced
                 || tracked.successor.is_some()
                 || tracked.owner().is_none()
@@ -123,18 +126,18 @@
             load: &self.load,
             tokens: &self.tokens,
             tracked: &self.tracked,
-            gathered: self.gathered(now).is_none(),
+            registration_wait_over: self.registration_wait_end(now).is_none(),
             released: (0..self.tracked.len())
                 .map(|index| self.released(now, index))
                 .collect(),
         };
         let drafted = draft.make(current);
-        self.drafted = drafted.notices;
+        self.pending_notices = drafted.notices;
         let mut record = drafted.record;
         if record != *current {
             let mut former = self.former.clone();
-            former.follow(now, &self.tracked, &record.slices);
-            record.former = former.told();
+            former.update(now, &self.tracked, &record.slices);
+            record.former = former.to_record();
         }
         record
     }
@@ -146,7 +149,7 @@
         if let Some(handover) = &tracked.released {
             return Some(handover.clone());
         }
-        let over = self.release_over(tracked)?;
+        let over = self.release_expiry(tracked)?;
         // A grant that has not ended may arrive at any time, even after its
         // connection should have been closed, because this process may have
         // been suspended.
@@ -156,7 +159,7 @@
 
     /// Returns when the grant of a range that is being released has certainly
     /// expired, even if the owner never answers.
-    pub(super) fn release_over(&self, tracked: &Tracked) -> Option<Timestamp> {
+    pub(super) fn release_expiry(&self, tracked: &TrackedRange) -> Option<Timestamp> {
         tracked.releasing?;
         // Only an answer proves this. Waiting for the grants to expire anyway
         // served 0.934 of the credit in time instead of 0.952 (mean of six days
@@ -168,7 +171,7 @@
             .settings
             .hold_expiry(tracked.arrivals.latest(), self.settings.hold);
         let earlier = match self.predecessor {
-            Some(predecessor) if !tracked.fenced_here => {
+            Some(predecessor) if !tracked.fence_acknowledged => {
                 let orders_end = predecessor.orders_end + self.settings.max_grant_transit();
                 self.settings.hold_expiry(orders_end, predecessor.hold)
             }
@@ -178,7 +181,7 @@
     }
 
     /// Returns whether the owner is known to have ended.
-    fn has_ended(&self, tracked: &Tracked) -> bool {
+    fn has_ended(&self, tracked: &TrackedRange) -> bool {
         let owner = tracked.owner();
         owner.is_some_and(|owner| self.holders.has_ended(&owner.name))
     }
--- a/crates/coordination/src/ownership/store.rs
+++ b/crates/coordination/src/ownership/store.rs
@@ -2,9 +2,9 @@
 
 use threadledge_types::Timestamp;
 
-use super::draft::mended;
-use super::tracked::retrack;
-use super::{LOAD_PATIENCE, Ownership, Phase, ReadConsequence};
+use super::draft::repaired;
+use super::tracked::track_record;
+use super::{LOAD_REPORT_WAIT, Ownership, Phase, ReadConsequence};
 use crate::action::{Action, Condition, Notice, ReadResult, Versioned, WriteResult};
 use crate::record::OwnershipRecord;
 
@@ -15,7 +15,7 @@
         now: Timestamp,
         result: ReadResult<OwnershipRecord>,
     ) -> ReadConsequence {
-        self.busy = false;
+        self.store_call_running = false;
         let found = match result {
             ReadResult::Failed => {
                 self.next_store_call = now + self.settings.retry_delay;
@@ -45,7 +45,7 @@
     ) -> ReadConsequence {
         let Some(found) = found else {
             self.phase = Phase::Adopting;
-            self.busy = true;
+            self.store_call_running = true;
             let record = OwnershipRecord::empty(self.term);
             let write = Action::WriteRecord(record, Condition::Absent);
             return ReadConsequence::Call(Box::new(write));
@@ -53,7 +53,7 @@
         if found.value.term == self.term {
             // This node has already written the record, and the answer was
             // lost.
-            self.take_own(now, found);
+            self.continue_from(now, found);
             return ReadConsequence::None;
         }
         if found.value.term > self.term {
@@ -63,15 +63,15 @@
         let mut record = found.value;
         if record.check().is_err() {
             self.notices.push(Notice::RecordBroken);
-            record = mended(&record);
+            record = repaired(&record);
         }
         record.term = self.term;
         for index in 0..record.slices.len() {
-            let fence = record.take_fence();
+            let fence = record.allocate_fence();
             record.slices[index].fence = fence;
         }
         self.phase = Phase::Adopting;
-        self.busy = true;
+        self.store_call_running = true;
         let write = Action::WriteRecord(record, Condition::Revision(found.revision));
         ReadConsequence::Call(Box::new(write))
     }
@@ -84,16 +84,16 @@
         attempted: OwnershipRecord,
         result: WriteResult<OwnershipRecord>,
     ) -> bool {
-        self.busy = false;
+        self.store_call_running = false;
         if matches!(self.phase, Phase::Idle) {
             return false;
         }
         match result {
             WriteResult::Accepted(revision) => {
-                self.writes.wrote(now);
-                self.notices.append(&mut self.drafted);
+                self.writes.on_write(now);
+                self.notices.append(&mut self.pending_notices);
                 let value = attempted;
-                self.take_own(now, Versioned { value, revision });
+                self.continue_from(now, Versioned { value, revision });
                 false
             }
             WriteResult::Conflict(found) => self.on_conflict(now, found),
@@ -106,12 +106,14 @@
                 // in the store is authoritative. If the write still takes
                 // effect later, the condition of the next write fails.
                 self.next_store_call = now + self.settings.retry_delay;
-                self.read_back = true;
+                self.read_back_needed = true;
                 false
             }
         }
     }
 
+    /// Handles a record in the store that differs from the expected one. Returns
+    /// whether another node has superseded this one.
     pub(super) fn on_conflict(
         &mut self,
         now: Timestamp,
@@ -127,7 +129,7 @@
             return true;
         }
         if found.value.term == self.term {
-            self.take_own(now, found);
+            self.continue_from(now, found);
         } else {
             // The earlier coordinator wrote in between.
             self.phase = Phase::Reading;
@@ -145,8 +147,8 @@
                     self.end_term();
                     return true;
                 }
-                if !self.busy && found.value.term == self.term {
-                    self.take_own(now, found);
+                if !self.store_call_running && found.value.term == self.term {
+                    self.continue_from(now, found);
                 }
                 false
             }
@@ -155,10 +157,10 @@
     }
 
     /// Continues from a record of this term that is in the store.
-    pub(super) fn take_own(&mut self, now: Timestamp, found: Versioned<OwnershipRecord>) {
+    pub(super) fn continue_from(&mut self, now: Timestamp, found: Versioned<OwnershipRecord>) {
         let first_of_term = !matches!(self.phase, Phase::Active { .. }) && self.tracked.is_empty();
         if first_of_term {
-            self.load_awaited = now + LOAD_PATIENCE;
+            self.load_wait_until = now + LOAD_REPORT_WAIT;
             self.notices.push(Notice::RecordAdopted {
                 term: self.term,
                 slices: found.value.slices.len(),
@@ -167,16 +169,16 @@
         if first_of_term {
             self.former.take_over(now, &found.value.former);
         }
-        self.former.follow(now, &self.tracked, &found.value.slices);
+        self.former.update(now, &self.tracked, &found.value.slices);
         let earlier = std::mem::take(&mut self.tracked);
-        self.tracked = retrack(now, earlier, &found.value.slices);
-        self.retracked = true;
+        self.tracked = track_record(now, earlier, &found.value.slices);
+        self.recheck_owners = true;
         self.find_successors();
         self.phase = Phase::Active {
             record: found.value,
             revision: found.revision,
         };
-        self.read_back = false;
+        self.read_back_needed = false;
         self.next_store_call = now;
     }
 }
--- a/crates/coordination/src/ownership/tracked.rs
+++ b/crates/coordination/src/ownership/tracked.rs
@@ -5,7 +5,7 @@
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{BackEndName, KeyRange};
 
-use super::arrivals::Arrivals;
+use super::arrivals::GrantArrivals;
 use crate::order::{GrantOrder, HandoverToken, Order, OrderFault, OrderId, OrderKind, OrderReply};
 use crate::record::{Fence, Owner, Slice, SliceState};
 use crate::settings::Settings;
@@ -16,7 +16,7 @@
 /// names its owner until the next write. A coordinator that takes over in
 /// between finds the former owner there and grants it the keys again.
 #[derive(Clone, Debug)]
-pub(super) struct Tracked {
+pub(super) struct TrackedRange {
     pub(super) slice: Slice,
     /// Fencing token under which the keys are being taken back.
     pub(super) releasing: Option<Fence>,
@@ -25,12 +25,13 @@
     pub(super) released: Option<Option<HandoverToken>>,
     /// The order that is awaiting an answer.
     pub(super) in_flight: Option<OrderId>,
-    pub(super) next_order: Timestamp,
+    /// When the next order is due.
+    pub(super) next_order_at: Timestamp,
     /// Grants of this node that may still arrive.
-    pub(super) arrivals: Arrivals,
+    pub(super) arrivals: GrantArrivals,
     /// Whether the back end has answered an order of this term for these keys,
     /// so that it refuses orders of earlier coordinators.
-    pub(super) fenced_here: bool,
+    pub(super) fence_acknowledged: bool,
     /// Whether the back end refused the current fencing token.
     pub(super) fenced: bool,
     /// Whether the current grant was accepted.
@@ -41,16 +42,16 @@
     pub(super) successor: Option<Owner>,
 }
 
-impl Tracked {
+impl TrackedRange {
     fn new(now: Timestamp, slice: Slice) -> Self {
-        Tracked {
+        TrackedRange {
             slice,
             releasing: None,
             released: None,
             in_flight: None,
-            next_order: now,
-            arrivals: Arrivals::default(),
-            fenced_here: false,
+            next_order_at: now,
+            arrivals: GrantArrivals::default(),
+            fence_acknowledged: false,
             fenced: false,
             granted: false,
             successor: None,
@@ -69,12 +70,12 @@
         // A grant in flight may still arrive; the higher fencing token takes
         // precedence.
         self.in_flight = None;
-        self.next_order = now;
+        self.next_order_at = now;
     }
 
     /// Splits the range so that `range` is tracked separately. Every part keeps
     /// the state of the whole.
-    pub(super) fn cut(self, range: KeyRange) -> Vec<Tracked> {
+    pub(super) fn split_out(self, range: KeyRange) -> Vec<TrackedRange> {
         let mut pieces = Vec::with_capacity(3);
         let before = u32::from(range.first.0) - u32::from(self.slice.range.first.0);
         let mut rest = self.slice.range;
@@ -96,13 +97,13 @@
 
     /// Schedules the next order for now and stops waiting for the one in
     /// flight.
-    pub(super) fn ask_again(&mut self, now: Timestamp) {
+    pub(super) fn resend_now(&mut self, now: Timestamp) {
         self.in_flight = None;
-        self.next_order = now;
+        self.next_order_at = now;
     }
 
     /// Returns whether there is an order to send, now or later.
-    pub(super) fn wants_order(&self) -> bool {
+    pub(super) fn needs_order(&self) -> bool {
         match (&self.slice.state, self.releasing) {
             (SliceState::Unowned, _) => false,
             (SliceState::Owned { .. }, None) => !self.fenced && self.successor.is_none(),
@@ -117,7 +118,7 @@
 
     /// Returns the next order to send.
     pub(super) fn order_kind(&self, settings: &Settings) -> Option<OrderKind> {
-        if !self.wants_order() {
+        if !self.needs_order() {
             return None;
         }
         let SliceState::Owned { handover, .. } = &self.slice.state else {
@@ -148,7 +149,7 @@
     pub(super) fn overdue(&mut self, now: Timestamp, id: OrderId) {
         if self.in_flight == Some(id) {
             self.in_flight = None;
-            self.next_order = now;
+            self.next_order_at = now;
         }
     }
 
@@ -169,17 +170,17 @@
                 self.arrivals.ended(order.id, now);
             }
             Ok(_) | Err(OrderFault::NotSent | OrderFault::Withheld) => {
-                self.arrivals.void(order.id);
+                self.arrivals.discard(order.id);
             }
         }
         if self.in_flight == Some(order.id) {
             self.in_flight = None;
-            self.awaited_ended(now, result, settings);
+            self.in_flight_ended(now, result, settings);
         } else if *result == Ok(OrderReply::Granted) && self.in_force(order) {
             self.granted = true;
-            self.fenced_here = true;
+            self.fence_acknowledged = true;
             if self.in_flight.is_none() {
-                self.next_order = now + settings.grant_renewal;
+                self.next_order_at = now + settings.grant_renewal;
             }
         }
     }
@@ -192,7 +193,8 @@
         covered && self.releasing.is_none() && order.fence == self.slice.fence
     }
 
-    fn awaited_ended(
+    /// Schedules the next order after the one in flight has ended.
+    fn in_flight_ended(
         &mut self,
         now: Timestamp,
         result: &Result<OrderReply, OrderFault>,
@@ -200,53 +202,54 @@
     ) {
         match result {
             Ok(OrderReply::Granted) => {
-                self.fenced_here = true;
+                self.fence_acknowledged = true;
                 self.granted = true;
-                self.next_order = now + settings.grant_renewal;
+                self.next_order_at = now + settings.grant_renewal;
             }
             Ok(OrderReply::Released(handover)) => {
-                self.fenced_here = true;
+                self.fence_acknowledged = true;
                 self.released = Some(handover.clone());
             }
             Ok(OrderReply::Fenced) => {
                 self.fenced = true;
-                self.next_order = now + settings.retry_delay;
+                self.next_order_at = now + settings.retry_delay;
             }
             Ok(OrderReply::Malformed | OrderReply::OtherProcess)
             | Err(OrderFault::NotSent | OrderFault::Withheld) => {
-                self.next_order = now + settings.retry_delay;
+                self.next_order_at = now + settings.retry_delay;
             }
-            Err(OrderFault::NoAnswer) => self.next_order = now,
+            Err(OrderFault::NoAnswer) => self.next_order_at = now,
         }
     }
 
     /// Returns the state of this range as part of `slice`, a slice of a later
     /// record.
-    fn carried_to(&self, now: Timestamp, slice: &Slice) -> Tracked {
+    fn carried_over(&self, now: Timestamp, slice: &Slice) -> TrackedRange {
         let mut next = if self.slice.fence == slice.fence && same_owner(&self.slice, slice) {
             self.clone()
         } else {
-            Tracked::new(now, slice.clone())
+            TrackedRange::new(now, slice.clone())
         };
         next.slice = slice.clone();
         if same_owner(&self.slice, slice) {
             // A grant in flight may still arrive even if its answer is no
             // longer awaited.
             next.arrivals = self.arrivals.clone();
-            next.fenced_here = self.fenced_here;
+            next.fence_acknowledged = self.fence_acknowledged;
         }
         next
     }
 
-    fn mergeable(&self, next: &Tracked) -> bool {
+    /// Returns whether this range and the next one can be tracked as one.
+    fn mergeable(&self, next: &TrackedRange) -> bool {
         let same = self.slice.fence == next.slice.fence && self.slice.state == next.slice.state;
         same && self.releasing.is_none() && next.releasing.is_none()
     }
 }
 
 /// Returns every back end that may hold keys.
-pub(super) fn owners(tracked: &[Tracked]) -> BTreeSet<BackEndName> {
-    let owners = tracked.iter().filter_map(Tracked::owner);
+pub(super) fn owners(tracked: &[TrackedRange]) -> BTreeSet<BackEndName> {
+    let owners = tracked.iter().filter_map(TrackedRange::owner);
     owners.map(|owner| owner.name.clone()).collect()
 }
 
@@ -262,13 +265,17 @@
 ///
 /// A slice stays split where some of its keys are being taken back. Otherwise
 /// it is tracked as a whole.
-pub(super) fn retrack(now: Timestamp, earlier: Vec<Tracked>, slices: &[Slice]) -> Vec<Tracked> {
-    let mut tracked: Vec<Tracked> = Vec::with_capacity(slices.len());
+pub(super) fn track_record(
+    now: Timestamp,
+    earlier: Vec<TrackedRange>,
+    slices: &[Slice],
+) -> Vec<TrackedRange> {
+    let mut tracked: Vec<TrackedRange> = Vec::with_capacity(slices.len());
     // Both lists are in key order, so the search for each slice starts where
     // the previous one ended.
     let mut from = 0;
     for slice in slices {
-        let ends_before = |before: &&Tracked| before.slice.range.last < slice.range.first;
+        let ends_before = |before: &&TrackedRange| before.slice.range.last < slice.range.first;
         from += earlier[from..].iter().take_while(ends_before).count();
         let overlapping = earlier[from..]
             .iter()
@@ -276,19 +283,19 @@
         let mut any = false;
         for before in overlapping {
             any = true;
-            let mut piece = before.carried_to(now, slice);
-            piece.slice.range = common(before.slice.range, slice.range);
+            let mut piece = before.carried_over(now, slice);
+            piece.slice.range = intersection(before.slice.range, slice.range);
             match tracked.last_mut() {
                 Some(last)
                     if last.slice.range.last >= slice.range.first && last.mergeable(&piece) =>
                 {
-                    join(last, &piece);
+                    merge(last, &piece);
                 }
                 _ => tracked.push(piece),
             }
         }
         if !any {
-            tracked.push(Tracked::new(now, slice.clone()));
+            tracked.push(TrackedRange::new(now, slice.clone()));
         }
     }
     tracked
@@ -296,13 +303,13 @@
 
 /// Merges a range into the one before it. The result only claims what holds for
 /// both.
-fn join(last: &mut Tracked, piece: &Tracked) {
+fn merge(last: &mut TrackedRange, piece: &TrackedRange) {
     last.slice.range.last = piece.slice.range.last;
-    last.arrivals.join(&piece.arrivals);
-    last.fenced_here &= piece.fenced_here;
+    last.arrivals.merge(&piece.arrivals);
+    last.fence_acknowledged &= piece.fence_acknowledged;
     last.fenced |= piece.fenced;
     last.granted &= piece.granted;
-    last.next_order = last.next_order.min(piece.next_order);
+    last.next_order_at = last.next_order_at.min(piece.next_order_at);
     if last.in_flight != piece.in_flight {
         last.in_flight = None;
     }
@@ -312,7 +319,7 @@
     left.first <= right.last && right.first <= left.last
 }
 
-pub(super) fn common(left: KeyRange, right: KeyRange) -> KeyRange {
+pub(super) fn intersection(left: KeyRange, right: KeyRange) -> KeyRange {
     KeyRange {
         first: left.first.max(right.first),
         last: left.last.min(right.last),
--- a/crates/coordination/src/ownership/writes.rs
+++ b/crates/coordination/src/ownership/write_budget.rs
@@ -9,26 +9,26 @@
 use threadledge_types::Timestamp;
 
 /// Mean time between two writes while keys move continuously.
-const GAP: Duration = Duration::from_millis(100);
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 /// Number of writes that may be made ahead of the mean rate, so that occasional
 /// moves are written at once.
-const AHEAD: u32 = 4;
+const BURST: u32 = 4;
 
 /// Rate limit for writes of the record.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct WriteBudget {
     /// When the writes made so far are paid off, at one per [`WRITE_INTERVAL`].
-    paid: Timestamp,
+    paid_until: Timestamp,
 }
 
 impl WriteBudget {
     /// Returns when the next write may be made.
-    pub(super) fn from(self, now: Timestamp) -> Timestamp {
-        now + self.paid.since(now + GAP * AHEAD)
+    pub(super) fn next_write_at(self, now: Timestamp) -> Timestamp {
+        now + self.paid_until.since(now + WRITE_INTERVAL * BURST)
     }
 
     /// Records a write.
-    pub(super) fn wrote(&mut self, now: Timestamp) {
-        self.paid = self.paid.max(now) + GAP;
+    pub(super) fn on_write(&mut self, now: Timestamp) {
+        self.paid_until = self.paid_until.max(now) + WRITE_INTERVAL;
     }
 }
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -163,7 +163,7 @@
     }
 
     /// Allocates a fencing token that was never used.
-    pub fn take_fence(&mut self) -> Fence {
+    pub fn allocate_fence(&mut self) -> Fence {
         let fence = self.next_fence;
         self.next_fence = Fence(fence.0 + 1);
         fence
@@ -192,15 +192,15 @@
     }
 
     /// Merges adjacent slices that belong to one grant that was split.
-    pub fn join_neighbours(&mut self) {
-        let mut joined: Vec<Slice> = Vec::with_capacity(self.slices.len());
+    pub fn merge_neighbours(&mut self) {
+        let mut merged: Vec<Slice> = Vec::with_capacity(self.slices.len());
         for slice in self.slices.drain(..) {
-            match joined.last_mut() {
-                Some(last) if last.can_join(&slice) => last.range.last = slice.range.last,
-                _ => joined.push(slice),
+            match merged.last_mut() {
+                Some(last) if last.can_merge(&slice) => last.range.last = slice.range.last,
+                _ => merged.push(slice),
             }
         }
-        self.slices = joined;
+        self.slices = merged;
     }
 }
 
@@ -213,7 +213,7 @@
         }
     }
 
-    fn can_join(&self, next: &Slice) -> bool {
+    fn can_merge(&self, next: &Slice) -> bool {
         self.fence == next.fence && self.state == next.state
     }
 }
--- a/crates/coordination/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -55,7 +55,7 @@
             hold: Duration::from_secs(3),
             grant_renewal: Duration::from_millis(700),
             order_timeout: Duration::from_millis(500),
-            far_order_timeout: FAR_ORDER,
+            far_order_timeout: DEFAULT_FAR_ORDER_TIMEOUT,
             near_zones: None,
             release_timeout: Duration::from_secs(2),
             retry_delay: Duration::from_millis(200),
@@ -149,6 +149,6 @@
 }
 
 /// Default of [`Settings::far_order_timeout`].
-const FAR_ORDER: Duration = Duration::from_secs(3);
+const DEFAULT_FAR_ORDER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Added to every grant duration that is waited out, to allow for rounding.
 const HOLD_MARGIN: Duration = Duration::from_millis(20);
--- a/crates/coordination/src/tokens.rs
+++ b/crates/coordination/src/tokens.rs
@@ -28,25 +28,25 @@
 pub const MIN_RATE: f64 = 0.1;
 /// Fraction of a limit that a coordinator grants while another node may also be
 /// coordinator.
-const UNSURE_PART: f64 = 0.4;
+const UNCONFIRMED_PART: f64 = 0.4;
 /// Tokens that a bucket holds in addition to [`BUCKET_SECONDS`].
-const DEPTH: f64 = 1.0;
+const BUCKET_BASE: f64 = 1.0;
 /// Seconds of a limit's tokens that a bucket holds.
-const DEPTH_PART: f64 = 0.25;
+const BUCKET_SECONDS: f64 = 0.25;
 /// How long no request must have named a lower limit before a higher one takes
 /// effect. Routers that have not heard of the higher limit yet still name the
 /// lower one.
-const RAISED_AFTER: Duration = Duration::from_secs(1);
+const RAISE_DELAY: Duration = Duration::from_secs(1);
 /// How long after the last request for its tokens a back end counts as limited.
-const LIMITED_FOR: Duration = Duration::from_secs(4);
+const LIMIT_EXPIRY: Duration = Duration::from_secs(4);
 /// Longest time that a router is told to wait for a token.
-const LONGEST_WAIT: Duration = Duration::from_secs(10);
+const MAX_WAIT: Duration = Duration::from_secs(10);
 /// Fraction of its limit for which an owner keeps keys, because requests arrive
 /// at random.
-const KEPT_PART: f64 = 0.7;
+const KEPT_LIMIT_PART: f64 = 0.7;
 /// Maximum fraction of all requests that limited owners together keep, if there
 /// are other owners.
-const MOST_KEPT: f64 = 0.95;
+const MAX_KEPT_SHARE: f64 = 0.95;
 
 /// A router's request for tokens of one back end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -76,40 +76,44 @@
 
 /// The token bucket of one back end.
 #[derive(Clone, Copy, Debug)]
-struct Account {
+struct Bucket {
     rate: f64,
     /// When this rate, or a lower one, was last named.
-    named_at: Timestamp,
-    asked_at: Timestamp,
+    rate_named_at: Timestamp,
+    last_request_at: Timestamp,
     level: f64,
     filled_at: Timestamp,
 }
 
-impl Account {
+impl Bucket {
     fn new(now: Timestamp, rate: f64) -> Self {
-        Account {
+        Bucket {
             rate,
-            named_at: now,
-            asked_at: now,
+            rate_named_at: now,
+            last_request_at: now,
             level: 0.0,
             filled_at: now,
         }
     }
 
-    fn name(&mut self, now: Timestamp, rate: f64) {
-        let raised = rate > self.rate && now.since(self.named_at) >= RAISED_AFTER;
+    /// Sets the rate to a lower one at once and to a higher one after
+    /// [`RAISE_DELAY`].
+    fn set_rate(&mut self, now: Timestamp, rate: f64) {
+        let raised = rate > self.rate && now.since(self.rate_named_at) >= RAISE_DELAY;
         if rate <= self.rate || raised {
             self.rate = rate;
-            self.named_at = now;
+            self.rate_named_at = now;
         }
     }
 
+    /// Adds the tokens gained since the last call, for `part` of the rate.
     fn fill(&mut self, now: Timestamp, part: f64) {
         let gained = now.since(self.filled_at).as_secs_f64() * self.rate * part;
         self.filled_at = now;
-        self.level = (self.level + gained).min(DEPTH + DEPTH_PART * self.rate);
+        self.level = (self.level + gained).min(BUCKET_BASE + BUCKET_SECONDS * self.rate);
     }
 
+    /// Removes up to `needed` whole tokens and returns how many.
     fn take(&mut self, needed: u32) -> u32 {
         let taken = needed.min(self.level as u32);
         self.level -= f64::from(taken);
@@ -117,66 +121,66 @@
     }
 
     /// Returns the time until a whole token is available.
-    fn wait(&self, part: f64) -> Duration {
+    fn time_to_token(&self, part: f64) -> Duration {
         let lacks = (1.0 - self.level).max(0.0);
         let wait = Duration::try_from_secs_f64(lacks / (self.rate * part));
-        wait.map_or(LONGEST_WAIT, |wait| wait.min(LONGEST_WAIT))
+        wait.map_or(MAX_WAIT, |wait| wait.min(MAX_WAIT))
     }
 }
 
 /// Token buckets of one service, kept by its coordinator.
 #[derive(Clone, Debug, Default)]
 pub struct TokenBuckets {
-    accounts: BTreeMap<BackEndName, Account>,
+    buckets: BTreeMap<BackEndName, Bucket>,
 }
 
 impl TokenBuckets {
     /// Removes all buckets when a term begins, so that no saved tokens remain.
     pub fn clear(&mut self) {
-        self.accounts.clear();
+        self.buckets.clear();
     }
 
     /// Grants tokens for a request. `exclusive` states that no other node
     /// grants tokens now.
-    pub fn grant(&mut self, now: Timestamp, ask: &TokenRequest, sure: bool) -> TokenGrant {
-        let part = if sure { 1.0 } else { UNSURE_PART };
+    pub fn grant(&mut self, now: Timestamp, request: &TokenRequest, exclusive: bool) -> TokenGrant {
+        let part = if exclusive { 1.0 } else { UNCONFIRMED_PART };
         self.forget_old(now);
-        let rate = ask.rate.max(MIN_RATE);
-        let account = self
-            .accounts
-            .entry(ask.back_end.clone())
-            .or_insert_with(|| Account::new(now, rate));
-        account.fill(now, part);
-        account.name(now, rate);
-        account.asked_at = now;
-        let tokens = account.take(ask.needed);
-        let wait = match tokens < ask.needed {
-            true => account.wait(part),
+        let rate = request.rate.max(MIN_RATE);
+        let bucket = self
+            .buckets
+            .entry(request.back_end.clone())
+            .or_insert_with(|| Bucket::new(now, rate));
+        bucket.fill(now, part);
+        bucket.set_rate(now, rate);
+        bucket.last_request_at = now;
+        let tokens = bucket.take(request.needed);
+        let wait = match tokens < request.needed {
+            true => bucket.time_to_token(part),
             false => Duration::ZERO,
         };
         TokenGrant {
-            back_end: ask.back_end.clone(),
+            back_end: request.back_end.clone(),
             tokens,
             wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
         }
     }
 
     fn forget_old(&mut self, now: Timestamp) {
-        self.accounts
-            .retain(|_, account| now.since(account.asked_at) < LIMITED_FOR);
+        self.buckets
+            .retain(|_, bucket| now.since(bucket.last_request_at) < LIMIT_EXPIRY);
     }
 
     /// Returns the limit of a back end for which tokens were requested
     /// recently.
     fn limit(&self, now: Timestamp, name: &BackEndName) -> Option<f64> {
-        let account = self.accounts.get(name)?;
-        (now.since(account.asked_at) < LIMITED_FOR).then_some(account.rate)
+        let bucket = self.buckets.get(name)?;
+        (now.since(bucket.last_request_at) < LIMIT_EXPIRY).then_some(bucket.rate)
     }
 
     /// Lowers the weights of limited candidates to what their limits allow, if
     /// `requests` per second arrive for all keys together.
     pub fn bound_weights(&self, now: Timestamp, candidates: &mut [Candidate], requests: f64) {
-        if self.accounts.is_empty() || requests <= 0.0 {
+        if self.buckets.is_empty() || requests <= 0.0 {
             return;
         }
         let total: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
@@ -186,7 +190,7 @@
             let Some(limit) = self.limit(now, &candidate.owner.name) else {
                 continue;
             };
-            let most = KEPT_PART * limit / requests;
+            let most = KEPT_LIMIT_PART * limit / requests;
             if candidate.weight / total <= most {
                 continue;
             }
@@ -195,7 +199,7 @@
             others -= candidate.weight;
         }
         let by_others = others > total * f64::EPSILON;
-        if by_others && kept > MOST_KEPT {
+        if by_others && kept > MAX_KEPT_SHARE {
             // Limited owners take nearly everything, so the usual shares are
             // used.
             candidates
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -283,10 +283,10 @@
     let mut ownership = taken_over(two_regions());
     let order = sent(ownership.poll(START, true)).remove(0);
     ownership.poll(START + Duration::from_millis(500), true);
-    assert!(!ownership.quiet());
+    assert!(!ownership.has_no_pending_orders());
     let end = START + order.timeout;
     ownership.on_order(end, &order, Err(OrderFault::NoAnswer));
-    assert!(!ownership.quiet(), "the second one has not ended");
+    assert!(!ownership.has_no_pending_orders(), "the second one has not ended");
 }
 
 fn sent(actions: Vec<Action>) -> Vec<Order> {
