--- a/crates/coordination/src/holders.rs
+++ b/crates/coordination/src/holders.rs
@@ -107,7 +107,7 @@
     pub weight: f64,
     /// Largest fraction of all requests that it takes, if it announces a limit
     /// below its usual share.
-    pub most: Option<f64>,
+    pub max_share: Option<f64>,
 }
 
 /// State of the service's back ends, by name.
@@ -280,7 +280,7 @@
             .map(|registered| Candidate {
                 owner: registered.owner.clone(),
                 weight: f64::from(registered.slots) * self.weight_factor(registered, now),
-                most: None,
+                max_share: None,
             })
             .collect()
     }
--- a/crates/coordination/src/load.rs
+++ b/crates/coordination/src/load.rs
@@ -21,22 +21,22 @@
 const CELL_KEYS: usize = 256;
 /// Standard deviations by which the recent requests of a cell must differ from
 /// the usual ones to count as a sudden change.
-const SUDDEN: f64 = 5.0;
+const SUDDEN_CHANGE_DEVIATIONS: f64 = 5.0;
 /// Minimum number of recent requests to detect a sudden change.
-const LEAST_RECENT: f64 = 40.0;
+const MIN_RECENT_REQUESTS: f64 = 40.0;
 /// Half-life of the weight of a speed measurement.
 const SPEED_HALF_LIFE: Duration = Duration::from_secs(15);
 /// Fraction of the weight that is spread evenly over all keys, so that keys
 /// without requests are distributed as well.
-const KEYS_PART: f64 = 0.1;
+const UNIFORM_WEIGHT: f64 = 0.1;
 /// Minimum number of requests for the load of keys to count.
-const LEAST_REQUESTS: f64 = 40.0;
+const MIN_REQUESTS: f64 = 40.0;
 /// Number of samples at the average speed that the speed of every back end is
 /// mixed with, so that a few samples say little.
-const SPEED_PRIOR: f64 = 4.0;
+const SPEED_PRIOR_SAMPLES: f64 = 4.0;
 /// Maximum factor by which a back end may count as faster or slower than the
 /// others.
-const SPEED_RANGE: f64 = 3.0;
+const MAX_SPEED_RATIO: f64 = 3.0;
 
 /// What one router measured for one service since its last report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -96,13 +96,13 @@
 
     /// Returns whether the report names no back end that should not keep its
     /// keys.
-    pub fn tells_no_owner(&self) -> bool {
+    pub fn names_no_ineligible_owner(&self) -> bool {
         self.leaving.is_empty() && self.resting.is_empty()
     }
 
     /// Returns whether the report is empty.
     pub fn is_empty(&self) -> bool {
-        self.requests.is_empty() && self.speeds.is_empty() && self.tells_no_owner()
+        self.requests.is_empty() && self.speeds.is_empty() && self.names_no_ineligible_owner()
     }
 }
 
@@ -153,13 +153,13 @@
     /// The same for about the last second.
     recent: Vec<f64>,
     speeds: BTreeMap<BackEndName, Speed>,
-    faded_at: Timestamp,
+    decayed_at: Timestamp,
 }
 
 impl LoadMap {
     /// Adds a router's report.
     pub fn add(&mut self, now: Timestamp, report: &LoadReport) {
-        self.fade(now);
+        self.decay(now);
         if !report.requests.is_empty() {
             self.counts.resize(KEYS, 0.0);
             self.recent.resize(KEYS, 0.0);
@@ -184,9 +184,9 @@
     }
 
     /// Decays all counts to `now`.
-    fn fade(&mut self, now: Timestamp) {
-        let age = now.since(self.faded_at).as_secs_f64();
-        self.faded_at = now;
+    fn decay(&mut self, now: Timestamp) {
+        let age = now.since(self.decayed_at).as_secs_f64();
+        self.decayed_at = now;
         for (counts, half_life) in [
             (&mut self.counts, HALF_LIFE),
             (&mut self.recent, RECENT_HALF_LIFE),
@@ -206,10 +206,10 @@
     /// Replaces the counts of each cell by the recent ones where these differ
     /// too much to be random variation, so that keys that suddenly become busy
     /// or quiet are recognized at once.
-    pub fn notice_sudden_changes(&mut self) {
+    pub fn apply_sudden_changes(&mut self) {
         let usual: f64 = self.counts.iter().sum();
         let recent: f64 = self.recent.iter().sum();
-        if recent < LEAST_RECENT || usual < LEAST_REQUESTS {
+        if recent < MIN_RECENT_REQUESTS || usual < MIN_REQUESTS {
             return;
         }
         let scale = usual / recent;
@@ -221,7 +221,7 @@
             let expected = cell.iter().sum::<f64>() / scale;
             let seen: f64 = recent_cell.iter().sum();
             let deviation = (expected + 1.0).sqrt();
-            if (seen - expected).abs() <= SUDDEN * deviation {
+            if (seen - expected).abs() <= SUDDEN_CHANGE_DEVIATIONS * deviation {
                 continue;
             }
             for (key, recent) in cell.iter_mut().zip(recent_cell) {
@@ -231,8 +231,8 @@
     }
 
     /// Returns whether enough requests were seen to rely on the counts.
-    pub fn speaks(&self) -> bool {
-        self.counts.iter().sum::<f64>() >= LEAST_REQUESTS
+    pub fn has_enough_requests(&self) -> bool {
+        self.counts.iter().sum::<f64>() >= MIN_REQUESTS
     }
 
     /// Returns the recent rate of requests for all keys together, per second.
@@ -254,62 +254,70 @@
         let Some(speed) = self.speeds.get(name) else {
             return 1.0;
         };
-        if total.count < SPEED_PRIOR || total.work_s <= 0.0 {
+        if total.count < SPEED_PRIOR_SAMPLES || total.work_s <= 0.0 {
             return 1.0;
         }
         let usual = total.work_s / total.count;
-        let work = (speed.work_s + SPEED_PRIOR * usual) / (speed.count + SPEED_PRIOR);
-        (usual / work).clamp(1.0 / SPEED_RANGE, SPEED_RANGE)
+        let work =
+            (speed.work_s + SPEED_PRIOR_SAMPLES * usual) / (speed.count + SPEED_PRIOR_SAMPLES);
+        (usual / work).clamp(1.0 / MAX_SPEED_RATIO, MAX_SPEED_RATIO)
     }
 
     /// Returns the weights by which keys are distributed.
-    pub fn measure(&self) -> Measure {
+    pub fn key_weights(&self) -> KeyWeights {
         let total: f64 = self.counts.iter().sum();
-        let by_load = if total >= LEAST_REQUESTS {
-            (1.0 - KEYS_PART) / total
+        let request_weight = if total >= MIN_REQUESTS {
+            (1.0 - UNIFORM_WEIGHT) / total
         } else {
             0.0
         };
-        let by_keys = (1.0 - by_load * total) / KEYS as f64;
-        let mut sums = Vec::new();
-        if by_load > 0.0 {
-            sums.reserve(KEYS + 1);
+        let uniform_weight = (1.0 - request_weight * total) / KEYS as f64;
+        let mut prefix_sums = Vec::new();
+        if request_weight > 0.0 {
+            prefix_sums.reserve(KEYS + 1);
             let mut sum = 0.0;
-            sums.push(sum);
+            prefix_sums.push(sum);
             for requests in &self.counts {
-                sum += requests * by_load + by_keys;
-                sums.push(sum);
+                sum += requests * request_weight + uniform_weight;
+                prefix_sums.push(sum);
             }
         }
-        let requests = if sums.is_empty() { None } else { Some(total) };
-        Measure { sums, requests }
+        let requests = if prefix_sums.is_empty() {
+            None
+        } else {
+            Some(total)
+        };
+        KeyWeights {
+            prefix_sums,
+            requests,
+        }
     }
 }
 
 /// Weights of ranges of keys. All keys together weigh 1.
 #[derive(Clone, Debug)]
-pub struct Measure {
+pub struct KeyWeights {
     /// Total weight of all keys before each key; empty if all keys weigh the
     /// same.
-    sums: Vec<f64>,
+    prefix_sums: Vec<f64>,
     /// Number of requests that the weights are based on; `None` if all keys
     /// weigh the same.
     requests: Option<f64>,
 }
 
-impl Measure {
+impl KeyWeights {
     /// Returns the weight of all keys below `key`, which may be one past the
     /// last.
-    fn below(&self, key: u32) -> f64 {
-        if self.sums.is_empty() {
+    fn weight_below(&self, key: u32) -> f64 {
+        if self.prefix_sums.is_empty() {
             return f64::from(key) / KEYS as f64;
         }
-        self.sums.get(key as usize).copied().unwrap_or(1.0)
+        self.prefix_sums.get(key as usize).copied().unwrap_or(1.0)
     }
 
     /// Returns the relative standard deviation of the measured weight of keys
     /// that weigh `weight`, because requests arrive at random.
-    pub fn noise(&self, weight: f64) -> f64 {
+    pub fn relative_noise(&self, weight: f64) -> f64 {
         match self.requests {
             Some(requests) => 1.0 / (requests * weight).max(f64::MIN_POSITIVE).sqrt(),
             None => 0.0,
@@ -317,20 +325,20 @@
     }
 
     /// Returns the weight of a range.
-    pub fn of(&self, range: KeyRange) -> f64 {
-        self.below(u32::from(range.last.0) + 1) - self.below(u32::from(range.first.0))
+    pub fn weight_of(&self, range: KeyRange) -> f64 {
+        self.weight_below(u32::from(range.last.0) + 1) - self.weight_below(u32::from(range.first.0))
     }
 
     /// Returns how many of the first keys of `range` together weigh `wanted`,
     /// at least 1 and at most all.
-    pub fn keys_for(&self, range: KeyRange, wanted: f64) -> u32 {
+    pub fn key_count_for(&self, range: KeyRange, wanted: f64) -> u32 {
         let first = u32::from(range.first.0);
-        let base = self.below(first);
+        let base = self.weight_below(first);
         let mut low = 1;
         let mut high = range.len();
         while low < high {
             let middle = low + (high - low) / 2;
-            if self.below(first + middle) - base >= wanted {
+            if self.weight_below(first + middle) - base >= wanted {
                 high = middle;
             } else {
                 low = middle + 1;
--- a/crates/coordination/src/ownership/draft.rs
+++ b/crates/coordination/src/ownership/draft.rs
@@ -8,7 +8,7 @@
 use crate::holders::{Candidate, Holders, Ineligible};
 use crate::load::LoadMap;
 use crate::order::HandoverToken;
-use crate::plan::{self, Assignment, Held};
+use crate::plan::{self, Assignment, HeldRange};
 use crate::record::{Fence, OwnershipRecord, Slice, SliceState};
 use crate::tokens::TokenBuckets;
 
@@ -117,7 +117,7 @@
         }
         let candidates = candidates(self.now, self.holders, self.load, self.tokens, self.tracked);
         let held = held_ranges(pieces.iter().map(|piece| &piece.slice));
-        let assignments = plan::assign(&unowned, &held, &candidates, &self.load.measure());
+        let assignments = plan::assign(&unowned, &held, &candidates, &self.load.key_weights());
         replace_unowned(pieces, assignments, notices)
     }
 }
@@ -236,9 +236,9 @@
 }
 
 /// Returns the ranges that owners hold.
-pub(super) fn held_ranges<'a>(slices: impl Iterator<Item = &'a Slice>) -> Vec<Held> {
+pub(super) fn held_ranges<'a>(slices: impl Iterator<Item = &'a Slice>) -> Vec<HeldRange> {
     let holding = |slice: &Slice| match &slice.state {
-        SliceState::Owned { owner, .. } => Some(Held {
+        SliceState::Owned { owner, .. } => Some(HeldRange {
             range: slice.range,
             owner: owner.name.clone(),
         }),
--- a/crates/coordination/src/ownership/releases.rs
+++ b/crates/coordination/src/ownership/releases.rs
@@ -63,13 +63,13 @@
         // Set before any early return. Otherwise the next check would come
         // right after the store answers again instead of a full interval later.
         self.next_balancing = now + BALANCING_INTERVAL;
-        if now < self.load_wait_until && !self.load.speaks() {
+        if now < self.load_wait_until && !self.load.has_enough_requests() {
             return;
         }
-        self.load.notice_sudden_changes();
+        self.load.apply_sudden_changes();
         let candidates = candidates(now, &self.holders, &self.load, &self.tokens, &self.tracked);
         let held = held_ranges(self.tracked.iter().map(|tracked| &tracked.slice));
-        for range in plan::rebalance(&held, &candidates, &self.load.measure()) {
+        for range in plan::rebalance(&held, &candidates, &self.load.key_weights()) {
             self.release_range(now, range, fence);
         }
     }
--- a/crates/coordination/src/plan.rs
+++ b/crates/coordination/src/plan.rs
@@ -6,14 +6,14 @@
 use threadledge_types::deployment::{BackEndName, KeyRange};
 
 use crate::holders::Candidate;
-use crate::load::Measure;
+use crate::load::KeyWeights;
 use crate::record::Owner;
 
 /// Surplus above which keys are taken from an owner, as a fraction of its fair
 /// share.
 const TOLERATED_SURPLUS: f64 = 0.3;
 /// The same while some candidate is nearly empty, as a new one is.
-const TOLERATED_BESIDE_EMPTY: f64 = 0.05;
+const TOLERATED_SURPLUS_BESIDE_EMPTY: f64 = 0.05;
 /// Standard deviations of the measured load by which a surplus must exceed
 /// random variation.
 const DEVIATIONS: f64 = 2.5;
@@ -21,19 +21,19 @@
 /// to it, so that random variations average out.
 const DEVIATIONS_BESIDE_EMPTY: f64 = 1.0;
 /// Fraction of its fair share below which a candidate is nearly empty.
-const HARDLY_ANYTHING: f64 = 0.4;
+const NEARLY_EMPTY: f64 = 0.4;
 /// Deficit from which moving keys to a candidate is worthwhile, as a fraction
 /// of its fair share.
-const WORTHWHILE_LACK: f64 = 0.1;
+const MIN_DEFICIT: f64 = 0.1;
 /// Smallest piece that is cut from a range, as a fraction of a fair share.
-const SMALLEST_PIECE: f64 = 0.08;
+const MIN_PIECE: f64 = 0.08;
 /// Factor by which a candidate's weight must exceed the owner's for a single
 /// busy key to be moved to it.
-const MUCH_STRONGER: f64 = 1.25;
+const STRONGER_FACTOR: f64 = 1.25;
 /// Fraction of a fair share above which a single key counts as heavy.
-const HEAVY: f64 = 1.1;
+const HEAVY_KEY: f64 = 1.1;
 /// Maximum number of pieces taken back at once.
-const MOST_PIECES: usize = 12;
+const MAX_PIECES: usize = 12;
 
 /// A range and its new owner.
 #[derive(Clone, Debug, PartialEq)]
@@ -46,7 +46,7 @@
 
 /// A range that an owner holds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Held {
+pub struct HeldRange {
     /// The keys.
     pub range: KeyRange,
     /// The owner.
@@ -57,7 +57,7 @@
 /// Orders by need; of equal candidates, the first by name is the greater.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Need {
-    lacks: f64,
+    relative_deficit: f64,
     index: usize,
 }
 
@@ -65,8 +65,8 @@
 
 impl Ord for Need {
     fn cmp(&self, other: &Self) -> Ordering {
-        let by_lack = self.lacks.total_cmp(&other.lacks);
-        by_lack.then(other.index.cmp(&self.index))
+        let by_deficit = self.relative_deficit.total_cmp(&other.relative_deficit);
+        by_deficit.then(other.index.cmp(&self.index))
     }
 }
 
@@ -89,7 +89,7 @@
 }
 
 impl<'a> Shares<'a> {
-    fn new(candidates: &'a [Candidate], held: &[Held], measure: &Measure) -> Self {
+    fn new(candidates: &'a [Candidate], held: &[HeldRange], weights: &KeyWeights) -> Self {
         debug_assert!(candidates.is_sorted_by_key(|candidate| &candidate.owner.name));
         let mut shares = Shares {
             candidates,
@@ -99,7 +99,7 @@
         };
         for held in held {
             if let Some(index) = shares.index(&held.owner) {
-                shares.held[index] += measure.of(held.range);
+                shares.held[index] += weights.weight_of(held.range);
             }
         }
         shares.needs = (0..candidates.len())
@@ -115,19 +115,19 @@
 
     /// Returns the fraction of all load that a candidate should hold. All fair
     /// shares add up to 1.
-    fn fair(&self, index: usize) -> f64 {
+    fn fair_share(&self, index: usize) -> f64 {
         self.candidates[index].weight / self.total_weight
     }
 
     /// Returns how much a candidate holds less than its fair share; negative if
     /// it holds more.
-    fn lacks(&self, index: usize) -> f64 {
-        self.fair(index) - self.held[index]
+    fn deficit(&self, index: usize) -> f64 {
+        self.fair_share(index) - self.held[index]
     }
 
     fn need(&self, index: usize) -> Need {
         Need {
-            lacks: self.lacks(index) / self.fair(index),
+            relative_deficit: self.deficit(index) / self.fair_share(index),
             index,
         }
     }
@@ -141,41 +141,41 @@
     /// Returns the tolerated surplus as a fraction of a fair share, and the
     /// number of standard deviations that random variation may add.
     fn tolerances(&self) -> (f64, f64) {
-        if self.any_hardly_has() {
-            (TOLERATED_BESIDE_EMPTY, DEVIATIONS_BESIDE_EMPTY)
+        if self.any_nearly_empty() {
+            (TOLERATED_SURPLUS_BESIDE_EMPTY, DEVIATIONS_BESIDE_EMPTY)
         } else {
             (TOLERATED_SURPLUS, DEVIATIONS)
         }
     }
 
     /// Returns whether some candidate is nearly empty.
-    fn any_hardly_has(&self) -> bool {
+    fn any_nearly_empty(&self) -> bool {
         let neediest = self.needs.last();
-        neediest.is_some_and(|need| need.lacks > 1.0 - HARDLY_ANYTHING)
+        neediest.is_some_and(|need| need.relative_deficit > 1.0 - NEARLY_EMPTY)
     }
 
     /// Returns the candidate with the lowest load relative to its fair share
     /// after `weight` is added.
-    fn strongest(&self, weight: f64) -> Option<usize> {
-        let load = |index: &usize| (self.held[*index] + weight) / self.fair(*index);
+    fn least_loaded_with(&self, weight: f64) -> Option<usize> {
+        let load = |index: &usize| (self.held[*index] + weight) / self.fair_share(*index);
         (0..self.candidates.len()).min_by(|left, right| load(left).total_cmp(&load(right)))
     }
 
     /// Returns whether some candidate is strong enough to take over a single
     /// key that weighs more than the owner's share.
-    fn has_much_stronger(&self, owner: usize) -> bool {
-        let much = self.candidates[owner].weight * MUCH_STRONGER;
+    fn has_stronger_candidate(&self, owner: usize) -> bool {
+        let min_weight = self.candidates[owner].weight * STRONGER_FACTOR;
         let mut candidates = self.candidates.iter();
-        candidates.any(|candidate| candidate.weight > much)
+        candidates.any(|candidate| candidate.weight > min_weight)
     }
 
     /// Returns the total deficit of the candidates to which a move is
     /// worthwhile.
-    fn worthwhile(&self) -> f64 {
+    fn worthwhile_deficit(&self) -> f64 {
         let needs = self.needs.iter().rev();
         needs
-            .take_while(|need| need.lacks > WORTHWHILE_LACK)
-            .map(|need| self.lacks(need.index))
+            .take_while(|need| need.relative_deficit > MIN_DEFICIT)
+            .map(|need| self.deficit(need.index))
             .sum()
     }
 
@@ -190,11 +190,11 @@
 /// ranges where one candidate would get too much.
 pub fn assign(
     unowned: &[KeyRange],
-    held: &[Held],
+    held: &[HeldRange],
     candidates: &[Candidate],
-    measure: &Measure,
+    weights: &KeyWeights,
 ) -> Vec<Assignment> {
-    let mut shares = Shares::new(candidates, held, measure);
+    let mut shares = Shares::new(candidates, held, weights);
     let mut assignments = Vec::new();
     for range in unowned {
         let mut rest = Some(*range);
@@ -202,14 +202,14 @@
             let Some(mut candidate) = shares.neediest() else {
                 return assignments;
             };
-            let smallest = shares.fair(candidate) * SMALLEST_PIECE;
-            let wanted = shares.lacks(candidate).max(smallest);
-            let (piece, left) = cut_front(range, wanted, smallest, measure);
-            let weight = measure.of(piece);
-            if weight > shares.fair(candidate) * HEAVY
-                && let Some(strongest) = shares.strongest(weight)
+            let smallest = shares.fair_share(candidate) * MIN_PIECE;
+            let wanted = shares.deficit(candidate).max(smallest);
+            let (piece, left) = cut_front(range, wanted, smallest, weights);
+            let weight = weights.weight_of(piece);
+            if weight > shares.fair_share(candidate) * HEAVY_KEY
+                && let Some(least_loaded) = shares.least_loaded_with(weight)
             {
-                candidate = strongest;
+                candidate = least_loaded;
             }
             shares.add(candidate, weight);
             assignments.push(Assignment {
@@ -229,15 +229,15 @@
     range: KeyRange,
     wanted: f64,
     smallest: f64,
-    measure: &Measure,
+    weights: &KeyWeights,
 ) -> (KeyRange, Option<KeyRange>) {
-    if wanted + smallest >= measure.of(range) {
+    if wanted + smallest >= weights.weight_of(range) {
         return (range, None);
     }
-    let keys = measure.keys_for(range, wanted);
+    let keys = weights.key_count_for(range, wanted);
     let without_last = keys - 1;
     let last_weighs_too_much = range.split_after(without_last).is_some_and(|(piece, _)| {
-        wanted - measure.of(piece) < last_weight(range, keys, measure) / 2.0
+        wanted - weights.weight_of(piece) < last_weight(range, keys, weights) / 2.0
     });
     let keys = if last_weighs_too_much {
         without_last
@@ -251,21 +251,21 @@
 }
 
 /// Returns the weight of the last of the first `keys` keys of `range`.
-fn last_weight(range: KeyRange, keys: u32, measure: &Measure) -> f64 {
+fn last_weight(range: KeyRange, keys: u32, weights: &KeyWeights) -> f64 {
     let all = range.split_after(keys).map_or(range, |(piece, _)| piece);
     let others = range.split_after(keys - 1);
-    measure.of(all) - others.map_or(0.0, |(piece, _)| measure.of(piece))
+    weights.weight_of(all) - others.map_or(0.0, |(piece, _)| weights.weight_of(piece))
 }
 
 /// Returns the piece that weighs `wanted` from the front or the back of
 /// `range`, whichever needs fewer keys.
-fn cut_end(range: KeyRange, wanted: f64, measure: &Measure) -> KeyRange {
-    let weight = measure.of(range);
+fn cut_end(range: KeyRange, wanted: f64, weights: &KeyWeights) -> KeyRange {
+    let weight = weights.weight_of(range);
     if wanted >= weight {
         return range;
     }
-    let from_front = measure.keys_for(range, wanted);
-    let kept_for_back = measure.keys_for(range, weight - wanted);
+    let from_front = weights.key_count_for(range, wanted);
+    let kept_for_back = weights.key_count_for(range, weight - wanted);
     let from_back = range.len() - kept_for_back;
     if from_back > 0 && from_back < from_front {
         return range
@@ -279,56 +279,60 @@
 
 /// Returns the ranges to take back from owners that hold too much, so that
 /// candidates that hold too little can be assigned their share.
-pub fn rebalance(held: &[Held], candidates: &[Candidate], measure: &Measure) -> Vec<KeyRange> {
-    let mut shares = Shares::new(candidates, held, measure);
-    let mut missing = shares.worthwhile();
+pub fn rebalance(
+    held: &[HeldRange],
+    candidates: &[Candidate],
+    weights: &KeyWeights,
+) -> Vec<KeyRange> {
+    let mut shares = Shares::new(candidates, held, weights);
+    let mut needed = shares.worthwhile_deficit();
     let (least, deviations) = shares.tolerances();
     let tolerated = |owner: usize| {
-        let fair = shares.fair(owner);
+        let fair = shares.fair_share(owner);
         // Requests beyond a limit are refused, so a surplus counts even if it
         // may be random variation.
-        if candidates[owner].most.is_some() {
+        if candidates[owner].max_share.is_some() {
             return fair * TOLERATED_SURPLUS;
         }
-        fair * least.max(deviations * measure.noise(fair))
+        fair * least.max(deviations * weights.relative_noise(fair))
     };
     let mut donors: Vec<(usize, f64)> = (0..candidates.len())
-        .map(|index| (index, -shares.lacks(index)))
+        .map(|index| (index, -shares.deficit(index)))
         .filter(|(index, surplus)| *surplus > tolerated(*index))
         .collect();
-    let beyond_limits = donors
+    let over_limit = donors
         .iter()
-        .filter(|(index, _)| candidates[*index].most.is_some());
-    let beyond_limits: f64 = beyond_limits.map(|(_, surplus)| surplus).sum();
+        .filter(|(index, _)| candidates[*index].max_share.is_some());
+    let over_limit: f64 = over_limit.map(|(_, surplus)| surplus).sum();
     // Others take this in small parts, even if none has a deficit worth a move.
-    missing = missing.max(beyond_limits);
-    let limited = |donor: &(usize, f64)| candidates[donor.0].most.is_some();
+    needed = needed.max(over_limit);
+    let limited = |donor: &(usize, f64)| candidates[donor.0].max_share.is_some();
     donors.sort_by(|left, right| {
         let first = limited(right).cmp(&limited(left));
         first.then(right.1.total_cmp(&left.1))
     });
     let mut taken = Vec::new();
     for (donor, _) in donors {
-        if taken.len() >= MOST_PIECES {
+        if taken.len() >= MAX_PIECES {
             break;
         }
-        for range in densest_first(held, &candidates[donor].owner.name, measure) {
-            let surplus = -shares.lacks(donor);
-            let smallest = shares.fair(donor) * SMALLEST_PIECE;
-            let wanted = surplus.min(missing);
-            if wanted < smallest || taken.len() >= MOST_PIECES {
+        for range in densest_first(held, &candidates[donor].owner.name, weights) {
+            let surplus = -shares.deficit(donor);
+            let smallest = shares.fair_share(donor) * MIN_PIECE;
+            let wanted = surplus.min(needed);
+            if wanted < smallest || taken.len() >= MAX_PIECES {
                 break;
             }
-            let piece = cut_end(range, wanted, measure);
-            let weight = measure.of(piece);
+            let piece = cut_end(range, wanted, weights);
+            let weight = weights.weight_of(piece);
             // A single key may weigh more than a whole share. Moving it to a
             // back end that is no faster would only make that one the busiest.
-            let heavy = piece.len() == 1 && weight > shares.fair(donor) * HEAVY;
-            if heavy && !shares.has_much_stronger(donor) {
+            let heavy = piece.len() == 1 && weight > shares.fair_share(donor) * HEAVY_KEY;
+            if heavy && !shares.has_stronger_candidate(donor) {
                 continue;
             }
             shares.add(donor, -weight);
-            missing -= weight;
+            needed -= weight;
             taken.push(piece);
         }
     }
@@ -337,8 +341,8 @@
 
 /// Returns the ranges of one owner, those with the greatest weight per key
 /// first.
-fn densest_first(held: &[Held], owner: &BackEndName, measure: &Measure) -> Vec<KeyRange> {
-    let density = |range: &KeyRange| measure.of(*range) / f64::from(range.len());
+fn densest_first(held: &[HeldRange], owner: &BackEndName, weights: &KeyWeights) -> Vec<KeyRange> {
+    let density = |range: &KeyRange| weights.weight_of(*range) / f64::from(range.len());
     let mut ranges: Vec<KeyRange> = held
         .iter()
         .filter(|held| held.owner == *owner)
--- a/crates/coordination/src/tokens.rs
+++ b/crates/coordination/src/tokens.rs
@@ -190,12 +190,12 @@
             let Some(limit) = self.limit(now, &candidate.owner.name) else {
                 continue;
             };
-            let most = KEPT_LIMIT_PART * limit / requests;
-            if candidate.weight / total <= most {
+            let max_share = KEPT_LIMIT_PART * limit / requests;
+            if candidate.weight / total <= max_share {
                 continue;
             }
-            candidate.most = Some(most);
-            kept += most;
+            candidate.max_share = Some(max_share);
+            kept += max_share;
             others -= candidate.weight;
         }
         let by_others = others > total * f64::EPSILON;
@@ -204,7 +204,7 @@
             // used.
             candidates
                 .iter_mut()
-                .for_each(|candidate| candidate.most = None);
+                .for_each(|candidate| candidate.max_share = None);
             return;
         }
         let scale = if by_others {
@@ -213,8 +213,8 @@
             1.0
         };
         for candidate in candidates {
-            if let Some(most) = candidate.most {
-                candidate.weight = most * scale;
+            if let Some(max_share) = candidate.max_share {
+                candidate.weight = max_share * scale;
             }
         }
     }
--- a/crates/coordination/tests/load.rs
+++ b/crates/coordination/tests/load.rs
@@ -5,7 +5,7 @@
 use threadledge_coordination::Owner;
 use threadledge_coordination::holders::Candidate;
 use threadledge_coordination::load::{KeyCount, LoadMap, LoadReport, SpeedSample};
-use threadledge_coordination::plan::{Held, assign, rebalance};
+use threadledge_coordination::plan::{HeldRange, assign, rebalance};
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{KeyRange, ShardKey};
 
@@ -30,7 +30,7 @@
                 address: ([10, 0, 0, 1], 1_000 + number).into(),
             },
             weight: 1.0,
-            most: None,
+            max_share: None,
         })
         .collect()
 }
@@ -52,20 +52,20 @@
 
 #[test]
 fn without_reports_keys_weigh_the_same() {
-    let measure = LoadMap::default().measure();
-    assert!((measure.of(KeyRange::ALL) - 1.0).abs() < 1e-9);
-    assert!((measure.of(range(0, 32_767)) - 0.5).abs() < 1e-9);
-    assert_eq!(measure.keys_for(KeyRange::ALL, 0.25), 16_384);
-    assert_eq!(measure.keys_for(range(7, 7), 0.9), 1);
+    let weights = LoadMap::default().key_weights();
+    assert!((weights.weight_of(KeyRange::ALL) - 1.0).abs() < 1e-9);
+    assert!((weights.weight_of(range(0, 32_767)) - 0.5).abs() < 1e-9);
+    assert_eq!(weights.key_count_for(KeyRange::ALL, 0.25), 16_384);
+    assert_eq!(weights.key_count_for(range(7, 7), 0.9), 1);
 }
 
 #[test]
 fn busy_keys_weigh_more_and_quiet_ones_a_little() {
     let (map, _) = steady(&[(31_200, 60), (60_000, 20)], 20);
-    let measure = map.measure();
-    let busy = measure.of(range(31_200, 31_200));
+    let weights = map.key_weights();
+    let busy = weights.weight_of(range(31_200, 31_200));
     assert!((0.6..0.75).contains(&busy), "{busy}");
-    assert!(measure.of(range(0, 16_383)) > 0.01);
+    assert!(weights.weight_of(range(0, 16_383)) > 0.01);
 }
 
 #[test]
@@ -75,9 +75,9 @@
         now = now + TICK;
         map.add(now, &report(&[(30_000, 60), (50_000, 20)]));
     }
-    let before = map.measure().of(range(29_984, 30_015));
-    map.notice_sudden_changes();
-    let after = map.measure().of(range(29_984, 30_015));
+    let before = map.key_weights().weight_of(range(29_984, 30_015));
+    map.apply_sudden_changes();
+    let after = map.key_weights().weight_of(range(29_984, 30_015));
     assert!(before < 0.2, "{before}");
     assert!(after > 0.3, "{after}");
 }
@@ -87,9 +87,9 @@
     let (mut map, mut now) = steady(&[(10_000, 12), (30_000, 9), (50_000, 40)], 20);
     now = now + TICK;
     map.add(now, &report(&[(10_000, 18), (30_000, 4), (50_000, 39)]));
-    let before = map.measure().of(range(10_000, 10_015));
-    map.notice_sudden_changes();
-    let after = map.measure().of(range(10_000, 10_015));
+    let before = map.key_weights().weight_of(range(10_000, 10_015));
+    map.apply_sudden_changes();
+    let after = map.key_weights().weight_of(range(10_000, 10_015));
     assert!((before - after).abs() < 1e-9);
 }
 
@@ -120,13 +120,13 @@
     let counts: Vec<(u16, u32)> = (0..200).map(|step| (31_000 + step * 16, 5)).collect();
     let (map, _) = steady(&counts, 10);
     let candidates = candidates(10);
-    let measure = map.measure();
-    let assigned = assign(&[KeyRange::ALL], &[], &candidates, &measure);
+    let weights = map.key_weights();
+    let assigned = assign(&[KeyRange::ALL], &[], &candidates, &weights);
     for candidate in &candidates {
         let share: f64 = assigned
             .iter()
             .filter(|assignment| assignment.owner == candidate.owner)
-            .map(|assignment| measure.of(assignment.range))
+            .map(|assignment| weights.weight_of(assignment.range))
             .sum();
         assert!((share - 0.1).abs() < 0.02, "{share}");
     }
@@ -135,19 +135,19 @@
 #[test]
 fn owner_with_too_much_gives_up_the_busy_end_of_its_keys() {
     let (map, _) = steady(&[(9_990, 50), (30_000, 10)], 10);
-    let measure = map.measure();
+    let weights = map.key_weights();
     let candidates = candidates(2);
     let held = [
-        Held {
+        HeldRange {
             range: range(0, 9_999),
             owner: candidates[0].owner.name.clone(),
         },
-        Held {
+        HeldRange {
             range: range(10_000, u16::MAX),
             owner: candidates[1].owner.name.clone(),
         },
     ];
-    let taken = rebalance(&held, &candidates, &measure);
+    let taken = rebalance(&held, &candidates, &weights);
     assert_eq!(taken.len(), 1);
     assert_eq!(taken[0].last, ShardKey(9_999));
     assert!(taken[0].len() < 100, "{}", taken[0]);
@@ -161,52 +161,52 @@
     let mut counts = counts;
     counts.push((20_748, 40));
     let (map, _) = steady(&counts, 10);
-    let measure = map.measure();
+    let weights = map.key_weights();
     let mut candidates = candidates(5);
     candidates[3].weight = 1.6;
-    let held = [Held {
+    let held = [HeldRange {
         range: KeyRange::ALL,
         owner: candidates[0].owner.name.clone(),
     }];
-    let taken = rebalance(&held, &candidates, &measure);
+    let taken = rebalance(&held, &candidates, &weights);
     assert!(!taken.is_empty());
-    let assigned = assign(&[KeyRange::ALL], &[], &candidates, &measure);
+    let assigned = assign(&[KeyRange::ALL], &[], &candidates, &weights);
     let hot = assigned
         .iter()
         .find(|assignment| assignment.range.contains(ShardKey(20_748)))
         .expect("assigned");
     assert_eq!(hot.owner, candidates[3].owner);
     assert!(hot.range.len() < 200, "{}", hot.range);
-    let slow = [Held {
+    let slow = [HeldRange {
         range: range(20_748, 20_748),
         owner: candidates[1].owner.name.clone(),
     }];
     assert_eq!(
-        rebalance(&slow, &candidates, &measure),
+        rebalance(&slow, &candidates, &weights),
         [range(20_748, 20_748)]
     );
-    let fast = [Held {
+    let fast = [HeldRange {
         range: range(20_748, 20_748),
         owner: candidates[3].owner.name.clone(),
     }];
-    assert!(rebalance(&fast, &candidates, &measure).is_empty());
+    assert!(rebalance(&fast, &candidates, &weights).is_empty());
 }
 
 #[test]
 fn even_shares_are_left_alone() {
     let candidates = candidates(4);
-    let measure = LoadMap::default().measure();
-    let assigned = assign(&[KeyRange::ALL], &[], &candidates, &measure);
-    let held: Vec<Held> = assigned
+    let weights = LoadMap::default().key_weights();
+    let assigned = assign(&[KeyRange::ALL], &[], &candidates, &weights);
+    let held: Vec<HeldRange> = assigned
         .into_iter()
-        .map(|assignment| Held {
+        .map(|assignment| HeldRange {
             range: assignment.range,
             owner: assignment.owner.name,
         })
         .collect();
-    assert!(rebalance(&held, &candidates, &measure).is_empty());
-    assert!(assign(&[], &held, &candidates, &measure).is_empty());
-    assert!(assign(&[KeyRange::ALL], &[], &[], &measure).is_empty());
+    assert!(rebalance(&held, &candidates, &weights).is_empty());
+    assert!(assign(&[], &held, &candidates, &weights).is_empty());
+    assert!(assign(&[KeyRange::ALL], &[], &[], &weights).is_empty());
 }
 
 /// Ten owners of equal ranges, and `total` requests that fell a little
@@ -225,15 +225,15 @@
 fn keys_stay_where_a_surplus_may_be_chance() {
     let candidates = candidates(10);
     let width = 6_554;
-    let held: Vec<Held> = (0..10u16)
-        .map(|number| Held {
+    let held: Vec<HeldRange> = (0..10u16)
+        .map(|number| HeldRange {
             range: range(number * width, (number * width).saturating_add(width - 1)),
             owner: candidates[usize::from(number)].owner.name.clone(),
         })
         .collect();
-    let few = uneven(100).measure();
+    let few = uneven(100).key_weights();
     assert!(rebalance(&held, &candidates, &few).is_empty());
-    let many = uneven(4_000).measure();
+    let many = uneven(4_000).key_weights();
     assert!(!rebalance(&held, &candidates, &many).is_empty());
 }
 
@@ -250,20 +250,20 @@
                 address: ([10, 0, 0, 1], 1_000 + number).into(),
             },
             weight: 1.0,
-            most: None,
+            max_share: None,
         })
         .collect();
-    let measure = LoadMap::default().measure();
-    let assigned = assign(&[KeyRange::ALL], &[], &candidates, &measure);
+    let weights = LoadMap::default().key_weights();
+    let assigned = assign(&[KeyRange::ALL], &[], &candidates, &weights);
     let lengths = assigned.iter().map(|each| each.range.len());
     assert!(lengths.clone().all(|length| length == 4));
     assert_eq!(lengths.sum::<u32>(), KeyRange::ALL.len());
-    let held: Vec<Held> = assigned
+    let held: Vec<HeldRange> = assigned
         .into_iter()
-        .map(|each| Held {
+        .map(|each| HeldRange {
             range: each.range,
             owner: each.owner.name,
         })
         .collect();
-    rebalance(&held, &candidates, &measure);
+    rebalance(&held, &candidates, &weights);
 }
--- a/crates/coordination/tests/tokens.rs
+++ b/crates/coordination/tests/tokens.rs
@@ -4,7 +4,7 @@
 
 use threadledge_coordination::holders::Candidate;
 use threadledge_coordination::load::LoadMap;
-use threadledge_coordination::plan::{Held, rebalance};
+use threadledge_coordination::plan::{HeldRange, rebalance};
 use threadledge_coordination::tokens::{TOKEN_LIFETIME, TokenBuckets, TokenRequest};
 use threadledge_coordination::{Owner, TokenGrant};
 use threadledge_types::Timestamp;
@@ -129,7 +129,7 @@
                 address: ([10, 0, 0, 1], 1).into(),
             },
             weight: 1.0,
-            most: None,
+            max_share: None,
         })
         .collect()
 }
@@ -200,13 +200,13 @@
             _ => (range, None),
         };
         rest = left;
-        held.push(Held {
+        held.push(HeldRange {
             range,
             owner: candidate.owner.name.clone(),
         });
     }
-    let measure = LoadMap::default().measure();
-    let taken = rebalance(&held, &candidates, &measure);
+    let weights = LoadMap::default().key_weights();
+    let taken = rebalance(&held, &candidates, &weights);
     let moved: u32 = taken.iter().map(|range| range.len()).sum();
     assert!(
         taken
