--- a/crates/coordination/src/slice_serde.rs
+++ b/crates/coordination/src/slice_serde.rs
@@ -56,7 +56,7 @@
     type Value = Slice;
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("a slice as a row or with names of fields")
+        formatter.write_str("a slice as an array or as an object with named fields")
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut row: A) -> Result<Slice, A::Error> {
@@ -90,5 +90,5 @@
 }
 
 fn required<T, E: Error>(value: Option<T>, what: &str) -> Result<T, E> {
-    value.ok_or_else(|| E::custom(format_args!("a slice lacks its {what}")))
+    value.ok_or_else(|| E::custom(format_args!("missing {what} in a slice")))
 }
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -1,8 +1,11 @@
-//! What users saw: two back ends held the same keys, and both worked on them.
-//! The link between two regions was full, so that a renewal to a back end of
-//! the other region was given up after half a second, arrived up to 2.2 seconds
-//! after it had been sent, and began a whole hold then. Its successor had been
-//! waiting out a hold that was counted from when the renewal was given up.
+//! Renewals that arrive late over a full link between two regions.
+//!
+//! Guards against two back ends that hold the same keys and both work on them.
+//! A renewal to a back end of the other region timed out after half a second,
+//! arrived up to 2.2 seconds after it had been sent, and extended the grant by
+//! its full duration from then on. Meanwhile the coordinator waited only until
+//! the grant had expired as counted from the timeout, and then assigned the
+//! keys to another back end.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -48,14 +51,14 @@
     }
 }
 
-/// A coordinator that has just taken over a record in which the back end of
-/// the other region owns all keys.
+/// Creates a coordinator that has just taken over a record in which the back
+/// end of the other region owns all keys.
 fn taken_over(settings: Settings) -> Ownership {
-    taken_over_in(settings, 1)
+    taken_over_with_ranges(settings, 1)
 }
 
-/// The same, with the keys in so many ranges.
-fn taken_over_in(settings: Settings, ranges: u32) -> Ownership {
+/// The same, with the keys split into `ranges` ranges.
+fn taken_over_with_ranges(settings: Settings, ranges: u32) -> Ownership {
     let far = far_back_end();
     let mut ownership = Ownership::new("keyed".into(), settings);
     ownership.set_back_ends(START, std::slice::from_ref(&far));
@@ -72,7 +75,7 @@
                     name: far.name.clone(),
                     address: far.address,
                 },
-                // Ranges with a token are not joined.
+                // Ranges with a handover token are not merged.
                 handover: (ranges > 1).then(|| HandoverToken(number.to_string())),
             },
         }
@@ -86,7 +89,7 @@
     let found = Versioned { value, revision: 7 };
     let read = ownership.on_read(START, ReadResult::Found(Some(found)));
     let ReadConsequence::Call(call) = read else {
-        panic!("the record is written for this term: {read:?}");
+        panic!("expected a write of the record for this term: {read:?}");
     };
     let Action::WriteRecord(record, _) = *call else {
         panic!("{call:?}");
@@ -95,55 +98,57 @@
     ownership
 }
 
-/// One order in the link.
-struct Passing {
+/// An order in transit on the link.
+struct OrderInTransit {
     order: Order,
     arrives: Timestamp,
-    taken: bool,
-    /// When its sender learns how it ended, and how.
+    delivered: bool,
+    /// When the sender learns the result.
     ends: Timestamp,
-    told: bool,
+    reported: bool,
     result: Result<OrderReply, OrderFault>,
 }
 
-/// A full link to a back end that holds keys; one of them is looked at.
+/// A full link to a back end that holds keys. The test observes one of the
+/// keys.
 struct FullLink {
     ownership: Ownership,
-    passing: Vec<Passing>,
+    in_transit: Vec<OrderInTransit>,
     held_until: Timestamp,
-    floor: Fence,
+    highest_fence: Fence,
     revision: u64,
-    /// The record names another back end.
-    given_on: bool,
+    /// Whether the record names another back end as the owner.
+    reassigned: bool,
 }
 
 impl FullLink {
     fn new(settings: Settings) -> Self {
         FullLink {
             ownership: taken_over(settings),
-            passing: Vec::new(),
+            in_transit: Vec::new(),
             held_until: Timestamp::ZERO,
-            floor: Fence(0),
+            highest_fence: Fence(0),
             revision: 8,
-            given_on: false,
+            reassigned: false,
         }
     }
 
-    /// Takes an order that needs `delay` each way. Its sender ends the
-    /// connection after the order's time; what was sent arrives all the same.
-    /// A release needs a new connection, which takes twice the delay.
+    /// Sends an order that needs `delay` in each direction. The sender closes
+    /// the connection after the order's timeout, but what was sent arrives
+    /// nevertheless. A release needs a new connection, which takes twice the
+    /// delay.
     fn send(&mut self, now: Timestamp, order: Order, delay: Duration) {
         let connect = match order.distance {
             Distance::Near => Duration::from_millis(400),
             Distance::Far => Duration::from_millis(2_400),
         };
         if order.kind == OrderKind::Release && delay * 2 > connect {
-            self.passing.push(Passing {
+            self.in_transit.push(OrderInTransit {
                 order,
                 arrives: now,
-                taken: true,
+                delivered: true,
                 ends: now + connect,
-                told: false,
+                reported: false,
                 result: Err(OrderFault::NotSent),
             });
             return;
@@ -155,17 +160,18 @@
             OrderKind::Grant(_) => Ok(OrderReply::Granted),
             OrderKind::Release => Ok(OrderReply::Released(None)),
         };
-        self.passing.push(Passing {
+        self.in_transit.push(OrderInTransit {
             order,
             arrives: now + delay,
-            taken: false,
+            delivered: false,
             ends,
-            told: false,
+            reported: false,
             result,
         });
     }
 
-    /// One step of virtual time. Says whether two back ends may hold the keys.
+    /// Advances virtual time by one step. Returns whether two back ends may
+    /// hold the keys.
     fn step(&mut self, now: Timestamp, mut delay: impl FnMut() -> Duration) -> bool {
         self.deliver(now);
         for action in self.ownership.poll(now, true) {
@@ -178,58 +184,60 @@
                 _ => {}
             }
         }
-        self.given_on && now < self.held_until
+        self.reassigned && now < self.held_until
     }
 
     fn deliver(&mut self, now: Timestamp) {
-        for passing in &mut self.passing {
-            let order = &passing.order;
-            if passing.taken || now < passing.arrives {
+        for in_transit in &mut self.in_transit {
+            let order = &in_transit.order;
+            if in_transit.delivered || now < in_transit.arrives {
                 continue;
             }
-            passing.taken = true;
+            in_transit.delivered = true;
             if !order.range.contains(KEY) || order.to.name.as_str() != "b-far" {
                 continue;
             }
             match &order.kind {
                 OrderKind::Release => {
-                    self.floor = self.floor.max(order.fence);
+                    self.highest_fence = self.highest_fence.max(order.fence);
                     self.held_until = now;
                 }
-                OrderKind::Grant(grant) if order.fence >= self.floor => {
-                    self.floor = order.fence;
+                OrderKind::Grant(grant) if order.fence >= self.highest_fence => {
+                    self.highest_fence = order.fence;
                     self.held_until = now + grant.hold;
                 }
-                OrderKind::Grant(_) => passing.result = Ok(OrderReply::Fenced),
+                OrderKind::Grant(_) => in_transit.result = Ok(OrderReply::Fenced),
             }
         }
-        // What its sender gave up stays in the link and arrives all the same.
-        for passing in &mut self.passing {
-            if passing.told || now < passing.ends {
+        // An order whose sender timed out stays in the link and arrives
+        // nevertheless.
+        for in_transit in &mut self.in_transit {
+            if in_transit.reported || now < in_transit.ends {
                 continue;
             }
-            passing.told = true;
-            let result = passing.result.clone();
-            self.ownership.on_order(now, &passing.order, result);
+            in_transit.reported = true;
+            let result = in_transit.result.clone();
+            self.ownership.on_order(now, &in_transit.order, result);
         }
-        self.passing
-            .retain(|passing| !passing.told || !passing.taken);
+        self.in_transit
+            .retain(|in_transit| !in_transit.reported || !in_transit.delivered);
     }
 
     fn write(&mut self, now: Timestamp, record: OwnershipRecord) {
         let mut slices = record.slices.iter();
         let slice = slices.find(|slice| slice.range.contains(KEY));
         let owner = slice.and_then(Slice::holder);
-        self.given_on = owner.is_none_or(|owner| owner.name.as_str() != "b-far");
+        self.reassigned = owner.is_none_or(|owner| owner.name.as_str() != "b-far");
         self.revision += 1;
         let accepted = WriteResult::Accepted(self.revision);
         self.ownership.on_write(now, record, accepted);
     }
 }
 
-/// Plays a link whose delay grows at once from nothing to up to three seconds
-/// while another back end waits for keys. Says whether both held them.
-fn play(settings: Settings, seed: u64) -> bool {
+/// Simulates a link whose delay grows suddenly from nothing to up to three
+/// seconds while another back end waits for keys. Returns whether both held
+/// them.
+fn both_held_keys(settings: Settings, seed: u64) -> bool {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut link = FullLink::new(settings);
     let mut now = START;
@@ -248,17 +256,20 @@
 }
 
 #[test]
-fn keys_are_given_on_only_when_no_renewal_can_arrive_any_more() {
+fn keys_are_reassigned_only_when_no_renewal_can_still_arrive() {
     for seed in 0..SEEDS {
-        assert!(!play(two_regions(), seed), "seed {seed}: both hold keys");
+        assert!(
+            !both_held_keys(two_regions(), seed),
+            "seed {seed}: both hold keys"
+        );
     }
 }
 
-/// What the test above guards against is seen by it: within a region, orders
-/// are given up after half a second, which this link does not bear.
+/// Control: checks that the test above detects the failure. Within a region,
+/// orders time out after half a second, which is too short for this link.
 #[test]
-fn usual_time_is_too_short_for_a_full_link() {
-    let seen = |seed| play(Settings::default(), seed);
+fn order_timeout_within_a_region_is_too_short_for_a_full_link() {
+    let seen = |seed| both_held_keys(Settings::default(), seed);
     assert!((0..SEEDS).any(seen));
 }
 
@@ -279,14 +290,17 @@
 }
 
 #[test]
-fn office_is_not_handed_back_while_a_renewal_may_arrive() {
+fn lease_is_not_released_while_a_renewal_may_arrive() {
     let mut ownership = taken_over(two_regions());
     let order = sent(ownership.poll(START, true)).remove(0);
     ownership.poll(START + Duration::from_millis(500), true);
     assert!(!ownership.has_no_pending_orders());
     let end = START + order.timeout;
     ownership.on_order(end, &order, Err(OrderFault::NoAnswer));
-    assert!(!ownership.has_no_pending_orders(), "the second one has not ended");
+    assert!(
+        !ownership.has_no_pending_orders(),
+        "the second one has not ended"
+    );
 }
 
 fn sent(actions: Vec<Action>) -> Vec<Order> {
@@ -297,11 +311,11 @@
     actions.into_iter().filter_map(order).collect()
 }
 
-/// Six grants stand in the same full link for two seconds: that is one silence,
-/// and its back end keeps its keys.
+/// Six grants are queued in the same full link for two seconds. They count as a
+/// single period of silence, and the back end keeps its keys.
 #[test]
-fn grants_of_several_ranges_are_one_silence() {
-    let mut ownership = taken_over_in(two_regions(), 6);
+fn overdue_grants_of_several_ranges_count_as_one_silence() {
+    let mut ownership = taken_over_with_ranges(two_regions(), 6);
     let mut now = START;
     let mut sent = 0;
     while now < START + Duration::from_secs(2) {
--- a/crates/coordination/tests/load.rs
+++ b/crates/coordination/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load of keys as it is reported, and the division of keys by it.
+//! Reported load of keys and its use in the distribution of keys.
 
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
         .collect()
 }
 
-/// A map after `ticks` of the same report.
+/// Returns a map after `ticks` identical reports.
 fn steady(counts: &[(u16, u32)], ticks: u64) -> (LoadMap, Timestamp) {
     let mut map = LoadMap::default();
     let mut now = Timestamp::from_millis(1_000);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn without_reports_keys_weigh_the_same() {
+fn without_reports_all_keys_weigh_the_same() {
     let weights = LoadMap::default().key_weights();
     assert!((weights.weight_of(KeyRange::ALL) - 1.0).abs() < 1e-9);
     assert!((weights.weight_of(range(0, 32_767)) - 0.5).abs() < 1e-9);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn keys_that_become_busy_at_once_weigh_at_once() {
+fn suddenly_busy_keys_gain_weight_at_once() {
     let (mut map, mut now) = steady(&[(10_000, 40), (50_000, 40)], 20);
     for _ in 0..2 {
         now = now + TICK;
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn chance_alone_is_no_sudden_change() {
+fn random_variation_is_no_sudden_change() {
     let (mut map, mut now) = steady(&[(10_000, 12), (30_000, 9), (50_000, 40)], 20);
     now = now + TICK;
     map.add(now, &report(&[(10_000, 18), (30_000, 4), (50_000, 39)]));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn narrow_band_of_busy_keys_is_divided_among_all() {
+fn narrow_band_of_busy_keys_is_distributed_over_all() {
     let counts: Vec<(u16, u32)> = (0..200).map(|step| (31_000 + step * 16, 5)).collect();
     let (map, _) = steady(&counts, 10);
     let candidates = candidates(10);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn owner_with_too_much_gives_up_the_busy_end_of_its_keys() {
+fn overloaded_owner_gives_up_the_busy_end_of_its_keys() {
     let (map, _) = steady(&[(9_990, 50), (30_000, 10)], 10);
     let weights = map.key_weights();
     let candidates = candidates(2);
@@ -153,10 +153,10 @@
     assert!(taken[0].len() < 100, "{}", taken[0]);
 }
 
-/// One key that is asked for more than any back end's share goes to the
-/// fastest one, which gives up the rest.
+/// A key that gets more requests than any back end's share goes to the fastest
+/// back end, which gives up its other keys.
 #[test]
-fn key_with_more_than_a_share_goes_to_the_fastest_back_end_alone() {
+fn key_heavier_than_a_share_goes_to_the_fastest_back_end_alone() {
     let counts: Vec<(u16, u32)> = (0..50).map(|step| (20_000 + step * 200, 1)).collect();
     let mut counts = counts;
     counts.push((20_748, 40));
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn even_shares_are_left_alone() {
+fn even_shares_stay_unchanged() {
     let candidates = candidates(4);
     let weights = LoadMap::default().key_weights();
     let assigned = assign(&[KeyRange::ALL], &[], &candidates, &weights);
@@ -209,9 +209,9 @@
     assert!(assign(&[KeyRange::ALL], &[], &[], &weights).is_empty());
 }
 
-/// Ten owners of equal ranges, and `total` requests that fell a little
-/// unevenly: half as many again as its share on the first, half of it on the
-/// last.
+/// Returns the load of ten owners of equal ranges with `total` requests that
+/// are distributed unevenly: one and a half times its share to the first owner,
+/// half its share to the last.
 fn uneven(total: u32) -> LoadMap {
     let share = total / 10;
     let even = (1..9).map(|owner| (owner * 6_554 + 10, share));
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn keys_stay_where_a_surplus_may_be_chance() {
+fn keys_stay_if_a_surplus_may_be_random_variation() {
     let candidates = candidates(10);
     let width = 6_554;
     let held: Vec<HeldRange> = (0..10u16)
@@ -237,11 +237,12 @@
     assert!(!rebalance(&held, &candidates, &many).is_empty());
 }
 
-/// Work that grows with the square of the back ends would not end here: a walk
-/// over all of them for each range that is given out, or for each owner in a look
-/// for those with too much.
+/// The test does not finish in reasonable time if the work grows with the
+/// square of the number of back ends, for example by iterating over all of them
+/// for each assigned range or for each owner in the search for those with a
+/// surplus.
 #[test]
-fn sixteen_thousand_back_ends_are_given_even_shares() {
+fn sixteen_thousand_back_ends_get_even_shares() {
     let count = 16_384;
     let candidates: Vec<Candidate> = (0..count)
         .map(|number: u16| Candidate {
--- a/crates/coordination/tests/orders.rs
+++ b/crates/coordination/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to one back end, and what their ends say about it.
+//! Orders to one back end and the effect of their results on its state.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -33,9 +33,9 @@
     }
 }
 
-/// A record of an earlier term in which one back end holds many slices, each
-/// under a fence of its own.
-fn scattered() -> OwnershipRecord {
+/// Returns a record of an earlier term in which one back end holds many slices,
+/// each under its own fencing token.
+fn record_with_many_slices() -> OwnershipRecord {
     let width = u16::MAX / SLICES + 1;
     let slice = |number: u16| Slice {
         range: KeyRange {
@@ -59,19 +59,19 @@
     }
 }
 
-/// A coordinator that has just taken the scattered record over.
+/// Creates a coordinator that has just taken over that record.
 fn taken_over(now: Timestamp) -> Ownership {
     let mut ownership = Ownership::new("keyed".into(), Settings::default());
     ownership.set_back_ends(now, &[back_end()]);
     ownership.begin_term(now, Term(2), None);
     assert_eq!(ownership.poll(now, true), vec![Action::ReadRecord]);
     let found = Versioned {
-        value: scattered(),
+        value: record_with_many_slices(),
         revision: 7,
     };
     let read = ownership.on_read(now, ReadResult::Found(Some(found)));
     let ReadConsequence::Call(call) = read else {
-        panic!("the record is written for this term: {read:?}");
+        panic!("expected a write of the record for this term: {read:?}");
     };
     let Action::WriteRecord(record, _) = *call else {
         panic!("{call:?}");
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn owner_of_many_slices_is_given_a_few_orders_at_a_time() {
+fn owner_of_many_slices_gets_a_few_orders_at_a_time() {
     let now = Timestamp::from_millis(10_000);
     let mut ownership = taken_over(now);
     let mut waiting = sent(ownership.poll(now, true));
@@ -101,8 +101,9 @@
             waiting.len()
         );
         let wake = ownership.next_wake(now);
-        let spins = waiting.len() == MAX_ORDERS_IN_FLIGHT && wake.is_some_and(|wake| wake <= now);
-        assert!(!spins, "nothing can be sent before an answer");
+        let spinning =
+            waiting.len() == MAX_ORDERS_IN_FLIGHT && wake.is_some_and(|wake| wake <= now);
+        assert!(!spinning, "nothing can be sent before an answer");
         let order = waiting.remove(0);
         ownership.on_order(now, &order, Ok(OrderReply::Granted));
         granted += 1;
@@ -112,7 +113,7 @@
 }
 
 #[test]
-fn own_limit_says_nothing_about_a_back_end() {
+fn withheld_orders_do_not_count_against_a_back_end() {
     let now = Timestamp::from_millis(10_000);
     let mut ownership = taken_over(now);
     for _ in 0..10 {
@@ -137,10 +138,10 @@
     assert_eq!(holders.ineligible(&name, now), Some(Ineligible::Lost));
 }
 
-/// The earlier coordinator divided the keys by load, so that they lie unevenly
-/// by their number.
+/// The earlier coordinator distributed the keys by load, so they look uneven by
+/// their number.
 #[test]
-fn new_coordinator_takes_no_keys_from_owners_before_it_knows_the_load() {
+fn new_coordinator_moves_no_keys_before_it_knows_the_load() {
     let start = Timestamp::from_millis(10_000);
     let mut ownership = taken_over(start);
     let mut second = back_end();
@@ -155,15 +156,16 @@
         let now = start + Duration::from_millis(millis);
         assert_eq!(releases(ownership.poll(now, true)), 0, "after {millis} ms");
     }
-    // Nobody asks for anything: the number of keys decides after all.
+    // There are no requests, so the number of keys decides in the end.
     let now = start + Duration::from_millis(4_700);
     assert!(releases(ownership.poll(now, true)) > 0);
 }
 
-/// An operator sees when a back end fell silent, with the order that was given
-/// up, and how many followed: two lines, however long it lasts.
+/// Operators see when a back end stopped answering, with the first order that
+/// failed, and how many failed after it: two log lines, however long the
+/// silence lasts.
 #[test]
-fn silence_of_a_back_end_is_told_at_its_begin_and_its_end() {
+fn silence_of_a_back_end_is_reported_at_its_start_and_its_end() {
     let start = Timestamp::from_millis(10_000);
     let mut ownership = taken_over(start);
     let mut given_up = 0;
@@ -177,8 +179,8 @@
     let end = start + Duration::from_millis(2_000);
     let order = sent(ownership.poll(end, true)).remove(0);
     ownership.on_order(end, &order, Ok(OrderReply::Granted));
-    let told: Vec<Notice> = ownership.take_notices();
-    let begins = told
+    let notices: Vec<Notice> = ownership.take_notices();
+    let begins = notices
         .iter()
         .filter(|notice| matches!(notice, Notice::OrderGivenUp { .. }));
     assert_eq!(begins.count(), 1);
@@ -187,11 +189,11 @@
         given_up,
         silent_for: Duration::from_secs(2),
     };
-    assert!(told.contains(&answers), "{told:?}");
+    assert!(notices.contains(&answers), "{notices:?}");
 }
 
 #[test]
-fn registrations_that_share_an_address_are_told_once() {
+fn registrations_that_share_an_address_are_reported_once() {
     let now = Timestamp::from_millis(10_000);
     let mut ownership = taken_over(now);
     let mut later = back_end();
@@ -204,38 +206,40 @@
         address: address(),
         back_ends: vec!["b-1".into(), "b-2".into()],
     });
-    let told = ownership.take_notices();
-    let count = told.iter().filter(|notice| **notice == shared).count();
-    assert_eq!(count, 1, "{told:?}");
+    let notices = ownership.take_notices();
+    let count = notices.iter().filter(|notice| **notice == shared).count();
+    assert_eq!(count, 1, "{notices:?}");
 }
 
-/// An order may hang on a connection to a process that is gone. A registration
-/// at its address is a reason to ask again at once.
+/// An order may be stuck on a connection to a process that has ended. A new
+/// registration at its address causes an immediate second order.
 #[test]
-fn order_under_way_does_not_put_off_asking_who_runs_at_an_address() {
+fn order_in_flight_does_not_delay_probing_an_address() {
     let now = Timestamp::from_millis(10_000);
     let mut ownership = taken_over(now);
-    let hanging = sent(ownership.poll(now, true));
-    assert_eq!(hanging.len(), MAX_ORDERS_IN_FLIGHT);
+    let stuck = sent(ownership.poll(now, true));
+    assert_eq!(stuck.len(), MAX_ORDERS_IN_FLIGHT);
     assert!(sent(ownership.poll(now, true)).is_empty());
     let mut newcomer = back_end();
     newcomer.name = "b-2".into();
     newcomer.registration = 2;
-    // Also where the registration of the one that is gone went before.
+    // This also applies if the registration of the ended process was removed
+    // before.
     ownership.set_back_ends(now, &[newcomer]);
-    let (asked, record) = divided(ownership.poll(now, true));
+    let (asked, record) = orders_and_write(ownership.poll(now, true));
     assert_eq!(asked.len(), MAX_ORDERS_IN_FLIGHT);
     assert!(asked.iter().all(|order| order.to.name.as_str() == "b-1"));
-    // Those that were never granted in this term go on without an answer.
+    // Ranges that were never granted in this term are assigned without an
+    // answer.
     let record = record.expect("written");
     ownership.on_write(now, record, WriteResult::Accepted(9));
-    // What hung says nothing more.
-    ownership.on_order(now, &hanging[0], Err(OrderFault::NoAnswer));
+    // The result of the stuck order has no further effect.
+    ownership.on_order(now, &stuck[0], Err(OrderFault::NoAnswer));
     for order in &asked {
         ownership.on_order(now, order, Ok(OrderReply::OtherProcess));
     }
-    let (_, record) = divided(ownership.poll(now, true));
-    let record = record.expect("the keys go on at once");
+    let (_, record) = orders_and_write(ownership.poll(now, true));
+    let record = record.expect("a write that reassigns the keys at once");
     let gone = |slice: &Slice| {
         slice
             .holder()
@@ -244,10 +248,10 @@
     assert!(record.slices.iter().all(gone), "{record:?}");
 }
 
-/// Whoever watches the store is sent the whole record after each write: where
-/// keys move all the time, several moves are written as one.
+/// Every watcher of the store receives the whole record after each write. While
+/// keys move continuously, several moves are combined into one write.
 #[test]
-fn moves_without_an_end_are_written_ten_times_a_second() {
+fn continuous_moves_are_written_ten_times_a_second() {
     let taken_over_at = Timestamp::from_millis(10_000);
     let mut ownership = taken_over(taken_over_at);
     let mut granting = sent(ownership.poll(taken_over_at, true));
@@ -267,7 +271,7 @@
     let mut record = None;
     for millis in 0..1_000_u64 {
         let now = start + Duration::from_millis(millis);
-        // Every 10 ms another range is given back; grants are answered too.
+        // Every 10 ms another range is released or another grant is answered.
         if millis % 10 == 0 && !waiting.is_empty() {
             let order: Order = waiting.remove(0);
             let reply = match order.kind {
@@ -276,7 +280,7 @@
             };
             ownership.on_order(now, &order, Ok(reply));
         }
-        let (orders, next) = divided(ownership.poll(now, true));
+        let (orders, next) = orders_and_write(ownership.poll(now, true));
         waiting.extend(orders);
         if let Some(next) = next {
             let revision = 9 + written.len() as u64;
@@ -292,8 +296,8 @@
     assert!(record.slices.iter().all(moved), "none is left: {record:?}");
 }
 
-/// Orders, and the write of the record if there is one.
-fn divided(actions: Vec<Action>) -> (Vec<Order>, Option<OwnershipRecord>) {
+/// Returns the orders and the write of the record, if there is one.
+fn orders_and_write(actions: Vec<Action>) -> (Vec<Order>, Option<OwnershipRecord>) {
     let written = actions.iter().find_map(|action| match action {
         Action::WriteRecord(record, _) => Some(record.clone()),
         _ => None,
--- a/crates/coordination/tests/simulation/back_end.rs
+++ b/crates/coordination/tests/simulation/back_end.rs
@@ -1,4 +1,5 @@
-//! A back end: it takes grants by fence, lets holds run out and releases.
+//! Model of a back end. It accepts grants by fencing token, lets them expire
+//! and releases keys.
 
 use std::time::Duration;
 
@@ -11,46 +12,46 @@
 pub struct Hold {
     pub range: KeyRange,
     pub until: Timestamp,
-    /// It came from an order that was carried out late; such holds do not
-    /// count as the coordinator's.
+    /// Whether it comes from an order that was executed late. Such holds do not
+    /// count as assigned by the coordinator.
     pub late: bool,
 }
 
-/// One life of a back end.
+/// One process of a back end.
 #[derive(Debug)]
 pub struct ModelBackEnd {
     pub entry: BackEnd,
     pub up: bool,
-    /// Routers cannot reach it before then.
-    pub cut_until: Timestamp,
-    /// These nodes cannot reach it before `cut_until`; all, if there are none.
-    pub cut_from: std::collections::BTreeSet<usize>,
-    /// Until then it answers no order, and carries out late what it was sent.
-    pub deaf_until: Timestamp,
+    /// Until then, routers cannot reach it.
+    pub unreachable_until: Timestamp,
+    /// The nodes that cannot reach it before `unreachable_until`; all nodes if empty.
+    pub unreachable_from: std::collections::BTreeSet<usize>,
+    /// Until then, it answers no order and executes late what it received.
+    pub unresponsive_until: Timestamp,
     pub holds: Vec<Hold>,
-    /// The highest fence seen on each range.
-    floors: Vec<(KeyRange, Fence)>,
-    /// Its clock runs slow by so many percent.
-    slow_percent: u32,
+    /// The highest fencing token seen for each range.
+    fences: Vec<(KeyRange, Fence)>,
+    /// How much slower its clock runs, in percent.
+    clock_drift_percent: u32,
 }
 
 impl ModelBackEnd {
-    pub fn new(entry: BackEnd, slow_percent: u32) -> Self {
+    pub fn new(entry: BackEnd, clock_drift_percent: u32) -> Self {
         ModelBackEnd {
             entry,
             up: true,
-            cut_until: Timestamp::ZERO,
-            cut_from: std::collections::BTreeSet::new(),
-            deaf_until: Timestamp::ZERO,
+            unreachable_until: Timestamp::ZERO,
+            unreachable_from: std::collections::BTreeSet::new(),
+            unresponsive_until: Timestamp::ZERO,
             holds: Vec::new(),
-            floors: Vec::new(),
-            slow_percent,
+            fences: Vec::new(),
+            clock_drift_percent,
         }
     }
 
     pub fn reachable(&self, now: Timestamp, from: usize) -> bool {
-        let cut = self.cut_from.is_empty() || self.cut_from.contains(&from);
-        self.up && (now >= self.cut_until || !cut)
+        let cut = self.unreachable_from.is_empty() || self.unreachable_from.contains(&from);
+        self.up && (now >= self.unreachable_until || !cut)
     }
 
     pub fn expire(&mut self, now: Timestamp) {
@@ -62,27 +63,27 @@
         self.holds.clear();
     }
 
-    fn floor(&self, range: KeyRange) -> Fence {
-        let overlapping = self.floors.iter().filter(|(each, _)| overlap(*each, range));
+    fn highest_fence(&self, range: KeyRange) -> Fence {
+        let overlapping = self.fences.iter().filter(|(each, _)| overlap(*each, range));
         overlapping
             .map(|(_, fence)| *fence)
             .max()
             .unwrap_or_default()
     }
 
-    /// Carries an order out.
-    pub fn take(&mut self, now: Timestamp, order: &Order, late: bool) -> OrderReply {
+    /// Executes an order.
+    pub fn execute(&mut self, now: Timestamp, order: &Order, late: bool) -> OrderReply {
         self.expire(now);
         match &order.kind {
             OrderKind::Grant(grant) => {
-                if self.floor(order.range) > order.fence {
+                if self.highest_fence(order.range) > order.fence {
                     return OrderReply::Fenced;
                 }
                 self.remove(order.range);
-                self.floors.push((order.range, order.fence));
+                self.fences.push((order.range, order.fence));
                 self.holds.push(Hold {
                     range: order.range,
-                    until: now + slowed(grant.hold, self.slow_percent),
+                    until: now + with_clock_drift(grant.hold, self.clock_drift_percent),
                     late,
                 });
                 OrderReply::Granted
@@ -93,8 +94,8 @@
                     .iter()
                     .any(|hold| overlap(hold.range, order.range));
                 self.remove(order.range);
-                if self.floor(order.range) < order.fence {
-                    self.floors.push((order.range, order.fence));
+                if self.highest_fence(order.range) < order.fence {
+                    self.fences.push((order.range, order.fence));
                 }
                 let token = HandoverToken(format!("from-{}", self.entry.name));
                 OrderReply::Released(held.then_some(token))
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Takes a range out of what is held; what lies beside it stays.
+    /// Removes a range from the held keys and keeps the parts outside of it.
     fn remove(&mut self, range: KeyRange) {
         let mut kept = Vec::new();
         for hold in self.holds.drain(..) {
@@ -125,7 +126,7 @@
     }
 }
 
-fn slowed(duration: Duration, percent: u32) -> Duration {
+fn with_clock_drift(duration: Duration, percent: u32) -> Duration {
     duration + duration * percent / 100
 }
 
--- a/crates/coordination/tests/simulation/checker.rs
+++ b/crates/coordination/tests/simulation/checker.rs
@@ -1,4 +1,4 @@
-//! The invariants of ownership, from what back ends took.
+//! Checks the invariants of ownership by what back ends hold.
 
 use std::collections::BTreeMap;
 
@@ -7,33 +7,33 @@
 
 use super::back_end::{ModelBackEnd, overlap};
 
-/// Keys are looked at in steps of this many.
+/// Only every `STEP`-th key is checked.
 const STEP: usize = 64;
 
-/// Remembers the highest fence under which any back end held each key.
+/// Remembers the highest fencing token under which any back end held each key.
 #[derive(Debug, Default)]
 pub struct Checker {
     highest: BTreeMap<u16, (Fence, Option<BackEndName>)>,
 }
 
-/// A broken invariant.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// Two back ends that are up hold the same keys.
+    /// Two running back ends hold the same keys.
     TwoHolders(BackEndName, BackEndName, KeyRange),
-    /// A back end took keys under a fence that is not above all under which
-    /// others had held them.
+    /// A back end accepted keys under a fencing token that is not higher than
+    /// all tokens under which others held them.
     FenceNotAbove(BackEndName, KeyRange, Fence, Fence),
 }
 
 impl Checker {
-    /// A back end took a grant in time.
+    /// Checks a grant that a back end accepted in time.
     pub fn granted(&mut self, order: &Order) -> Result<(), Violation> {
         if !matches!(order.kind, OrderKind::Grant(_)) {
             return Ok(());
         }
         let keys = (0..=u16::MAX).step_by(STEP);
-        for key in keys.filter(|key| inside(*key, order.range)) {
+        for key in keys.filter(|key| contains(*key, order.range)) {
             let (highest, holder) = self.highest.entry(key).or_default();
             let same = holder.as_ref() == Some(&order.to.name);
             if !same && *highest >= order.fence && holder.is_some() {
@@ -52,7 +52,7 @@
         Ok(())
     }
 
-    /// What all back ends hold now.
+    /// Checks what all back ends hold now.
     pub fn holders<'a>(back_ends: impl Iterator<Item = &'a ModelBackEnd>) -> Result<(), Violation> {
         let up: Vec<&ModelBackEnd> = back_ends.filter(|back_end| back_end.up).collect();
         for (index, left) in up.iter().enumerate() {
@@ -75,6 +75,6 @@
     }
 }
 
-fn inside(key: u16, range: KeyRange) -> bool {
+fn contains(key: u16, range: KeyRange) -> bool {
     range.first.0 <= key && key <= range.last.0
 }
--- a/crates/coordination/tests/simulation/main.rs
+++ b/crates/coordination/tests/simulation/main.rs
@@ -1,15 +1,15 @@
-//! Coordinators in virtual time against a modelled store and modelled back
-//! ends, under faults. The invariants are checked at every step.
+//! Simulation of coordinators in virtual time against a modelled store and
+//! modelled back ends, with faults. The invariants are checked at every step.
 
 mod back_end;
 mod checker;
-mod doubt;
-mod handed_back;
-mod joined;
-mod lives;
-mod named;
+mod former_owners;
+mod merged_grants;
 mod registrations;
+mod resignation;
+mod restarts;
+mod scenarios;
 mod schedules;
+mod stale_registrations;
 mod store;
-mod successor;
 mod world;
--- a/crates/coordination/tests/simulation/joined.rs
+++ b/crates/coordination/tests/simulation/merged_grants.rs
@@ -1,7 +1,10 @@
-//! Two pieces of keys that pass to one back end one after the other under one
-//! fence are joined while the grant of the first waits for its answer: it is
-//! no longer awaited, and may still arrive after the grant of both was
-//! answered.
+//! Merge of two ranges while a grant is in flight.
+//!
+//! Two ranges pass to one back end one after the other under one fencing token.
+//! They are merged while the grant of the first still awaits its answer. That
+//! grant is no longer awaited, but may still arrive after the grant of the
+//! merged range was answered. Guards against assigning the keys to others
+//! before that late grant has expired.
 
 use std::time::Duration;
 
@@ -37,7 +40,7 @@
 }
 
 #[test]
-fn grant_that_is_no_longer_awaited_after_a_join_is_waited_out() {
+fn grant_in_flight_during_a_merge_is_waited_out() {
     let settings = Settings::default();
     let [b, c, d, e] = [("b", 1), ("c", 2), ("d", 3), ("e", 4)].map(|(n, p)| owner(n, p));
     let slice = |first, last, fence, owner: &Owner| Slice {
@@ -66,9 +69,9 @@
     ownership.begin_term(start, Term(2), None);
     let mut now = start;
     let mut revision = 7;
-    // When each order ends, and how.
+    // When each order ends, with its result.
     let mut ends: Vec<(Timestamp, Order, Result<OrderReply, OrderFault>)> = Vec::new();
-    // The grant of the first piece alone: it arrives just before its time is up.
+    // Arrival of the grant of the first range alone, just before its timeout.
     let mut alone: Option<Timestamp> = None;
     let mut both: Option<Timestamp> = None;
     for _ in 0..2_000 {
--- a/crates/coordination/tests/simulation/registrations.rs
+++ b/crates/coordination/tests/simulation/registrations.rs
@@ -1,20 +1,18 @@
-//! What users saw: two back ends held the same keys, and both worked on them.
+//! Registrations that take effect after their writer has ended.
 //!
-//! Order of events: a back end crashed out of sight of the store. Another
-//! process started at its address, registered and was given keys. Then the
-//! registration of the one that had crashed took effect once more: a write of
-//! it that was on its way. In the same step the coordinator took the keys of
-//! the one that lived and gave them to others, without asking it.
+//! Guards against two back ends that hold the same keys and both work on them.
+//! A back end crashed unnoticed by the store. Another process started at its
+//! address, registered and was assigned keys. Then a delayed write of the
+//! crashed back end's registration took effect. The coordinator treated the
+//! latest registration at an address as the running process and all others as
+//! ended, without waiting for their grants to expire. In the same step it gave
+//! the keys of the running process to others, without asking it. Its log shows
+//! a release with reason `Replaced` in the millisecond of that registration,
+//! while the back end that lost its keys answered throughout and was assigned
+//! keys again later.
 //!
-//! Cause: the latest registration at an address was taken for the process that
-//! runs there, and every other one for ended, whose hold need not be waited
-//! out. A registration is a statement of its writer: it may come late, or be
-//! missing for one that lives. Only an answer given at the address tells which
-//! process runs there.
-//!
-//! Evidence: in the log of the coordinator the release begins in the
-//! millisecond of that registration, reason `Replaced`; the back end that lost
-//! its keys answered throughout and was given keys again later.
+//! A registration may come late, or be missing for a running process. Only an
+//! answer from the address shows which process is running.
 
 use std::time::Duration;
 
@@ -24,13 +22,13 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Key 100 belongs to a process that started where another one crashed, whose
-/// registration has gone. Returns the one that lives and the one that crashed.
+/// Lets key 100 pass to a process that started where another one crashed, whose
+/// registration is gone. Returns the running and the crashed process.
 fn restarted(world: &mut World) -> [BackEndName; 2] {
     let crashed = world.owner(100).expect("owned");
     world.back_ends.get_mut(&crashed).expect("known").crash();
     world.registered.remove(&crashed);
-    world.tell_back_ends();
+    world.notify_back_ends();
     let living = world.add_back_end(0);
     world.run(SECOND * 8);
     assert!(world.all_served());
@@ -46,7 +44,7 @@
 }
 
 #[test]
-fn registration_written_late_takes_no_keys_from_the_process_that_lives() {
+fn late_registration_takes_no_keys_from_the_running_process() {
     for seed in 0..20 {
         let mut world = World::settled(100 + seed);
         let [living, crashed] = restarted(&mut world);
@@ -56,9 +54,10 @@
             world.step();
             assert_eq!(keys_of(&world, &living), keys, "seed {seed}");
             assert_eq!(keys_of(&world, &crashed), 0, "seed {seed}");
-            assert!(world.all_served(), "seed {seed}: {}", world.story());
+            assert!(world.all_served(), "seed {seed}: {}", world.diagnostics());
         }
-        // One of another service that registers there does no more.
+        // A registration of another service at the address has no effect
+        // either.
         world.register_elsewhere(&living, "another");
         for _ in 0..600 {
             world.step();
@@ -67,21 +66,23 @@
     }
 }
 
-/// One that cannot reach the store has no registration, and serves on. One
-/// that routers cannot reach either holds its keys until they run out.
+/// A back end that cannot reach the store has no registration and continues to
+/// serve. If routers cannot reach it either, it holds its keys until its grants
+/// expire.
 #[test]
-fn hold_of_a_back_end_without_a_registration_is_waited_out() {
+fn grant_of_a_back_end_without_a_registration_is_waited_out() {
     for seed in 0..20 {
         let mut world = World::settled(200 + seed);
         let [living, crashed] = restarted(&mut world);
         world.registered.remove(&living);
         world.register_again(&crashed);
         let back_end = world.back_ends.get_mut(&living).expect("known");
-        back_end.cut_until = world.now + SECOND * 8;
-        // The checker panics if others get the keys while it holds them.
+        back_end.unreachable_until = world.now + SECOND * 8;
+        // The checker panics if others get the keys while the back end holds
+        // them.
         world.run(SECOND * 9);
         assert_eq!(keys_of(&world, &living), 0, "seed {seed}");
         assert_eq!(keys_of(&world, &crashed), 0, "seed {seed}");
-        assert!(world.all_served(), "seed {seed}: {}", world.story());
+        assert!(world.all_served(), "seed {seed}: {}", world.diagnostics());
     }
 }
--- a/crates/coordination/tests/simulation/named.rs
+++ b/crates/coordination/tests/simulation/scenarios.rs
@@ -1,4 +1,4 @@
-//! Failures by name, each with what must follow.
+//! Single failures, each with its expected consequences.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use threadledge_types::deployment::{BackEndName, KeyRange, ShardKey};
 
 use super::checker::{Checker, Violation};
-use super::world::{Chances, World};
+use super::world::{FaultChances, World};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -23,9 +23,9 @@
 }
 
 #[test]
-fn killed_coordinator_is_followed_before_holds_run_out() {
+fn killed_coordinator_is_replaced_before_grants_expire() {
     let mut world = World::settled(2);
-    let coordinator = world.coordinator().expect("one coordinates");
+    let coordinator = world.coordinator().expect("a coordinator");
     world.nodes[coordinator].up = false;
     let moves = world.moves;
     for _ in 0..1_200 {
@@ -40,12 +40,12 @@
 }
 
 #[test]
-fn frozen_coordinator_that_wakes_gives_no_order_that_is_taken() {
+fn orders_of_a_coordinator_that_was_frozen_are_refused() {
     let mut world = World::settled(3);
-    let coordinator = world.coordinator().expect("one coordinates");
+    let coordinator = world.coordinator().expect("a coordinator");
     world.nodes[coordinator].frozen_until = world.now + SECOND * 4;
     world.run(SECOND * 3);
-    let successor = world.coordinator().expect("another coordinates");
+    let successor = world.coordinator().expect("another coordinator");
     assert_ne!(successor, coordinator);
     world.run(SECOND * 6);
     assert_eq!(world.coordinator(), Some(successor));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn all_nodes_lost_at_once_are_back_within_seconds() {
+fn restart_of_all_nodes_restores_service_within_seconds() {
     let mut world = World::settled(4);
     let owner = world.owner(7).expect("owned");
     for node in &mut world.nodes {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn keys_of_a_crashed_back_end_wait_for_its_hold_and_go_to_others() {
+fn keys_of_a_crashed_back_end_go_to_others_after_its_grant_expires() {
     let mut world = World::settled(5);
     let owner = world.owner(100).expect("owned");
     world.back_ends.get_mut(&owner).expect("known").crash();
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn back_end_restarted_at_its_address_is_not_waited_for() {
+fn grant_of_a_back_end_restarted_at_its_address_is_not_waited_out() {
     let mut world = World::settled(6);
     let owner = world.owner(100).expect("owned");
     world.back_ends.get_mut(&owner).expect("known").crash();
@@ -92,11 +92,11 @@
     assert!(took < SECOND, "took {took:?}");
 }
 
-/// A process that starts at the address of one that crashed may be there
-/// before any registration tells. An order for the one that crashed is not
-/// carried out there, and shows that it is gone.
+/// A process may run at the address of a crashed one before any registration
+/// shows it. It does not execute an order for the crashed process, and its
+/// answer shows that the crashed process has ended.
 #[test]
-fn back_end_whose_restart_is_not_registered_yet_is_not_waited_for() {
+fn grant_of_a_back_end_with_an_unregistered_restart_is_not_waited_out() {
     let mut world = World::settled(18);
     let owner = world.owner(100).expect("owned");
     assert!(owner.as_str().starts_with("b0-"), "{owner}");
@@ -109,11 +109,15 @@
 }
 
 #[test]
-fn back_end_that_cannot_be_reached_keeps_its_keys_until_its_hold_is_over() {
+fn unreachable_back_end_keeps_its_keys_until_its_grant_expires() {
     let mut world = World::settled(7);
     let owner = world.owner(100).expect("owned");
     let now = world.now;
-    world.back_ends.get_mut(&owner).expect("known").cut_until = now + SECOND * 8;
+    world
+        .back_ends
+        .get_mut(&owner)
+        .expect("known")
+        .unreachable_until = now + SECOND * 8;
     // The checker panics if another back end gets the keys too early.
     world.run(SECOND * 15);
     assert!(world.all_served());
@@ -128,7 +132,7 @@
         .get_mut(&owner)
         .expect("registered")
         .draining = true;
-    world.tell_back_ends();
+    world.notify_back_ends();
     let mut waited = Duration::ZERO;
     while world.owner(100).is_none_or(|now| now == owner) {
         world.step();
@@ -142,13 +146,13 @@
         leaving: vec![name.clone()],
         ..LoadReport::default()
     };
-    let coordinator = world.coordinator().expect("one coordinates");
+    let coordinator = world.coordinator().expect("a coordinator");
     let now = world.now;
     world.nodes[coordinator].coordinator.add_load(now, &report);
 }
 
 #[test]
-fn back_end_that_only_told_routers_that_it_leaves_hands_over() {
+fn back_end_reported_leaving_by_routers_hands_over() {
     let mut world = World::settled(8);
     let owner = world.owner(100).expect("owned");
     say_leaving(&mut world, &owner);
@@ -157,9 +161,9 @@
     assert!(world.all_served());
 }
 
-/// Nobody else could be given the keys before the store answers.
+/// No other back end could be assigned the keys before the store answers.
 #[test]
-fn back_end_that_only_told_routers_that_it_leaves_keeps_its_keys_while_the_store_is_silent() {
+fn back_end_reported_leaving_by_routers_keeps_its_keys_while_the_store_is_silent() {
     let mut world = World::settled(8);
     let owner = world.owner(100).expect("owned");
     world.store_down_until = world.now + SECOND * 4;
@@ -182,7 +186,7 @@
         resting: resting.collect(),
         ..LoadReport::default()
     };
-    let coordinator = world.coordinator().expect("one coordinates");
+    let coordinator = world.coordinator().expect("a coordinator");
     let now = world.now;
     world.nodes[coordinator].coordinator.add_load(now, &report);
 }
@@ -207,7 +211,7 @@
 }
 
 #[test]
-fn owners_of_whom_many_asked_for_rest_keep_their_keys() {
+fn owners_keep_their_keys_if_many_ask_for_rest() {
     let mut world = World::settled(8);
     let names: Vec<BackEndName> = world.back_ends.keys().take(4).cloned().collect();
     let before: Vec<u32> = names.iter().map(|name| keys_of(&world, name)).collect();
@@ -233,7 +237,7 @@
 }
 
 #[test]
-fn cold_back_end_that_bears_little_gets_its_share_once_it_is_warm() {
+fn cold_back_end_with_reduced_weight_gets_its_share_once_it_is_warm() {
     let mut world = World::settled(16);
     for node in &mut world.nodes {
         node.coordinator.set_reduced_when_cold(true);
@@ -246,11 +250,11 @@
         owned.map(|(range, _)| range.len()).sum()
     };
     let share = 65_536 / 7;
-    // Keys that need an owner meanwhile go to it as well.
+    // Keys that need a new owner in the meantime go to it as well.
     let leaving = world.owner(100).expect("owned");
     let registered = world.registered.get_mut(&leaving);
     registered.expect("registered").draining = true;
-    world.tell_back_ends();
+    world.notify_back_ends();
     while world.now < cold_until {
         let cold = keys(&world);
         assert!(cold < share * 6 / 10, "{cold} keys at {:?}", world.now);
@@ -283,21 +287,21 @@
 }
 
 #[test]
-fn coordinator_cut_from_the_store_is_followed() {
+fn coordinator_cut_off_from_the_store_is_replaced() {
     let mut world = World::settled(11);
-    let coordinator = world.coordinator().expect("one coordinates");
-    world.nodes[coordinator].cut_until = world.now + SECOND * 8;
+    let coordinator = world.coordinator().expect("a coordinator");
+    world.nodes[coordinator].unreachable_until = world.now + SECOND * 8;
     world.run(SECOND * 4);
-    let successor = world.coordinator().expect("another coordinates");
+    let successor = world.coordinator().expect("another coordinator");
     assert_ne!(successor, coordinator);
     world.run(SECOND * 10);
     assert!(world.all_served());
 }
 
 #[test]
-fn planned_stop_hands_the_office_over_quickly() {
+fn planned_stop_releases_the_lease_quickly() {
     let mut world = World::settled(12);
-    let coordinator = world.coordinator().expect("one coordinates");
+    let coordinator = world.coordinator().expect("a coordinator");
     world.nodes[coordinator].coordinator.stop();
     world.run(Duration::from_millis(300));
     assert!(world.nodes[coordinator].coordinator.is_stopped());
@@ -307,81 +311,82 @@
 }
 
 /// The world checks at each step that a coordinator never asks to be woken at
-/// once without anything to do: its shell would spin, and the answer that it
-/// waits for would never be read.
+/// once without having anything to do. Its caller would otherwise spin and
+/// never read the answer that the coordinator waits for.
 #[test]
 fn planned_stop_waits_for_orders_without_spinning() {
     let mut world = World::settled(15);
-    world.chances = Chances {
+    world.chances = FaultChances {
         order_lost: 1_000,
-        ..Chances::default()
+        ..FaultChances::default()
     };
     world.run(Duration::from_millis(900));
-    let coordinator = world.coordinator().expect("one coordinates");
+    let coordinator = world.coordinator().expect("a coordinator");
     world.nodes[coordinator].coordinator.stop();
     world.run(SECOND);
     assert!(world.nodes[coordinator].coordinator.is_stopped());
 }
 
 #[test]
-fn orders_carried_out_late_change_no_owner() {
+fn orders_executed_late_change_no_owner() {
     let mut world = World::settled(13);
-    world.chances = Chances {
+    world.chances = FaultChances {
         order_late: 300,
-        ..Chances::default()
+        ..FaultChances::default()
     };
     world.run(SECOND * 6);
-    world.chances = Chances::default();
+    world.chances = FaultChances::default();
     world.run(SECOND * 20);
     assert!(world.all_served());
 }
 
-/// It takes connections and leaves every order without an answer, releases
-/// too: they do not put off the time when its keys go to others.
+/// The back end accepts connections but answers no order, including releases.
+/// Unanswered releases must not delay the time at which its keys go to others.
 #[test]
 fn keys_of_a_back_end_that_answers_no_order_go_to_others() {
     let mut world = World::settled(19);
     let owner = world.owner(100).expect("owned");
     let now = world.now;
     let back_end = world.back_ends.get_mut(&owner).expect("known");
-    back_end.deaf_until = now + SECOND * 20;
-    // Six orders of half a second, the hold, and the time to the next renewal.
+    back_end.unresponsive_until = now + SECOND * 20;
+    // Six orders of half a second each, the grant duration, and the time to the
+    // next renewal.
     let longest = SECOND * 3 + world.settings.hold + SECOND;
     while world.owner(100).as_ref() == Some(&owner) {
         world.step();
         let took = world.now.since(now);
-        assert!(took <= longest, "after {took:?}: {}", world.story());
+        assert!(took <= longest, "after {took:?}: {}", world.diagnostics());
     }
 }
 
-/// A back end that was silent while its keys went to others has orders of
-/// theirs left that it carries out late. It is asked to release the keys until
-/// it answers, and takes none of those orders from then on.
+/// A back end was silent while its keys went to others, and executes pending
+/// orders late. The coordinator repeats the release until it answers. From then
+/// on it refuses the pending orders.
 #[test]
-fn former_owner_that_answers_again_takes_no_late_order() {
+fn former_owner_that_answers_again_executes_no_late_order() {
     for seed in 0..20 {
         let mut world = World::settled(400 + seed);
         let owner = world.owner(100).expect("owned");
-        let deaf_until = world.now + SECOND * 9;
+        let unresponsive_until = world.now + SECOND * 9;
         let back_end = world.back_ends.get_mut(&owner).expect("known");
-        back_end.deaf_until = deaf_until;
-        // Between two releases lie a pause and a timeout of half a second each;
-        // late orders come up to 12 s after.
-        let asked = deaf_until + Duration::from_millis(1_050);
-        let end = deaf_until + SECOND * 13;
+        back_end.unresponsive_until = unresponsive_until;
+        // A pause and a timeout of half a second each lie between two releases.
+        // Late orders come up to 12 s after.
+        let asked = unresponsive_until + Duration::from_millis(1_050);
+        let end = unresponsive_until + SECOND * 13;
         while world.now < end {
             world.step();
             let lost = world.owner(100).as_ref() != Some(&owner);
             let mut held = world.back_ends[&owner].holds.iter();
             let held = held.any(|hold| hold.range.contains(ShardKey(100)));
-            let beside = lost && held && world.now > asked;
-            assert!(!beside, "seed {seed}: {}", world.story());
+            let held_after_loss = lost && held && world.now > asked;
+            assert!(!held_after_loss, "seed {seed}: {}", world.diagnostics());
         }
     }
 }
 
 #[test]
-fn checker_sees_two_holders() {
+fn checker_detects_two_holders() {
     let mut world = World::settled(14);
     let range = KeyRange::new(0, 10).expect("a range");
     let names: Vec<_> = world.back_ends.keys().cloned().collect();
@@ -405,7 +410,7 @@
     };
     let now = world.now;
     let back_end = world.back_ends.get_mut(other).expect("known");
-    back_end.take(now, &order, false);
+    back_end.execute(now, &order, false);
     let violation = Checker::holders(world.back_ends.values());
     assert!(matches!(violation, Err(Violation::TwoHolders(..))));
     let mut checker = Checker::default();
@@ -416,15 +421,15 @@
     assert!(matches!(violation, Err(Violation::FenceNotAbove(..))));
 }
 
-/// A key that is given back can be given out only by a write. While the store
-/// is silent nothing is taken back that its owner could keep.
+/// A released key can be assigned only by a write. While the store is silent,
+/// keys that their owner could keep are not taken back.
 #[test]
 fn busy_keys_stay_with_their_owner_while_the_store_is_silent() {
     for offset in 0..20 {
         let mut world = World::settled(50 + offset);
         world.run(Duration::from_millis(40 * offset));
         world.store_down_until = world.now + SECOND * 4;
-        let coordinator = world.coordinator().expect("one coordinates");
+        let coordinator = world.coordinator().expect("a coordinator");
         for _ in 0..300 {
             let busy = (100..300).map(|key| KeyCount {
                 key: ShardKey(key),
@@ -445,24 +450,24 @@
     }
 }
 
-/// Operators are told of an assignment once it stands in the store.
+/// An assignment is reported to operators once it is in the store.
 #[test]
-fn assignment_that_was_not_written_is_not_told() {
+fn unwritten_assignment_is_not_reported() {
     let mut world = World::settled(8);
     let owner = world.owner(100).expect("owned");
     world.registered.remove(&owner);
-    world.tell_back_ends();
+    world.notify_back_ends();
     world.store_down_until = world.now + SECOND * 3;
-    world.told.clear();
+    world.notices.clear();
     world.run(SECOND * 2);
-    let told = |world: &World| {
+    let reported = |world: &World| {
         world
-            .told
+            .notices
             .iter()
             .filter(|line| line.contains("Assigned"))
             .count()
     };
-    assert_eq!(told(&world), 0, "{:?}", world.told);
+    assert_eq!(reported(&world), 0, "{:?}", world.notices);
     world.run(SECOND * 4);
-    assert!(told(&world) > 0);
+    assert!(reported(&world) > 0);
 }
--- a/crates/coordination/tests/simulation/schedules.rs
+++ b/crates/coordination/tests/simulation/schedules.rs
@@ -1,16 +1,16 @@
-//! Random schedules of faults, by seed.
+//! Random fault schedules, by seed.
 
 use std::time::Duration;
 
-use super::world::{Chances, World};
+use super::world::{FaultChances, World};
 
-/// Seeds of the run in CI; `THREADLEDGE_SEEDS` takes another number.
+/// Number of seeds in CI; `THREADLEDGE_SEEDS` overrides it.
 const SEEDS: u64 = 60;
 const FAULTS: u32 = 30;
-/// Longest time that keys are unserved when nothing fails any more: a release
-/// that is carried out late takes keys from a back end that was given them
-/// again meanwhile, until the next renewal.
-const LONGEST_GAP: Duration = Duration::from_millis(750);
+/// Longest time for which keys may be unserved once faults have ended. A
+/// release that is executed late takes keys from a back end that was granted
+/// them again, until the next renewal.
+const MAX_UNSERVED: Duration = Duration::from_millis(750);
 
 fn seeds() -> u64 {
     let wanted = std::env::var("THREADLEDGE_SEEDS");
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn random_faults_break_no_invariant_and_end_in_service() {
+fn random_faults_violate_no_invariant_and_service_recovers() {
     let first = std::env::var("THREADLEDGE_FIRST_SEED");
     let first = first.ok().and_then(|text| text.parse().ok()).unwrap_or(0);
     for seed in first..first + seeds() {
@@ -33,24 +33,25 @@
     let mut world = World::new(seed, 4, 7);
     world.run(Duration::from_secs(3));
     for _ in 0..FAULTS {
-        fault(&mut world);
+        inject_fault(&mut world);
         let pause = u64::from(world.random(1_500));
         world.run(Duration::from_millis(pause));
     }
-    heal(&mut world);
+    end_faults(&mut world);
     let served = world.until_served(Duration::from_secs(40));
     assert!(
         served.is_some(),
         "seed {seed}: not served: {}",
-        world.story()
+        world.diagnostics()
     );
-    // Longer than a node stands still: answers that wait for it come first.
+    // Longer than a node can be frozen, so that the answers waiting for it come
+    // first.
     world.run(Duration::from_secs(8));
-    let regained = world.until_served(LONGEST_GAP);
+    let regained = world.until_served(MAX_UNSERVED);
     assert!(
         regained.is_some(),
         "seed {seed}: service did not last: {}",
-        world.story()
+        world.diagnostics()
     );
     let leading = world
         .nodes
@@ -60,7 +61,7 @@
     assert_eq!(leading, 1, "seed {seed}");
 }
 
-fn fault(world: &mut World) {
+fn inject_fault(world: &mut World) {
     let count = world.nodes.len() as u32;
     let index = world.random(count) as usize;
     let target = world.coordinator().filter(|_| world.random(2) == 0);
@@ -71,17 +72,17 @@
         0 => world.nodes[index].up = false,
         1 => world.start_node(index),
         2 => world.nodes[index].frozen_until = until,
-        3 => world.nodes[index].cut_until = until,
+        3 => world.nodes[index].unreachable_until = until,
         4 => world.store_down_until = until,
         5 => {
-            world.chances = Chances {
+            world.chances = FaultChances {
                 write_lost: world.random(400),
                 write_late: world.random(400),
                 order_lost: world.random(300),
                 order_late: world.random(300),
             }
         }
-        6 => world.chances = Chances::default(),
+        6 => world.chances = FaultChances::default(),
         7 => {
             for node in &mut world.nodes {
                 node.up = false;
@@ -93,8 +94,8 @@
         11 => world.nodes[index].coordinator.stop(),
         12 => register_again(world),
         13 => forget_registration(world),
-        14 => deafen_back_end(world, until),
-        _ => cut_back_end(world, until),
+        14 => make_unresponsive(world, until),
+        _ => make_unreachable(world, until),
     }
 }
 
@@ -130,17 +131,18 @@
     let index = world.random(count) as usize;
     let entry = world.registered.values_mut().nth(index).expect("in range");
     entry.draining = !entry.draining;
-    world.tell_back_ends();
+    world.notify_back_ends();
 }
 
-/// Any process registers once more, most of them long after they ended.
+/// A random process registers once more, in most cases long after it has ended.
 fn register_again(world: &mut World) {
     let names: Vec<_> = world.back_ends.keys().cloned().collect();
     let index = world.random(names.len() as u32) as usize;
     world.register_again(&names[index]);
 }
 
-/// One that cannot reach the store loses its registration and serves on.
+/// A back end that cannot reach the store loses its registration and continues
+/// to serve.
 fn forget_registration(world: &mut World) {
     let names: Vec<_> = world.registered.keys().cloned().collect();
     if names.len() < 2 {
@@ -148,35 +150,35 @@
     }
     let index = world.random(names.len() as u32) as usize;
     world.registered.remove(&names[index]);
-    world.tell_back_ends();
+    world.notify_back_ends();
 }
 
-fn deafen_back_end(world: &mut World, until: threadledge_types::Timestamp) {
+fn make_unresponsive(world: &mut World, until: threadledge_types::Timestamp) {
     let count = world.back_ends.len() as u32;
     let index = world.random(count) as usize;
     let back_end = world.back_ends.values_mut().nth(index).expect("in range");
-    back_end.deaf_until = until;
+    back_end.unresponsive_until = until;
 }
 
-fn cut_back_end(world: &mut World, until: threadledge_types::Timestamp) {
+fn make_unreachable(world: &mut World, until: threadledge_types::Timestamp) {
     let count = world.back_ends.len() as u32;
     let index = world.random(count) as usize;
     let back_end = world.back_ends.values_mut().nth(index).expect("in range");
-    back_end.cut_until = until;
+    back_end.unreachable_until = until;
 }
 
-fn heal(world: &mut World) {
-    world.chances = Chances::default();
+fn end_faults(world: &mut World) {
+    world.chances = FaultChances::default();
     world.store_down_until = world.now;
     restart_all(world);
     for node in &mut world.nodes {
-        node.cut_until = world.now;
-        // One that stands still cannot learn that another coordinates.
+        node.unreachable_until = world.now;
+        // A frozen node cannot learn that another node is the coordinator.
         node.frozen_until = world.now;
     }
     for back_end in world.back_ends.values_mut() {
-        back_end.cut_until = world.now;
-        back_end.deaf_until = world.now;
+        back_end.unreachable_until = world.now;
+        back_end.unresponsive_until = world.now;
     }
     for entry in world.registered.values_mut() {
         entry.draining = false;
@@ -198,5 +200,5 @@
     for name in lacking {
         world.register_again(&name);
     }
-    world.tell_back_ends();
+    world.notify_back_ends();
 }
--- a/crates/coordination/tests/simulation/store.rs
+++ b/crates/coordination/tests/simulation/store.rs
@@ -1,9 +1,9 @@
-//! The platform's store: objects with revisions, conditional writes, answers
-//! that are lost and writes that take effect late.
+//! Model of the platform's store: objects with revisions and conditional
+//! writes. The world adds lost answers and late writes.
 
 use threadledge_coordination::action::{Condition, Versioned, WriteResult};
 
-/// One object of the store.
+/// An object of the store.
 #[derive(Debug)]
 pub struct Object<T> {
     value: Option<Versioned<T>>,
--- a/crates/coordination/tests/simulation/world.rs
+++ b/crates/coordination/tests/simulation/world.rs
@@ -1,4 +1,4 @@
-//! Nodes, a store and back ends in one virtual time.
+//! Simulated nodes, store and back ends in one virtual time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 const WATCH_RETRY: Duration = Duration::from_millis(300);
 const TICK: Duration = Duration::from_millis(5);
 
-/// How a call ended at the node that made it.
+/// Result of a call, as received by the node that made it.
 enum Answer {
     LeaseRead(Freshness, ReadResult<CoordinatorLease>),
     LeaseWrite(CoordinatorLease, WriteResult<CoordinatorLease>),
@@ -33,35 +33,35 @@
     Order(Order, Result<OrderReply, OrderFault>),
 }
 
-enum Happening {
-    /// An answer arrives at one life of a node.
+enum Event {
+    /// A result arrives at one process of a node.
     Answer(usize, u64, Box<Answer>),
-    /// A write reaches the store after its caller gave up.
+    /// A write reaches the store after its caller has timed out.
     LateLease(
         CoordinatorLease,
         threadledge_coordination::action::Condition,
     ),
     LateRecord(OwnershipRecord, threadledge_coordination::action::Condition),
-    /// An order reaches its back end after its caller gave up.
+    /// An order reaches its back end after its caller has timed out.
     LateOrder(Order),
-    /// The watches of one life of a node tell the record.
+    /// The watch of one process of a node reports the record.
     Observed(usize, u64),
 }
 
 pub struct Node {
     pub coordinator: Coordinator,
-    pub life: u64,
-    /// The back ends changed since it was told of them.
-    pub untold: bool,
+    pub incarnation: u64,
+    /// Whether the back ends have changed since the node was last notified.
+    pub back_ends_changed: bool,
     pub up: bool,
     pub frozen_until: Timestamp,
-    /// The store cannot be reached before then.
-    pub cut_until: Timestamp,
+    /// Until then, the node cannot reach the store.
+    pub unreachable_until: Timestamp,
 }
 
-/// Chances of faults, in thousandths.
+/// Probabilities of faults, in thousandths.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Chances {
+pub struct FaultChances {
     pub write_lost: u32,
     pub write_late: u32,
     pub order_lost: u32,
@@ -73,24 +73,25 @@
     pub settings: Settings,
     pub nodes: Vec<Node>,
     pub back_ends: BTreeMap<BackEndName, ModelBackEnd>,
-    /// What is registered at the store.
+    /// The back ends registered at the store.
     pub registered: BTreeMap<BackEndName, BackEnd>,
-    pub chances: Chances,
+    pub chances: FaultChances,
     pub store_down_until: Timestamp,
     random: ChaCha8Rng,
     lease: Object<CoordinatorLease>,
     record: Object<OwnershipRecord>,
     revision: u64,
-    queue: BTreeMap<(Timestamp, u64), Happening>,
+    queue: BTreeMap<(Timestamp, u64), Event>,
     next: u64,
     registrations: u64,
-    /// Back ends say when they started, and may start again under their ids.
-    lives: bool,
+    /// Whether names of back ends include their start times, so that they can
+    /// restart under their ids.
+    restartable: bool,
     checker: Checker,
     pub moves: u64,
-    told_revision: u64,
-    /// What coordinators told, for messages of failed checks.
-    pub told: Vec<String>,
+    watched_revision: u64,
+    /// Notices of coordinators, for messages of failed checks.
+    pub notices: Vec<String>,
 }
 
 impl World {
@@ -100,11 +101,11 @@
         world
     }
 
-    /// As [`World::settled`], of back ends that may start again under their
+    /// Like [`World::settled`], with back ends that can restart under their
     /// ids.
-    pub fn settled_with_lives(seed: u64) -> Self {
+    pub fn settled_with_restarts(seed: u64) -> Self {
         let mut world = World::without_back_ends(seed);
-        world.lives = true;
+        world.restartable = true;
         world.start(3, 6);
         let took = world.until_served(Duration::from_secs(5));
         assert!(took.is_some(), "not served after a start from nothing");
@@ -118,7 +119,7 @@
             nodes: Vec::new(),
             back_ends: BTreeMap::new(),
             registered: BTreeMap::new(),
-            chances: Chances::default(),
+            chances: FaultChances::default(),
             store_down_until: Timestamp::ZERO,
             random: ChaCha8Rng::seed_from_u64(seed),
             lease: Object::default(),
@@ -127,24 +128,25 @@
             queue: BTreeMap::new(),
             next: 0,
             registrations: 0,
-            lives: false,
+            restartable: false,
             checker: Checker::default(),
             moves: 0,
-            told_revision: 0,
-            told: Vec::new(),
+            watched_revision: 0,
+            notices: Vec::new(),
         }
     }
 
     fn start(&mut self, nodes: usize, back_ends: usize) {
         for index in 0..back_ends {
-            self.add_back_end(u16::try_from(index).expect("few back ends"));
+            self.add_back_end(u16::try_from(index).expect("back end index fits into u16"));
         }
         for index in 0..nodes {
             self.start_node(index);
         }
     }
 
-    /// Three nodes and six back ends once every key is served.
+    /// Creates three nodes and six back ends and runs until every key is
+    /// served.
     pub fn settled(seed: u64) -> Self {
         let mut world = World::new(seed, 3, 6);
         let took = world.until_served(Duration::from_secs(5));
@@ -161,10 +163,10 @@
     }
 
     pub fn start_node(&mut self, index: usize) {
-        let life = self.nodes.get(index).map_or(1, |node| node.life + 1);
+        let incarnation = self.nodes.get(index).map_or(1, |node| node.incarnation + 1);
         let me = NodeIdentity {
             node: MachineName(format!("node-{index}")),
-            incarnation: Incarnation(life),
+            incarnation: Incarnation(incarnation),
             address: None,
         };
         let patience = Duration::from_millis(u64::from(self.random(300)));
@@ -173,11 +175,11 @@
         coordinator.set_candidate(true);
         let node = Node {
             coordinator,
-            life,
-            untold: true,
+            incarnation,
+            back_ends_changed: true,
             up: true,
             frozen_until: Timestamp::ZERO,
-            cut_until: Timestamp::ZERO,
+            unreachable_until: Timestamp::ZERO,
         };
         if index < self.nodes.len() {
             self.nodes[index] = node;
@@ -190,7 +192,7 @@
     pub fn add_unregistered_back_end(&mut self, address: u16) -> BackEndName {
         let name = self.add_back_end(address);
         self.registered.remove(&name);
-        self.tell_back_ends();
+        self.notify_back_ends();
         name
     }
 
@@ -198,7 +200,7 @@
     pub fn add_back_end(&mut self, address: u16) -> BackEndName {
         self.registrations += 1;
         let id = format!("b{address}-{}", self.registrations);
-        let name = BackEndName::new(&id, self.lives.then_some(1));
+        let name = BackEndName::new(&id, self.restartable.then_some(1));
         let entry = BackEnd {
             name: name.clone(),
             service: ServiceName::from(SERVICE),
@@ -213,27 +215,31 @@
         self.registered.insert(name.clone(), entry.clone());
         self.back_ends
             .insert(name.clone(), ModelBackEnd::new(entry, slow));
-        self.tell_back_ends();
+        self.notify_back_ends();
         name
     }
 
-    /// A back end crashes and starts again under its id at once. Its
-    /// registration tells so after `untold`.
-    pub fn restart_back_end(&mut self, name: &BackEndName, untold: Duration) -> BackEndName {
+    /// Crashes a back end and restarts it under its id at once. Its
+    /// registration changes after `registration_delay`.
+    pub fn restart_back_end(
+        &mut self,
+        name: &BackEndName,
+        registration_delay: Duration,
+    ) -> BackEndName {
         let ended = self.back_ends.get_mut(name).expect("known");
         ended.crash();
         let mut entry = ended.entry.clone();
         let started = name.started_ms().unwrap_or_default() + 1;
         entry.name = BackEndName::new(name.id(), Some(started));
-        let life = entry.name.clone();
+        let restarted = entry.name.clone();
         let slow = self.random(3);
         self.back_ends
-            .insert(life.clone(), ModelBackEnd::new(entry.clone(), slow));
-        self.run(untold);
+            .insert(restarted.clone(), ModelBackEnd::new(entry.clone(), slow));
+        self.run(registration_delay);
         self.registered.remove(name);
-        self.registered.insert(life.clone(), entry);
-        self.tell_back_ends();
-        life
+        self.registered.insert(restarted.clone(), entry);
+        self.notify_back_ends();
+        restarted
     }
 
     /// Starts a back end that is cold for a while.
@@ -242,21 +248,21 @@
         if let Some(entry) = self.registered.get_mut(&name) {
             entry.cold_for = cold_for;
         }
-        self.tell_back_ends();
+        self.notify_back_ends();
         name
     }
 
-    /// The registration of a back end takes effect once more, whether it runs
-    /// or not.
+    /// Applies the registration of a back end once more, whether the back end
+    /// is running or not.
     pub fn register_again(&mut self, name: &BackEndName) {
         self.registrations += 1;
         let mut entry = self.back_ends[name].entry.clone();
         entry.registration = self.registrations;
         self.registered.insert(name.clone(), entry);
-        self.tell_back_ends();
+        self.notify_back_ends();
     }
 
-    /// A back end of another service is registered at the address of `name`.
+    /// Registers a back end of another service at the address of `name`.
     pub fn register_elsewhere(&mut self, name: &BackEndName, service: &str) {
         self.registrations += 1;
         let mut entry = self.back_ends[name].entry.clone();
@@ -264,26 +270,26 @@
         entry.service = ServiceName::from(service);
         entry.registration = self.registrations;
         self.registered.insert(entry.name.clone(), entry);
-        self.tell_back_ends();
+        self.notify_back_ends();
     }
 
-    /// What is registered changed: nodes that decide by it are told at once.
-    pub fn tell_back_ends(&mut self) {
+    /// Notifies the nodes that need the registered back ends after a change.
+    pub fn notify_back_ends(&mut self) {
         for index in 0..self.nodes.len() {
-            self.nodes[index].untold = true;
-            self.tell_node(index);
+            self.nodes[index].back_ends_changed = true;
+            self.notify_node(index);
         }
     }
 
-    /// Tells a node what is registered, once it decides by it.
-    fn tell_node(&mut self, index: usize) {
+    /// Notifies a node of the registered back ends if it needs them.
+    fn notify_node(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        if !node.up || !node.untold || !node.coordinator.needs_back_ends() {
+        if !node.up || !node.back_ends_changed || !node.coordinator.needs_back_ends() {
             return;
         }
         let back_ends: Vec<BackEnd> = self.registered.values().cloned().collect();
         node.coordinator.set_back_ends(self.now, &back_ends);
-        node.untold = false;
+        node.back_ends_changed = false;
     }
 
     pub fn coordinator(&self) -> Option<usize> {
@@ -316,20 +322,21 @@
         }
     }
 
-    /// One tick: deliver, poll, check.
+    /// Advances by one tick: delivers results, polls the nodes and checks the
+    /// invariants.
     pub fn step(&mut self) {
         self.now = self.now + TICK;
         while let Some(entry) = self.queue.first_entry() {
             if entry.key().0 > self.now {
                 break;
             }
-            let happening = entry.remove();
-            self.happen(happening);
+            let event = entry.remove();
+            self.handle_event(event);
         }
         for index in 0..self.nodes.len() {
             self.poll(index);
         }
-        self.tell_record();
+        self.schedule_watches();
         let now = self.now;
         for back_end in self.back_ends.values_mut() {
             back_end.expire(now);
@@ -339,29 +346,29 @@
         }
     }
 
-    /// Lets the watches of all nodes tell the record when it has changed.
-    fn tell_record(&mut self) {
+    /// Schedules the watches of all nodes to report the record after a change.
+    fn schedule_watches(&mut self) {
         let revision = self.record.read().map_or(0, |found| found.revision);
-        if revision == self.told_revision {
+        if revision == self.watched_revision {
             return;
         }
-        self.told_revision = revision;
+        self.watched_revision = revision;
         for index in 0..self.nodes.len() {
-            let life = self.nodes[index].life;
-            self.push(self.now + WATCH_DELAY, Happening::Observed(index, life));
+            let incarnation = self.nodes[index].incarnation;
+            self.push(self.now + WATCH_DELAY, Event::Observed(index, incarnation));
         }
     }
 
-    fn observed(&mut self, index: usize, life: u64) {
+    fn observed(&mut self, index: usize, incarnation: u64) {
         let silent = !self.store_answers(index);
         let now = self.now;
         let node = &mut self.nodes[index];
-        if !node.up || node.life != life {
+        if !node.up || node.incarnation != incarnation {
             return;
         }
         if silent || now < node.frozen_until {
             let later = now + WATCH_RETRY;
-            self.push(later, Happening::Observed(index, life));
+            self.push(later, Event::Observed(index, incarnation));
             return;
         }
         if let Some(found) = self.record.read() {
@@ -370,20 +377,21 @@
     }
 
     fn poll(&mut self, index: usize) {
-        self.tell_node(index);
+        self.notify_node(index);
         let now = self.now;
         let node = &mut self.nodes[index];
         if !node.up || now < node.frozen_until {
             return;
         }
         let actions = node.coordinator.poll(now);
-        // A shell that waits for the next wake must not spin.
+        // A caller that waits for the next wake time must not spin.
         let again = node.coordinator.poll(now);
         assert!(again.is_empty(), "more to do at once: {again:?}");
         let wake = node.coordinator.next_wake(now);
         assert!(wake > now, "it wakes at {wake:?} and it is {now:?}");
         for notice in node.coordinator.take_notices() {
-            self.told.push(format!("{now:?} node {index}: {notice:?}"));
+            self.notices
+                .push(format!("{now:?} node {index}: {notice:?}"));
             if matches!(notice, threadledge_coordination::Notice::Assigned { .. }) {
                 self.moves += 1;
             }
@@ -393,29 +401,29 @@
         }
     }
 
-    fn push(&mut self, at: Timestamp, happening: Happening) {
+    fn push(&mut self, at: Timestamp, event: Event) {
         self.next += 1;
-        self.queue.insert((at, self.next), happening);
+        self.queue.insert((at, self.next), event);
     }
 
     fn answer(&mut self, index: usize, after: Duration, answer: Answer) {
-        let life = self.nodes[index].life;
+        let incarnation = self.nodes[index].incarnation;
         let at = self.now + after;
-        self.push(at, Happening::Answer(index, life, Box::new(answer)));
+        self.push(at, Event::Answer(index, incarnation, Box::new(answer)));
     }
 
     fn store_answers(&self, index: usize) -> bool {
-        self.now >= self.store_down_until && self.now >= self.nodes[index].cut_until
+        self.now >= self.store_down_until && self.now >= self.nodes[index].unreachable_until
     }
 
     fn call(&mut self, index: usize, action: Action) {
         let silent = !self.store_answers(index);
-        let long = Duration::from_secs(1);
+        let call_timeout = Duration::from_secs(1);
         match action {
             Action::ReadLease(freshness) if silent => {
                 self.answer(
                     index,
-                    long,
+                    call_timeout,
                     Answer::LeaseRead(freshness, ReadResult::Failed),
                 );
             }
@@ -424,7 +432,7 @@
                 self.answer(index, STORE_DELAY, Answer::LeaseRead(freshness, found));
             }
             Action::ReadRecord if silent => {
-                self.answer(index, long, Answer::RecordRead(ReadResult::Failed));
+                self.answer(index, call_timeout, Answer::RecordRead(ReadResult::Failed));
             }
             Action::ReadRecord => {
                 let found = ReadResult::Found(self.record.read());
@@ -437,11 +445,19 @@
                         let _ = self.lease.write(&mut revision, lease.clone(), condition);
                         self.revision = revision;
                     }
-                    self.answer(index, long, Answer::LeaseWrite(lease, WriteResult::Unknown));
+                    self.answer(
+                        index,
+                        call_timeout,
+                        Answer::LeaseWrite(lease, WriteResult::Unknown),
+                    );
                 } else if self.chance(self.chances.write_late) {
-                    let at = self.now + self.late();
-                    self.push(at, Happening::LateLease(lease.clone(), condition));
-                    self.answer(index, long, Answer::LeaseWrite(lease, WriteResult::Unknown));
+                    let at = self.now + self.late_delay();
+                    self.push(at, Event::LateLease(lease.clone(), condition));
+                    self.answer(
+                        index,
+                        call_timeout,
+                        Answer::LeaseWrite(lease, WriteResult::Unknown),
+                    );
                 } else {
                     let mut revision = self.revision;
                     let result = self.lease.write(&mut revision, lease.clone(), condition);
@@ -458,12 +474,12 @@
                         self.revision = revision;
                     }
                     let unknown = Answer::RecordWrite(record, WriteResult::Unknown);
-                    self.answer(index, long, unknown);
+                    self.answer(index, call_timeout, unknown);
                 } else if self.chance(self.chances.write_late) {
-                    let at = self.now + self.late();
-                    self.push(at, Happening::LateRecord(record.clone(), condition));
+                    let at = self.now + self.late_delay();
+                    self.push(at, Event::LateRecord(record.clone(), condition));
                     let unknown = Answer::RecordWrite(record, WriteResult::Unknown);
-                    self.answer(index, long, unknown);
+                    self.answer(index, call_timeout, unknown);
                 } else {
                     let mut revision = self.revision;
                     let result = self.record.write(&mut revision, record.clone(), condition);
@@ -475,56 +491,56 @@
         }
     }
 
-    /// One to six seconds.
-    fn late(&mut self) -> Duration {
+    /// Returns a delay of one to six seconds.
+    fn late_delay(&mut self) -> Duration {
         Duration::from_millis(1_000 + u64::from(self.random(5_000)))
     }
 
     fn send(&mut self, index: usize, order: Order) {
         let timeout = order.timeout;
         let now = self.now;
-        let occupant = self.occupant(&order);
-        let reachable = occupant.and_then(|name| self.back_ends.get(&name));
+        let process_at = self.process_at(&order);
+        let reachable = process_at.and_then(|name| self.back_ends.get(&name));
         if !reachable.is_some_and(|back_end| back_end.reachable(now, index)) {
             let failed = Answer::Order(order, Err(OrderFault::NotSent));
             self.answer(index, Duration::from_millis(400), failed);
             return;
         }
-        let deaf = reachable.is_some_and(|back_end| now < back_end.deaf_until);
-        let lost = !deaf && self.chance(self.chances.order_lost);
-        let late = deaf || (!lost && self.chance(self.chances.order_late));
+        let unresponsive = reachable.is_some_and(|back_end| now < back_end.unresponsive_until);
+        let lost = !unresponsive && self.chance(self.chances.order_lost);
+        let late = unresponsive || (!lost && self.chance(self.chances.order_late));
         if late {
-            let at = now + self.late() * 2;
-            self.push(at, Happening::LateOrder(order.clone()));
+            let at = now + self.late_delay() * 2;
+            self.push(at, Event::LateOrder(order.clone()));
         }
         if lost || late {
             let failed = Answer::Order(order, Err(OrderFault::NoAnswer));
             self.answer(index, timeout, failed);
             return;
         }
-        let reply = self.carry_out(&order, false);
+        let reply = self.execute_order(&order, false);
         self.answer(index, ORDER_DELAY, Answer::Order(order, Ok(reply)));
     }
 
-    /// The process that runs at the address to which an order goes.
-    fn occupant(&self, order: &Order) -> Option<BackEndName> {
+    /// Returns the process that runs at the address of an order.
+    fn process_at(&self, order: &Order) -> Option<BackEndName> {
         let mut up = self.back_ends.values().filter(|back_end| back_end.up);
         let there = up.find(|back_end| back_end.entry.address == order.to.address)?;
         Some(there.entry.name.clone())
     }
 
-    fn carry_out(&mut self, order: &Order, late: bool) -> OrderReply {
+    fn execute_order(&mut self, order: &Order, late: bool) -> OrderReply {
         let now = self.now;
-        // An order names an id: each life of a back end takes it for its own.
-        let taker = match self.occupant(order) {
+        // An order names an id, so every process of the back end accepts it.
+        let target = match self.process_at(order) {
             Some(name) if name.id() != order.to.name.id() => return OrderReply::OtherProcess,
             Some(name) => name,
             None => order.to.name.clone(),
         };
-        let Some(back_end) = self.back_ends.get_mut(&taker) else {
+        let Some(back_end) = self.back_ends.get_mut(&target) else {
             return OrderReply::Malformed;
         };
-        let reply = back_end.take(now, order, late);
+        let reply = back_end.execute(now, order, late);
         if reply == OrderReply::Granted && !late {
             let checked = self.checker.granted(order);
             assert_eq!(checked, Ok(()), "at {now:?} by {order:?}");
@@ -532,36 +548,36 @@
         reply
     }
 
-    fn happen(&mut self, happening: Happening) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.now;
-        match happening {
-            Happening::Answer(index, life, answer) => {
+        match event {
+            Event::Answer(index, incarnation, answer) => {
                 let node = &mut self.nodes[index];
-                if !node.up || node.life != life {
+                if !node.up || node.incarnation != incarnation {
                     return;
                 }
                 if now < node.frozen_until {
                     let at = node.frozen_until;
-                    self.push(at, Happening::Answer(index, life, answer));
+                    self.push(at, Event::Answer(index, incarnation, answer));
                     return;
                 }
                 self.deliver(index, *answer);
             }
-            Happening::LateLease(lease, condition) => {
+            Event::LateLease(lease, condition) => {
                 let mut revision = self.revision;
                 let _ = self.lease.write(&mut revision, lease, condition);
                 self.revision = revision;
             }
-            Happening::LateRecord(record, condition) => {
+            Event::LateRecord(record, condition) => {
                 let mut revision = self.revision;
                 let _ = self.record.write(&mut revision, record, condition);
                 self.revision = revision;
             }
-            Happening::Observed(index, life) => self.observed(index, life),
-            Happening::LateOrder(order) => {
+            Event::Observed(index, incarnation) => self.observed(index, incarnation),
+            Event::LateOrder(order) => {
                 let up = self.back_ends.get(&order.to.name);
                 if up.is_some_and(|back_end| back_end.up) {
-                    self.carry_out(&order, true);
+                    self.execute_order(&order, true);
                 }
             }
         }
@@ -594,7 +610,7 @@
         }
     }
 
-    /// Every key is owned by a back end that is up and holds it.
+    /// Returns whether every key is owned by a running back end that holds it.
     pub fn all_served(&self) -> bool {
         let Some(view) = self.view() else {
             return false;
@@ -609,10 +625,11 @@
         })
     }
 
-    /// The last that coordinators told, and the keys that are not served.
-    pub fn story(&self) -> String {
-        let from = self.told.len().saturating_sub(25);
-        let mut story = self.told[from..].join("\n");
+    /// Returns the latest notices of coordinators and the keys that are not
+    /// served.
+    pub fn diagnostics(&self) -> String {
+        let from = self.notices.len().saturating_sub(25);
+        let mut diagnostics = self.notices[from..].join("\n");
         for key in (0..=u16::MAX).step_by(1_024) {
             let owner = self.owner(key);
             let back_end = owner.as_ref().map(|name| &self.back_ends[name]);
@@ -624,13 +641,13 @@
                         .any(|hold| hold.range.contains(ShardKey(key)))
             });
             if !held {
-                story.push_str(&format!("\n{key} of {owner:?}: {back_end:?}"));
+                diagnostics.push_str(&format!("\n{key} of {owner:?}: {back_end:?}"));
             }
         }
-        format!("at {:?}\n{story}", self.now)
+        format!("at {:?}\n{diagnostics}", self.now)
     }
 
-    /// Runs until every key is served; says how long that took.
+    /// Runs until every key is served and returns how call_timeout that took.
     pub fn until_served(&mut self, longest: Duration) -> Option<Duration> {
         let start = self.now;
         while self.now.since(start) < longest {
--- a/crates/coordination/tests/tokens.rs
+++ b/crates/coordination/tests/tokens.rs
@@ -1,4 +1,5 @@
-//! Tokens for back ends that name a limit, and the keys that these may keep.
+//! Tokens for back ends that announce a limit, and the keys that these may
+//! keep.
 
 use std::time::Duration;
 
@@ -11,14 +12,14 @@
 use threadledge_types::deployment::{BackEndName, KeyRange};
 
 const STEP: Duration = Duration::from_millis(20);
-/// What a back end may get at the most is counted over this time.
+/// Period over which the maximum number of tokens for a back end is counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
 fn name(number: usize) -> BackEndName {
     format!("b-{number:02}").into()
 }
 
-fn ask(rate: f64, needed: u32) -> TokenRequest {
+fn token_request(rate: f64, needed: u32) -> TokenRequest {
     TokenRequest {
         back_end: name(0),
         rate,
@@ -30,8 +31,8 @@
     Timestamp::from_millis(10_000)
 }
 
-/// Tokens that could be used within any window, if each is used at the worst
-/// moment of its life.
+/// Returns the maximum number of tokens that can be used within any window, if
+/// each is used at the worst moment of its lifetime.
 fn worst_window(given: &[(Timestamp, u32)]) -> u32 {
     let within = |from: &Timestamp| {
         let window = given
@@ -42,19 +43,23 @@
     given.iter().map(|(at, _)| within(at)).max().unwrap_or(0)
 }
 
-/// Asks each ledger for as much as it gives, for 20 s. Each may have been idle
-/// before, or not.
-fn pressed(ledgers: &mut [(TokenBuckets, bool)], rate: f64, idle: Duration) -> u32 {
+/// Requests as many tokens as possible from each set of buckets for 20 s, after
+/// an idle time of `idle`.
+fn most_tokens_granted(
+    buckets_of_each: &mut [(TokenBuckets, bool)],
+    rate: f64,
+    idle: Duration,
+) -> u32 {
     let mut now = start();
     let mut given = Vec::new();
-    for (ledger, sure) in ledgers.iter_mut() {
-        ledger.grant(now, &ask(rate, 0), *sure);
+    for (buckets, exclusive) in buckets_of_each.iter_mut() {
+        buckets.grant(now, &token_request(rate, 0), *exclusive);
     }
     now = now + idle;
     let until = now + Duration::from_secs(20);
     while now < until {
-        for (ledger, sure) in ledgers.iter_mut() {
-            let grant = ledger.grant(now, &ask(rate, 16), *sure);
+        for (buckets, exclusive) in buckets_of_each.iter_mut() {
+            let grant = buckets.grant(now, &token_request(rate, 16), *exclusive);
             given.push((now, grant.tokens));
         }
         now = now + STEP;
@@ -63,15 +68,15 @@
 }
 
 #[test]
-fn tokens_of_one_coordinator_or_of_two_that_are_not_sure_stay_within_the_limit() {
+fn tokens_of_one_coordinator_or_of_two_unconfirmed_ones_stay_within_the_limit() {
     for rate in [0.1, 0.5, 2.1, 10.0, 300.0] {
         let allowed = 1.5 * rate * WINDOW.as_secs_f64() + 5.0;
         for idle in [Duration::ZERO, Duration::from_secs(3)] {
-            let ledger = TokenBuckets::default;
-            let one = pressed(&mut [(ledger(), true)], rate, idle);
+            let buckets = TokenBuckets::default;
+            let one = most_tokens_granted(&mut [(buckets(), true)], rate, idle);
             assert!(f64::from(one) <= allowed, "{rate}: {one} of {allowed}");
-            let mut both = [(ledger(), false), (ledger(), false)];
-            let two = pressed(&mut both, rate, idle);
+            let mut both = [(buckets(), false), (buckets(), false)];
+            let two = most_tokens_granted(&mut both, rate, idle);
             assert!(f64::from(two) <= allowed, "{rate}: {two} of {allowed}");
             let least = rate * WINDOW.as_secs_f64() * 0.8;
             assert!(f64::from(one) >= least.floor(), "{rate}: {one} of {least}");
@@ -80,35 +85,38 @@
 }
 
 #[test]
-fn ask_by_no_proper_limit_is_read_as_one_by_the_least() {
+fn request_with_an_invalid_limit_counts_as_the_minimum_rate() {
     for rate in [0.0, -1.0, f64::NAN] {
-        let mut ledger = TokenBuckets::default();
-        ledger.grant(start(), &ask(rate, 0), true);
+        let mut buckets = TokenBuckets::default();
+        buckets.grant(start(), &token_request(rate, 0), true);
         let later = start() + Duration::from_secs(3);
-        let grant = ledger.grant(later, &ask(rate, 1), true);
+        let grant = buckets.grant(later, &token_request(rate, 1), true);
         assert_eq!((grant.tokens, grant.wait_ms), (0, 7_000), "{rate}");
         let mut candidates = candidates(3);
-        ledger.bound_weights(later, &mut candidates, 100.0);
+        buckets.bound_weights(later, &mut candidates, 100.0);
         assert!(candidates.iter().all(|candidate| candidate.weight > 0.0));
     }
 }
 
 #[test]
-fn new_coordinator_begins_without_tokens() {
-    let mut ledger = TokenBuckets::default();
-    ledger.grant(start(), &ask(100.0, 0), true);
+fn new_coordinator_starts_without_tokens() {
+    let mut buckets = TokenBuckets::default();
+    buckets.grant(start(), &token_request(100.0, 0), true);
     let later = start() + Duration::from_secs(3);
-    ledger.clear();
-    assert_eq!(ledger.grant(later, &ask(100.0, 16), true).tokens, 0);
+    buckets.clear();
+    assert_eq!(
+        buckets.grant(later, &token_request(100.0, 16), true).tokens,
+        0
+    );
 }
 
 #[test]
-fn lower_limit_counts_at_once_and_a_higher_one_when_nobody_asks_by_the_lower() {
-    let mut ledger = TokenBuckets::default();
+fn lower_limit_applies_at_once_and_a_higher_one_when_no_request_names_the_lower() {
+    let mut buckets = TokenBuckets::default();
     let mut now = start();
     let mut wait = |millis: u64, rate: f64| {
         now = now + Duration::from_millis(millis);
-        let TokenGrant { wait_ms, .. } = ledger.grant(now, &ask(rate, 1_000), true);
+        let TokenGrant { wait_ms, .. } = buckets.grant(now, &token_request(rate, 1_000), true);
         wait_ms
     };
     wait(0, 10.0);
@@ -139,56 +147,57 @@
     candidates[number].weight / total
 }
 
-/// Ten owners with 100 requests a second, the first of which names a limit.
-fn bounded(rate: f64) -> Vec<Candidate> {
-    let mut ledger = TokenBuckets::default();
-    ledger.grant(start(), &ask(rate, 1), true);
+/// Returns the candidates for ten owners with 100 requests per second, the
+/// first of which announces a limit.
+fn limited_candidates(rate: f64) -> Vec<Candidate> {
+    let mut buckets = TokenBuckets::default();
+    buckets.grant(start(), &token_request(rate, 1), true);
     let mut candidates = candidates(10);
-    ledger.bound_weights(start(), &mut candidates, 100.0);
+    buckets.bound_weights(start(), &mut candidates, 100.0);
     candidates
 }
 
 #[test]
-fn limited_owner_keeps_what_its_limit_allows_and_no_other_loses_by_it() {
-    let bounded = bounded(2.0);
-    assert!((share(&bounded, 0) - 0.014).abs() < 1e-9);
-    assert!((share(&bounded, 1) - 0.986 / 9.0).abs() < 1e-9);
+fn limited_owner_keeps_what_its_limit_allows_and_others_share_the_rest() {
+    let limited_candidates = limited_candidates(2.0);
+    assert!((share(&limited_candidates, 0) - 0.014).abs() < 1e-9);
+    assert!((share(&limited_candidates, 1) - 0.986 / 9.0).abs() < 1e-9);
 }
 
 #[test]
 fn limit_above_the_usual_share_changes_nothing() {
-    assert!((share(&bounded(50.0), 0) - 0.1).abs() < 1e-9);
+    assert!((share(&limited_candidates(50.0), 0) - 0.1).abs() < 1e-9);
 }
 
 #[test]
-fn limit_that_nobody_asks_by_any_more_bounds_nothing() {
-    let mut ledger = TokenBuckets::default();
-    ledger.grant(start(), &ask(2.0, 1), true);
+fn limit_expires_when_no_request_names_it() {
+    let mut buckets = TokenBuckets::default();
+    buckets.grant(start(), &token_request(2.0, 1), true);
     let mut candidates = candidates(10);
     let later = start() + Duration::from_secs(5);
-    ledger.bound_weights(later, &mut candidates, 100.0);
+    buckets.bound_weights(later, &mut candidates, 100.0);
     assert!((share(&candidates, 0) - 0.1).abs() < 1e-9);
 }
 
 #[test]
-fn owners_that_all_name_limits_share_by_them() {
-    let mut ledger = TokenBuckets::default();
+fn owners_that_all_have_limits_share_keys_by_them() {
+    let mut buckets = TokenBuckets::default();
     let mut candidates = candidates(3);
     for (number, rate) in [1.0, 2.0, 1.0].into_iter().enumerate() {
         let back_end = name(number);
-        let ask = TokenRequest {
+        let token_request = TokenRequest {
             back_end,
-            ..ask(rate, 1)
+            ..token_request(rate, 1)
         };
-        ledger.grant(start(), &ask, true);
+        buckets.grant(start(), &token_request, true);
     }
-    ledger.bound_weights(start(), &mut candidates, 100.0);
+    buckets.bound_weights(start(), &mut candidates, 100.0);
     assert!((share(&candidates, 1) - 0.5).abs() < 1e-9);
 }
 
 #[test]
-fn keys_leave_an_owner_that_is_beyond_its_limit_though_no_other_lacks_any() {
-    let candidates = bounded(2.0);
+fn keys_leave_an_owner_over_its_limit_even_if_no_other_has_a_deficit() {
+    let candidates = limited_candidates(2.0);
     let count = candidates.len() as u32;
     let part = KeyRange::ALL.len() / count;
     let mut rest = Some(KeyRange::ALL);
