--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -24,6 +24,7 @@
 pub struct Coordinator {
     election: Election,
     ownership: Ownership,
+    /// Whether the lease of this coordinator has lapsed.
     lapsed: bool,
     stopping: bool,
     notices: Vec<Notice>,
--- a/crates/coordination/src/occupancy.rs
+++ b/crates/coordination/src/occupancy.rs
@@ -69,30 +69,30 @@
             .retain(|name| registered.contains(name) || is_owner(name));
         let earlier = std::mem::take(&mut self.by_address);
         for back_end in all {
-            let there = self.by_address.entry(back_end.address).or_default();
+            let registrants = self.by_address.entry(back_end.address).or_default();
             let known = earlier.get(&back_end.address).and_then(|known| {
                 let mut known = known.iter();
                 known.find(|registrant| registrant.is(back_end)).cloned()
             });
-            there.push(known.unwrap_or_else(|| Registrant {
+            registrants.push(known.unwrap_or_else(|| Registrant {
                 name: back_end.name.clone(),
                 registration: back_end.registration,
                 last_order_before: last_order,
             }));
         }
         let mut changes = RegistrationChanges::default();
-        for (address, there) in &mut self.by_address {
-            there.sort_by_key(|registrant| registrant.registration);
+        for (address, registrants) in &mut self.by_address {
+            registrants.sort_by_key(|registrant| registrant.registration);
             let known = earlier.get(address);
             let is_known = |each| known.is_some_and(|known| known.contains(each));
-            if there.iter().all(is_known) {
+            if registrants.iter().all(is_known) {
                 continue;
             }
             changes.addresses.push(*address);
-            if there.len() < 2 {
+            if registrants.len() < 2 {
                 continue;
             }
-            let names = there.iter().map(|registrant| registrant.name.clone());
+            let names = registrants.iter().map(|registrant| registrant.name.clone());
             changes.shared.push(SharedAddress {
                 address: *address,
                 back_ends: names.collect(),
@@ -105,11 +105,11 @@
     /// that had registered at its address before the order was sent have ended.
     /// Returns whether any of them was not known to have ended.
     pub fn on_answer(&mut self, order: &Order) -> bool {
-        let Some(there) = self.by_address.get(&order.to.address) else {
+        let Some(registrants) = self.by_address.get(&order.to.address) else {
             return false;
         };
         let known = self.ended.len();
-        let before = there
+        let before = registrants
             .iter()
             .filter(|each| each.last_order_before < order.id);
         // A restarted process also answers for the process before it.
@@ -149,8 +149,8 @@
     /// Returns the other back ends that are registered at the address of
     /// `owner` and may be running there.
     fn others_at_address<'a>(&'a self, owner: &'a Owner) -> impl Iterator<Item = &'a Registrant> {
-        let there = self.by_address.get(&owner.address).into_iter().flatten();
-        there.filter(|each| each.name != owner.name && !self.has_ended(&each.name))
+        let registrants = self.by_address.get(&owner.address).into_iter().flatten();
+        registrants.filter(|each| each.name != owner.name && !self.has_ended(&each.name))
     }
 }
 
--- a/crates/coordination/src/ownership.rs
+++ b/crates/coordination/src/ownership.rs
@@ -283,7 +283,7 @@
             .tracked
             .iter()
             .filter_map(|tracked| self.release_expiry(tracked))
-            .filter(|over| *over > now);
+            .filter(|expiry| *expiry > now);
         let active = matches!(self.phase, Phase::Active { .. });
         let overdue = self.overdue.next_due().filter(|_| active);
         let waits = self.next_store_call > now || !active;
--- a/crates/coordination/src/ownership/releases.rs
+++ b/crates/coordination/src/ownership/releases.rs
@@ -149,12 +149,12 @@
         if let Some(handover) = &tracked.released {
             return Some(handover.clone());
         }
-        let over = self.release_expiry(tracked)?;
+        let expiry = self.release_expiry(tracked)?;
         // A grant that has not ended may arrive at any time, even after its
         // connection should have been closed, because this process may have
         // been suspended.
         let arrived = self.has_ended(tracked) || !tracked.arrivals.any_open();
-        (arrived && now >= over).then_some(None)
+        (arrived && now >= expiry).then_some(None)
     }
 
     /// Returns when the grant of a range that is being released has certainly
@@ -167,17 +167,17 @@
         if self.has_ended(tracked) {
             return Some(Timestamp::ZERO);
         }
-        let own = self
+        let own_expiry = self
             .settings
             .hold_expiry(tracked.arrivals.latest(), self.settings.hold);
-        let earlier = match self.predecessor {
+        let earlier_expiry = match self.predecessor {
             Some(predecessor) if !tracked.fence_acknowledged => {
                 let orders_end = predecessor.orders_end + self.settings.max_grant_transit();
                 self.settings.hold_expiry(orders_end, predecessor.hold)
             }
             _ => Timestamp::ZERO,
         };
-        Some(own.max(earlier))
+        Some(own_expiry.max(earlier_expiry))
     }
 
     /// Returns whether the owner is known to have ended.
--- a/crates/coordination/src/plan.rs
+++ b/crates/coordination/src/plan.rs
@@ -286,7 +286,7 @@
 ) -> Vec<KeyRange> {
     let mut shares = Shares::new(candidates, held, weights);
     let mut needed = shares.worthwhile_deficit();
-    let (least, deviations) = shares.tolerances();
+    let (min_tolerance, deviations) = shares.tolerances();
     let tolerated = |owner: usize| {
         let fair = shares.fair_share(owner);
         // Requests beyond a limit are refused, so a surplus counts even if it
@@ -294,7 +294,7 @@
         if candidates[owner].max_share.is_some() {
             return fair * TOLERATED_SURPLUS;
         }
-        fair * least.max(deviations * weights.relative_noise(fair))
+        fair * min_tolerance.max(deviations * weights.relative_noise(fair))
     };
     let mut donors: Vec<(usize, f64)> = (0..candidates.len())
         .map(|index| (index, -shares.deficit(index)))
