--- a/crates/coordination/src/action.rs
+++ b/crates/coordination/src/action.rs
@@ -121,7 +121,7 @@
         owner: BackEndName,
         /// Fencing token of the grant.
         fence: Fence,
-        /// Whether the former owner handed its state over.
+        /// True if the former owner handed its state over.
         warm: bool,
     },
     /// A back end stopped answering orders.
@@ -138,9 +138,9 @@
     OrderGivenUp {
         /// The order.
         order: Order,
-        /// How long the coordinator waited for the answer.
+        /// Time that the coordinator waited for the answer.
         waited: Duration,
-        /// Why there is no answer.
+        /// Reason why there is no answer.
         fault: OrderFault,
     },
     /// A back end answers orders again.
@@ -168,7 +168,7 @@
     RecordBroken,
 }
 
-/// Why keys are taken back from their owner.
+/// Reason for taking keys back from their owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseReason {
     /// The back end is leaving.
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -24,7 +24,8 @@
 pub struct Coordinator {
     election: Election,
     ownership: Ownership,
-    /// Whether the lease of this coordinator has lapsed.
+    /// Set while the lease of this coordinator has lapsed, so that the lapse is
+    /// reported once.
     lapsed: bool,
     stopping: bool,
     notices: Vec<Notice>,
--- a/crates/coordination/src/election.rs
+++ b/crates/coordination/src/election.rs
@@ -20,12 +20,12 @@
 use crate::record::{CoordinatorLease, NodeIdentity, Term};
 use crate::settings::Settings;
 
-/// What a coordinator must know about earlier coordinators.
+/// Limits on the activity of earlier coordinators that a new one must respect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Predecessor {
     /// Time by which they have certainly sent their last order.
     pub orders_end: Timestamp,
-    /// How long their grants last.
+    /// Duration of their grants.
     pub hold: Duration,
 }
 
@@ -46,7 +46,8 @@
     },
 }
 
-/// How long after a confirmed lease the store is expected to answer.
+/// Time after a confirmation of the lease for which the store is expected to
+/// answer.
 const RECENT_CONFIRMATION: Duration = Duration::from_millis(100);
 
 /// Role of this node.
@@ -74,7 +75,7 @@
     revision: StoreRevision,
     /// No renewal has been seen since then, while the store answered.
     since: Timestamp,
-    /// Whether the last read was linearizable.
+    /// True if the last read was linearizable.
     verified: bool,
 }
 
@@ -89,16 +90,16 @@
 pub struct Election {
     me: NodeIdentity,
     settings: Settings,
-    /// How long this node waits in addition to [`Settings::takeover_after`], so
-    /// that standbys take over one after the other.
+    /// Time that this node waits in addition to [`Settings::takeover_after`],
+    /// so that standbys take over one after the other.
     takeover_delay: Duration,
     state: State,
     seen: Option<SeenLease>,
-    /// Whether the last linearizable read found no lease.
+    /// True if the last linearizable read found no lease.
     absent: bool,
     call: Option<Call>,
     next_call: Timestamp,
-    /// When the store last confirmed the lease of this node.
+    /// Time at which the store last confirmed the lease of this node.
     last_confirmed: Timestamp,
     candidate: bool,
     resigning: bool,
--- a/crates/coordination/src/holders.rs
+++ b/crates/coordination/src/holders.rs
@@ -16,7 +16,8 @@
 /// Consecutive unanswered orders after which a back end counts as lost. Some
 /// back ends answer requests while they leave orders unanswered.
 const UNANSWERED_UNTIL_LOST: u32 = 6;
-/// How long a lost back end is assigned no keys, unless it answers an order.
+/// Time for which a lost back end is assigned no keys, unless it answers an
+/// order.
 const LOST_COOLDOWN: Duration = Duration::from_secs(3);
 
 /// Longest rest for which keys are withheld from a back end.
@@ -25,8 +26,8 @@
 /// rests.
 const MIN_BACK_ENDS_PER_RESTING: usize = 3;
 
-/// How long after its timeout an unanswered release may still be executed. Back
-/// ends were seen to execute orders up to 12 seconds late.
+/// Time after its timeout during which an unanswered release may still be
+/// executed. Back ends were seen to execute orders up to 12 seconds late.
 pub const LATE_ORDER_WINDOW: Duration = Duration::from_secs(15);
 
 /// Fraction of its share of keys that a cold back end is assigned if cold back
@@ -53,13 +54,16 @@
     failed_connects: u32,
     /// Consecutive unanswered orders.
     unanswered: u32,
+    /// Time at which the back end last counted as lost.
     lost_since: Option<Timestamp>,
+    /// The current period without answers, if any.
     silence: Option<Silence>,
-    /// When an overdue grant was last counted as unanswered.
+    /// Time at which an overdue grant was last counted as unanswered.
     overdue_counted: Option<Timestamp>,
-    /// Until then, unanswered releases may still take keys from the back end.
+    /// End of the time in which unanswered releases may still take keys from
+    /// the back end.
     late_releases_until: Timestamp,
-    /// Whether the back end rejected a grant as malformed.
+    /// True if the back end rejected a grant as malformed.
     refused: bool,
 }
 
@@ -68,20 +72,20 @@
 pub struct Silence {
     /// Number of orders that failed in this period.
     pub given_up: u32,
-    /// When the first of them failed.
+    /// Time at which the first of them failed.
     pub since: Timestamp,
 }
 
 /// Consequences of a failed order for the state of its back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultEffect {
-    /// Whether this is the first consecutive failure.
+    /// True if this is the first consecutive failure.
     pub first_failure: bool,
-    /// Whether the back end counts as lost from now on.
+    /// True if the back end counts as lost from now on.
     pub lost: bool,
 }
 
-/// Why a back end may not own keys.
+/// Reason why a back end may not own keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ineligible {
     /// It is leaving.
@@ -122,10 +126,10 @@
     /// Back ends that asked routers for a rest, with the time until which they
     /// are assigned no keys.
     resting: BTreeMap<BackEndName, Timestamp>,
-    /// Whether cold back ends can serve only few requests.
+    /// True if cold back ends can serve only few requests.
     reduced_when_cold: bool,
-    /// Whether some back end may have become ineligible to own keys since the
-    /// last call of [`Holders::take_changed`].
+    /// Set when some back end may have become ineligible to own keys, and
+    /// cleared by [`Holders::take_changed`].
     changed: bool,
 }
 
--- a/crates/coordination/src/load.rs
+++ b/crates/coordination/src/load.rs
@@ -38,7 +38,7 @@
 /// others.
 const MAX_SPEED_RATIO: f64 = 3.0;
 
-/// What one router measured for one service since its last report.
+/// Load of one service as measured by one router since its last report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct LoadReport {
--- a/crates/coordination/src/order.rs
+++ b/crates/coordination/src/order.rs
@@ -30,13 +30,13 @@
     pub fence: Fence,
     /// The operation.
     pub kind: OrderKind,
-    /// Whether the back end is in another region.
+    /// Region of the back end relative to this node.
     pub distance: Distance,
-    /// How long to wait for the answer before the connection is closed.
+    /// Maximum time to wait for the answer before the connection is closed.
     pub timeout: Duration,
 }
 
-/// How far away a back end is.
+/// Distance to a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Distance {
     /// In this region.
@@ -68,7 +68,7 @@
 /// Parameters of a grant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GrantOrder {
-    /// How long the grant lasts, counted from the arrival of the order.
+    /// Duration of the grant, counted from the arrival of the order.
     pub hold: Duration,
     /// Handover token of the former owner.
     pub handover: Option<HandoverToken>,
@@ -91,7 +91,7 @@
     OtherProcess,
 }
 
-/// Why an order has no answer.
+/// Reason why an order has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderFault {
     /// No connection could be opened, so the order certainly never arrives.
--- a/crates/coordination/src/ownership.rs
+++ b/crates/coordination/src/ownership.rs
@@ -82,25 +82,25 @@
     load: LoadMap,
     tokens: TokenBuckets,
     next_balancing: Timestamp,
-    /// Until then, a new coordinator waits for load reports.
+    /// End of the time in which a new coordinator waits for load reports.
     load_wait_until: Timestamp,
     term: Term,
     predecessor: Option<Predecessor>,
     phase: Phase,
     tracked: Vec<TrackedRange>,
-    /// Whether the tracked ranges were rebuilt since owners were last checked
-    /// for eligibility.
+    /// Set when the tracked ranges are rebuilt. The next store call then checks
+    /// again which owners may keep their keys.
     recheck_owners: bool,
     former: FormerOwners,
     overdue: OverdueGrants,
-    /// Whether a call to the store is running.
+    /// True while a call to the store is running.
     store_call_running: bool,
-    /// Whether a write had no answer, so that the record must be read before
+    /// Set after a write without an answer. The record must then be read before
     /// the next write.
     read_back_needed: bool,
     next_store_call: Timestamp,
     writes: WriteBudget,
-    /// When the first back end was registered.
+    /// Time at which the first back end was registered.
     first_registration: Option<Timestamp>,
     /// Id of the last order that was created.
     last_order_id: u64,
--- a/crates/coordination/src/ownership/draft.rs
+++ b/crates/coordination/src/ownership/draft.rs
@@ -19,7 +19,7 @@
     pub(super) load: &'a LoadMap,
     pub(super) tokens: &'a TokenBuckets,
     pub(super) tracked: &'a [TrackedRange],
-    /// Whether back ends have had time to register.
+    /// True once back ends have had time to register.
     pub(super) registration_wait_over: bool,
     /// For each tracked range: `Some` if its owner no longer holds it, with the
     /// handover token if there is one.
@@ -37,7 +37,7 @@
     slice: Slice,
     /// Handover token that the former owner returned with the keys.
     handover: Option<HandoverToken>,
-    /// Whether the owner has accepted the grant.
+    /// True if the owner has accepted the grant.
     granted: bool,
 }
 
--- a/crates/coordination/src/ownership/former_owners.rs
+++ b/crates/coordination/src/ownership/former_owners.rs
@@ -26,8 +26,8 @@
 #[derive(Clone, Debug)]
 struct PendingRelease {
     holder: FormerHolder,
-    /// When this coordinator began to repeat the release. It stops once no
-    /// order can still be executed.
+    /// Time at which this coordinator began to repeat the release. It stops
+    /// once no order can still be executed.
     since: Timestamp,
     in_flight: Option<OrderId>,
     next_order_at: Timestamp,
--- a/crates/coordination/src/ownership/tracked.rs
+++ b/crates/coordination/src/ownership/tracked.rs
@@ -25,16 +25,16 @@
     pub(super) released: Option<Option<HandoverToken>>,
     /// The order that is awaiting an answer.
     pub(super) in_flight: Option<OrderId>,
-    /// When the next order is due.
+    /// Time at which the next order is due.
     pub(super) next_order_at: Timestamp,
     /// Grants of this node that may still arrive.
     pub(super) arrivals: GrantArrivals,
-    /// Whether the back end has answered an order of this term for these keys,
+    /// True if the back end has answered an order of this term for these keys,
     /// so that it refuses orders of earlier coordinators.
     pub(super) fence_acknowledged: bool,
-    /// Whether the back end refused the current fencing token.
+    /// True if the back end refused the current fencing token.
     pub(super) fenced: bool,
-    /// Whether the current grant was accepted.
+    /// True if the current grant was accepted.
     pub(super) granted: bool,
     /// The new process of an owner that has restarted. It holds nothing of the
     /// previous one. No order is sent before the record names it, because it
--- a/crates/coordination/src/ownership/write_budget.rs
+++ b/crates/coordination/src/ownership/write_budget.rs
@@ -17,7 +17,8 @@
 /// Rate limit for writes of the record.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct WriteBudget {
-    /// When the writes made so far are paid off, at one per [`WRITE_INTERVAL`].
+    /// Time at which the writes made so far are paid off, at one per
+    /// [`WRITE_INTERVAL`].
     paid_until: Timestamp,
 }
 
--- a/crates/coordination/src/plan.rs
+++ b/crates/coordination/src/plan.rs
@@ -76,7 +76,7 @@
     }
 }
 
-/// What every candidate holds compared with its fair share by weight.
+/// The load that every candidate holds, compared with its fair share by weight.
 /// Candidates are identified by their index in the list, which is sorted by
 /// name.
 struct Shares<'a> {
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -59,10 +59,10 @@
     pub holder: Option<NodeIdentity>,
     /// Increased by each renewal within a term.
     pub renewals: u64,
-    /// How long after a confirmed renewal the holder continues to renew grants,
-    /// in milliseconds.
+    /// Time after a confirmed renewal for which the holder continues to renew
+    /// grants, in milliseconds.
     pub lease_ms: u64,
-    /// How long the grants of the holder last, in milliseconds.
+    /// Duration of the holder's grants, in milliseconds.
     pub hold_ms: u64,
     /// In a released lease: how long after the release coordinators before the
     /// last holder may still send orders, in milliseconds.
@@ -108,7 +108,7 @@
     /// Fencing token of the grant, or of the release that made the slice
     /// unowned.
     pub fence: Fence,
-    /// Whether a back end owns the keys, and which.
+    /// The owner of the keys, if there is one.
     pub state: SliceState,
 }
 
@@ -138,7 +138,7 @@
     pub address: SocketAddr,
 }
 
-/// What is wrong with a record that was read from the store.
+/// A violated invariant of a record that was read from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordFault {
     /// The slices have gaps, overlap or are out of order.
--- a/crates/coordination/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -11,37 +11,37 @@
 /// constraints between them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How long after a confirmed renewal a coordinator continues to renew
-    /// grants and send orders.
+    /// Time after a confirmed renewal for which a coordinator continues to
+    /// renew grants and send orders.
     pub lease: Duration,
     /// Time between renewals of the coordinator's lease.
     pub lease_renewal: Duration,
     /// Time between two reads of the lease by a standby.
     pub standby_poll: Duration,
-    /// How long a lease must go without renewal, while the store answers,
-    /// before a standby takes over.
+    /// Time without renewal, while the store answers, after which a standby
+    /// takes the lease.
     pub takeover_after: Duration,
-    /// How long a grant lasts at a back end, counted from its arrival there.
+    /// Duration of a grant at a back end, counted from its arrival there.
     pub hold: Duration,
     /// Time between renewals of a grant.
     pub grant_renewal: Duration,
-    /// How long to wait for a back end's answer to an order before the order is
-    /// sent again and counts as unanswered.
+    /// Maximum time to wait for a back end's answer to an order before the
+    /// order is sent again and counts as unanswered.
     pub order_timeout: Duration,
-    /// How long an order to another region may take. Its connection stays open
-    /// for this time and is then closed.
+    /// Maximum duration of an order to another region. Its connection stays
+    /// open for this time and is then closed.
     pub far_order_timeout: Duration,
     /// Zones of this region; `None` if all zones are in it.
     pub near_zones: Option<BTreeSet<ZoneName>>,
-    /// How long to wait for a back end to finish its work on keys that it
+    /// Maximum time to wait for a back end to finish its work on keys that it
     /// releases.
     pub release_timeout: Duration,
     /// Delay before a failed order or store call is repeated.
     pub retry_delay: Duration,
     /// Time for back ends to register before the first assignment.
     pub registration_wait: Duration,
-    /// How much slower than the coordinator's clock a back end's clock may run,
-    /// in percent.
+    /// Maximum difference by which a back end's clock may run slower than the
+    /// coordinator's, in percent.
     pub clock_drift_percent: u32,
 }
 
--- a/crates/coordination/src/tokens.rs
+++ b/crates/coordination/src/tokens.rs
@@ -21,7 +21,7 @@
 
 use crate::holders::Candidate;
 
-/// How long a token may be used, counted from the request for it.
+/// Time for which a token may be used, counted from the request for it.
 pub const TOKEN_LIFETIME: Duration = Duration::from_millis(500);
 /// Lower bound on limits, in requests per second. A router that sent no
 /// requests at all would never learn that a limit has ended.
@@ -33,11 +33,12 @@
 const BUCKET_BASE: f64 = 1.0;
 /// Seconds of a limit's tokens that a bucket holds.
 const BUCKET_SECONDS: f64 = 0.25;
-/// How long no request must have named a lower limit before a higher one takes
+/// Time without a request that names a lower limit before a higher one takes
 /// effect. Routers that have not heard of the higher limit yet still name the
 /// lower one.
 const RAISE_DELAY: Duration = Duration::from_secs(1);
-/// How long after the last request for its tokens a back end counts as limited.
+/// Time after the last request for its tokens for which a back end counts as
+/// limited.
 const LIMIT_EXPIRY: Duration = Duration::from_secs(4);
 /// Longest time that a router is told to wait for a token.
 const MAX_WAIT: Duration = Duration::from_secs(10);
@@ -78,7 +79,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     rate: f64,
-    /// When this rate, or a lower one, was last named.
+    /// Time at which this rate, or a lower one, was last named.
     rate_named_at: Timestamp,
     last_request_at: Timestamp,
     level: f64,
@@ -122,8 +123,8 @@
 
     /// Returns the time until a whole token is available.
     fn time_to_token(&self, part: f64) -> Duration {
-        let lacks = (1.0 - self.level).max(0.0);
-        let wait = Duration::try_from_secs_f64(lacks / (self.rate * part));
+        let missing = (1.0 - self.level).max(0.0);
+        let wait = Duration::try_from_secs_f64(missing / (self.rate * part));
         wait.map_or(MAX_WAIT, |wait| wait.min(MAX_WAIT))
     }
 }
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -103,7 +103,7 @@
     order: Order,
     arrives: Timestamp,
     delivered: bool,
-    /// When the sender learns the result.
+    /// Time at which the sender learns the result.
     ends: Timestamp,
     reported: bool,
     result: Result<OrderReply, OrderFault>,
@@ -117,7 +117,7 @@
     held_until: Timestamp,
     highest_fence: Fence,
     revision: u64,
-    /// Whether the record names another back end as the owner.
+    /// True if the record names another back end as the owner.
     reassigned: bool,
 }
 
--- a/crates/coordination/tests/simulation/back_end.rs
+++ b/crates/coordination/tests/simulation/back_end.rs
@@ -12,7 +12,7 @@
 pub struct Hold {
     pub range: KeyRange,
     pub until: Timestamp,
-    /// Whether it comes from an order that was executed late. Such holds do not
+    /// True if it comes from an order that was executed late. Such holds do not
     /// count as assigned by the coordinator.
     pub late: bool,
 }
@@ -22,16 +22,16 @@
 pub struct ModelBackEnd {
     pub entry: BackEnd,
     pub up: bool,
-    /// Until then, routers cannot reach it.
+    /// Time until which routers cannot reach it.
     pub unreachable_until: Timestamp,
     /// The nodes that cannot reach it before `unreachable_until`; all nodes if empty.
     pub unreachable_from: std::collections::BTreeSet<usize>,
-    /// Until then, it answers no order and executes late what it received.
+    /// Time until which it answers no order and executes late what it received.
     pub unresponsive_until: Timestamp,
     pub holds: Vec<Hold>,
     /// The highest fencing token seen for each range.
     fences: Vec<(KeyRange, Fence)>,
-    /// How much slower its clock runs, in percent.
+    /// Percentage by which its clock runs slow.
     clock_drift_percent: u32,
 }
 
--- a/crates/coordination/tests/simulation/merged_grants.rs
+++ b/crates/coordination/tests/simulation/merged_grants.rs
@@ -69,7 +69,7 @@
     ownership.begin_term(start, Term(2), None);
     let mut now = start;
     let mut revision = 7;
-    // When each order ends, with its result.
+    // End of each order in flight, with its result.
     let mut ends: Vec<(Timestamp, Order, Result<OrderReply, OrderFault>)> = Vec::new();
     // Arrival of the grant of the first range alone, just before its timeout.
     let mut alone: Option<Timestamp> = None;
--- a/crates/coordination/tests/simulation/world.rs
+++ b/crates/coordination/tests/simulation/world.rs
@@ -33,6 +33,7 @@
     Order(Order, Result<OrderReply, OrderFault>),
 }
 
+/// A scheduled event of the simulation.
 enum Event {
     /// A result arrives at one process of a node.
     Answer(usize, u64, Box<Answer>),
@@ -48,14 +49,15 @@
     Observed(usize, u64),
 }
 
+/// A simulated node with its faults.
 pub struct Node {
     pub coordinator: Coordinator,
     pub incarnation: u64,
-    /// Whether the back ends have changed since the node was last notified.
+    /// True if the back ends have changed since the node was last notified.
     pub back_ends_changed: bool,
     pub up: bool,
     pub frozen_until: Timestamp,
-    /// Until then, the node cannot reach the store.
+    /// Time until which the node cannot reach the store.
     pub unreachable_until: Timestamp,
 }
 
@@ -68,6 +70,7 @@
     pub order_late: u32,
 }
 
+/// The simulated deployment and its virtual clock.
 pub struct World {
     pub now: Timestamp,
     pub settings: Settings,
@@ -84,10 +87,11 @@
     queue: BTreeMap<(Timestamp, u64), Event>,
     next: u64,
     registrations: u64,
-    /// Whether names of back ends include their start times, so that they can
-    /// restart under their ids.
+    /// True if the names of back ends include their start times, so that they
+    /// can restart under their ids.
     restartable: bool,
     checker: Checker,
+    /// Number of assignments reported by coordinators.
     pub moves: u64,
     watched_revision: u64,
     /// Notices of coordinators, for messages of failed checks.
@@ -416,6 +420,7 @@
         self.now >= self.store_down_until && self.now >= self.nodes[index].unreachable_until
     }
 
+    /// Makes a call of a node and schedules its result.
     fn call(&mut self, index: usize, action: Action) {
         let silent = !self.store_answers(index);
         let call_timeout = Duration::from_secs(1);
@@ -496,11 +501,12 @@
         Duration::from_millis(1_000 + u64::from(self.random(5_000)))
     }
 
+    /// Delivers an order, or lets it fail, be lost or arrive late.
     fn send(&mut self, index: usize, order: Order) {
         let timeout = order.timeout;
         let now = self.now;
-        let process_at = self.process_at(&order);
-        let reachable = process_at.and_then(|name| self.back_ends.get(&name));
+        let process = self.process_at(&order);
+        let reachable = process.and_then(|name| self.back_ends.get(&name));
         if !reachable.is_some_and(|back_end| back_end.reachable(now, index)) {
             let failed = Answer::Order(order, Err(OrderFault::NotSent));
             self.answer(index, Duration::from_millis(400), failed);
@@ -525,8 +531,8 @@
     /// Returns the process that runs at the address of an order.
     fn process_at(&self, order: &Order) -> Option<BackEndName> {
         let mut up = self.back_ends.values().filter(|back_end| back_end.up);
-        let there = up.find(|back_end| back_end.entry.address == order.to.address)?;
-        Some(there.entry.name.clone())
+        let process = up.find(|back_end| back_end.entry.address == order.to.address)?;
+        Some(process.entry.name.clone())
     }
 
     fn execute_order(&mut self, order: &Order, late: bool) -> OrderReply {
