--- a/crates/dispatch/src/back_end_news.rs
+++ b/crates/dispatch/src/back_end_events.rs
@@ -6,7 +6,7 @@
 
 /// What a back end said that concerns later requests.
 #[derive(Clone, Debug, PartialEq)]
-pub enum BackEndNews {
+pub enum BackEndEvent {
     /// It names a limit, or another one than before.
     Limited {
         /// The back end.
@@ -40,10 +40,10 @@
         /// Its service.
         service: ServiceName,
         /// The rest.
-        rest: Duration,
+        backoff: Duration,
     },
     /// It asked for a rest that is no time: it gets the pause of one that is full.
-    RestUnreadable {
+    BackoffUnreadable {
         /// The back end.
         back_end: BackEndName,
     },
--- a/crates/dispatch/src/back_ends.rs
+++ b/crates/dispatch/src/back_ends.rs
@@ -132,7 +132,7 @@
             return false;
         }
         let factor = 1 << self.ejections.min(6);
-        let rest = (settings.ejection_first * factor).min(settings.ejection_longest);
+        let rest = (settings.min_ejection * factor).min(settings.max_ejection);
         self.ejections += 1;
         self.ejected_until = now + rest;
         true
--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -55,7 +55,7 @@
 
 /// What a budget allowed and what was used of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BudgetUse {
+pub struct BudgetUsage {
     /// Requests of the window.
     pub requests: u32,
     /// Retries of the window.
@@ -111,7 +111,7 @@
     /// What would pay for a retry now: the requests of the window as far as
     /// they go.
     fn permit(&mut self, now: Timestamp) -> Permit {
-        let requests = self.used(now).requests;
+        let requests = self.usage(now).requests;
         let paid: f64 = self.parts.iter().map(|part| part.of_requests).sum();
         let of_requests = (f64::from(requests) * self.ratio - paid).clamp(0.0, 1.0);
         Permit {
@@ -122,9 +122,9 @@
     }
 
     /// What is used of it.
-    pub fn used(&mut self, now: Timestamp) -> BudgetUse {
+    pub fn usage(&mut self, now: Timestamp) -> BudgetUsage {
         self.current(now);
-        BudgetUse {
+        BudgetUsage {
             requests: self.parts.iter().map(|part| part.requests).sum(),
             retries: self.parts.iter().map(|part| part.retries).sum(),
             slack: self.slack(now),
@@ -142,7 +142,7 @@
     }
 
     /// Denials that have not been told; `None` soon after others were.
-    pub fn take_denied(&mut self, now: Timestamp) -> Option<u64> {
+    pub fn take_unreported_denials(&mut self, now: Timestamp) -> Option<u64> {
         let before = match self.told {
             Some((_, at)) if now.since(at) < TELL_EVERY => return None,
             Some((before, _)) => before,
@@ -153,7 +153,7 @@
     }
 
     /// Gives the right to a retry back that never left.
-    pub fn give_back(&mut self, now: Timestamp, permit: Permit) {
+    pub fn return_permit(&mut self, now: Timestamp, permit: Permit) {
         self.counts.given_back += 1;
         if now.since(permit.taken) > LATE {
             self.counts.given_back_late += 1;
--- a/crates/dispatch/src/choice.rs
+++ b/crates/dispatch/src/choice.rs
@@ -120,7 +120,7 @@
         let Some(known) = self.back_ends.get(name) else {
             return no_owner;
         };
-        if !exchange.may_run_in(&known.back_end.zone, &self.settings.places) {
+        if !exchange.may_run_in(&known.back_end.zone, &self.settings.topology) {
             return Choice::Refuse(RefusalReason::OutsideRegions);
         }
         if !known.takes_requests() || known.ejected(self.now) {
@@ -146,8 +146,8 @@
     fn best(&mut self, exchange: &Exchange, bound: Bound) -> Choice {
         let usual = self.back_ends.usual(self.now, &exchange.service);
         let usable = self.usable(exchange);
-        let places = &self.settings.places;
-        let distance = |known: &&Known| places.distance(&known.back_end.zone);
+        let topology = &self.settings.topology;
+        let distance = |known: &&Known| topology.distance(&known.back_end.zone);
         let fitting = usable.iter().copied();
         let fitting = fitting.filter(|known| self.fits(known, exchange, bound, &usual));
         // The other region is for what the own one cannot answer in time: its
@@ -193,12 +193,13 @@
         usual: Usual,
     ) -> Option<&'a Known> {
         let supposed = suppose(usual, exchange);
-        let penalty = exchange.route.target_latency.as_secs_f64() * self.settings.zone_penalty;
+        let penalty =
+            exchange.route.target_latency.as_secs_f64() * self.settings.zone_penalty_ratio;
         let mut best: Option<(&Known, f64)> = None;
         for &known in candidates {
             let mut cost = known.expected_s(self.now, &supposed);
             cost *= 1.0 + NOISE * self.random.random::<f64>();
-            if known.back_end.zone != *self.settings.places.zone() {
+            if known.back_end.zone != *self.settings.topology.zone() {
                 cost += penalty;
             }
             if best.is_none_or(|(_, least)| cost < least) {
@@ -256,10 +257,10 @@
 
     /// Back ends that are not leaving and may have this request.
     fn staying(&self, exchange: &Exchange) -> impl Iterator<Item = &'a Known> {
-        let places = &self.settings.places;
+        let topology = &self.settings.topology;
         let all = self.back_ends.of_service(&exchange.service);
         all.filter(move |known| {
-            known.takes_requests() && exchange.may_run_in(&known.back_end.zone, places)
+            known.takes_requests() && exchange.may_run_in(&known.back_end.zone, topology)
         })
     }
 
@@ -292,7 +293,7 @@
     }
 
     fn fits(&self, known: &Known, exchange: &Exchange, bound: Bound, usual: &Usual) -> bool {
-        let room = f64::from(known.back_end.slots + self.settings.back_end_queue);
+        let room = f64::from(known.back_end.slots + self.settings.queue_per_back_end);
         if known.in_flight.len() >= self.connections {
             return false;
         }
--- a/crates/dispatch/src/counters.rs
+++ b/crates/dispatch/src/counters.rs
@@ -21,7 +21,7 @@
 
 /// The budget of a service did not allow retries.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Denial {
+pub struct RetryDenials {
     /// The service.
     pub service: ServiceName,
     /// Retries denied since the denial that was told before.
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Requests that began.
-    pub begun: u64,
+    pub started: u64,
     /// Requests that a back end answered.
     pub answered: u64,
     /// Requests that were refused, by reason.
--- a/crates/dispatch/src/fading.rs
+++ b/crates/dispatch/src/decaying_mean.rs
@@ -19,7 +19,7 @@
 
 /// The mean of some samples.
 #[derive(Clone, Debug)]
-pub struct FadingMean {
+pub struct DecayingMean {
     half_life: Duration,
     /// Weight of a sample of zero that is always there and never fades.
     zero_weight: f64,
@@ -30,10 +30,10 @@
     as_of: Timestamp,
 }
 
-impl FadingMean {
+impl DecayingMean {
     /// Of no samples yet, beside a zero of this weight.
     pub fn new(half_life: Duration, zero_weight: f64) -> Self {
-        FadingMean {
+        DecayingMean {
             half_life,
             zero_weight,
             sum: 0.0,
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -10,7 +10,7 @@
 mod steps;
 mod waiting;
 
-pub use crashes::Look;
+pub use crashes::ProcessCheck;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -27,22 +27,22 @@
 };
 use threadledge_types::{RegionName, Timestamp};
 
-use crate::back_end_news::BackEndNews;
+use crate::back_end_events::BackEndEvent;
 use crate::back_ends::BackEnds;
 use crate::budget::RetryBudget;
-use crate::counters::{Counters, Denial};
+use crate::counters::{Counters, RetryDenials};
 use crate::exchange::Exchange;
 use crate::limited::LimitedBackEnds;
 use crate::not_held::NotHeld;
 use crate::observed::ObservedLoad;
 use crate::outcome::{Refusal, RefusalReason};
-use crate::request::{ExchangeId, RequestFacts};
-use crate::routes::{Dealer, RouteTable};
+use crate::request::{ExchangeId, RequestInfo};
+use crate::routes::{RouteTable, WeightedRoundRobin};
 use crate::settings::Settings;
 
 /// An exchange that has begun.
 #[derive(Clone, Debug)]
-pub struct Begun {
+pub struct StartedExchange {
     /// Its number.
     pub id: ExchangeId,
     /// The route that it takes.
@@ -60,11 +60,11 @@
 
 /// What follows from the end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum NextAction {
     /// The back end's answer goes to the caller.
     Deliver,
     /// Ask [`Dispatcher::next`] what to do.
-    GoOn,
+    CallNext,
 }
 
 /// The decisions of one router's request path.
@@ -78,7 +78,7 @@
     keys: KeyIndex,
     /// The keys that are known were surely in force then.
     keys_confirmed: Timestamp,
-    dealers: HashMap<RouteName, Dealer>,
+    dealers: HashMap<RouteName, WeightedRoundRobin>,
     /// Draws where dealers and turns begin, apart from the draws of choices.
     starts: ChaCha8Rng,
     /// Requests a second that a cold back end of each service should get from
@@ -92,7 +92,7 @@
     /// Back ends that asked for a rest that is no time.
     odd_rests: BTreeSet<BackEndName>,
     /// What back ends said and was not told.
-    news: Vec<BackEndNews>,
+    news: Vec<BackEndEvent>,
     /// Load of services divided by key, since the last report.
     observed: BTreeMap<ServiceName, ObservedLoad>,
     exchanges: HashMap<ExchangeId, Exchange>,
@@ -102,7 +102,7 @@
     next_exchange: u64,
     counters: Counters,
     /// Denials of retries that have not been told.
-    denials: Vec<Denial>,
+    denials: Vec<RetryDenials>,
     /// Routers of the deployment, if their number is known.
     fleet: Option<u32>,
     /// Since when it is known.
@@ -114,7 +114,7 @@
     /// Attempts that broke, while it is open whether their process ended.
     unconfirmed: UnconfirmedCrashes,
     confirmed: Vec<BrokenAttempt>,
-    to_look_at: Vec<Look>,
+    process_checks: Vec<ProcessCheck>,
 }
 
 impl Dispatcher {
@@ -152,7 +152,7 @@
             suspects: Suspects::default(),
             unconfirmed: UnconfirmedCrashes::default(),
             confirmed: Vec::new(),
-            to_look_at: Vec::new(),
+            process_checks: Vec::new(),
         }
     }
 
@@ -188,12 +188,12 @@
     }
 
     /// Requests that have no outcome yet.
-    pub fn running(&self) -> usize {
+    pub fn open_exchanges(&self) -> usize {
         self.exchanges.len()
     }
 
     /// Requests that wait for a slot or an owner.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_exchanges(&self) -> usize {
         self.waiting.values().map(BTreeSet::len).sum()
     }
 
@@ -243,7 +243,7 @@
     }
 
     /// The same for back ends that changed and names of those that are gone.
-    pub fn change_back_ends(
+    pub fn update_back_ends(
         &mut self,
         now: Timestamp,
         changed: &[BackEnd],
@@ -273,7 +273,7 @@
 
     /// What was seen of the load of a service divided by key since the last
     /// report.
-    pub fn take_load(&mut self, service: &ServiceName) -> LoadReport {
+    pub fn take_load_report(&mut self, service: &ServiceName) -> LoadReport {
         let observed = self.observed.remove(service);
         let mut report = observed.map(ObservedLoad::into_report).unwrap_or_default();
         report.leaving = self.back_ends.leaving_untold(service);
@@ -282,7 +282,7 @@
 
     /// The part of a report that tells which back ends said that they leave, or
     /// asked this router for rest.
-    pub fn owners_report(&self, now: Timestamp, service: &ServiceName) -> LoadReport {
+    pub fn unavailability_report(&self, now: Timestamp, service: &ServiceName) -> LoadReport {
         LoadReport {
             leaving: self.back_ends.leaving_untold(service),
             resting: self.back_ends.resting(now, service),
@@ -308,17 +308,25 @@
     /// # Errors
     ///
     /// The refusal with which it is answered at once.
-    pub fn begin(&mut self, now: Timestamp, facts: &RequestFacts<'_>) -> Result<Begun, Refusal> {
-        self.counters.begun += 1;
-        let begun = self.start(now, facts);
+    pub fn begin(
+        &mut self,
+        now: Timestamp,
+        info: &RequestInfo<'_>,
+    ) -> Result<StartedExchange, Refusal> {
+        self.counters.started += 1;
+        let begun = self.start(now, info);
         if let Err(refusal) = &begun {
             self.count_refusal(refusal);
         }
         begun
     }
 
-    fn start(&mut self, now: Timestamp, facts: &RequestFacts<'_>) -> Result<Begun, Refusal> {
-        let admission = self.admitted(now, &facts.call)?;
+    fn start(
+        &mut self,
+        now: Timestamp,
+        info: &RequestInfo<'_>,
+    ) -> Result<StartedExchange, Refusal> {
+        let admission = self.resolve_admission(now, &info.head)?;
         let rank = admission.priority();
         let allowed_regions = admission.allowed_regions();
         let Admission {
@@ -330,43 +338,45 @@
         let dealer = self
             .dealers
             .entry(route.name.clone())
-            .or_insert_with(|| Dealer::starting_at(starts.random()));
+            .or_insert_with(|| WeightedRoundRobin::with_offset(starts.random()));
         let chosen = dealer.next(&route.destinations);
         let Some(destination) = route.destinations.get(chosen) else {
             return Err(refusal(RefusalReason::NoBackEnd));
         };
         let service = destination.service.clone();
-        if self.suspects.is_held(&facts.identity) {
+        if self.suspects.is_held(&info.identity) {
             return Err(refusal(RefusalReason::CrashesBackEnds));
         }
         let services = self.configuration.as_ref().map(|each| &each.services);
         let keyed = services.and_then(|services| services.get(&service));
         let keyed = keyed.is_some_and(|service| service.keyed);
-        if keyed && facts.key.is_none() {
+        if keyed && info.key.is_none() {
             return Err(refusal(RefusalReason::MissingKey));
         }
-        if let Some(key) = facts.key.filter(|_| keyed) {
+        if let Some(key) = info.key.filter(|_| keyed) {
             let observed = self.observed.entry(service.clone()).or_default();
             observed.request(key);
         }
-        let held = facts
+        let held = info
             .time_left
             .map_or(route.timeout, |left| left.min(route.timeout));
         let in_transit = self.in_transit(allowed_regions.as_ref());
-        let started = now - facts.waited;
+        let started = now - info.age;
         let deadline = started + held;
-        let patience = route.target_latency.mul_f64(self.settings.patience);
+        let queue_timeout = route
+            .target_latency
+            .mul_f64(self.settings.queue_timeout_ratio);
         self.next_exchange += 1;
         let id = ExchangeId(self.next_exchange);
         let exchange = Exchange {
-            key: facts.key.filter(|_| keyed),
+            key: info.key.filter(|_| keyed),
             rank,
             route: route.clone(),
             service: service.clone(),
             started,
             deadline,
-            patience_until: (started + patience).min(deadline),
-            replayable: facts.replayable,
+            patience_until: (started + queue_timeout).min(deadline),
+            replayable: info.replayable,
             body_gone: false,
             next_attempt: 0,
             sent: 0,
@@ -375,13 +385,13 @@
             tried: BTreeSet::new(),
             may_have_run: None,
             hedged: false,
-            identity: facts.identity,
-            label: label(facts, &route, allowed_regions.is_some()),
+            identity: info.identity,
+            label: label(info, &route, allowed_regions.is_some()),
             allowed_regions,
         };
         self.exchanges.insert(id, exchange);
         self.budget(now, &service).count_request(now);
-        Ok(Begun {
+        Ok(StartedExchange {
             id,
             route,
             service,
@@ -398,8 +408,8 @@
     }
 
     fn in_transit(&self, allowed: Option<&BTreeSet<RegionName>>) -> bool {
-        let places = &self.settings.places;
-        allowed.is_some_and(|allowed| !places.is_within(places.zone(), allowed))
+        let topology = &self.settings.topology;
+        allowed.is_some_and(|allowed| !topology.is_within(topology.zone(), allowed))
     }
 }
 
@@ -416,11 +426,11 @@
 
 /// What operators are told of a request. Gateways of all regions and the store
 /// keep it: of one that must not leave its regions it names the route only.
-fn label(facts: &RequestFacts<'_>, route: &Route, restricted: bool) -> String {
+fn label(info: &RequestInfo<'_>, route: &Route, restricted: bool) -> String {
     if restricted {
-        return format!("{} route {}", facts.method, route.name);
+        return format!("{} route {}", info.method, route.name);
     }
-    format!("{} {}{}", facts.method, facts.call.host, facts.call.path)
+    format!("{} {}{}", info.method, info.head.host, info.head.path)
 }
 
 fn refusal(reason: RefusalReason) -> Refusal {
--- a/crates/dispatch/src/dispatcher/admitting.rs
+++ b/crates/dispatch/src/dispatcher/admitting.rs
@@ -8,7 +8,7 @@
 
 use super::{Dispatcher, refusal};
 use crate::outcome::{Refusal, RefusalReason};
-use crate::request::Call;
+use crate::request::RequestHead;
 
 impl Dispatcher {
     /// Decides before anything of the body is read. An exchange that begins
@@ -17,41 +17,49 @@
     /// # Errors
     ///
     /// The refusal with which the request is answered at once.
-    pub fn admission(&mut self, now: Timestamp, call: &Call<'_>) -> Result<Admission, Refusal> {
-        let admission = self.admitted(now, call);
+    pub fn check_admission(
+        &mut self,
+        now: Timestamp,
+        head: &RequestHead<'_>,
+    ) -> Result<Admission, Refusal> {
+        let admission = self.resolve_admission(now, head);
         if let Err(refusal) = &admission {
-            self.counters.begun += 1;
+            self.counters.started += 1;
             self.count_refusal(refusal);
         }
         admission
     }
 
     /// Number of callers' keys in the configuration in force.
-    pub fn keys(&self) -> usize {
+    pub fn api_key_count(&self) -> usize {
         self.keys.len()
     }
 
     /// The keys that are known were surely in force at `at`: the store said so
     /// then, to this router or to one that told it.
-    pub fn confirm_keys(&mut self, at: Timestamp) {
+    pub fn confirm_api_keys(&mut self, at: Timestamp) {
         self.keys_confirmed = self.keys_confirmed.max(at);
     }
 
     /// The tenant that holds a key, by the configuration in force.
-    pub fn holder(&self, key: &KeyDigest) -> Option<&TenantPolicy> {
+    pub fn caller_of_key(&self, key: &KeyDigest) -> Option<&TenantPolicy> {
         self.keys.find(key).map(AsRef::as_ref)
     }
 
-    pub(super) fn admitted(&self, now: Timestamp, call: &Call<'_>) -> Result<Admission, Refusal> {
+    pub(super) fn resolve_admission(
+        &self,
+        now: Timestamp,
+        head: &RequestHead<'_>,
+    ) -> Result<Admission, Refusal> {
         let Some(configuration) = &self.configuration else {
             return Err(refusal(RefusalReason::NoConfiguration));
         };
-        let Some(route) = self.routes.find(call.host, call.path) else {
+        let Some(route) = self.routes.find(head.host, head.path) else {
             return Err(refusal(RefusalReason::NoRoute));
         };
         let asks_keys = !configuration.tenants.is_empty();
-        let caller = authorize(&self.keys, asks_keys, route, call.api_key);
-        let unsure = self.keys_unsure(now);
+        let caller = authorize(&self.keys, asks_keys, route, head.api_key);
+        let unsure = self.api_keys_stale(now);
         let caller = match caller {
             Err(AuthError::UnknownKey) if unsure => Err(RefusalReason::KeysOutOfDate),
             Err(denied) => Err(reason(denied)),
@@ -72,10 +80,10 @@
     }
 
     /// Whether it is too long since it was sure which keys are known.
-    pub fn keys_unsure(&self, now: Timestamp) -> bool {
+    pub fn api_keys_stale(&self, now: Timestamp) -> bool {
         let unconfirmed = now.since(self.keys_confirmed);
-        let keys_last = self.settings.keys_last;
-        keys_last.is_some_and(|keys_last| unconfirmed > keys_last)
+        let api_key_validity = self.settings.api_key_validity;
+        api_key_validity.is_some_and(|api_key_validity| unconfirmed > api_key_validity)
     }
 
     pub(super) fn count_refusal(&mut self, refusal: &Refusal) {
--- a/crates/dispatch/src/dispatcher/attempts.rs
+++ b/crates/dispatch/src/dispatcher/attempts.rs
@@ -4,10 +4,10 @@
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{BackEndName, ServiceName};
 
-use super::{Dispatcher, Verdict};
+use super::{Dispatcher, NextAction};
 use crate::back_ends::Known;
 use crate::exchange::InFlight;
-use crate::outcome::{AttemptEnd, Fault, Rejection, ToldLoad, UnknownReason};
+use crate::outcome::{AttemptEnd, Fault, Rejection, ReportedLoad, UnknownReason};
 use crate::request::{AttemptId, ExchangeId};
 
 /// Part of the usual time of work below which no work can have been done.
@@ -67,20 +67,20 @@
     }
 
     /// An attempt ended.
-    pub fn on_attempt(
+    pub fn on_attempt_end(
         &mut self,
         now: Timestamp,
         id: ExchangeId,
         attempt: AttemptId,
         end: &AttemptEnd,
-    ) -> Verdict {
+    ) -> NextAction {
         let Some(in_flight) = self.remove_attempt(id, attempt) else {
-            return Verdict::GoOn;
+            return NextAction::CallNext;
         };
         self.learn(now, id, &in_flight, end);
         self.look_for_crash(now, id, &in_flight, end);
         let verdict = self.judge(now, id, &in_flight, end);
-        if verdict == Verdict::Deliver {
+        if verdict == NextAction::Deliver {
             self.counters.answered += 1;
             self.end(id);
         }
@@ -126,7 +126,7 @@
         };
         let before = known.estimate.clone();
         let own = u32::try_from(known.in_flight.len()).unwrap_or(u32::MAX);
-        let mut told = |load: &Option<ToldLoad>| {
+        let mut told = |load: &Option<ReportedLoad>| {
             if let Some(load) = load {
                 known.estimate.told(now, *load, own);
             }
@@ -196,8 +196,8 @@
         id: ExchangeId,
         in_flight: &InFlight,
         end: &AttemptEnd,
-    ) -> Verdict {
-        let pause = self.settings.owner_pause;
+    ) -> NextAction {
+        let pause = self.settings.owner_retry_delay;
         let never_arrived = match end {
             AttemptEnd::Failed(fault) => !fault.may_have_run(),
             AttemptEnd::Abandoned => !in_flight.sent,
@@ -207,19 +207,19 @@
             self.take_back(now, id, in_flight);
         }
         let Some(exchange) = self.exchanges.get_mut(&id) else {
-            return Verdict::GoOn;
+            return NextAction::CallNext;
         };
         match end {
             AttemptEnd::Answered { failed, .. } => {
                 let again = *failed && exchange.may_repeat() && exchange.route.repeatable;
                 if !again {
-                    return Verdict::Deliver;
+                    return NextAction::Deliver;
                 }
                 exchange.tried.insert(in_flight.back_end.clone());
                 exchange.may_have_run = Some(UnknownReason::BadAnswer);
             }
             AttemptEnd::NotRun { reason, .. } => match reason {
-                Rejection::Malformed => return Verdict::Deliver,
+                Rejection::Malformed => return NextAction::Deliver,
                 Rejection::NotOwner => {
                     // It ran nowhere, and the next owner is another back end.
                     exchange.sent = exchange.sent.saturating_sub(1);
@@ -247,7 +247,7 @@
                 }
             }
         }
-        Verdict::GoOn
+        NextAction::CallNext
     }
 
     /// An attempt never arrived: it counts neither for the route's bound nor
@@ -265,7 +265,7 @@
         }
         if let Some(permit) = in_flight.retry {
             let service = exchange.service.clone();
-            self.budget(now, &service).give_back(now, permit);
+            self.budget(now, &service).return_permit(now, permit);
         }
     }
 }
--- a/crates/dispatch/src/dispatcher/crashes.rs
+++ b/crates/dispatch/src/dispatcher/crashes.rs
@@ -26,7 +26,7 @@
 
 /// A process that is to be looked at: whether it answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Look {
+pub struct ProcessCheck {
     /// The process.
     pub process: BackEndName,
     /// Where it takes requests.
@@ -45,7 +45,7 @@
 
     /// Takes what another router knows of requests under suspicion. Says
     /// whether any of it was new.
-    pub fn take_suspects(&mut self, now: Timestamp, news: &SuspectUpdate) -> bool {
+    pub fn merge_suspects(&mut self, now: Timestamp, news: &SuspectUpdate) -> bool {
         let new = self.suspects.merge(news, now);
         if new {
             self.presume_open();
@@ -65,7 +65,7 @@
     }
 
     /// Whether it is still open what became of a process.
-    pub fn is_open(&self, process: &BackEndName) -> bool {
+    pub fn is_unconfirmed(&self, process: &BackEndName) -> bool {
         self.unconfirmed.contains(process)
     }
 
@@ -75,8 +75,8 @@
     }
 
     /// Processes at which an attempt broke and that are to be looked at.
-    pub fn take_to_look_at(&mut self) -> Vec<Look> {
-        std::mem::take(&mut self.to_look_at)
+    pub fn take_process_checks(&mut self) -> Vec<ProcessCheck> {
+        std::mem::take(&mut self.process_checks)
     }
 
     /// Nobody answers at the address of a process, or another process does: it
@@ -219,16 +219,16 @@
         self.presume(&mut found);
         if self.unconfirmed.add(found) {
             let look = self.look(process, silent);
-            self.to_look_at.extend(look);
+            self.process_checks.extend(look);
         }
     }
 
-    fn look(&self, process: BackEndName, silent: bool) -> Option<Look> {
+    fn look(&self, process: BackEndName, silent: bool) -> Option<ProcessCheck> {
         let back_end = &self.back_ends.get(&process)?.back_end;
         let services = &self.configuration.as_ref()?.services;
         let health_path = services.get(&back_end.service)?.health_path.clone();
         let address = back_end.address;
-        Some(Look {
+        Some(ProcessCheck {
             process,
             address,
             health_path,
@@ -258,7 +258,7 @@
             return None;
         }
         // What becomes of the other one decides; it is asked again soon.
-        let again = now + self.settings.owner_pause;
+        let again = now + self.settings.owner_retry_delay;
         if again >= exchange.patience_until {
             return Some(self.finish(now, id, RefusalReason::Overloaded, None));
         }
--- a/crates/dispatch/src/dispatcher/ending.rs
+++ b/crates/dispatch/src/dispatcher/ending.rs
@@ -46,7 +46,7 @@
         retry_after: Option<Duration>,
     ) -> Step {
         let Some(exchange) = self.exchanges.get(&id) else {
-            return Step::Over;
+            return Step::Ended;
         };
         let outcome = match exchange.may_have_run {
             Some(unknown) => Outcome::Unknown(unknown),
--- a/crates/dispatch/src/dispatcher/limits.rs
+++ b/crates/dispatch/src/dispatcher/limits.rs
@@ -8,7 +8,7 @@
 use threadledge_types::deployment::{BackEndName, ServiceName};
 
 use super::Dispatcher;
-use crate::outcome::{RefusalReason, ToldLimit};
+use crate::outcome::{RefusalReason, ReportedLimit};
 use crate::request::{ExchangeId, Step};
 
 /// Longest time that callers are told to wait for a back end that names a
@@ -22,9 +22,9 @@
         now: Timestamp,
         back_end: &BackEndName,
         chosen: Timestamp,
-        told: ToldLimit,
+        told: ReportedLimit,
     ) {
-        if told == ToldLimit::None && self.limited.is_empty() {
+        if told == ReportedLimit::None && self.limited.is_empty() {
             return;
         }
         let was_limited = self.limited.is_limited(back_end);
@@ -47,8 +47,8 @@
     }
 
     /// What to ask the coordinator of each service for. Each ask must be
-    /// followed by [`Dispatcher::on_tokens`] or [`Dispatcher::on_no_tokens`].
-    pub fn take_token_asks(&mut self) -> BTreeMap<ServiceName, Vec<TokenRequest>> {
+    /// followed by [`Dispatcher::on_token_grants`] or [`Dispatcher::on_token_request_failed`].
+    pub fn take_token_requests(&mut self) -> BTreeMap<ServiceName, Vec<TokenRequest>> {
         let back_ends = &self.back_ends;
         self.limited.take_asks(|name| {
             let known = back_ends.get(name)?;
@@ -57,7 +57,7 @@
     }
 
     /// The coordinator of a service answered what was asked of it at `asked`.
-    pub fn on_tokens(
+    pub fn on_token_grants(
         &mut self,
         now: Timestamp,
         service: &ServiceName,
@@ -71,7 +71,12 @@
     }
 
     /// Nobody answered what was asked of the coordinator of a service.
-    pub fn on_no_tokens(&mut self, now: Timestamp, service: &ServiceName, asks: &[TokenRequest]) {
+    pub fn on_token_request_failed(
+        &mut self,
+        now: Timestamp,
+        service: &ServiceName,
+        asks: &[TokenRequest],
+    ) {
         for ask in asks {
             self.limited.on_silence(now, &ask.back_end);
         }
@@ -104,7 +109,7 @@
         owner: &BackEndName,
     ) -> Step {
         let Some(exchange) = self.exchanges.get(&id) else {
-            return Step::Over;
+            return Step::Ended;
         };
         let patience_until = exchange.patience_until;
         let reason = RefusalReason::BackEndLimited;
--- a/crates/dispatch/src/dispatcher/retries.rs
+++ b/crates/dispatch/src/dispatcher/retries.rs
@@ -6,13 +6,13 @@
 
 use super::Dispatcher;
 use crate::budget::{Permit, RetryBudget};
-use crate::counters::{Denial, RetryCounts};
+use crate::counters::{RetryCounts, RetryDenials};
 
 impl Dispatcher {
     /// Says how many routers share the retry budget, the connections that back
     /// ends take and the limits that they name. The slack of the budget and the
     /// limits are shared by this number until `until`; `None`: for good.
-    pub fn set_fleet(&mut self, now: Timestamp, routers: u32, until: Option<Timestamp>) {
+    pub fn set_router_count(&mut self, now: Timestamp, routers: u32, until: Option<Timestamp>) {
         let before = self.fleet.replace(routers.max(1));
         self.fleet_known.get_or_insert(now);
         self.slack_until = until;
@@ -27,7 +27,7 @@
     }
 
     /// Retries of each service since the start, and the slack in force here.
-    pub fn retries(
+    pub fn retry_stats(
         &self,
         now: Timestamp,
     ) -> impl Iterator<Item = (&ServiceName, RetryCounts, f64)> {
@@ -37,18 +37,18 @@
 
     /// Denials of retries since the last call: for each service at most one a
     /// second.
-    pub fn take_denials(&mut self) -> Vec<Denial> {
+    pub fn take_retry_denials(&mut self) -> Vec<RetryDenials> {
         std::mem::take(&mut self.denials)
     }
 
     fn note_denial(&mut self, now: Timestamp, service: &ServiceName) {
         let routers = self.fleet;
         let budget = self.budget(now, service);
-        let Some(denied) = budget.take_denied(now) else {
+        let Some(denied) = budget.take_unreported_denials(now) else {
             return;
         };
-        let used = budget.used(now);
-        self.denials.push(Denial {
+        let used = budget.usage(now);
+        self.denials.push(RetryDenials {
             service: service.clone(),
             denied,
             requests: used.requests,
--- a/crates/dispatch/src/dispatcher/signals.rs
+++ b/crates/dispatch/src/dispatcher/signals.rs
@@ -6,14 +6,14 @@
 use threadledge_types::deployment::BackEndName;
 
 use super::Dispatcher;
-use crate::back_end_news::BackEndNews;
-use crate::outcome::{Signals, ToldRest};
+use crate::back_end_events::BackEndEvent;
+use crate::outcome::{RequestedBackoff, Signals};
 use crate::request::{AttemptId, ExchangeId};
 
 impl Dispatcher {
     /// The head of an answer to an attempt came, whatever becomes of the
     /// answer.
-    pub fn on_head(
+    pub fn on_response_head(
         &mut self,
         now: Timestamp,
         id: ExchangeId,
@@ -34,15 +34,15 @@
         if signals.leaving {
             self.hear_leaving(now, &back_end);
         }
-        match signals.rest {
-            ToldRest::None => {}
-            ToldRest::For(rest) => self.hear_rest(now, &back_end, rest),
-            ToldRest::Unreadable => self.hear_unreadable_rest(back_end),
+        match signals.backoff {
+            RequestedBackoff::None => {}
+            RequestedBackoff::For(backoff) => self.hear_rest(now, &back_end, backoff),
+            RequestedBackoff::Unreadable => self.hear_unreadable_rest(back_end),
         }
     }
 
     /// What back ends said since this was asked last.
-    pub fn take_back_end_news(&mut self) -> Vec<BackEndNews> {
+    pub fn take_back_end_events(&mut self) -> Vec<BackEndEvent> {
         std::mem::take(&mut self.news)
     }
 
@@ -51,18 +51,18 @@
         let service = self.service_of_back_end(back_end).filter(|_| is_new);
         if let Some(service) = service {
             let back_end = back_end.clone();
-            self.news.push(BackEndNews::Leaving { back_end, service });
+            self.news.push(BackEndEvent::Leaving { back_end, service });
         }
     }
 
-    fn hear_rest(&mut self, now: Timestamp, back_end: &BackEndName, rest: Duration) {
-        let begins = self.back_ends.on_rest(now, back_end, rest);
+    fn hear_rest(&mut self, now: Timestamp, back_end: &BackEndName, backoff: Duration) {
+        let begins = self.back_ends.on_rest(now, back_end, backoff);
         let service = self.service_of_back_end(back_end).filter(|_| begins);
         if let Some(service) = service {
-            self.news.push(BackEndNews::Resting {
+            self.news.push(BackEndEvent::Resting {
                 back_end: back_end.clone(),
                 service,
-                rest,
+                backoff,
             });
         }
     }
@@ -70,7 +70,7 @@
     /// Told once for each back end.
     fn hear_unreadable_rest(&mut self, back_end: BackEndName) {
         if self.odd_rests.insert(back_end.clone()) {
-            self.news.push(BackEndNews::RestUnreadable { back_end });
+            self.news.push(BackEndEvent::BackoffUnreadable { back_end });
         }
     }
 }
--- a/crates/dispatch/src/dispatcher/steps.rs
+++ b/crates/dispatch/src/dispatcher/steps.rs
@@ -23,7 +23,7 @@
     /// What to do for an exchange now.
     pub fn next(&mut self, now: Timestamp, id: ExchangeId) -> Step {
         let Some(exchange) = self.exchanges.get(&id) else {
-            return Step::Over;
+            return Step::Ended;
         };
         if now >= exchange.deadline {
             return self.finish_late(now, id);
@@ -33,7 +33,7 @@
         }
         // A second run at the same moment would cost a second back end.
         let suspected = self.suspects.crashes_of(&exchange.identity) > 0;
-        let hedge_at = exchange.hedge_at(self.settings.hedge_after);
+        let hedge_at = exchange.hedge_at(self.settings.hedge_delay_ratio);
         let hedge_at = hedge_at.filter(|_| !suspected);
         let deadline = exchange.deadline;
         match hedge_at {
@@ -48,7 +48,7 @@
 
     pub(super) fn next_without_attempt(&mut self, now: Timestamp, id: ExchangeId) -> Step {
         let Some(exchange) = self.exchanges.get(&id) else {
-            return Step::Over;
+            return Step::Ended;
         };
         let began = exchange.sent > 0 || exchange.body_gone;
         let spent = exchange.next_attempt >= MOST_ATTEMPTS;
@@ -65,7 +65,7 @@
             Some(Choice::NotNow(not_now)) => self.wait_or_finish(now, id, &not_now),
             Some(Choice::NeedsToken(owner)) => self.wait_for_token(now, id, &owner),
             Some(Choice::Refuse(reason)) => self.finish(now, id, reason, None),
-            None => Step::Over,
+            None => Step::Ended,
         }
     }
 
@@ -76,12 +76,12 @@
         not_now: &NotNow,
     ) -> Step {
         let Some(exchange) = self.exchanges.get(&id) else {
-            return Step::Over;
+            return Step::Ended;
         };
         let mut patience_until = exchange.patience_until;
         if not_now.moving_until.is_some() {
             let target = exchange.route.target_latency;
-            let longer = exchange.started + target.mul_f64(self.settings.moving_patience);
+            let longer = exchange.started + target.mul_f64(self.settings.handover_timeout_ratio);
             patience_until = patience_until.max(longer.min(exchange.deadline));
         }
         // Nothing is sent before a rest has ended: the caller learns it at once.
@@ -188,7 +188,7 @@
             id: attempt,
             back_end: back_end.clone(),
             address: known.back_end.address,
-            distance: self.settings.places.distance(&known.back_end.zone),
+            distance: self.settings.topology.distance(&known.back_end.zone),
             keyed: exchange.key.is_some(),
             connection_limit: limit,
             deadline: exchange.deadline,
@@ -196,7 +196,7 @@
     }
 
     pub(super) fn connection_limit(&self, service: &ServiceName) -> usize {
-        let own = self.settings.connections_per_back_end;
+        let own = self.settings.max_connections_per_back_end;
         let theirs = self
             .configuration
             .as_ref()
--- a/crates/dispatch/src/dispatcher/waiting.rs
+++ b/crates/dispatch/src/dispatcher/waiting.rs
@@ -55,7 +55,7 @@
                 .back_ends
                 .get(&back_end)
                 .map_or(1, |known| known.back_end.slots);
-            let places = slots + self.settings.back_end_queue;
+            let places = slots + self.settings.queue_per_back_end;
             let woken = woken_for.entry(back_end).or_default();
             if *woken < places {
                 *woken += 1;
--- a/crates/dispatch/src/estimate.rs
+++ b/crates/dispatch/src/estimate.rs
@@ -7,8 +7,8 @@
 
 use threadledge_types::Timestamp;
 
-use crate::fading::{FadingMean, Sample};
-use crate::outcome::ToldLoad;
+use crate::decaying_mean::{DecayingMean, Sample};
+use crate::outcome::ReportedLoad;
 
 /// Weight of a new sample of the time that a request takes.
 const SPEED_GAIN: f64 = 0.25;
@@ -60,7 +60,7 @@
 
     /// `own` requests of this router are there beside the one that was
     /// answered.
-    pub(crate) fn told(&mut self, now: Timestamp, load: ToldLoad, own: u32) {
+    pub(crate) fn told(&mut self, now: Timestamp, load: ReportedLoad, own: u32) {
         let total = f64::from(load.running) + f64::from(load.waiting);
         let value = (total - f64::from(own)).max(0.0);
         self.others = Some(Sample { value, at: now });
@@ -86,18 +86,18 @@
 /// would cost the more the more there are.
 #[derive(Debug)]
 pub(crate) struct ServiceMean {
-    work: FadingMean,
-    others: FadingMean,
+    work: DecayingMean,
+    others: DecayingMean,
 }
 
 impl ServiceMean {
     pub(crate) fn new() -> Self {
         let half_life = |seconds: f64| Duration::from_secs_f64(seconds * 3.0);
         ServiceMean {
-            work: FadingMean::new(half_life(SPEED_HALF_LIFE_S), 0.0),
+            work: DecayingMean::new(half_life(SPEED_HALF_LIFE_S), 0.0),
             // What one back end told of its load says little about the others:
             // without more, they are taken to be idle.
-            others: FadingMean::new(half_life(LOAD_HALF_LIFE_S), 1.0),
+            others: DecayingMean::new(half_life(LOAD_HALF_LIFE_S), 1.0),
         }
     }
 
--- a/crates/dispatch/src/exchange.rs
+++ b/crates/dispatch/src/exchange.rs
@@ -74,21 +74,21 @@
     }
 
     /// Whether back ends of a zone may have it.
-    pub(crate) fn may_run_in(&self, zone: &ZoneName, places: &Topology) -> bool {
+    pub(crate) fn may_run_in(&self, zone: &ZoneName, topology: &Topology) -> bool {
         let allowed = self.allowed_regions.as_ref();
-        allowed.is_none_or(|allowed| places.is_within(zone, allowed))
+        allowed.is_none_or(|allowed| topology.is_within(zone, allowed))
     }
 
     /// When a second attempt beside the first is worth its price; `None` when
     /// there may be none.
-    pub(crate) fn hedge_at(&self, hedge_after: f64) -> Option<Timestamp> {
+    pub(crate) fn hedge_at(&self, hedge_delay_ratio: f64) -> Option<Timestamp> {
         let single = self.in_flight.len() == 1 && !self.hedged;
         let allowed = single && self.route.repeatable && self.key.is_none() && self.may_repeat();
         if !allowed {
             return None;
         }
         let first = self.in_flight.values().next()?;
-        let wait = self.route.target_latency.mul_f64(hedge_after);
+        let wait = self.route.target_latency.mul_f64(hedge_delay_ratio);
         Some(first.chosen_at + wait)
     }
 
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -6,16 +6,16 @@
 //! [`Dispatcher::next`] whenever something may have changed, carries the
 //! [`Step`] out and reports how each attempt ended.
 
-mod back_end_news;
+mod back_end_events;
 mod back_ends;
 pub mod budget;
 mod choice;
 mod cold;
 pub mod counters;
+pub mod decaying_mean;
 pub mod dispatcher;
 mod estimate;
 mod exchange;
-pub mod fading;
 mod limited;
 mod not_held;
 mod observed;
@@ -26,13 +26,13 @@
 pub mod settings;
 mod slack;
 
-pub use back_end_news::BackEndNews;
-pub use counters::{Counters, Denial};
-pub use dispatcher::{Begun, Dispatcher};
+pub use back_end_events::BackEndEvent;
+pub use counters::{Counters, RetryDenials};
+pub use dispatcher::{Dispatcher, StartedExchange};
 pub use outcome::{
-    AttemptEnd, Fault, Outcome, Refusal, RefusalReason, Signals, ToldLimit, ToldLoad, ToldRest,
-    UnknownReason,
+    AttemptEnd, Fault, Outcome, Refusal, RefusalReason, ReportedLimit, ReportedLoad,
+    RequestedBackoff, Signals, UnknownReason,
 };
-pub use request::{Attempt, AttemptId, Call, ExchangeId, RequestFacts, Step};
+pub use request::{Attempt, AttemptId, ExchangeId, RequestHead, RequestInfo, Step};
 pub use routes::RouteTable;
 pub use settings::Settings;
--- a/crates/dispatch/src/limited.rs
+++ b/crates/dispatch/src/limited.rs
@@ -14,8 +14,8 @@
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{BackEndName, ServiceName};
 
-use crate::back_end_news::BackEndNews;
-use crate::outcome::ToldLimit;
+use crate::back_end_events::BackEndEvent;
+use crate::outcome::ReportedLimit;
 use crate::pace::{Pace, Turns};
 
 /// Limits from this on are none, in requests a second.
@@ -75,7 +75,7 @@
     unreadable: BTreeSet<BackEndName>,
     /// Until when turns are shared by the number of routers; `None`: for good.
     shared_until: Option<Timestamp>,
-    news: Vec<BackEndNews>,
+    news: Vec<BackEndEvent>,
 }
 
 impl LimitedBackEnds {
@@ -96,18 +96,18 @@
         now: Timestamp,
         name: &BackEndName,
         sent: Timestamp,
-        told: ToldLimit,
+        told: ReportedLimit,
     ) {
         let rate = match told {
-            ToldLimit::Unreadable => {
+            ReportedLimit::Unreadable => {
                 if self.unreadable.insert(name.clone()) {
                     let back_end = name.clone();
-                    self.news.push(BackEndNews::LimitUnreadable { back_end });
+                    self.news.push(BackEndEvent::LimitUnreadable { back_end });
                 }
                 return;
             }
-            ToldLimit::Rate(rate) if rate < UNBOUNDED_RATE => rate.max(MIN_RATE),
-            ToldLimit::Rate(_) | ToldLimit::None => return self.lift(name, sent),
+            ReportedLimit::Rate(rate) if rate < UNBOUNDED_RATE => rate.max(MIN_RATE),
+            ReportedLimit::Rate(_) | ReportedLimit::None => return self.lift(name, sent),
         };
         let Some(limited) = self.limited.get_mut(name) else {
             self.limited.insert(name.clone(), Limited::new(now, rate));
@@ -125,7 +125,7 @@
     }
 
     fn tell_named(&mut self, name: &BackEndName, rate: f64, before: Option<f64>) {
-        self.news.push(BackEndNews::Limited {
+        self.news.push(BackEndEvent::Limited {
             back_end: name.clone(),
             rate,
             before,
@@ -139,7 +139,7 @@
         }
         self.limited.remove(name);
         let back_end = name.clone();
-        self.news.push(BackEndNews::LimitLifted { back_end });
+        self.news.push(BackEndEvent::LimitLifted { back_end });
     }
 
     /// Forgets what is long gone.
@@ -153,7 +153,7 @@
         self.unreadable.retain(|name| is_registered(name));
     }
 
-    pub(crate) fn take_news(&mut self) -> Vec<BackEndNews> {
+    pub(crate) fn take_news(&mut self) -> Vec<BackEndEvent> {
         std::mem::take(&mut self.news)
     }
 
--- a/crates/dispatch/src/outcome.rs
+++ b/crates/dispatch/src/outcome.rs
@@ -10,14 +10,14 @@
         /// The back end failed on the request: a status of 500 or above.
         failed: bool,
         /// The load that the back end told.
-        load: Option<ToldLoad>,
+        load: Option<ReportedLoad>,
     },
     /// The back end did not run the request, and said so.
     NotRun {
         /// Why.
         reason: Rejection,
         /// The load that the back end told.
-        load: Option<ToldLoad>,
+        load: Option<ReportedLoad>,
     },
     /// There is no answer.
     Failed(Fault),
@@ -76,7 +76,7 @@
 
 /// What a back end tells of its load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ToldLoad {
+pub struct ReportedLoad {
     /// Requests that it works on.
     pub running: u32,
     /// Requests that wait there.
@@ -88,7 +88,7 @@
 /// What the head of a back end's answer says of the requests a second that it
 /// takes from all routers together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum ToldLimit {
+pub enum ReportedLimit {
     /// It names no limit.
     #[default]
     None,
@@ -102,17 +102,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Signals {
     /// The requests a second that it takes.
-    pub limit: ToldLimit,
+    pub limit: ReportedLimit,
     /// It leaves, and wants nothing new.
     pub leaving: bool,
     /// It turned the request away and wants nothing from this router for a
     /// while.
-    pub rest: ToldRest,
+    pub backoff: RequestedBackoff,
 }
 
 /// The rest that a back end asks for when it turns a request away.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum ToldRest {
+pub enum RequestedBackoff {
     /// None.
     #[default]
     None,
--- a/crates/dispatch/src/request.rs
+++ b/crates/dispatch/src/request.rs
@@ -19,7 +19,7 @@
 
 /// What of a request's head says who calls, and for what.
 #[derive(Clone, Copy, Debug)]
-pub struct Call<'a> {
+pub struct RequestHead<'a> {
     /// Host, as the caller wrote it.
     pub host: &'a str,
     /// Path, without the query.
@@ -30,14 +30,14 @@
 
 /// What decisions depend on.
 #[derive(Clone, Copy, Debug)]
-pub struct RequestFacts<'a> {
+pub struct RequestInfo<'a> {
     /// Method, as the caller wrote it.
     pub method: &'a str,
     /// Who calls, and for what.
-    pub call: Call<'a>,
+    pub head: RequestHead<'a>,
     /// How long ago its head came. All of its times count from there, also
     /// where it waited for its body or for others of its connection.
-    pub waited: Duration,
+    pub age: Duration,
     /// How long the caller waits, from when the head came.
     pub time_left: Option<Duration>,
     /// Key, if the request has one.
@@ -78,5 +78,5 @@
     /// Answer the caller.
     Finish(Outcome),
     /// The exchange is over.
-    Over,
+    Ended,
 }
--- a/crates/dispatch/src/routes.rs
+++ b/crates/dispatch/src/routes.rs
@@ -29,7 +29,7 @@
 
     /// The route of a host, with or without a port, and a path without query.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let routes = self.by_host.get(&normal_host(host))?;
+        let routes = self.by_host.get(&normalize_host(host))?;
         routes
             .iter()
             .find(|route| path.starts_with(route.path_prefix.as_str()))
@@ -47,7 +47,7 @@
 }
 
 /// A host in lower case and without its port.
-pub fn normal_host(host: &str) -> String {
+pub fn normalize_host(host: &str) -> String {
     let name = match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
         _ => host,
@@ -58,7 +58,7 @@
 /// Deals the requests of a route to its destinations by weight, as evenly as
 /// whole requests allow.
 #[derive(Clone, Debug)]
-pub struct Dealer {
+pub struct WeightedRoundRobin {
     /// The weights by which it deals.
     weights: Vec<u32>,
     /// What each destination is owed, in units of weight.
@@ -71,12 +71,12 @@
 /// from it to matter, and the skipping costs time.
 const LONGEST_SKIP: u32 = 1_000;
 
-impl Dealer {
+impl WeightedRoundRobin {
     /// A dealer that begins at a place of the sequence that `start` chooses.
     /// Routers that begin at different places keep to the weights together
     /// also where each deals few requests.
-    pub fn starting_at(start: u32) -> Self {
-        Dealer {
+    pub fn with_offset(start: u32) -> Self {
+        WeightedRoundRobin {
             weights: Vec::new(),
             owed: Vec::new(),
             start,
--- a/crates/dispatch/src/settings.rs
+++ b/crates/dispatch/src/settings.rs
@@ -11,19 +11,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Where this router is.
-    pub places: Topology,
+    pub topology: Topology,
     /// Part of a route's target latency that a back end of another zone must
     /// be better by to be taken. One of another region is taken only where
     /// none of the own region answers within the target.
-    pub zone_penalty: f64,
+    pub zone_penalty_ratio: f64,
     /// Part of a route's target latency after which a request that found no
     /// slot is refused.
-    pub patience: f64,
+    pub queue_timeout_ratio: f64,
     /// The same for a key that is on its way from one owner to another.
-    pub moving_patience: f64,
+    pub handover_timeout_ratio: f64,
     /// Requests beyond its slots that a back end may have, as far as this
     /// router can tell.
-    pub back_end_queue: u32,
+    pub queue_per_back_end: u32,
     /// Repeats allowed for each request of a service, within the window.
     pub retry_ratio: f64,
     /// Repeats allowed besides, by all routers together, within the window.
@@ -32,11 +32,11 @@
     pub retry_window: Duration,
     /// Part of a route's target latency after which a repeatable request
     /// without an answer is sent to a second back end as well.
-    pub hedge_after: f64,
+    pub hedge_delay_ratio: f64,
     /// Wait before a back end that does not hold a key yet is asked again.
-    pub owner_pause: Duration,
+    pub owner_retry_delay: Duration,
     /// Connections to one back end that this router opens at the most.
-    pub connections_per_back_end: u32,
+    pub max_connections_per_back_end: u32,
     /// Requests that a cold back end may get in any second, as a multiple of
     /// those that it bears.
     pub cold_overage: f64,
@@ -44,36 +44,36 @@
     pub cold_slack: f64,
     /// How long callers' keys are sure that nobody has confirmed since; after
     /// that an unknown one may have been added. `None`: they are always sure.
-    pub keys_last: Option<Duration>,
+    pub api_key_validity: Option<Duration>,
     /// Known keys that are not sure are refused as well: they may have been
     /// taken away.
     pub fail_closed: bool,
     /// How long a back end that cannot be reached is left alone at first.
-    pub ejection_first: Duration,
+    pub min_ejection: Duration,
     /// How long it is left alone at the most.
-    pub ejection_longest: Duration,
+    pub max_ejection: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            places: Topology::default(),
-            zone_penalty: 0.6,
-            patience: 0.22,
-            moving_patience: 0.7,
-            back_end_queue: 5,
+            topology: Topology::default(),
+            zone_penalty_ratio: 0.6,
+            queue_timeout_ratio: 0.22,
+            handover_timeout_ratio: 0.7,
+            queue_per_back_end: 5,
             retry_ratio: 0.14,
             retry_slack: 2,
             retry_window: Duration::from_secs(10),
-            hedge_after: 0.8,
-            owner_pause: Duration::from_millis(25),
-            connections_per_back_end: 8,
+            hedge_delay_ratio: 0.8,
+            owner_retry_delay: Duration::from_millis(25),
+            max_connections_per_back_end: 8,
             cold_overage: 1.5,
             cold_slack: 8.0,
-            keys_last: None,
+            api_key_validity: None,
             fail_closed: false,
-            ejection_first: Duration::from_millis(300),
-            ejection_longest: Duration::from_secs(3),
+            min_ejection: Duration::from_millis(300),
+            max_ejection: Duration::from_secs(3),
         }
     }
 }
--- a/crates/dispatch/tests/dispatcher/back_ends.rs
+++ b/crates/dispatch/tests/dispatcher/back_ends.rs
@@ -51,7 +51,7 @@
             let all: Vec<BackEnd> = there.values().cloned().collect();
             let changed: Vec<BackEnd> = changed.into_values().collect();
             let mut left = whole.dispatcher.set_back_ends(now, &all);
-            let mut also_left = changing.dispatcher.change_back_ends(now, &changed, &gone);
+            let mut also_left = changing.dispatcher.update_back_ends(now, &changed, &gone);
             left.sort();
             left.dedup();
             also_left.sort();
--- a/crates/dispatch/tests/dispatcher/choice.rs
+++ b/crates/dispatch/tests/dispatcher/choice.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use threadledge_dispatch::AttemptEnd;
-use threadledge_dispatch::{Attempt, Fault, Step, ToldLoad};
+use threadledge_dispatch::{Attempt, Fault, ReportedLoad, Step};
 use threadledge_types::deployment::BackEndName;
 
 use super::support::{Station, answered, back_end, fault};
@@ -78,7 +78,7 @@
     let begun = station.begin("safe").expect("admitted");
     let attempt = station.send(&begun);
     station.after(60);
-    let load = Some(ToldLoad {
+    let load = Some(ReportedLoad {
         running: 2,
         waiting: 6,
         slots: 2,
--- a/crates/dispatch/tests/dispatcher/cold.rs
+++ b/crates/dispatch/tests/dispatcher/cold.rs
@@ -7,7 +7,9 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use threadledge_dispatch::{Begun, Call, Dispatcher, Outcome, RequestFacts, Settings, Step};
+use threadledge_dispatch::{
+    Dispatcher, Outcome, RequestHead, RequestInfo, Settings, StartedExchange, Step,
+};
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{BackEnd, Configuration, Topology};
 
@@ -46,7 +48,12 @@
     back_ends: Vec<BackEnd>,
     now: Timestamp,
     /// Requests under way, in the order of their ends.
-    ends: VecDeque<(Timestamp, usize, Begun, threadledge_dispatch::Attempt)>,
+    ends: VecDeque<(
+        Timestamp,
+        usize,
+        StartedExchange,
+        threadledge_dispatch::Attempt,
+    )>,
     /// When requests reached the cold back end.
     arrivals: Vec<Timestamp>,
 }
@@ -57,11 +64,11 @@
         let configuration = Arc::new(with_cold_back_ends(&["plain"]));
         let router = |number: usize| {
             let settings = Settings {
-                places: Topology::new("near".into(), None, BTreeMap::new()),
+                topology: Topology::new("near".into(), None, BTreeMap::new()),
                 ..Settings::default()
             };
             let mut router = Dispatcher::new(settings, seed * 1_000 + number as u64);
-            router.set_fleet(Timestamp::ZERO, ROUTERS as u32, None);
+            router.set_router_count(Timestamp::ZERO, ROUTERS as u32, None);
             router.set_configuration(now, configuration.clone());
             router.set_back_ends(now, &back_ends);
             router
@@ -78,20 +85,20 @@
     /// One request at one of the routers; says whether it was sent.
     fn request(&mut self, number: usize) -> bool {
         let router = &mut self.routers[number];
-        let facts = RequestFacts {
-            call: Call {
+        let info = RequestInfo {
+            head: RequestHead {
                 host: HOST,
                 path: "/safe/x",
                 api_key: None,
             },
-            waited: Duration::ZERO,
+            age: Duration::ZERO,
             time_left: Some(Duration::from_secs(5)),
             key: None,
             replayable: true,
             method: "GET",
             identity: identity("/safe/x", 0),
         };
-        let begun = router.begin(self.now, &facts).expect("admitted");
+        let begun = router.begin(self.now, &info).expect("admitted");
         let Step::Send(attempt) = router.next(self.now, begun.id) else {
             router.abandon(self.now, begun.id);
             return false;
@@ -115,7 +122,7 @@
             {
                 let (_, number, begun, attempt) = self.ends.pop_front().expect("one");
                 let router = &mut self.routers[number];
-                router.on_attempt(self.now, begun.id, attempt.id, &answered());
+                router.on_attempt_end(self.now, begun.id, attempt.id, &answered());
             }
             self.request(random.random_range(0..ROUTERS));
         }
@@ -184,7 +191,9 @@
 #[test]
 fn request_for_which_only_cold_back_ends_are_there_is_refused_in_time() {
     let mut station = Station::new();
-    station.dispatcher.set_fleet(station.now, 1_000_000, None);
+    station
+        .dispatcher
+        .set_router_count(station.now, 1_000_000, None);
     station.configure(with_cold_back_ends(&["plain"]));
     station.back_ends = vec![cold("p-cold", "plain", 1)];
     station.publish();
@@ -201,7 +210,9 @@
 #[test]
 fn key_of_a_cold_owner_waits_for_a_turn_and_is_served_once_it_is_warm() {
     let mut station = Station::new();
-    station.dispatcher.set_fleet(station.now, 1_000_000, None);
+    station
+        .dispatcher
+        .set_router_count(station.now, 1_000_000, None);
     station.configure(with_cold_back_ends(&["keyed"]));
     station.back_ends = vec![cold("k-1", "keyed", 3), back_end("k-2", "keyed", "far", 4)];
     station.publish();
@@ -236,7 +247,9 @@
             ..Settings::default()
         };
         let mut station = Station::with(settings, u64::from(routers));
-        station.dispatcher.set_fleet(station.now, routers, None);
+        station
+            .dispatcher
+            .set_router_count(station.now, routers, None);
         let mut configuration = with_cold_back_ends(&["plain"]);
         let service = configuration.services.get_mut(&"plain".into());
         // Turns are whole milliseconds apart.
--- a/crates/dispatch/tests/dispatcher/crashes.rs
+++ b/crates/dispatch/tests/dispatcher/crashes.rs
@@ -4,7 +4,8 @@
 
 use threadledge_dispatch::outcome::Rejection;
 use threadledge_dispatch::{
-    Attempt, AttemptEnd, Begun, Call, Fault, Outcome, Refusal, RefusalReason, RequestFacts, Step,
+    Attempt, AttemptEnd, Fault, Outcome, Refusal, RefusalReason, RequestHead, RequestInfo,
+    StartedExchange, Step,
 };
 use threadledge_suspects::{RequestIdentity, UpdateScope};
 
@@ -25,12 +26,16 @@
     station
 }
 
-fn begin(station: &mut Station, route: &str, identity: RequestIdentity) -> Result<Begun, Refusal> {
+fn begin(
+    station: &mut Station,
+    route: &str,
+    identity: RequestIdentity,
+) -> Result<StartedExchange, Refusal> {
     let path = format!("/{route}/x");
-    let facts = RequestFacts {
-        waited: Duration::ZERO,
+    let info = RequestInfo {
+        age: Duration::ZERO,
         method: "GET",
-        call: Call {
+        head: RequestHead {
             host: HOST,
             path: &path,
             api_key: None,
@@ -40,7 +45,7 @@
         replayable: true,
         identity,
     };
-    station.dispatcher.begin(station.now, &facts)
+    station.dispatcher.begin(station.now, &info)
 }
 
 /// A try that breaks wherever it is sent; each process has ended when
@@ -69,7 +74,7 @@
     }
 }
 
-fn is_held(refusal: Result<Begun, Refusal>) -> bool {
+fn is_held(refusal: Result<StartedExchange, Refusal>) -> bool {
     refusal.is_err_and(|refusal| refusal.reason == RefusalReason::CrashesBackEnds)
 }
 
@@ -168,7 +173,7 @@
     assert_eq!(station.dispatcher.suspects().crashes_of(&request), 1);
 }
 
-/// It waits for the other one until its patience ends. Nothing is certain then:
+/// It waits for the other one until its queue_timeout_ratio ends. Nothing is certain then:
 /// it is told to come back soon.
 #[test]
 fn exchange_that_waited_for_another_in_vain_may_come_back_soon() {
@@ -203,7 +208,7 @@
     let told = station.dispatcher.suspects();
     let told = told.updates_since(0, UpdateScope::Repeated, station.now);
     let mut other = Station::with_seed(8);
-    other.dispatcher.take_suspects(other.now, &told);
+    other.dispatcher.merge_suspects(other.now, &told);
     assert!(other.dispatcher.suspects().is_held(&bad));
     // It is certain once only, and the log is told then.
     let presumed = station.dispatcher.take_crashes();
@@ -281,7 +286,7 @@
         matches!(step, Step::Finish(Outcome::Unknown(_))),
         "{step:?}"
     );
-    let looked_at = station.dispatcher.take_to_look_at();
+    let looked_at = station.dispatcher.take_process_checks();
     assert_eq!(looked_at.len(), 1);
     assert_eq!(looked_at[0].process, attempt.back_end);
     station.dispatcher.process_ended(&attempt.back_end);
@@ -334,7 +339,7 @@
         .dispatcher
         .suspects()
         .updates_since(0, UpdateScope::All, other.now);
-    assert!(station.dispatcher.take_suspects(station.now, &news));
+    assert!(station.dispatcher.merge_suspects(station.now, &news));
     assert!(
         !station
             .dispatcher
--- a/crates/dispatch/tests/dispatcher/fading.rs
+++ b/crates/dispatch/tests/dispatcher/decaying_mean.rs
@@ -5,7 +5,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use threadledge_dispatch::fading::{FadingMean, Sample};
+use threadledge_dispatch::decaying_mean::{DecayingMean, Sample};
 use threadledge_types::Timestamp;
 
 const HALF_LIFE: Duration = Duration::from_secs(24);
@@ -28,7 +28,7 @@
     for seed in 0..40 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let zero_weight = f64::from(seed as u32 % 2);
-        let mut mean = FadingMean::new(HALF_LIFE, zero_weight);
+        let mut mean = DecayingMean::new(HALF_LIFE, zero_weight);
         let mut samples: BTreeMap<u32, Sample> = BTreeMap::new();
         let mut now = Timestamp::from_millis(3_600_000);
         for _ in 0..1_000 {
@@ -55,7 +55,7 @@
         value: 0.3,
         at: now,
     });
-    let mut mean = FadingMean::new(HALF_LIFE, 0.0);
+    let mut mean = DecayingMean::new(HALF_LIFE, 0.0);
     mean.replace(now, None, sample);
     assert!((mean.mean(now) - 0.3).abs() < 1e-12);
     mean.replace(now + Duration::from_secs(9), sample, None);
--- a/crates/dispatch/tests/dispatcher/fleet.rs
+++ b/crates/dispatch/tests/dispatcher/fleet.rs
@@ -11,7 +11,9 @@
 fn repeats(routers: Option<u32>) -> usize {
     let mut station = Station::new();
     if let Some(routers) = routers {
-        station.dispatcher.set_fleet(station.now, routers, None);
+        station
+            .dispatcher
+            .set_router_count(station.now, routers, None);
     }
     station.after(20_000);
     let mut repeats = 0;
@@ -47,7 +49,9 @@
 fn connections_that_back_ends_take_are_divided_among_routers() {
     let limit = |routers| {
         let mut station = Station::new();
-        station.dispatcher.set_fleet(station.now, routers, None);
+        station
+            .dispatcher
+            .set_router_count(station.now, routers, None);
         let begun = station.begin("safe").expect("admitted");
         station.send(&begun).connection_limit
     };
@@ -102,7 +106,9 @@
 #[test]
 fn request_waits_while_every_connection_to_its_owner_is_used() {
     let mut station = Station::new();
-    station.dispatcher.set_fleet(station.now, 1_000, None);
+    station
+        .dispatcher
+        .set_router_count(station.now, 1_000, None);
     let first = station.begin_with("keyed", Some(1)).expect("admitted");
     let attempt = station.send(&first);
     let second = station.begin_with("keyed", Some(2)).expect("admitted");
--- a/crates/dispatch/tests/dispatcher/limited.rs
+++ b/crates/dispatch/tests/dispatcher/limited.rs
@@ -12,8 +12,8 @@
     Fence, Owner, OwnershipRecord, OwnershipView, Slice, SliceState, Term, TokenGrant, TokenRequest,
 };
 use threadledge_dispatch::{
-    Attempt, BackEndNews, Begun, Call, Dispatcher, Outcome, RefusalReason, RequestFacts, Settings,
-    Signals, Step, ToldLimit,
+    Attempt, BackEndEvent, Dispatcher, Outcome, RefusalReason, ReportedLimit, RequestHead,
+    RequestInfo, Settings, Signals, StartedExchange, Step,
 };
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{BackEnd, KeyRange, ServiceName, ShardKey, Topology};
@@ -32,7 +32,7 @@
 /// Time from when a router is told until its requests count.
 const TOLD: Duration = Duration::from_millis(500);
 
-fn limit(limit: ToldLimit) -> Signals {
+fn limit(limit: ReportedLimit) -> Signals {
     Signals {
         limit,
         ..Signals::default()
@@ -62,8 +62,8 @@
     reachable: bool,
     now: Timestamp,
     begun: Timestamp,
-    ends: Vec<(Timestamp, usize, Begun, Attempt)>,
-    waiting: Vec<(Timestamp, usize, Begun)>,
+    ends: Vec<(Timestamp, usize, StartedExchange, Attempt)>,
+    waiting: Vec<(Timestamp, usize, StartedExchange)>,
     asked: Vec<Asked>,
     /// When each router was first told of the limit.
     told: BTreeMap<usize, Timestamp>,
@@ -80,11 +80,11 @@
         let back_ends: Vec<BackEnd> = vec![back_end("limited", service, "near", 1)];
         let router = |number: usize| {
             let settings = Settings {
-                places: Topology::new("near".into(), None, BTreeMap::new()),
+                topology: Topology::new("near".into(), None, BTreeMap::new()),
                 ..Settings::default()
             };
             let mut router = Dispatcher::new(settings, seed * 1_000 + number as u64);
-            router.set_fleet(Timestamp::ZERO, count as u32, None);
+            router.set_router_count(Timestamp::ZERO, count as u32, None);
             router.set_configuration(now, configuration.clone());
             router.set_back_ends(now, &back_ends);
             router.set_ownership(now, "keyed".into(), all_owned("limited"));
@@ -111,24 +111,24 @@
             true => ("/keyed/x", Some(ShardKey(7))),
             false => ("/safe/x", None),
         };
-        let facts = RequestFacts {
-            call: Call {
+        let info = RequestInfo {
+            head: RequestHead {
                 host: HOST,
                 path,
                 api_key: None,
             },
-            waited: Duration::ZERO,
+            age: Duration::ZERO,
             time_left: Some(Duration::from_secs(5)),
             key,
             replayable: true,
             method: "GET",
             identity: identity(path, 0),
         };
-        let begun = self.routers[number].begin(self.now, &facts);
+        let begun = self.routers[number].begin(self.now, &info);
         self.step(number, begun.expect("admitted"));
     }
 
-    fn step(&mut self, number: usize, begun: Begun) {
+    fn step(&mut self, number: usize, begun: StartedExchange) {
         let router = &mut self.routers[number];
         match router.next(self.now, begun.id) {
             Step::Send(attempt) => {
@@ -140,7 +140,7 @@
                 self.ends.push((self.now + WORK, number, begun, attempt));
             }
             Step::Wait(until) => self.waiting.push((until, number, begun)),
-            Step::Finish(_) | Step::Over => {}
+            Step::Finish(_) | Step::Ended => {}
         }
     }
 
@@ -168,16 +168,16 @@
         self.ends = rest;
         for (_, number, begun, attempt) in over {
             let router = &mut self.routers[number];
-            let told = ToldLimit::Rate(self.limit);
-            router.on_head(now, begun.id, attempt.id, &limit(told));
+            let told = ReportedLimit::Rate(self.limit);
+            router.on_response_head(now, begun.id, attempt.id, &limit(told));
             self.told.entry(number).or_insert(now);
-            router.on_attempt(now, begun.id, attempt.id, &answered());
+            router.on_attempt_end(now, begun.id, attempt.id, &answered());
         }
     }
 
     fn ask(&mut self) {
         for number in 0..self.routers.len() {
-            for (service, asks) in self.routers[number].take_token_asks() {
+            for (service, asks) in self.routers[number].take_token_requests() {
                 self.asked.push(Asked {
                     number,
                     service,
@@ -197,13 +197,13 @@
         for asked in due {
             let router = &mut self.routers[asked.number];
             if !self.reachable {
-                router.on_no_tokens(now, &asked.service, &asked.asks);
+                router.on_token_request_failed(now, &asked.service, &asked.asks);
                 continue;
             }
             let ledger = &mut self.ledger;
             let grants = asked.asks.iter().map(|ask| ledger.grant(now, ask, true));
             let grants: Vec<_> = grants.collect();
-            router.on_tokens(now, &asked.service, asked.at, &grants);
+            router.on_token_grants(now, &asked.service, asked.at, &grants);
         }
     }
 
@@ -320,7 +320,7 @@
     let mut station = Station::with(Settings::default(), 1);
     station.back_ends = vec![back_end("p-near", "plain", "near", 1)];
     station.publish();
-    name_limit(&mut station, "safe", None, ToldLimit::Rate(5.0));
+    name_limit(&mut station, "safe", None, ReportedLimit::Rate(5.0));
     for _ in 0..40 {
         let begun = station.begin("safe").expect("admitted");
         assert!(!matches!(station.next(&begun), Step::Send(_)));
@@ -329,14 +329,14 @@
 }
 
 /// Sends one request, and lets its answer name a limit.
-fn name_limit(station: &mut Station, route: &str, key: Option<u16>, told: ToldLimit) {
+fn name_limit(station: &mut Station, route: &str, key: Option<u16>, told: ReportedLimit) {
     let begun = station.begin_with(route, key).expect("admitted");
     let attempt = station.send(&begun);
     station.after(20);
     let now = station.now;
     station
         .dispatcher
-        .on_head(now, begun.id, attempt.id, &limit(told));
+        .on_response_head(now, begun.id, attempt.id, &limit(told));
     station.end(&begun, &attempt, answered());
 }
 
@@ -356,22 +356,22 @@
     let early = station.begin_with("keyed", Some(7)).expect("admitted");
     let attempt = station.send(&early);
     station.after(5);
-    name_limit(&mut station, "keyed", Some(7), ToldLimit::Rate(2.0));
-    for told in [ToldLimit::None, ToldLimit::Rate(50.0)] {
+    name_limit(&mut station, "keyed", Some(7), ReportedLimit::Rate(2.0));
+    for told in [ReportedLimit::None, ReportedLimit::Rate(50.0)] {
         let now = station.now;
         station
             .dispatcher
-            .on_head(now, early.id, attempt.id, &limit(told));
+            .on_response_head(now, early.id, attempt.id, &limit(told));
     }
     assert!(is_limited(&mut station));
-    let asks = station.dispatcher.take_token_asks();
+    let asks = station.dispatcher.take_token_requests();
     assert_eq!(asks[&ServiceName::from("keyed")][0].rate, 2.0);
 }
 
 /// Gives the router one token, as the coordinator does.
 fn give_token(station: &mut Station) {
     let service = ServiceName::from("keyed");
-    for asks in station.dispatcher.take_token_asks().into_values() {
+    for asks in station.dispatcher.take_token_requests().into_values() {
         let mut ledger = TokenBuckets::default();
         ledger.grant(station.now, &asks[0], true);
         station.after(2_000);
@@ -380,37 +380,37 @@
         assert_eq!(grant.tokens, 1);
         station
             .dispatcher
-            .on_tokens(asked, &service, asked, &[grant]);
+            .on_token_grants(asked, &service, asked, &[grant]);
     }
 }
 
 #[test]
 fn later_answer_without_a_limit_lifts_it() {
     let mut station = Station::new();
-    name_limit(&mut station, "keyed", Some(7), ToldLimit::Rate(2.0));
+    name_limit(&mut station, "keyed", Some(7), ReportedLimit::Rate(2.0));
     assert!(is_limited(&mut station));
     give_token(&mut station);
-    name_limit(&mut station, "keyed", Some(7), ToldLimit::None);
+    name_limit(&mut station, "keyed", Some(7), ReportedLimit::None);
     assert!(!is_limited(&mut station));
-    let news = station.dispatcher.take_back_end_news();
-    assert!(matches!(news[0], BackEndNews::Limited { rate: 2.0, .. }));
-    assert!(matches!(news[1], BackEndNews::LimitLifted { .. }));
+    let news = station.dispatcher.take_back_end_events();
+    assert!(matches!(news[0], BackEndEvent::Limited { rate: 2.0, .. }));
+    assert!(matches!(news[1], BackEndEvent::LimitLifted { .. }));
 }
 
 #[test]
 fn limits_that_are_odd_have_a_defined_meaning() {
     // What is told, and the limit by which tokens are asked for.
     let cases = [
-        (ToldLimit::Rate(0.0), Some(0.1)),
-        (ToldLimit::Rate(0.01), Some(0.1)),
-        (ToldLimit::Rate(1e9), None),
-        (ToldLimit::Unreadable, None),
+        (ReportedLimit::Rate(0.0), Some(0.1)),
+        (ReportedLimit::Rate(0.01), Some(0.1)),
+        (ReportedLimit::Rate(1e9), None),
+        (ReportedLimit::Unreadable, None),
     ];
     for (told, rate) in cases {
         let mut station = Station::new();
         name_limit(&mut station, "keyed", Some(7), told);
         assert_eq!(is_limited(&mut station), rate.is_some(), "{told:?}");
-        let asks = station.dispatcher.take_token_asks();
+        let asks = station.dispatcher.take_token_requests();
         let asked = asks.values().next().map(|asks| asks[0].rate);
         assert_eq!(asked, rate, "{told:?}");
     }
@@ -419,20 +419,20 @@
 #[test]
 fn limit_that_cannot_be_read_leaves_the_one_before_in_force_and_is_told_once() {
     let mut station = Station::new();
-    name_limit(&mut station, "keyed", Some(7), ToldLimit::Rate(2.0));
-    station.dispatcher.take_back_end_news();
+    name_limit(&mut station, "keyed", Some(7), ReportedLimit::Rate(2.0));
+    station.dispatcher.take_back_end_events();
     assert!(is_limited(&mut station));
     give_token(&mut station);
-    name_limit(&mut station, "keyed", Some(7), ToldLimit::Unreadable);
+    name_limit(&mut station, "keyed", Some(7), ReportedLimit::Unreadable);
     assert!(is_limited(&mut station));
-    let news = station.dispatcher.take_back_end_news();
-    assert!(matches!(news[..], [BackEndNews::LimitUnreadable { .. }]));
+    let news = station.dispatcher.take_back_end_events();
+    assert!(matches!(news[..], [BackEndEvent::LimitUnreadable { .. }]));
 }
 
 #[test]
 fn list_that_lacks_a_limited_back_end_for_a_moment_lifts_nothing() {
     let mut station = Station::new();
-    name_limit(&mut station, "keyed", Some(7), ToldLimit::Rate(2.0));
+    name_limit(&mut station, "keyed", Some(7), ReportedLimit::Rate(2.0));
     let all = std::mem::take(&mut station.back_ends);
     station.publish();
     station.after(1_000);
@@ -448,7 +448,7 @@
     let Step::Send(attempt) = station.next(&slow) else {
         panic!("not sent");
     };
-    name_limit(&mut station, "keyed", Some(7), ToldLimit::Rate(2.0));
+    name_limit(&mut station, "keyed", Some(7), ReportedLimit::Rate(2.0));
     let now = station.now;
     assert!(!station.dispatcher.may_send(now, slow.id, attempt.id));
 }
@@ -456,16 +456,18 @@
 #[test]
 fn request_beyond_the_limit_is_refused_at_once_with_the_time_of_the_next_token() {
     let mut station = Station::new();
-    name_limit(&mut station, "keyed", Some(7), ToldLimit::Rate(1.0));
+    name_limit(&mut station, "keyed", Some(7), ReportedLimit::Rate(1.0));
     let begun = station.begin_with("keyed", Some(7)).expect("admitted");
     assert!(matches!(station.next(&begun), Step::Wait(_)));
     let asked = station.now;
     let mut ledger = TokenBuckets::default();
-    for (service, asks) in station.dispatcher.take_token_asks() {
+    for (service, asks) in station.dispatcher.take_token_requests() {
         let grant = ledger.grant(asked, &asks[0], true);
         station.after(5);
         let now = station.now;
-        station.dispatcher.on_tokens(now, &service, asked, &[grant]);
+        station
+            .dispatcher
+            .on_token_grants(now, &service, asked, &[grant]);
     }
     assert_eq!(station.dispatcher.take_woken(), vec![begun.id]);
     let step = station.next(&begun);
@@ -483,10 +485,10 @@
 #[test]
 fn grant_of_any_number_of_tokens_takes_little_memory() {
     let mut station = Station::new();
-    name_limit(&mut station, "keyed", Some(7), ToldLimit::Rate(1.0));
+    name_limit(&mut station, "keyed", Some(7), ReportedLimit::Rate(1.0));
     assert!(is_limited(&mut station));
     let asked = station.now;
-    for (service, asks) in station.dispatcher.take_token_asks() {
+    for (service, asks) in station.dispatcher.take_token_requests() {
         let grant = TokenGrant {
             back_end: asks[0].back_end.clone(),
             tokens: u32::MAX,
@@ -494,7 +496,7 @@
         };
         station
             .dispatcher
-            .on_tokens(asked, &service, asked, &[grant]);
+            .on_token_grants(asked, &service, asked, &[grant]);
     }
     let mut sent = 0;
     for _ in 0..40 {
@@ -534,12 +536,12 @@
     let attempt = station.send(&begun);
     station.after(20);
     let told = match attempt.back_end.as_str() == name {
-        true => ToldLimit::Rate(0.1),
-        false => ToldLimit::None,
+        true => ReportedLimit::Rate(0.1),
+        false => ReportedLimit::None,
     };
     let now = station.now;
     station
         .dispatcher
-        .on_head(now, begun.id, attempt.id, &limit(told));
+        .on_response_head(now, begun.id, attempt.id, &limit(told));
     station.end(&begun, &attempt, answered());
 }
--- a/crates/dispatch/tests/dispatcher/main.rs
+++ b/crates/dispatch/tests/dispatcher/main.rs
@@ -4,7 +4,7 @@
 mod choice;
 mod cold;
 mod crashes;
-mod fading;
+mod decaying_mean;
 mod fleet;
 mod limited;
 mod outcomes;
--- a/crates/dispatch/tests/dispatcher/outcomes.rs
+++ b/crates/dispatch/tests/dispatcher/outcomes.rs
@@ -1,6 +1,6 @@
 //! The one outcome of each request, and what it promises.
 
-use threadledge_dispatch::dispatcher::Verdict;
+use threadledge_dispatch::dispatcher::NextAction;
 use threadledge_dispatch::outcome::Rejection;
 use threadledge_dispatch::{AttemptEnd, Fault, Outcome, RefusalReason, Step, UnknownReason};
 
@@ -35,7 +35,10 @@
         let mut station = Station::new();
         let begun = station.begin("unsafe").expect("admitted");
         let attempt = station.send(&begun);
-        assert_eq!(station.end(&begun, &attempt, fault(end)), Verdict::GoOn);
+        assert_eq!(
+            station.end(&begun, &attempt, fault(end)),
+            NextAction::CallNext
+        );
         let step = station.next(&begun);
         let wanted = Step::Finish(Outcome::Unknown(UnknownReason::from(end)));
         assert_eq!(step, wanted);
@@ -56,7 +59,10 @@
         station.end(&begun, &first, end);
         let second = station.send(&begun);
         assert_ne!(first.back_end, second.back_end);
-        assert_eq!(station.end(&begun, &second, answered()), Verdict::Deliver);
+        assert_eq!(
+            station.end(&begun, &second, answered()),
+            NextAction::Deliver
+        );
     }
 }
 
@@ -98,12 +104,12 @@
         let mut station = Station::new();
         let begun = station.begin("safe").expect("admitted");
         let first = station.send(&begun);
-        assert_eq!(station.end(&begun, &first, end), Verdict::GoOn);
+        assert_eq!(station.end(&begun, &first, end), NextAction::CallNext);
         let second = station.send(&begun);
         assert_ne!(first.back_end, second.back_end);
         // The last answer is passed on whatever it says.
         let last = station.end(&begun, &second, failed_answer());
-        assert_eq!(last, Verdict::Deliver);
+        assert_eq!(last, NextAction::Deliver);
     }
 }
 
@@ -113,7 +119,7 @@
     let begun = station.begin("unsafe").expect("admitted");
     let attempt = station.send(&begun);
     let verdict = station.end(&begun, &attempt, failed_answer());
-    assert_eq!(verdict, Verdict::Deliver);
+    assert_eq!(verdict, NextAction::Deliver);
 }
 
 #[test]
@@ -139,7 +145,10 @@
         station.end(&begun, &attempt, fault(Fault::Unreachable));
     }
     let attempt = station.send(&begun);
-    assert_eq!(station.end(&begun, &attempt, answered()), Verdict::Deliver);
+    assert_eq!(
+        station.end(&begun, &attempt, answered()),
+        NextAction::Deliver
+    );
 }
 
 #[test]
@@ -344,8 +353,8 @@
     station.send(&begun);
     let now = station.now;
     station.dispatcher.abandon(now, begun.id);
-    assert_eq!(station.next(&begun), Step::Over);
-    assert_eq!(station.dispatcher.running(), 0);
+    assert_eq!(station.next(&begun), Step::Ended);
+    assert_eq!(station.dispatcher.open_exchanges(), 0);
     assert_eq!(station.dispatcher.counters().abandoned, 1);
 }
 
--- a/crates/dispatch/tests/dispatcher/parts.rs
+++ b/crates/dispatch/tests/dispatcher/parts.rs
@@ -3,7 +3,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use threadledge_dispatch::RouteTable;
-use threadledge_dispatch::routes::Dealer;
+use threadledge_dispatch::routes::WeightedRoundRobin;
 use threadledge_types::deployment::Destination;
 
 use super::support::{HOST, configuration, route};
@@ -37,7 +37,7 @@
             weight,
         })
         .into();
-    let mut dealer = Dealer::starting_at(0);
+    let mut dealer = WeightedRoundRobin::with_offset(0);
     let dealt: Vec<usize> = (0..200).map(|_| dealer.next(&destinations)).collect();
     for stretch in dealt.windows(20) {
         let small = stretch.iter().filter(|index| **index == 2).count();
@@ -70,7 +70,7 @@
         before[1..].iter_mut().for_each(|each| each.weight = 0);
         let mut counts = vec![0_u32; destinations.len()];
         for _ in 0..300 {
-            let mut dealer = Dealer::starting_at(random.random());
+            let mut dealer = WeightedRoundRobin::with_offset(random.random());
             // One had everything at first.
             dealer.next(&before);
             counts[dealer.next(&destinations)] += 1;
--- a/crates/dispatch/tests/dispatcher/regions.rs
+++ b/crates/dispatch/tests/dispatcher/regions.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use threadledge_dispatch::dispatcher::Verdict;
+use threadledge_dispatch::dispatcher::NextAction;
 use threadledge_dispatch::{Fault, Outcome, RefusalReason, Step};
 use threadledge_types::RegionName;
 use threadledge_types::deployment::{KeyDigest, Route, Tenant, Topology};
@@ -21,8 +21,8 @@
         ("farther", "away"),
     ];
     let regions = regions.map(|(zone, region)| (zone.into(), region.into()));
-    let places = Topology::new(zone.into(), None, BTreeMap::from(regions));
-    let mut station = Station::at(places, 1);
+    let topology = Topology::new(zone.into(), None, BTreeMap::from(regions));
+    let mut station = Station::at(topology, 1);
     station
         .back_ends
         .push(back_end("p-beside", "plain", "beside", 5));
@@ -95,7 +95,7 @@
     let first = station.send(&begun);
     assert_eq!(
         station.end(&begun, &first, fault(Fault::Unreachable)),
-        Verdict::GoOn
+        NextAction::CallNext
     );
     let second = station.send(&begun);
     let names = [first.back_end.as_str(), second.back_end.as_str()];
--- a/crates/dispatch/tests/dispatcher/retries.rs
+++ b/crates/dispatch/tests/dispatcher/retries.rs
@@ -66,7 +66,9 @@
         for station in &mut self.stations[..first] {
             station.now = self.now;
             let until = self.now + CONFIRMED_FOR;
-            station.dispatcher.set_fleet(self.now, count, Some(until));
+            station
+                .dispatcher
+                .set_router_count(self.now, count, Some(until));
         }
     }
 
@@ -185,7 +187,7 @@
     let now = start + WINDOW;
     let permit = budget.take(now).expect("one is saved up");
     assert!(budget.take(now).is_none());
-    budget.give_back(now, permit);
+    budget.return_permit(now, permit);
     assert!(budget.take(now).is_some());
     assert!(budget.take(now + Duration::from_secs(9)).is_none());
     assert!(budget.take(now + Duration::from_secs(11)).is_some());
@@ -200,7 +202,7 @@
     let late = budget.take(start + WINDOW).expect("one is saved up");
     let now = start + WINDOW * 2;
     assert!(budget.take(now).is_some(), "the next is earned");
-    budget.give_back(now, late);
+    budget.return_permit(now, late);
     assert!(budget.take(now).is_none());
 }
 
@@ -214,7 +216,7 @@
     let now = start + WINDOW * 2;
     (0..10).for_each(|_| budget.count_request(now));
     assert!(budget.take(now).is_some(), "ten others pay for it");
-    budget.give_back(now, late);
+    budget.return_permit(now, late);
     assert!(budget.take(now).is_none());
 }
 
@@ -227,7 +229,7 @@
     let permit = budget.take(start).expect("ten requests pay for it");
     let now = start + WINDOW / 2;
     assert!(budget.take(now).is_none());
-    budget.give_back(now, permit);
+    budget.return_permit(now, permit);
     assert!(budget.take(now).is_some());
 }
 
--- a/crates/dispatch/tests/dispatcher/schedules.rs
+++ b/crates/dispatch/tests/dispatcher/schedules.rs
@@ -4,9 +4,11 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use threadledge_dispatch::dispatcher::Verdict;
+use threadledge_dispatch::dispatcher::NextAction;
 use threadledge_dispatch::outcome::Rejection;
-use threadledge_dispatch::{Attempt, AttemptEnd, Begun, ExchangeId, Fault, Outcome, Step};
+use threadledge_dispatch::{
+    Attempt, AttemptEnd, ExchangeId, Fault, Outcome, StartedExchange, Step,
+};
 
 use super::support::{Station, answered, failed_answer, not_run};
 
@@ -15,7 +17,7 @@
 
 /// What the model knows of one exchange.
 struct Known {
-    begun: Begun,
+    begun: StartedExchange,
     repeatable: bool,
     key: Option<u16>,
     /// Attempts that were given leave and may have run.
@@ -118,7 +120,7 @@
     }
     let begun = each.begun.clone();
     let verdict = station.end(&begun, &attempt, end);
-    if verdict == Verdict::Deliver {
+    if verdict == NextAction::Deliver {
         known.remove(&id);
     }
 }
@@ -168,7 +170,7 @@
                 known.remove(&id);
                 return;
             }
-            Step::Over => panic!("seed {seed}: over without an outcome"),
+            Step::Ended => panic!("seed {seed}: over without an outcome"),
         }
     }
 }
--- a/crates/dispatch/tests/dispatcher/signals.rs
+++ b/crates/dispatch/tests/dispatcher/signals.rs
@@ -4,7 +4,7 @@
 
 use threadledge_dispatch::outcome::Rejection;
 use threadledge_dispatch::{
-    AttemptEnd, BackEndNews, Outcome, RefusalReason, Signals, Step, ToldRest,
+    AttemptEnd, BackEndEvent, Outcome, RefusalReason, RequestedBackoff, Signals, Step,
 };
 use threadledge_types::deployment::{BackEndName, ServiceName};
 
@@ -20,7 +20,7 @@
     let now = station.now;
     station
         .dispatcher
-        .on_head(now, begun.id, attempt.id, signals);
+        .on_response_head(now, begun.id, attempt.id, signals);
     station.end(&begun, &attempt, end);
     station.dispatcher.abandon(now, begun.id);
 }
@@ -65,7 +65,7 @@
             ..Signals::default()
         },
         Signals {
-            rest: seconds(3),
+            backoff: seconds(3),
             ..Signals::default()
         },
     ] {
@@ -77,7 +77,7 @@
         let now = station.now;
         station
             .dispatcher
-            .on_head(now, begun.id, attempt.id, &signals);
+            .on_response_head(now, begun.id, attempt.id, &signals);
         station.back_ends = all;
         station.publish();
         station.after(1_000);
@@ -119,11 +119,11 @@
     let attempt = station.send(&early);
     let service = ServiceName::from("keyed");
     hear_leaving(&mut station);
-    let told = BackEndNews::Leaving {
+    let told = BackEndEvent::Leaving {
         back_end: "k-1".into(),
         service: service.clone(),
     };
-    assert_eq!(station.dispatcher.take_back_end_news(), vec![told]);
+    assert_eq!(station.dispatcher.take_back_end_events(), vec![told]);
     let now = station.now;
     let leaving = Signals {
         leaving: true,
@@ -131,10 +131,10 @@
     };
     station
         .dispatcher
-        .on_head(now, early.id, attempt.id, &leaving);
-    assert!(station.dispatcher.take_back_end_news().is_empty());
+        .on_response_head(now, early.id, attempt.id, &leaving);
+    assert!(station.dispatcher.take_back_end_events().is_empty());
     for _ in 0..2 {
-        let report = station.dispatcher.take_load(&service);
+        let report = station.dispatcher.take_load_report(&service);
         assert_eq!(report.leaving, vec![BackEndName::from("k-1")]);
     }
     let entry = station.back_ends.iter_mut();
@@ -142,7 +142,13 @@
         entry.draining = true;
     }
     station.publish();
-    assert!(station.dispatcher.take_load(&service).leaving.is_empty());
+    assert!(
+        station
+            .dispatcher
+            .take_load_report(&service)
+            .leaving
+            .is_empty()
+    );
 }
 
 #[test]
@@ -155,31 +161,31 @@
     assert!(is_refused(&station.next(&begun)));
 }
 
-fn hear_rest(station: &mut Station, route: &str, key: Option<u16>, rest: ToldRest) {
+fn hear_rest(station: &mut Station, route: &str, key: Option<u16>, backoff: RequestedBackoff) {
     let signals = Signals {
-        rest,
+        backoff,
         ..Signals::default()
     };
     hear(station, route, key, &signals, not_run(Rejection::Busy));
 }
 
-fn seconds(seconds: u64) -> ToldRest {
-    ToldRest::For(Duration::from_secs(seconds))
+fn seconds(seconds: u64) -> RequestedBackoff {
+    RequestedBackoff::For(Duration::from_secs(seconds))
 }
 
 #[test]
 fn owner_that_asked_for_rest_gets_nothing_until_its_end() {
     let mut station = Station::new();
     hear_rest(&mut station, "keyed", KEY, seconds(3));
-    let told = BackEndNews::Resting {
+    let told = BackEndEvent::Resting {
         back_end: "k-1".into(),
         service: "keyed".into(),
-        rest: Duration::from_secs(3),
+        backoff: Duration::from_secs(3),
     };
-    assert_eq!(station.dispatcher.take_back_end_news(), vec![told]);
+    assert_eq!(station.dispatcher.take_back_end_events(), vec![told]);
     for _ in 0..29 {
         assert!(!is_asked(&mut station));
-        // Registrations that come meanwhile end no rest.
+        // Registrations that come meanwhile end no backoff.
         station.publish();
         station.after(100);
     }
@@ -208,13 +214,13 @@
     let attempt = station.send(&other);
     hear_rest(&mut station, "keyed", KEY, seconds(3));
     let shorter = Signals {
-        rest: seconds(1),
+        backoff: seconds(1),
         ..Signals::default()
     };
     let now = station.now;
     station
         .dispatcher
-        .on_head(now, other.id, attempt.id, &shorter);
+        .on_response_head(now, other.id, attempt.id, &shorter);
     station.after(2_000);
     assert!(!is_asked(&mut station));
 }
@@ -222,7 +228,12 @@
 #[test]
 fn rest_without_end_ends_after_some_minutes() {
     let mut station = Station::new();
-    hear_rest(&mut station, "keyed", KEY, ToldRest::For(Duration::MAX));
+    hear_rest(
+        &mut station,
+        "keyed",
+        KEY,
+        RequestedBackoff::For(Duration::MAX),
+    );
     station.after(299_000);
     assert!(!is_asked(&mut station));
     station.after(2_000);
@@ -232,12 +243,12 @@
 #[test]
 fn rest_that_is_no_time_is_told_once() {
     let mut station = Station::new();
-    hear_rest(&mut station, "keyed", KEY, ToldRest::Unreadable);
-    let told = station.dispatcher.take_back_end_news();
-    assert!(matches!(told[..], [BackEndNews::RestUnreadable { .. }]));
+    hear_rest(&mut station, "keyed", KEY, RequestedBackoff::Unreadable);
+    let told = station.dispatcher.take_back_end_events();
+    assert!(matches!(told[..], [BackEndEvent::BackoffUnreadable { .. }]));
     station.after(2_000);
-    hear_rest(&mut station, "keyed", KEY, ToldRest::Unreadable);
-    assert!(station.dispatcher.take_back_end_news().is_empty());
+    hear_rest(&mut station, "keyed", KEY, RequestedBackoff::Unreadable);
+    assert!(station.dispatcher.take_back_end_events().is_empty());
 }
 
 #[test]
--- a/crates/dispatch/tests/dispatcher/support.rs
+++ b/crates/dispatch/tests/dispatcher/support.rs
@@ -7,11 +7,11 @@
 
 use threadledge_coordination::Term;
 use threadledge_coordination::{Fence, Owner, OwnershipRecord, OwnershipView, Slice, SliceState};
-use threadledge_dispatch::dispatcher::Verdict;
+use threadledge_dispatch::dispatcher::NextAction;
 use threadledge_dispatch::outcome::Rejection;
 use threadledge_dispatch::{
-    Attempt, AttemptEnd, Begun, Call, Dispatcher, Fault, Outcome, Refusal, RequestFacts, Settings,
-    Step, ToldLoad,
+    Attempt, AttemptEnd, Dispatcher, Fault, Outcome, Refusal, ReportedLoad, RequestHead,
+    RequestInfo, Settings, StartedExchange, Step,
 };
 use threadledge_suspects::{IdentityBuilder, RequestIdentity};
 use threadledge_types::Timestamp;
@@ -103,14 +103,16 @@
     }
 
     /// The same, of a router elsewhere.
-    pub fn at(places: Topology, seed: u64) -> Self {
+    pub fn at(topology: Topology, seed: u64) -> Self {
         let settings = Settings {
-            places,
+            topology,
             retry_slack: 100,
             ..Settings::default()
         };
         let mut station = Station::with(settings, seed);
-        station.dispatcher.set_fleet(Timestamp::ZERO, 1, None);
+        station
+            .dispatcher
+            .set_router_count(Timestamp::ZERO, 1, None);
         station
     }
 
@@ -187,22 +189,26 @@
         self.now = self.now + Duration::from_millis(millis);
     }
 
-    pub fn begin(&mut self, route: &str) -> Result<Begun, Refusal> {
+    pub fn begin(&mut self, route: &str) -> Result<StartedExchange, Refusal> {
         self.begin_with(route, None)
     }
 
-    pub fn begin_with(&mut self, route: &str, key: Option<u16>) -> Result<Begun, Refusal> {
+    pub fn begin_with(
+        &mut self,
+        route: &str,
+        key: Option<u16>,
+    ) -> Result<StartedExchange, Refusal> {
         self.begin_by(route, key, Duration::ZERO, None)
     }
 
-    /// Begins a request whose head came `waited` ago.
+    /// Begins a request whose head came `age` ago.
     pub fn begin_after(
         &mut self,
         route: &str,
         key: Option<u16>,
-        waited: Duration,
-    ) -> Result<Begun, Refusal> {
-        self.begin_by(route, key, waited, None)
+        age: Duration,
+    ) -> Result<StartedExchange, Refusal> {
+        self.begin_by(route, key, age, None)
     }
 
     /// The same, of the caller that shows a key with this digest.
@@ -210,32 +216,32 @@
         &mut self,
         route: &str,
         key: Option<u16>,
-        waited: Duration,
+        age: Duration,
         api_key: Option<&KeyDigest>,
-    ) -> Result<Begun, Refusal> {
+    ) -> Result<StartedExchange, Refusal> {
         let path = format!("/{route}/x");
         self.begun += 1;
-        let facts = RequestFacts {
-            call: Call {
+        let info = RequestInfo {
+            head: RequestHead {
                 host: HOST,
                 path: &path,
                 api_key,
             },
-            waited,
+            age,
             time_left: Some(Duration::from_secs(5)),
             key: key.map(ShardKey),
             replayable: true,
             method: "GET",
             identity: identity(&path, self.begun),
         };
-        self.dispatcher.begin(self.now, &facts)
+        self.dispatcher.begin(self.now, &info)
     }
 
-    pub fn next(&mut self, begun: &Begun) -> Step {
+    pub fn next(&mut self, begun: &StartedExchange) -> Step {
         self.dispatcher.next(self.now, begun.id)
     }
 
-    pub fn send(&mut self, begun: &Begun) -> Attempt {
+    pub fn send(&mut self, begun: &StartedExchange) -> Attempt {
         let step = self.next(begun);
         let Step::Send(attempt) = step else {
             panic!("{step:?}");
@@ -244,9 +250,14 @@
         attempt
     }
 
-    pub fn end(&mut self, begun: &Begun, attempt: &Attempt, end: AttemptEnd) -> Verdict {
+    pub fn end(
+        &mut self,
+        begun: &StartedExchange,
+        attempt: &Attempt,
+        end: AttemptEnd,
+    ) -> NextAction {
         self.dispatcher
-            .on_attempt(self.now, begun.id, attempt.id, &end)
+            .on_attempt_end(self.now, begun.id, attempt.id, &end)
     }
 
     /// Begins, sends and answers one request after `millis`.
@@ -254,7 +265,7 @@
         let begun = self.begin(route).expect("admitted");
         let attempt = self.send(&begun);
         self.after(millis);
-        assert_eq!(self.end(&begun, &attempt, answered()), Verdict::Deliver);
+        assert_eq!(self.end(&begun, &attempt, answered()), NextAction::Deliver);
         attempt
     }
 }
@@ -281,7 +292,7 @@
 }
 
 pub fn not_run(reason: Rejection) -> AttemptEnd {
-    let full = ToldLoad {
+    let full = ReportedLoad {
         running: 2,
         waiting: 8,
         slots: 2,
--- a/crates/dispatch/tests/dispatcher/tenants.rs
+++ b/crates/dispatch/tests/dispatcher/tenants.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use threadledge_dispatch::{Call, RefusalReason, Settings, Step};
+use threadledge_dispatch::{RefusalReason, RequestHead, Settings, Step};
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{Configuration, KeyDigest, Tenant};
 
@@ -38,12 +38,12 @@
     path: &str,
     api_key: Option<&KeyDigest>,
 ) -> Result<Option<String>, RefusalReason> {
-    let call = Call {
+    let head = RequestHead {
         host: HOST,
         path,
         api_key,
     };
-    let admission = station.dispatcher.admission(station.now, &call);
+    let admission = station.dispatcher.check_admission(station.now, &head);
     let admission = admission.map_err(|refusal| refusal.reason)?;
     Ok(admission.tenant_name().map(ToString::to_string))
 }
@@ -140,14 +140,14 @@
 fn unsure(fail_closed: bool) -> Station {
     let mut station = Station::new();
     let settings = Settings {
-        keys_last: Some(Duration::from_secs(5)),
+        api_key_validity: Some(Duration::from_secs(5)),
         fail_closed,
         ..Settings::default()
     };
     station.dispatcher = threadledge_dispatch::Dispatcher::new(settings, 1);
     station.configure(with_tenants(2, &[("alpha", None)]));
     let confirmed = station.now;
-    station.dispatcher.confirm_keys(confirmed);
+    station.dispatcher.confirm_api_keys(confirmed);
     station.after(5_000);
     assert!(admission(&mut station, "/safe/x", Some(&digest("alpha-key"))).is_ok());
     station.after(1);
@@ -166,7 +166,7 @@
     let said = admission(&mut station, "/safe/x", None);
     assert_eq!(said, Err(RefusalReason::MissingApiKey));
     let now = station.now;
-    station.dispatcher.confirm_keys(now);
+    station.dispatcher.confirm_api_keys(now);
     let said = admission(&mut station, "/safe/x", Some(&unknown));
     assert_eq!(said, Err(RefusalReason::UnknownApiKey));
 }
@@ -184,8 +184,8 @@
     );
     assert_eq!(admission(&mut station, "/open/x", None), Ok(None));
     let now = station.now;
-    station.dispatcher.confirm_keys(now);
+    station.dispatcher.confirm_api_keys(now);
     // What was heard before is no news.
-    station.dispatcher.confirm_keys(Timestamp::ZERO);
+    station.dispatcher.confirm_api_keys(Timestamp::ZERO);
     assert!(admission(&mut station, "/safe/x", Some(&key)).is_ok());
 }
--- a/crates/dispatch/tests/model/gateways.rs
+++ b/crates/dispatch/tests/model/gateways.rs
@@ -8,7 +8,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use threadledge_dispatch::{
-    Attempt, AttemptEnd, Begun, Call, Dispatcher, Fault, RequestFacts, Settings, Step,
+    Attempt, AttemptEnd, Dispatcher, Fault, RequestHead, RequestInfo, Settings, StartedExchange,
+    Step,
 };
 use threadledge_suspects::{IdentityBuilder, RequestIdentity};
 use threadledge_types::Timestamp;
@@ -23,7 +24,7 @@
 pub struct Dispatchers {
     gateways: Vec<Dispatcher>,
     numbers: HashMap<BackEndName, usize>,
-    begun: HashMap<u64, Begun>,
+    begun: HashMap<u64, StartedExchange>,
     requests: HashMap<(usize, u64), u64>,
     sent: HashMap<u64, Attempt>,
 }
@@ -42,7 +43,7 @@
         let configuration = Arc::new(configuration(fleet));
         let gateway = |number: usize| {
             let settings = Settings {
-                places: Topology::new("zone".into(), None, BTreeMap::new()),
+                topology: Topology::new("zone".into(), None, BTreeMap::new()),
                 retry_slack: 100,
                 ..Settings::default()
             };
@@ -124,20 +125,20 @@
         let now = Timestamp::from_micros(now);
         let dispatcher = &mut self.gateways[gateway];
         if !self.begun.contains_key(&request) {
-            let facts = RequestFacts {
-                call: Call {
+            let info = RequestInfo {
+                head: RequestHead {
                     host: "host.example",
                     path: "/x",
                     api_key: None,
                 },
-                waited: Duration::ZERO,
+                age: Duration::ZERO,
                 time_left: Some(Duration::from_secs(60)),
                 key: None,
                 replayable: true,
                 method: "GET",
                 identity: identity(request),
             };
-            let Ok(begun) = dispatcher.begin(now, &facts) else {
+            let Ok(begun) = dispatcher.begin(now, &info) else {
                 return Choice::Refuse;
             };
             self.requests.insert((gateway, begun.id.0), request);
@@ -152,7 +153,7 @@
                 Choice::Send(number)
             }
             Step::Wait(until) => Choice::Wait(until.as_micros()),
-            Step::Finish(_) | Step::Over => Choice::Refuse,
+            Step::Finish(_) | Step::Ended => Choice::Refuse,
         }
     }
 
@@ -169,7 +170,7 @@
         let dispatcher = &mut self.gateways[gateway];
         let id = self.begun[&request].id;
         let attempt = self.sent.remove(&request).expect("it was sent");
-        dispatcher.on_attempt(now, id, attempt.id, &end);
+        dispatcher.on_attempt_end(now, id, attempt.id, &end);
         dispatcher.abandon(now, id);
         let woken = dispatcher.take_woken();
         woken
--- a/crates/ports/src/header_codec.rs
+++ b/crates/ports/src/header_codec.rs
@@ -4,7 +4,7 @@
 
 use http_types::{Headers, Request};
 use threadledge_dispatch::outcome::Rejection;
-use threadledge_dispatch::{Signals, ToldLoad};
+use threadledge_dispatch::{ReportedLoad, Signals};
 use threadledge_types::deployment::{BackEndName, KeyDigest, ShardKey, TenantName};
 
 /// Metadata in the headers of a caller's request, besides route and body.
@@ -28,7 +28,7 @@
     /// Set if the back end states that it did not run the request.
     pub not_run: Option<Rejection>,
     /// Load of the back end.
-    pub load: Option<ToldLoad>,
+    pub load: Option<ReportedLoad>,
     /// Signals that affect later requests.
     pub signals: Signals,
     /// Whether the response carries the stamp that back ends put on successful
--- a/crates/router/src/gateway/admission.rs
+++ b/crates/router/src/gateway/admission.rs
@@ -3,7 +3,7 @@
 
 use http_types::headers::HOST;
 use http_types::{Method, Request};
-use threadledge_dispatch::{Call, Refusal};
+use threadledge_dispatch::{Refusal, RequestHead};
 use threadledge_ports::RequestMetadata;
 use threadledge_tenants::Admission;
 use threadledge_types::deployment::KeyDigest;
@@ -35,8 +35,8 @@
         }
     }
 
-    pub(super) fn call(&self) -> Call<'_> {
-        Call {
+    pub(super) fn call(&self) -> RequestHead<'_> {
+        RequestHead {
             host: &self.host,
             path: &self.path,
             api_key: self.api_key.as_ref(),
@@ -49,6 +49,6 @@
     ///
     /// The refusal with which it is answered at once.
     pub(super) fn admit(&self, dispatch: &Dispatch) -> Result<Admission, Refusal> {
-        dispatch.with(|dispatcher, now| dispatcher.admission(now, &self.call()))
+        dispatch.with(|dispatcher, now| dispatcher.check_admission(now, &self.call()))
     }
 }
--- a/crates/router/src/gateway/coordination/reports.rs
+++ b/crates/router/src/gateway/coordination/reports.rs
@@ -29,7 +29,7 @@
         };
         let report = self
             .dispatch
-            .with(|dispatcher, now| dispatcher.owners_report(now, service));
+            .with(|dispatcher, now| dispatcher.unavailability_report(now, service));
         if coordinator.leading_term().is_some() {
             coordinator.add_load(now, &report);
             return;
@@ -64,7 +64,7 @@
         for (service, coordinator) in &mut self.coordinators {
             let mut report = self
                 .dispatch
-                .with(|dispatcher, _now| dispatcher.take_load(service));
+                .with(|dispatcher, _now| dispatcher.take_load_report(service));
             if coordinator.leading_term().is_some() {
                 coordinator.add_load(now, &report);
                 continue;
--- a/crates/router/src/gateway/directory.rs
+++ b/crates/router/src/gateway/directory.rs
@@ -170,7 +170,7 @@
         };
         let left = self.dispatch.with(|dispatcher, now| match &in_use {
             InUse::All(all) => dispatcher.set_back_ends(now, all),
-            InUse::Changed { changed, gone } => dispatcher.change_back_ends(now, changed, gone),
+            InUse::Changed { changed, gone } => dispatcher.update_back_ends(now, changed, gone),
         });
         for address in left {
             self.pool.forget(address);
--- a/crates/router/src/gateway/dispatch.rs
+++ b/crates/router/src/gateway/dispatch.rs
@@ -5,10 +5,10 @@
 
 use async_channel::{Receiver, Sender};
 use parking_lot::Mutex;
-use threadledge_dispatch::dispatcher::Verdict;
+use threadledge_dispatch::dispatcher::NextAction;
 use threadledge_dispatch::{
-    AttemptEnd, AttemptId, BackEndNews, Begun, Denial, Dispatcher, ExchangeId, Refusal,
-    RequestFacts, Signals, Step,
+    AttemptEnd, AttemptId, BackEndEvent, Dispatcher, ExchangeId, Refusal, RequestInfo,
+    RetryDenials, Signals, StartedExchange, Step,
 };
 use threadledge_tenants::Admission;
 use threadledge_types::Timestamp;
@@ -79,15 +79,15 @@
         let now = self.clock.now();
         let known = state.dispatcher.suspects().changes();
         let result = act(&mut state.dispatcher, now);
-        for look in state.dispatcher.take_to_look_at() {
+        for look in state.dispatcher.take_process_checks() {
             self.suspects.found(Finding::Broke(look));
         }
         if state.dispatcher.has_crashes() {
             self.suspects.found(Finding::Crashes);
         }
         let learned = state.dispatcher.suspects().changes() != known;
-        let denials = state.dispatcher.take_denials();
-        let back_end_news = state.dispatcher.take_back_end_news();
+        let retry_denials = state.dispatcher.take_retry_denials();
+        let back_end_events = state.dispatcher.take_back_end_events();
         let wants_tokens = state.dispatcher.wants_tokens();
         let woken = state.dispatcher.take_woken();
         let signals: Vec<Arc<Signal>> = woken
@@ -98,9 +98,9 @@
         for signal in signals {
             signal.give();
         }
-        denials.iter().for_each(tell_denial);
-        back_end_news.iter().for_each(tell_back_end);
-        for service in back_end_news.iter().filter_map(service_of_unfit) {
+        retry_denials.iter().for_each(tell_denial);
+        back_end_events.iter().for_each(tell_back_end);
+        for service in back_end_events.iter().filter_map(service_of_unfit) {
             // The channel is unbounded and closes only when the process ends.
             let _ = self.unfit.0.try_send(service.clone());
         }
@@ -113,8 +113,11 @@
         result
     }
 
-    pub(super) fn begin(&self, facts: &RequestFacts<'_>) -> Result<(Begun, Arc<Signal>), Refusal> {
-        let begun = self.with(|dispatcher, now| dispatcher.begin(now, facts))?;
+    pub(super) fn begin(
+        &self,
+        info: &RequestInfo<'_>,
+    ) -> Result<(StartedExchange, Arc<Signal>), Refusal> {
+        let begun = self.with(|dispatcher, now| dispatcher.begin(now, info))?;
         let signal = Arc::new(Signal::default());
         self.state.lock().signals.insert(begun.id, signal.clone());
         Ok((begun, signal))
@@ -141,7 +144,7 @@
 
     /// The head of an answer to an attempt came.
     pub(super) fn on_head(&self, id: ExchangeId, attempt: AttemptId, signals: &Signals) {
-        self.with(|dispatcher, now| dispatcher.on_head(now, id, attempt, signals));
+        self.with(|dispatcher, now| dispatcher.on_response_head(now, id, attempt, signals));
     }
 
     pub(super) fn on_attempt(
@@ -149,8 +152,8 @@
         id: ExchangeId,
         attempt: AttemptId,
         end: &AttemptEnd,
-    ) -> Verdict {
-        self.with(|dispatcher, now| dispatcher.on_attempt(now, id, attempt, end))
+    ) -> NextAction {
+        self.with(|dispatcher, now| dispatcher.on_attempt_end(now, id, attempt, end))
     }
 
     /// Forgets an exchange. One that has no outcome counts as left.
@@ -160,7 +163,7 @@
     }
 }
 
-fn tell_denial(denial: &Denial) {
+fn tell_denial(denial: &RetryDenials) {
     emit!(
         EventId::RetriesDenied,
         service = %denial.service,
@@ -173,43 +176,43 @@
 }
 
 /// The service of a back end that should not keep its keys.
-fn service_of_unfit(news: &BackEndNews) -> Option<&ServiceName> {
+fn service_of_unfit(news: &BackEndEvent) -> Option<&ServiceName> {
     match news {
-        BackEndNews::Leaving { service, .. } | BackEndNews::Resting { service, .. } => {
+        BackEndEvent::Leaving { service, .. } | BackEndEvent::Resting { service, .. } => {
             Some(service)
         }
-        BackEndNews::Limited { .. }
-        | BackEndNews::LimitLifted { .. }
-        | BackEndNews::LimitUnreadable { .. }
-        | BackEndNews::RestUnreadable { .. } => None,
+        BackEndEvent::Limited { .. }
+        | BackEndEvent::LimitLifted { .. }
+        | BackEndEvent::LimitUnreadable { .. }
+        | BackEndEvent::BackoffUnreadable { .. } => None,
     }
 }
 
-fn tell_back_end(news: &BackEndNews) {
+fn tell_back_end(news: &BackEndEvent) {
     match news {
-        BackEndNews::Limited {
+        BackEndEvent::Limited {
             back_end,
             rate,
             before,
         } => emit!(EventId::BackEndLimited, back_end = %back_end, rate, before),
-        BackEndNews::LimitLifted { back_end } => {
+        BackEndEvent::LimitLifted { back_end } => {
             emit!(EventId::BackEndLimitLifted, back_end = %back_end);
         }
-        BackEndNews::LimitUnreadable { back_end } => {
+        BackEndEvent::LimitUnreadable { back_end } => {
             emit!(EventId::BackEndLimitUnreadable, back_end = %back_end);
         }
-        BackEndNews::Leaving { back_end, service } => {
+        BackEndEvent::Leaving { back_end, service } => {
             emit!(EventId::BackEndSaidLeaving, back_end = %back_end, service = %service);
         }
-        BackEndNews::Resting {
+        BackEndEvent::Resting {
             back_end,
             service,
-            rest,
+            backoff,
         } => {
-            let rest_s = rest.as_secs_f64();
+            let rest_s = backoff.as_secs_f64();
             emit!(EventId::BackEndResting, back_end = %back_end, service = %service, rest_s);
         }
-        BackEndNews::RestUnreadable { back_end } => {
+        BackEndEvent::BackoffUnreadable { back_end } => {
             emit!(EventId::RestUnreadable, back_end = %back_end);
         }
     }
--- a/crates/router/src/gateway/exchange.rs
+++ b/crates/router/src/gateway/exchange.rs
@@ -9,8 +9,8 @@
 use futures::future::BoxFuture;
 use futures::stream::{FuturesUnordered, Stream};
 use http_types::Response;
-use threadledge_dispatch::dispatcher::Verdict;
-use threadledge_dispatch::{Attempt, AttemptId, Begun, ExchangeId, Outcome, Step};
+use threadledge_dispatch::dispatcher::NextAction;
+use threadledge_dispatch::{Attempt, AttemptId, ExchangeId, Outcome, StartedExchange, Step};
 use threadledge_net::Instant;
 use threadledge_net::timer::{self, Sleep};
 use threadledge_types::Timestamp;
@@ -67,7 +67,7 @@
     pub(super) fn new(
         attempts: Attempts,
         outbound: Outbound,
-        begun: &Begun,
+        begun: &StartedExchange,
         signal: Arc<Signal>,
     ) -> Self {
         Exchange {
@@ -92,7 +92,7 @@
                     }
                 }
                 Step::Finish(outcome) => return Conclusion::Own(outcome),
-                Step::Over => {
+                Step::Ended => {
                     let reason = threadledge_dispatch::UnknownReason::Broken;
                     return Conclusion::Own(Outcome::Unknown(reason));
                 }
@@ -150,9 +150,11 @@
             back_end,
             ended,
         } = done;
-        let verdict = self.attempts.dispatch.on_attempt(self.id, id, &ended.end);
-        match (verdict, ended.answer) {
-            (Verdict::Deliver, Some(response)) => Some(Conclusion::Answered { response, back_end }),
+        let next_action = self.attempts.dispatch.on_attempt(self.id, id, &ended.end);
+        match (next_action, ended.answer) {
+            (NextAction::Deliver, Some(response)) => {
+                Some(Conclusion::Answered { response, back_end })
+            }
             _ => {
                 self.history.push(PastAttempt {
                     back_end,
--- a/crates/router/src/gateway/key_watch.rs
+++ b/crates/router/src/gateway/key_watch.rs
@@ -42,8 +42,8 @@
             }
             let confirmed = self.sources.confirmed();
             let now_unsure = self.directory.dispatch.with(|dispatcher, now| {
-                dispatcher.confirm_keys(confirmed);
-                dispatcher.keys() > 0 && dispatcher.keys_unsure(now)
+                dispatcher.confirm_api_keys(confirmed);
+                dispatcher.api_key_count() > 0 && dispatcher.api_keys_stale(now)
             });
             if std::mem::replace(&mut unsure, now_unsure) == now_unsure {
                 continue;
@@ -67,7 +67,7 @@
         let has_keys = self
             .directory
             .dispatch
-            .with(|dispatcher, _now| dispatcher.keys() > 0);
+            .with(|dispatcher, _now| dispatcher.api_key_count() > 0);
         followed && has_keys && unconfirmed > self.keys_last / 2
     }
 
--- a/crates/router/src/gateway/log.rs
+++ b/crates/router/src/gateway/log.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use http_types::Request;
-use threadledge_dispatch::{AttemptEnd, Begun, Outcome};
+use threadledge_dispatch::{AttemptEnd, Outcome, StartedExchange};
 use threadledge_net::Instant;
 use threadledge_ports::RequestMetadata;
 use threadledge_suspects::RequestHash;
@@ -67,7 +67,7 @@
         }
     }
 
-    pub(super) fn begun(&mut self, begun: &Begun) {
+    pub(super) fn begun(&mut self, begun: &StartedExchange) {
         self.route = Some(begun.route.name.clone());
         self.service = Some(begun.service.clone());
         if begun.in_transit {
--- a/crates/router/src/gateway/metrics.rs
+++ b/crates/router/src/gateway/metrics.rs
@@ -204,15 +204,15 @@
             let counters = dispatcher.counters();
             let (back_ends, ejected) = dispatcher.back_end_counts(now);
             let version = dispatcher.configuration_version();
-            self.running.set(dispatcher.running() as i64);
-            self.waiting.set(dispatcher.waiting() as i64);
+            self.running.set(dispatcher.open_exchanges() as i64);
+            self.waiting.set(dispatcher.queued_exchanges() as i64);
             self.back_ends.set(back_ends as i64);
             self.ejected.set(ejected as i64);
             self.configuration
                 .set(version.map_or(0, |version| version.0 as i64));
             let tenants = dispatcher.configuration().map(|each| each.tenants.len());
             self.tenants.set(tenants.unwrap_or(0) as i64);
-            self.keys.set(dispatcher.keys() as i64);
+            self.keys.set(dispatcher.api_key_count() as i64);
             self.attempts.set(counters.attempts as i64);
             self.repeats.set(counters.repeats as i64);
             self.hedges.set(counters.hedges as i64);
--- a/crates/router/src/gateway/operate_keys.rs
+++ b/crates/router/src/gateway/operate_keys.rs
@@ -34,13 +34,13 @@
         return Some(answer::own(400, "digest-is-64-hex-digits-of-sha-256", None));
     };
     let state = dispatch.with(|dispatcher, now| {
-        let holder = dispatcher.holder(&digest);
+        let holder = dispatcher.caller_of_key(&digest);
         KeyState {
             tenant: holder.map(|holder| holder.name.to_string()),
             priority: holder.and_then(|holder| holder.priority),
             limit: holder.and_then(|holder| holder.limit),
             version: dispatcher.configuration_version().map(|version| version.0),
-            unsure: dispatcher.keys_unsure(now),
+            unsure: dispatcher.api_keys_stale(now),
         }
     });
     Some(answer::json(&state))
--- a/crates/router/src/gateway/relay.rs
+++ b/crates/router/src/gateway/relay.rs
@@ -146,7 +146,7 @@
         let (fleet, until) = self.sources.fleet_shared_until();
         if let Some(fleet) = fleet {
             self.dispatch
-                .with(|dispatcher, now| dispatcher.set_fleet(now, fleet, Some(until)));
+                .with(|dispatcher, now| dispatcher.set_router_count(now, fleet, Some(until)));
         }
     }
 
--- a/crates/router/src/gateway/requests.rs
+++ b/crates/router/src/gateway/requests.rs
@@ -6,7 +6,7 @@
 
 use http_types::headers::CONNECTION;
 use http_types::{Request, Response};
-use threadledge_dispatch::{ExchangeId, Outcome, Refusal, RequestFacts};
+use threadledge_dispatch::{ExchangeId, Outcome, Refusal, RequestInfo};
 use threadledge_net::ConnectionInfo;
 use threadledge_ports::RequestMetadata;
 use threadledge_tenants::Admission;
@@ -196,16 +196,16 @@
         let identity = identity::of(&inbound, sender, wording);
         line.identity = Some(identity.request).filter(|_| !in_transit);
         let mut outbound = Outbound::new(inbound, caller.request_id);
-        let facts = RequestFacts {
+        let info = RequestInfo {
             method: head.method.as_ref(),
-            call: head.call(),
-            waited: line.elapsed(),
+            head: head.call(),
+            age: line.elapsed(),
             time_left: caller.time_left,
             key: caller.key,
             replayable: outbound.replayable(),
             identity,
         };
-        let (begun, signal) = match self.attempts.dispatch.begin(&facts) {
+        let (begun, signal) = match self.attempts.dispatch.begin(&info) {
             Ok(begun) => begun,
             Err(refusal) => return Served::NotRun(refused(&refusal, line)),
         };
--- a/crates/router/src/gateway/retries.rs
+++ b/crates/router/src/gateway/retries.rs
@@ -39,7 +39,7 @@
 
     /// Takes what the dispatcher counted.
     pub(super) fn update(&self, now: Timestamp, dispatcher: &Dispatcher) {
-        for (service, counts, slack) in dispatcher.retries(now) {
+        for (service, counts, slack) in dispatcher.retry_stats(now) {
             let service = service.as_str();
             let ends = [
                 ("sent", counts.sent),
--- a/crates/router/src/gateway/run.rs
+++ b/crates/router/src/gateway/run.rs
@@ -169,7 +169,7 @@
         if settings.listen.peers.is_none() {
             // Nobody will tell it how many gateways there are.
             let gateways = settings.retry_budget.gateways;
-            dispatcher.set_fleet(clock.now(), gateways, None);
+            dispatcher.set_router_count(clock.now(), gateways, None);
         }
         let (signals, findings) = SuspectSignals::new();
         let dispatch = Arc::new(Dispatch::new(dispatcher, clock, signals));
--- a/crates/router/src/gateway/settings/cores.rs
+++ b/crates/router/src/gateway/settings/cores.rs
@@ -70,7 +70,7 @@
         let defaults = threadledge_dispatch::Settings::default();
         let retry = &self.retry_budget;
         threadledge_dispatch::Settings {
-            places: self.places(),
+            topology: self.places(),
             retry_ratio: retry.ratio * RATIO_PART,
             retry_slack: (retry.slack * SLACK_PART)
                 .floor()
@@ -78,7 +78,7 @@
             retry_window: seconds(retry.window_s),
             cold_overage: self.bounds.cold_overage,
             cold_slack: self.bounds.cold_slack,
-            keys_last: Some(seconds(self.bounds.revoke_s)),
+            api_key_validity: Some(seconds(self.bounds.revoke_s)),
             fail_closed: self.bounds.fail_closed,
             ..defaults
         }
--- a/crates/router/src/gateway/suspects.rs
+++ b/crates/router/src/gateway/suspects.rs
@@ -16,7 +16,7 @@
 
 use async_std::task;
 use parking_lot::Mutex;
-use threadledge_dispatch::dispatcher::Look;
+use threadledge_dispatch::dispatcher::ProcessCheck;
 use threadledge_ports::Ports;
 use threadledge_suspects::{RequestHash, SuspectUpdate, UpdateScope};
 
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub(super) enum Finding {
     /// An attempt broke at this process, which may have ended.
-    Broke(Look),
+    Broke(ProcessCheck),
     /// Processes have ended under requests.
     Crashes,
 }
@@ -122,7 +122,7 @@
         }
         let (before, after) = self.dispatch.with(|dispatcher, now| {
             let before = dispatcher.suspects().changes();
-            dispatcher.take_suspects(now, news);
+            dispatcher.merge_suspects(now, news);
             (before, dispatcher.suspects().changes())
         });
         if let Some(from) = from {
--- a/crates/router/src/gateway/suspects/look.rs
+++ b/crates/router/src/gateway/suspects/look.rs
@@ -8,7 +8,7 @@
 use async_std::task;
 use http_types::headers::{CONNECTION, HOST};
 use http_types::{Method, Request, Url};
-use threadledge_dispatch::dispatcher::Look;
+use threadledge_dispatch::dispatcher::ProcessCheck;
 use threadledge_dispatch::outcome::Rejection;
 use threadledge_net::{ExchangeFault, Instant, Pool, PoolSettings, Stage, timer};
 use threadledge_ports::HeaderCodec;
@@ -80,7 +80,7 @@
     service: SuspectService,
     wording: Arc<dyn HeaderCodec>,
     pool: Pool,
-    look: Look,
+    look: ProcessCheck,
 }
 
 impl Glance {
@@ -112,7 +112,7 @@
     fn is_open(&self) -> bool {
         let process = &self.look.process;
         let dispatch = &self.service.dispatch;
-        dispatch.with(|dispatcher, _now| dispatcher.is_open(process))
+        dispatch.with(|dispatcher, _now| dispatcher.is_unconfirmed(process))
     }
 
     fn answered(&self, sent: Timestamp) {
@@ -154,7 +154,7 @@
     }
 
     fn request(&self) -> Option<Request> {
-        let Look {
+        let ProcessCheck {
             process,
             address,
             health_path,
--- a/crates/router/src/gateway/tokens.rs
+++ b/crates/router/src/gateway/tokens.rs
@@ -58,7 +58,7 @@
             let wanted = self.dispatch.tokens_wanted().next();
             let asks = self
                 .dispatch
-                .with(|dispatcher, _now| dispatcher.take_token_asks());
+                .with(|dispatcher, _now| dispatcher.take_token_requests());
             if asks.is_empty() {
                 wanted.await;
                 continue;
@@ -75,8 +75,8 @@
         let granted = timer::timeout(TOKEN_TIMEOUT, self.granted(&ask)).await;
         self.dispatch
             .with(|dispatcher, now| match granted.ok().flatten() {
-                Some(grants) => dispatcher.on_tokens(now, &ask.service, asked, &grants),
-                None => dispatcher.on_no_tokens(now, &ask.service, &ask.asks),
+                Some(grants) => dispatcher.on_token_grants(now, &ask.service, asked, &grants),
+                None => dispatcher.on_token_request_failed(now, &ask.service, &ask.asks),
             });
     }
 
