--- a/crates/dispatch/src/back_end_events.rs
+++ b/crates/dispatch/src/back_end_events.rs
@@ -1,48 +1,50 @@
-//! What became known of back ends from their own answers.
+//! Events that a router learns about back ends from their responses.
 
 use std::time::Duration;
 
 use threadledge_types::deployment::{BackEndName, ServiceName};
 
-/// What a back end said that concerns later requests.
+/// Something a back end's response headers said that affects later requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BackEndEvent {
-    /// It names a limit, or another one than before.
+    /// The back end reported a rate limit, either its first or a changed one.
     Limited {
         /// The back end.
         back_end: BackEndName,
-        /// The limit that counts, in requests a second.
+        /// The new limit, in requests per second.
         rate: f64,
-        /// The one before.
+        /// The previous limit, if there was one.
         before: Option<f64>,
     },
-    /// It names no limit any more.
+    /// The back end no longer reports a rate limit.
     LimitLifted {
         /// The back end.
         back_end: BackEndName,
     },
-    /// It names something that is no limit: what was known counts on.
+    /// The back end reported a rate limit that cannot be parsed. The previous
+    /// limit, if any, stays in force.
     LimitUnreadable {
         /// The back end.
         back_end: BackEndName,
     },
-    /// It leaves.
+    /// The back end announced that it is shutting down.
     Leaving {
         /// The back end.
         back_end: BackEndName,
         /// Its service.
         service: ServiceName,
     },
-    /// It asked for rest and did not rest before.
+    /// The back end asked for a backoff while none was running.
     Resting {
         /// The back end.
         back_end: BackEndName,
         /// Its service.
         service: ServiceName,
-        /// The rest.
+        /// How long it asked not to be sent requests.
         backoff: Duration,
     },
-    /// It asked for a rest that is no time: it gets the pause of one that is full.
+    /// The back end asked for a backoff that cannot be parsed. It gets the same
+    /// pause as a back end that is full.
     BackoffUnreadable {
         /// The back end.
         back_end: BackEndName,
--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -1,196 +1,205 @@
-//! The retry budget of one service, as one router keeps its part of it.
+//! The retry budget of one service, as kept by one router.
 //!
-//! All routers together may repeat a share of the requests of any window, and
-//! a little besides. Each keeps to the share of its own requests and to a part
-//! of what is allowed besides, so that they need not ask each other.
+//! In any window, all routers together may send retries up to a ratio of the
+//! requests, plus a fixed slack. Each router retries up to the ratio of its own
+//! requests and uses a share of the slack, so that routers need not coordinate
+//! for each retry.
 
 use std::time::Duration;
 
 use threadledge_types::Timestamp;
 
 use crate::counters::RetryCounts;
-use crate::slack::SlackShare;
-
-/// Age from which a retry that is given back counts as late.
-const LATE: Duration = Duration::from_secs(1);
-/// Time between two denials that are told.
-const TELL_EVERY: Duration = Duration::from_secs(1);
-/// Parts into which the window is divided.
-const WINDOW_PARTS: u32 = 20;
-/// Parts that are counted: one more than the window has, so that every window
-/// that slides is covered whole.
-const PARTS: usize = WINDOW_PARTS as usize + 1;
+use crate::slack_bucket::SlackBucket;
+
+/// Age from which a returned permit counts as returned late.
+const LATE_RETURN: Duration = Duration::from_secs(1);
+/// Minimum time between two reports of denied retries.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of buckets into which the sliding window is divided.
+const BUCKETS_PER_WINDOW: u32 = 20;
+/// Number of buckets that are kept: one more than the window has, so that they
+/// always cover a whole window, wherever it starts within a bucket.
+const BUCKET_COUNT: usize = BUCKETS_PER_WINDOW as usize + 1;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
+struct Bucket {
     requests: u32,
     retries: u32,
-    /// Of the retries, what the requests of the window paid for.
-    of_requests: f64,
+    /// The part of the retries that the requests of the window paid for.
+    from_ratio: f64,
 }
 
-/// The right to one retry, and what pays for it.
+/// Permission for one retry, and where it was charged.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Permit {
-    taken: Timestamp,
-    /// The part that the requests of the window pay for.
-    of_requests: f64,
-    /// The rest.
-    of_slack: f64,
+    taken_at: Timestamp,
+    /// The part charged to the ratio of the requests in the window.
+    from_ratio: f64,
+    /// The part charged to the slack.
+    from_slack: f64,
 }
 
-/// Requests and retries of the last window.
+/// Requests and retries of one service in a sliding window, and the limit on
+/// retries.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     ratio: f64,
-    slack: SlackShare,
-    part_length: Duration,
-    parts: [Part; PARTS],
-    /// Number of the newest part since the origin of time.
-    newest: u64,
+    slack: SlackBucket,
+    bucket_length: Duration,
+    buckets: [Bucket; BUCKET_COUNT],
+    /// Number of the newest bucket, counted from the time origin.
+    newest_bucket: u64,
     counts: RetryCounts,
-    /// Denials before the one that was told last, and when that was.
-    told: Option<(u64, Timestamp)>,
+    /// Denials up to the last report, and when that was made.
+    last_report: Option<(u64, Timestamp)>,
 }
 
-/// What a budget allowed and what was used of it.
+/// The usage of a budget, and the slack that it has.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetUsage {
-    /// Requests of the window.
+    /// Requests in the window.
     pub requests: u32,
-    /// Retries of the window.
+    /// Retries in the window.
     pub retries: u32,
-    /// Retries allowed in a window beside those that the requests allow.
+    /// Retries allowed in a window in addition to the ratio of the requests.
     pub slack: f64,
 }
 
 impl RetryBudget {
-    /// A budget of `ratio` retries for each request within each `window`,
-    /// and of no slack yet.
+    /// Creates a budget of `ratio` retries for each request within each
+    /// `window`, without any slack yet.
     pub fn new(now: Timestamp, ratio: f64, window: Duration) -> Self {
         RetryBudget {
             ratio,
-            slack: SlackShare::new(now, window),
-            part_length: window / WINDOW_PARTS,
-            parts: [Part::default(); PARTS],
-            newest: 0,
+            slack: SlackBucket::new(now, window),
+            bucket_length: window / BUCKETS_PER_WINDOW,
+            buckets: [Bucket::default(); BUCKET_COUNT],
+            newest_bucket: 0,
             counts: RetryCounts::default(),
-            told: None,
+            last_report: None,
         }
     }
 
-    /// Changes how many retries are allowed in a window beside those that the
-    /// requests allow, until then; `None`: for good.
-    pub fn set_slack(&mut self, now: Timestamp, slack: f64, until: Option<Timestamp>) {
-        self.slack.set_share(now, slack, until);
+    /// Sets how many retries are allowed in a window in addition to the ratio
+    /// of the requests. The value expires at `valid_until`; `None` means never.
+    pub fn set_slack(&mut self, now: Timestamp, slack: f64, valid_until: Option<Timestamp>) {
+        self.slack.set_rate(now, slack, valid_until);
     }
 
-    /// Retries allowed in a window beside those that the requests allow.
+    /// Retries allowed in a window in addition to the ratio of the requests.
     pub fn slack(&self, now: Timestamp) -> f64 {
-        self.slack.share(now)
+        self.slack.per_window(now)
     }
 
     /// Counts a request.
     pub fn count_request(&mut self, now: Timestamp) {
-        self.current(now).requests += 1;
+        self.current_bucket(now).requests += 1;
     }
 
-    /// Takes the right to one retry.
+    /// Takes a permit for one retry, if the budget allows one.
     pub fn take(&mut self, now: Timestamp) -> Option<Permit> {
-        let permit = self.permit(now);
-        if !self.slack.take(now, permit.of_slack) {
+        let permit = self.price_retry(now);
+        if !self.slack.try_take(now, permit.from_slack) {
             self.counts.denied += 1;
             return None;
         }
-        let part = self.current(now);
-        part.retries += 1;
-        part.of_requests += permit.of_requests;
+        let bucket = self.current_bucket(now);
+        bucket.retries += 1;
+        bucket.from_ratio += permit.from_ratio;
         Some(permit)
     }
 
-    /// What would pay for a retry now: the requests of the window as far as
-    /// they go.
-    fn permit(&mut self, now: Timestamp) -> Permit {
+    /// Computes how a retry would be charged now: to the requests of the window
+    /// as far as they suffice, and to the slack for the rest.
+    fn price_retry(&mut self, now: Timestamp) -> Permit {
         let requests = self.usage(now).requests;
-        let paid: f64 = self.parts.iter().map(|part| part.of_requests).sum();
-        let of_requests = (f64::from(requests) * self.ratio - paid).clamp(0.0, 1.0);
+        let paid: f64 = self.buckets.iter().map(|bucket| bucket.from_ratio).sum();
+        let from_ratio = (f64::from(requests) * self.ratio - paid).clamp(0.0, 1.0);
         Permit {
-            taken: now,
-            of_requests,
-            of_slack: 1.0 - of_requests,
+            taken_at: now,
+            from_ratio,
+            from_slack: 1.0 - from_ratio,
         }
     }
 
-    /// What is used of it.
+    /// The current usage of the budget.
     pub fn usage(&mut self, now: Timestamp) -> BudgetUsage {
-        self.current(now);
+        self.current_bucket(now);
         BudgetUsage {
-            requests: self.parts.iter().map(|part| part.requests).sum(),
-            retries: self.parts.iter().map(|part| part.retries).sum(),
+            requests: self.buckets.iter().map(|bucket| bucket.requests).sum(),
+            retries: self.buckets.iter().map(|bucket| bucket.retries).sum(),
             slack: self.slack(now),
         }
     }
 
-    /// Counts a retry that leaves for a back end.
+    /// Counts a retry that was sent to a back end.
     pub fn count_sent(&mut self) {
         self.counts.sent += 1;
     }
 
-    /// Counts since the start.
+    /// Counts since the process started.
     pub fn counts(&self) -> RetryCounts {
         self.counts
     }
 
-    /// Denials that have not been told; `None` soon after others were.
+    /// Denials since the last report. Returns `None` if the last report was
+    /// less than `REPORT_INTERVAL` ago.
     pub fn take_unreported_denials(&mut self, now: Timestamp) -> Option<u64> {
-        let before = match self.told {
-            Some((_, at)) if now.since(at) < TELL_EVERY => return None,
+        let before = match self.last_report {
+            Some((_, at)) if now.since(at) < REPORT_INTERVAL => return None,
             Some((before, _)) => before,
             None => 0,
         };
-        self.told = Some((self.counts.denied, now));
+        self.last_report = Some((self.counts.denied, now));
         Some(self.counts.denied - before)
     }
 
-    /// Gives the right to a retry back that never left.
+    /// Returns the permit of a retry that was never sent.
     pub fn return_permit(&mut self, now: Timestamp, permit: Permit) {
         self.counts.given_back += 1;
-        if now.since(permit.taken) > LATE {
+        if now.since(permit.taken_at) > LATE_RETURN {
             self.counts.given_back_late += 1;
         }
-        self.slack.give_back(now, permit.of_slack, permit.taken);
-        self.current(now);
-        let Some(part) = self.part_of(permit.taken) else {
+        self.slack
+            .return_unused(now, permit.from_slack, permit.taken_at);
+        self.current_bucket(now);
+        let Some(bucket) = self.bucket_at(permit.taken_at) else {
             return;
         };
-        part.retries = part.retries.saturating_sub(1);
-        part.of_requests = (part.of_requests - permit.of_requests).max(0.0);
+        bucket.retries = bucket.retries.saturating_sub(1);
+        bucket.from_ratio = (bucket.from_ratio - permit.from_ratio).max(0.0);
     }
 
-    /// The part that a time lies in, unless it has left the window.
-    fn part_of(&mut self, at: Timestamp) -> Option<&mut Part> {
-        let number = self.number(at);
-        let kept = number <= self.newest && number + PARTS as u64 > self.newest;
-        kept.then(|| &mut self.parts[(number % PARTS as u64) as usize])
+    /// The bucket of a point in time, unless it has left the window.
+    fn bucket_at(&mut self, at: Timestamp) -> Option<&mut Bucket> {
+        let number = self.bucket_number(at);
+        let kept =
+            number <= self.newest_bucket && number + BUCKET_COUNT as u64 > self.newest_bucket;
+        kept.then(|| &mut self.buckets[(number % BUCKET_COUNT as u64) as usize])
     }
 
-    fn current(&mut self, now: Timestamp) -> &mut Part {
-        let number = self.number(now);
-        let passed = number.saturating_sub(self.newest).min(PARTS as u64);
+    /// The bucket of `now`. Clears the buckets between the newest one and this
+    /// one.
+    fn current_bucket(&mut self, now: Timestamp) -> &mut Bucket {
+        let number = self.bucket_number(now);
+        let passed = number
+            .saturating_sub(self.newest_bucket)
+            .min(BUCKET_COUNT as u64);
         for step in 1..=passed {
-            let index = (self.newest + step) % PARTS as u64;
-            self.parts[index as usize] = Part::default();
+            let index = (self.newest_bucket + step) % BUCKET_COUNT as u64;
+            self.buckets[index as usize] = Bucket::default();
         }
-        if passed == PARTS as u64 {
-            self.parts = [Part::default(); PARTS];
+        if passed == BUCKET_COUNT as u64 {
+            self.buckets = [Bucket::default(); BUCKET_COUNT];
         }
-        self.newest = self.newest.max(number);
-        &mut self.parts[(self.newest % PARTS as u64) as usize]
+        self.newest_bucket = self.newest_bucket.max(number);
+        &mut self.buckets[(self.newest_bucket % BUCKET_COUNT as u64) as usize]
     }
 
-    /// Number of the part that a time lies in, since the origin of time.
-    fn number(&self, at: Timestamp) -> u64 {
-        let length = u64::try_from(self.part_length.as_micros())
+    /// Number of the bucket of a point in time, counted from the time origin.
+    fn bucket_number(&self, at: Timestamp) -> u64 {
+        let length = u64::try_from(self.bucket_length.as_micros())
             .unwrap_or(1)
             .max(1);
         at.as_micros() / length
--- a/crates/dispatch/src/counters.rs
+++ b/crates/dispatch/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counts of what a dispatcher did.
+//! Counters of a dispatcher.
 
 use std::collections::BTreeMap;
 
@@ -6,60 +6,60 @@
 
 use crate::outcome::{RefusalReason, UnknownReason};
 
-/// Retries of one service since the start.
+/// Retries of one service since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryCounts {
     /// Retries that were sent to a back end.
     pub sent: u64,
-    /// Retries that the budget did not allow.
+    /// Retries that the budget denied.
     pub denied: u64,
-    /// Retries that were allowed and never left.
+    /// Retries that the budget allowed but that were never sent.
     pub given_back: u64,
-    /// Of those, the ones that were allowed more than a second before.
+    /// The part of `given_back` that was allowed more than a second earlier.
     pub given_back_late: u64,
 }
 
-/// The budget of a service did not allow retries.
+/// The retries of a service that its budget denied since the last report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryDenials {
     /// The service.
     pub service: ServiceName,
-    /// Retries denied since the denial that was told before.
+    /// Number of denied retries since the last report.
     pub denied: u64,
-    /// Requests of the window.
+    /// Requests in the budget's window.
     pub requests: u32,
-    /// Retries of the window.
+    /// Retries in the budget's window.
     pub retries: u32,
-    /// Retries that this router may make in a window beside those that its
-    /// requests allow.
+    /// Retries that this router may send in a window in addition to the ratio
+    /// of its requests.
     pub slack: f64,
-    /// Routers that share the slack of the fleet, as far as it is known.
+    /// Number of routers that share the slack, if known.
     pub routers: Option<u32>,
 }
 
-/// Counts since the start.
+/// Counts since the process started.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests that began.
+    /// Requests that were started.
     pub started: u64,
     /// Requests that a back end answered.
     pub answered: u64,
     /// Requests that were refused, by reason.
     pub refused: BTreeMap<RefusalReason, u64>,
-    /// Requests of which nobody knows whether they ran, by reason.
+    /// Requests that may or may not have run, by reason.
     pub unknown: BTreeMap<UnknownReason, u64>,
-    /// Requests whose caller left.
+    /// Requests whose caller disconnected before a response.
     pub abandoned: u64,
-    /// Attempts made.
+    /// Attempts that were started.
     pub attempts: u64,
-    /// Attempts beyond the first that arrived at a back end.
+    /// Attempts after the first of a request that may have reached a back end.
     pub repeats: u64,
-    /// Repeats made beside an attempt that had no answer yet.
+    /// Hedged attempts: those started while another attempt was in flight.
     pub hedges: u64,
-    /// Repeats that the retry budget did not allow.
+    /// Repeated attempts that the retry budget denied.
     pub repeats_denied: u64,
-    /// Times that a back end was left alone for a while.
+    /// Times that a back end was ejected.
     pub ejections: u64,
-    /// Processes that ended while they ran a request from here.
+    /// Processes that crashed while they ran a request of this router.
     pub crashes: u64,
 }
--- a/crates/dispatch/src/decaying_mean.rs
+++ b/crates/dispatch/src/decaying_mean.rs
@@ -1,14 +1,15 @@
-//! A mean of samples that weigh the less the older they are, kept as samples
-//! come and go: asking for it costs the same however many there are.
+//! A mean of samples whose weights decay exponentially with their age. It is
+//! maintained incrementally: reading it takes the same time for any number of
+//! samples.
 
 use std::time::Duration;
 
 use threadledge_types::Timestamp;
 
-/// Weight of all samples together below which they tell nothing any more.
-const LEAST_WEIGHT: f64 = 1e-9;
+/// Total weight below which the samples are too old to be meaningful.
+const MIN_TOTAL_WEIGHT: f64 = 1e-9;
 
-/// What was measured, and when.
+/// A measured value and its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sample {
     /// The value.
@@ -17,21 +18,23 @@
     pub at: Timestamp,
 }
 
-/// The mean of some samples.
+/// The decaying mean of a set of samples.
 #[derive(Clone, Debug)]
 pub struct DecayingMean {
     half_life: Duration,
-    /// Weight of a sample of zero that is always there and never fades.
+    /// Weight of a constant sample of zero, which never decays.
     zero_weight: f64,
-    /// Sum of the samples by their weights at `as_of`, and of these weights.
+    /// Weighted sum of the samples, and sum of their weights, both as of
+    /// `updated`.
     sum: f64,
     weight: f64,
     samples: usize,
-    as_of: Timestamp,
+    updated: Timestamp,
 }
 
 impl DecayingMean {
-    /// Of no samples yet, beside a zero of this weight.
+    /// Creates a mean without samples, apart from a constant zero of weight
+    /// `zero_weight`.
     pub fn new(half_life: Duration, zero_weight: f64) -> Self {
         DecayingMean {
             half_life,
@@ -39,13 +42,13 @@
             sum: 0.0,
             weight: 0.0,
             samples: 0,
-            as_of: Timestamp::ZERO,
+            updated: Timestamp::ZERO,
         }
     }
 
-    /// A sample takes the place of the one before it, if there was one.
+    /// Replaces the sample `before`, if any, by `after`, if any.
     pub fn replace(&mut self, now: Timestamp, before: Option<Sample>, after: Option<Sample>) {
-        self.fade(now);
+        self.decay_to(now);
         if let Some(before) = before {
             self.samples = self.samples.saturating_sub(1);
             self.add(before, -1.0);
@@ -55,36 +58,37 @@
             self.add(after, 1.0);
         }
         if self.samples == 0 {
-            // Nothing of what was rounded stays.
+            // Discards accumulated rounding errors.
             self.sum = 0.0;
             self.weight = 0.0;
         }
     }
 
-    /// The mean as of now; zero without samples.
+    /// The mean as of `now`; zero without samples.
     pub fn mean(&self, now: Timestamp) -> f64 {
-        let kept = self.kept_since(self.as_of, now);
-        if self.weight * kept < LEAST_WEIGHT {
+        let factor = self.decay_factor(self.updated, now);
+        if self.weight * factor < MIN_TOTAL_WEIGHT {
             return 0.0;
         }
-        self.sum * kept / (self.weight * kept + self.zero_weight)
+        self.sum * factor / (self.weight * factor + self.zero_weight)
     }
 
+    /// Adds a sample with its current weight, or removes it if `sign` is -1.
     fn add(&mut self, sample: Sample, sign: f64) {
-        let weight = self.kept_since(sample.at, self.as_of) * sign;
+        let weight = self.decay_factor(sample.at, self.updated) * sign;
         self.sum += sample.value * weight;
         self.weight += weight;
     }
 
-    fn fade(&mut self, now: Timestamp) {
-        let kept = self.kept_since(self.as_of, now);
-        self.sum *= kept;
-        self.weight *= kept;
-        self.as_of = self.as_of.max(now);
+    fn decay_to(&mut self, now: Timestamp) {
+        let factor = self.decay_factor(self.updated, now);
+        self.sum *= factor;
+        self.weight *= factor;
+        self.updated = self.updated.max(now);
     }
 
-    /// What is left at `now` of a weight of one at `then`.
-    fn kept_since(&self, then: Timestamp, now: Timestamp) -> f64 {
+    /// Factor by which a weight decays from `then` to `now`.
+    fn decay_factor(&self, then: Timestamp, now: Timestamp) -> f64 {
         let half_lives = now.since(then).as_secs_f64() / self.half_life.as_secs_f64();
         (-half_lives).exp2()
     }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,14 +1,15 @@
-//! Joins routes, back ends, ownership, budgets and waiting requests.
+//! The dispatcher: connects routes, back ends, key ownership, retry budgets and
+//! waiting requests.
 
-mod admitting;
+mod admission;
 mod attempts;
 mod crashes;
-mod ending;
+mod finish;
 mod limits;
+mod next_step;
 mod retries;
 mod signals;
-mod steps;
-mod waiting;
+mod wait_queue;
 
 pub use crashes::ProcessCheck;
 
@@ -32,147 +33,161 @@
 use crate::budget::RetryBudget;
 use crate::counters::{Counters, RetryDenials};
 use crate::exchange::Exchange;
-use crate::limited::LimitedBackEnds;
-use crate::not_held::NotHeld;
-use crate::observed::ObservedLoad;
+use crate::key_refusals::KeyRefusals;
+use crate::limited_back_ends::LimitedBackEnds;
+use crate::observed_load::ObservedLoad;
 use crate::outcome::{Refusal, RefusalReason};
 use crate::request::{ExchangeId, RequestInfo};
 use crate::routes::{RouteTable, WeightedRoundRobin};
 use crate::settings::Settings;
 
-/// An exchange that has begun.
+/// An exchange that has been started.
 #[derive(Clone, Debug)]
 pub struct StartedExchange {
-    /// Its number.
+    /// The exchange's identifier.
     pub id: ExchangeId,
-    /// The route that it takes.
+    /// The route that the request matched.
     pub route: Arc<Route>,
-    /// The service that it goes to.
+    /// The service that the request goes to.
     pub service: ServiceName,
-    /// Whose caller sends it, by the configuration in force.
+    /// The tenant of the caller, according to the configuration in force.
     pub caller: Option<Arc<TenantPolicy>>,
-    /// When it must have been answered.
+    /// When the request must have been answered.
     pub deadline: Timestamp,
-    /// It must not leave certain regions, and this router is in none of them:
-    /// nothing of it is kept here.
+    /// The request must not leave certain regions, and this router is in none
+    /// of them: it only forwards the request and must not record its content.
     pub in_transit: bool,
 }
 
-/// What follows from the end of an attempt.
+/// What the caller of the dispatcher does after an attempt has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextAction {
-    /// The back end's answer goes to the caller.
+    /// Send the back end's response to the caller.
     Deliver,
-    /// Ask [`Dispatcher::next`] what to do.
+    /// Call [`Dispatcher::next`].
     CallNext,
 }
 
-/// The decisions of one router's request path.
+/// Makes all decisions of one router's request path. It performs no I/O; see
+/// the crate documentation.
 #[derive(Debug)]
 pub struct Dispatcher {
     settings: Settings,
+    /// Random numbers for choosing back ends.
     random: ChaCha8Rng,
     configuration: Option<Arc<Configuration>>,
     routes: RouteTable,
-    /// The tenants of the configuration by their keys.
-    keys: KeyIndex,
-    /// The keys that are known were surely in force then.
-    keys_confirmed: Timestamp,
-    dealers: HashMap<RouteName, WeightedRoundRobin>,
-    /// Draws where dealers and turns begin, apart from the draws of choices.
-    starts: ChaCha8Rng,
-    /// Requests a second that a cold back end of each service should get from
-    /// all routers together.
+    /// Index of the configuration's tenants by API key.
+    api_keys: KeyIndex,
+    /// The latest time at which the known API keys were confirmed to be
+    /// current.
+    api_keys_confirmed_at: Timestamp,
+    /// For each route, the distribution of its requests over its destinations.
+    round_robins: HashMap<RouteName, WeightedRoundRobin>,
+    /// Random numbers for the offsets of round robins and turns, separate from
+    /// those for choosing back ends.
+    offset_random: ChaCha8Rng,
+    /// For each service, the rate, in requests per second, at which all routers
+    /// together should send to one of its cold back ends.
     cold_rates: BTreeMap<ServiceName, f64>,
     back_ends: BackEnds,
     ownership: BTreeMap<ServiceName, OwnershipView>,
-    budgets: BTreeMap<ServiceName, RetryBudget>,
-    not_held: NotHeld,
-    limited: LimitedBackEnds,
-    /// Back ends that asked for a rest that is no time.
-    odd_rests: BTreeSet<BackEndName>,
-    /// What back ends said and was not told.
-    news: Vec<BackEndEvent>,
-    /// Load of services divided by key, since the last report.
-    observed: BTreeMap<ServiceName, ObservedLoad>,
+    retry_budgets: BTreeMap<ServiceName, RetryBudget>,
+    key_refusals: KeyRefusals,
+    limited_back_ends: LimitedBackEnds,
+    /// Back ends that requested a backoff that could not be parsed.
+    unreadable_backoffs: BTreeSet<BackEndName>,
+    /// Events that have not been fetched yet.
+    back_end_events: Vec<BackEndEvent>,
+    /// Load of services with keys since the last load report.
+    observed_load: BTreeMap<ServiceName, ObservedLoad>,
     exchanges: HashMap<ExchangeId, Exchange>,
-    /// Exchanges that wait for a slot or an owner, most urgent first.
+    /// Exchanges that wait for a slot or an owner, in order of priority.
     waiting: BTreeMap<ServiceName, BTreeSet<(u32, ExchangeId)>>,
+    /// Exchanges whose next step may have changed; see
+    /// [`Dispatcher::take_woken`].
     woken: Vec<ExchangeId>,
     next_exchange: u64,
     counters: Counters,
-    /// Denials of retries that have not been told.
+    /// Denied retries that have not been reported yet.
     denials: Vec<RetryDenials>,
-    /// Routers of the deployment, if their number is known.
-    fleet: Option<u32>,
-    /// Since when it is known.
-    fleet_known: Option<Timestamp>,
-    /// Until when the slack is shared by it; `None`: for good.
-    slack_until: Option<Timestamp>,
-    /// Requests that crash back ends, as all routers know them.
+    /// Number of routers in the deployment, if known.
+    router_count: Option<u32>,
+    /// When the number of routers first became known.
+    router_count_since: Option<Timestamp>,
+    /// When the number of routers expires as a divisor of slack and limits;
+    /// `None` means never.
+    router_count_valid_until: Option<Timestamp>,
+    /// Requests suspected of crashing back ends, as reported by all routers.
     suspects: Suspects,
-    /// Attempts that broke, while it is open whether their process ended.
-    unconfirmed: UnconfirmedCrashes,
-    confirmed: Vec<BrokenAttempt>,
+    /// Attempts that ended without a response and whose process is not known
+    /// yet to have crashed or to go on.
+    unconfirmed_breaks: UnconfirmedCrashes,
+    /// Crashes that have not been fetched yet.
+    crashes: Vec<BrokenAttempt>,
+    /// Health checks that have not been fetched yet.
     process_checks: Vec<ProcessCheck>,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows nothing yet.
+    /// Creates a dispatcher without any configuration or back ends.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let mut starts = ChaCha8Rng::seed_from_u64(seed);
-        starts.set_stream(1);
+        let mut offset_random = ChaCha8Rng::seed_from_u64(seed);
+        offset_random.set_stream(1);
         Dispatcher {
             settings,
             random: ChaCha8Rng::seed_from_u64(seed),
             configuration: None,
             routes: RouteTable::default(),
-            keys: KeyIndex::default(),
-            keys_confirmed: Timestamp::ZERO,
-            dealers: HashMap::new(),
-            starts,
+            api_keys: KeyIndex::default(),
+            api_keys_confirmed_at: Timestamp::ZERO,
+            round_robins: HashMap::new(),
+            offset_random,
             cold_rates: BTreeMap::new(),
             back_ends: BackEnds::default(),
             ownership: BTreeMap::new(),
-            budgets: BTreeMap::new(),
-            not_held: NotHeld::default(),
-            limited: LimitedBackEnds::default(),
-            odd_rests: BTreeSet::new(),
-            news: Vec::new(),
-            observed: BTreeMap::new(),
+            retry_budgets: BTreeMap::new(),
+            key_refusals: KeyRefusals::default(),
+            limited_back_ends: LimitedBackEnds::default(),
+            unreadable_backoffs: BTreeSet::new(),
+            back_end_events: Vec::new(),
+            observed_load: BTreeMap::new(),
             exchanges: HashMap::new(),
             waiting: BTreeMap::new(),
             woken: Vec::new(),
             next_exchange: 0,
             counters: Counters::default(),
             denials: Vec::new(),
-            fleet: None,
-            fleet_known: None,
-            slack_until: None,
+            router_count: None,
+            router_count_since: None,
+            router_count_valid_until: None,
             suspects: Suspects::default(),
-            unconfirmed: UnconfirmedCrashes::default(),
-            confirmed: Vec::new(),
+            unconfirmed_breaks: UnconfirmedCrashes::default(),
+            crashes: Vec::new(),
             process_checks: Vec::new(),
         }
     }
 
     /// Time between two requests of this router to one cold back end of a
-    /// service; `None` where cold ones bear as much as others. While the number
-    /// of routers is not known, there are no such requests.
+    /// service. `None` means that cold back ends of the service can handle as
+    /// much as warm ones. While the number of routers is unknown, nothing is
+    /// sent to cold back ends.
     ///
-    /// Invariant: while back ends are cold, all routers together stay below
-    /// what one of them may get in any second, save by a chance of one in
+    /// Invariant: while back ends are cold, all routers together stay below the
+    /// bound of each in any second, except with a probability of about one in
     /// millions.
     pub(super) fn cold_interval(&self, service: &ServiceName) -> Option<Duration> {
         let rate = self.cold_rates.get(service)?;
-        let Some(routers) = self.fleet else {
-            return Some(LONGEST_TURN);
+        let Some(routers) = self.router_count else {
+            return Some(MAX_COLD_INTERVAL);
         };
         let interval = Duration::try_from_secs_f64(f64::from(routers) / rate);
-        Some(interval.map_or(LONGEST_TURN, |interval| interval.min(LONGEST_TURN)))
+        Some(interval.map_or(MAX_COLD_INTERVAL, |interval| {
+            interval.min(MAX_COLD_INTERVAL)
+        }))
     }
 
-    /// Counts since the start.
+    /// Counts since the process started.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
@@ -187,32 +202,32 @@
         self.configuration.as_ref()
     }
 
-    /// Requests that have no outcome yet.
+    /// Number of requests that have no outcome yet.
     pub fn open_exchanges(&self) -> usize {
         self.exchanges.len()
     }
 
-    /// Requests that wait for a slot or an owner.
+    /// Number of requests that wait for a slot or an owner.
     pub fn queued_exchanges(&self) -> usize {
         self.waiting.values().map(BTreeSet::len).sum()
     }
 
-    /// Back ends that are registered, and of those the ones left alone.
+    /// Number of registered back ends, and how many of them are ejected.
     pub fn back_end_counts(&self, now: Timestamp) -> (usize, usize) {
         let all = self.back_ends.all().count();
         let ejected = self
             .back_ends
             .all()
-            .filter(|known| known.ejected(now))
+            .filter(|state| state.is_ejected(now))
             .count();
         (all, ejected)
     }
 
-    /// Puts a configuration in force, unless a later one is.
+    /// Puts a configuration in force and returns the changes of API keys.
+    /// Returns `None` if the current configuration is as new or newer.
     ///
-    /// Invariant: within one life, no configuration is followed by an older.
-    ///
-    /// What became of callers' keys; `None`: a later configuration is in force.
+    /// Invariant: during the life of a process, no configuration is replaced by
+    /// an older one.
     pub fn set_configuration(
         &mut self,
         now: Timestamp,
@@ -222,92 +237,97 @@
             return None;
         }
         self.routes = RouteTable::of(&configuration);
-        let keys = self.follow_keys(&configuration);
+        let key_changes = self.update_api_keys(&configuration);
         self.cold_rates = self.settings.cold_rates(&configuration);
         let routes = &configuration.routes;
-        self.dealers
+        self.round_robins
             .retain(|name, _| routes.iter().any(|route| route.name == *name));
         self.configuration = Some(configuration);
-        self.serve_all(now);
-        Some(keys)
+        self.wake_all(now);
+        Some(key_changes)
     }
 
-    /// Takes the back ends that are registered now. Returns addresses at
-    /// which nobody is registered any more.
+    /// Replaces the set of registered back ends. Returns the addresses at which
+    /// no back end is registered any more.
     pub fn set_back_ends(&mut self, now: Timestamp, back_ends: &[BackEnd]) -> Vec<SocketAddr> {
-        let left = self.back_ends.set(now, back_ends, &mut self.starts);
-        self.look_for_gone();
+        let released = self.back_ends.set(now, back_ends, &mut self.offset_random);
+        self.check_unregistered_processes();
         self.forget_old_limits(now);
-        self.serve_all(now);
-        left
+        self.wake_all(now);
+        released
     }
 
-    /// The same for back ends that changed and names of those that are gone.
+    /// Applies an incremental update: back ends that were added or changed, and
+    /// the names of those that were removed. Returns the same as
+    /// [`Dispatcher::set_back_ends`].
     pub fn update_back_ends(
         &mut self,
         now: Timestamp,
         changed: &[BackEnd],
-        gone: &[BackEndName],
+        removed: &[BackEndName],
     ) -> Vec<SocketAddr> {
-        if changed.is_empty() && gone.is_empty() {
+        if changed.is_empty() && removed.is_empty() {
             return Vec::new();
         }
-        let left = self.back_ends.change(now, changed, gone, &mut self.starts);
-        self.look_for_gone();
+        let released = self
+            .back_ends
+            .update(now, changed, removed, &mut self.offset_random);
+        self.check_unregistered_processes();
         self.forget_old_limits(now);
-        self.serve_all(now);
-        left
+        self.wake_all(now);
+        released
     }
 
-    /// Takes the owners of the keys of a service.
+    /// Replaces the view of which back ends own the keys of a service.
     pub fn set_ownership(&mut self, now: Timestamp, service: ServiceName, view: OwnershipView) {
         self.ownership.insert(service.clone(), view);
-        self.not_held.forget_old(now);
-        self.serve_waiting(now, &service);
+        self.key_refusals.forget_old(now);
+        self.wake_waiting(now, &service);
     }
 
-    /// Owners of the keys of a service, as known here.
+    /// The current view of which back ends own the keys of a service.
     pub fn ownership(&self, service: &ServiceName) -> Option<&OwnershipView> {
         self.ownership.get(service)
     }
 
-    /// What was seen of the load of a service divided by key since the last
-    /// report.
+    /// Load of a service with keys since the last call, with the back ends that
+    /// are leaving.
     pub fn take_load_report(&mut self, service: &ServiceName) -> LoadReport {
-        let observed = self.observed.remove(service);
+        let observed = self.observed_load.remove(service);
         let mut report = observed.map(ObservedLoad::into_report).unwrap_or_default();
-        report.leaving = self.back_ends.leaving_untold(service);
+        report.leaving = self.back_ends.unreported_leaving(service);
         report
     }
 
-    /// The part of a report that tells which back ends said that they leave, or
-    /// asked this router for rest.
+    /// A load report that contains only the back ends that are leaving or asked
+    /// this router for a backoff.
     pub fn unavailability_report(&self, now: Timestamp, service: &ServiceName) -> LoadReport {
         LoadReport {
-            leaving: self.back_ends.leaving_untold(service),
+            leaving: self.back_ends.unreported_leaving(service),
             resting: self.back_ends.resting(now, service),
             ..LoadReport::default()
         }
     }
 
-    /// Exchanges whose next step may have changed.
+    /// Exchanges whose next step may have changed; the caller should call
+    /// [`Dispatcher::next`] for them.
     pub fn take_woken(&mut self) -> Vec<ExchangeId> {
         std::mem::take(&mut self.woken)
     }
 
-    /// Whether requests of this host and path may be repeated, and so run in
-    /// any order; not those without a route.
+    /// Whether requests for this host and path may be repeated, and therefore
+    /// run in any order. False without a route.
     pub fn is_repeatable(&self, host: &str, path: &str) -> bool {
         self.routes
             .find(host, path)
             .is_some_and(|route| route.repeatable)
     }
 
-    /// Begins an exchange.
+    /// Starts an exchange.
     ///
     /// # Errors
     ///
-    /// The refusal with which it is answered at once.
+    /// The refusal to send to the caller at once.
     pub fn begin(
         &mut self,
         now: Timestamp,
@@ -321,6 +341,7 @@
         begun
     }
 
+    /// Starts an exchange without counting a refusal.
     fn start(
         &mut self,
         now: Timestamp,
@@ -334,13 +355,13 @@
             tenant: caller,
             ..
         } = admission;
-        let starts = &mut self.starts;
-        let dealer = self
-            .dealers
+        let offset_random = &mut self.offset_random;
+        let round_robin = self
+            .round_robins
             .entry(route.name.clone())
-            .or_insert_with(|| WeightedRoundRobin::with_offset(starts.random()));
-        let chosen = dealer.next(&route.destinations);
-        let Some(destination) = route.destinations.get(chosen) else {
+            .or_insert_with(|| WeightedRoundRobin::with_offset(offset_random.random()));
+        let index = round_robin.next(&route.destinations);
+        let Some(destination) = route.destinations.get(index) else {
             return Err(refusal(RefusalReason::NoBackEnd));
         };
         let service = destination.service.clone();
@@ -348,21 +369,21 @@
             return Err(refusal(RefusalReason::CrashesBackEnds));
         }
         let services = self.configuration.as_ref().map(|each| &each.services);
-        let keyed = services.and_then(|services| services.get(&service));
-        let keyed = keyed.is_some_and(|service| service.keyed);
+        let service_config = services.and_then(|services| services.get(&service));
+        let keyed = service_config.is_some_and(|service| service.keyed);
         if keyed && info.key.is_none() {
             return Err(refusal(RefusalReason::MissingKey));
         }
         if let Some(key) = info.key.filter(|_| keyed) {
-            let observed = self.observed.entry(service.clone()).or_default();
-            observed.request(key);
+            let observed = self.observed_load.entry(service.clone()).or_default();
+            observed.count_request(key);
         }
-        let held = info
+        let time_limit = info
             .time_left
             .map_or(route.timeout, |left| left.min(route.timeout));
         let in_transit = self.in_transit(allowed_regions.as_ref());
         let started = now - info.age;
-        let deadline = started + held;
+        let deadline = started + time_limit;
         let queue_timeout = route
             .target_latency
             .mul_f64(self.settings.queue_timeout_ratio);
@@ -375,14 +396,14 @@
             service: service.clone(),
             started,
             deadline,
-            patience_until: (started + queue_timeout).min(deadline),
+            queue_deadline: (started + queue_timeout).min(deadline),
             replayable: info.replayable,
-            body_gone: false,
-            next_attempt: 0,
-            sent: 0,
-            arrived: 0,
+            body_unavailable: false,
+            attempts_started: 0,
+            possibly_run: 0,
+            possibly_arrived: 0,
             in_flight: BTreeMap::new(),
-            tried: BTreeSet::new(),
+            tried_back_ends: BTreeSet::new(),
             may_have_run: None,
             hedged: false,
             identity: info.identity,
@@ -390,7 +411,7 @@
             allowed_regions,
         };
         self.exchanges.insert(id, exchange);
-        self.budget(now, &service).count_request(now);
+        self.retry_budget(now, &service).count_request(now);
         Ok(StartedExchange {
             id,
             route,
@@ -402,30 +423,33 @@
     }
 
     /// Whether a request must not leave certain regions, and this router is in
-    /// none of them: it passes the request on and keeps nothing of it.
+    /// none of them. The router then only forwards the request and must not
+    /// record its content.
     pub fn passes_through(&self, admission: &Admission) -> bool {
         self.in_transit(admission.allowed_regions().as_ref())
     }
 
+    /// Whether this router is outside of all allowed regions.
     fn in_transit(&self, allowed: Option<&BTreeSet<RegionName>>) -> bool {
         let topology = &self.settings.topology;
         allowed.is_some_and(|allowed| !topology.is_within(topology.zone(), allowed))
     }
 }
 
-/// Longest time between two requests of one router to a cold back end: longer
-/// than any is cold, so that more makes no difference.
-const LONGEST_TURN: Duration = Duration::from_secs(3_600);
+/// Longest time between two requests of one router to a cold back end. It
+/// exceeds any cold start, so that a longer time would make no difference.
+const MAX_COLD_INTERVAL: Duration = Duration::from_secs(3_600);
 
-/// What callers are told to wait when nothing better is known.
+/// Retry-after time if nothing better is known.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// What the caller of a request is told to wait that crashes back ends: until
-/// an operator lets it go, coming back helps nobody.
+/// Retry-after time of requests that crash back ends. Retrying is pointless
+/// until an operator releases the request.
 const HELD_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// What operators are told of a request. Gateways of all regions and the store
-/// keep it: of one that must not leave its regions it names the route only.
+/// Describes a request to operators. The description is stored and sent to the
+/// gateways of all regions, so for a request that must not leave its regions it
+/// contains only the route.
 fn label(info: &RequestInfo<'_>, route: &Route, restricted: bool) -> String {
     if restricted {
         return format!("{} route {}", info.method, route.name);
@@ -433,6 +457,7 @@
     format!("{} {}{}", info.method, info.head.host, info.head.path)
 }
 
+/// A refusal with the default retry-after time of its reason.
 fn refusal(reason: RefusalReason) -> Refusal {
     let retry_after = match reason {
         RefusalReason::NoRoute
--- a/crates/dispatch/src/dispatcher/admitting.rs
+++ b/crates/dispatch/src/dispatcher/admission.rs
@@ -1,4 +1,4 @@
-//! Decides from a request's head whether its caller may use its route.
+//! Decides from the head of a request whether its caller may use its route.
 
 use std::collections::BTreeMap;
 
@@ -11,12 +11,13 @@
 use crate::request::RequestHead;
 
 impl Dispatcher {
-    /// Decides before anything of the body is read. An exchange that begins
-    /// later is held to the configuration that is in force then.
+    /// Decides before any of the body is read. If an exchange starts later,
+    /// [`Dispatcher::begin`] decides again by the configuration that is then in
+    /// force.
     ///
     /// # Errors
     ///
-    /// The refusal with which the request is answered at once.
+    /// The refusal to send to the caller at once.
     pub fn check_admission(
         &mut self,
         now: Timestamp,
@@ -30,22 +31,24 @@
         admission
     }
 
-    /// Number of callers' keys in the configuration in force.
+    /// Number of API keys in the configuration in force.
     pub fn api_key_count(&self) -> usize {
-        self.keys.len()
+        self.api_keys.len()
     }
 
-    /// The keys that are known were surely in force at `at`: the store said so
-    /// then, to this router or to one that told it.
+    /// Records that the known API keys were current at `at`, as confirmed by
+    /// the store to this router or to another one that passed it on.
     pub fn confirm_api_keys(&mut self, at: Timestamp) {
-        self.keys_confirmed = self.keys_confirmed.max(at);
+        self.api_keys_confirmed_at = self.api_keys_confirmed_at.max(at);
     }
 
-    /// The tenant that holds a key, by the configuration in force.
+    /// The tenant of an API key, according to the configuration in force.
     pub fn caller_of_key(&self, key: &KeyDigest) -> Option<&TenantPolicy> {
-        self.keys.find(key).map(AsRef::as_ref)
+        self.api_keys.find(key).map(AsRef::as_ref)
     }
 
+    /// The same as [`Dispatcher::check_admission`], but without counting
+    /// refusals.
     pub(super) fn resolve_admission(
         &self,
         now: Timestamp,
@@ -57,13 +60,13 @@
         let Some(route) = self.routes.find(head.host, head.path) else {
             return Err(refusal(RefusalReason::NoRoute));
         };
-        let asks_keys = !configuration.tenants.is_empty();
-        let caller = authorize(&self.keys, asks_keys, route, head.api_key);
-        let unsure = self.api_keys_stale(now);
+        let keys_required = !configuration.tenants.is_empty();
+        let caller = authorize(&self.api_keys, keys_required, route, head.api_key);
+        let stale = self.api_keys_stale(now);
         let caller = match caller {
-            Err(AuthError::UnknownKey) if unsure => Err(RefusalReason::KeysOutOfDate),
+            Err(AuthError::UnknownKey) if stale => Err(RefusalReason::KeysOutOfDate),
             Err(denied) => Err(reason(denied)),
-            Ok(Some(_)) if unsure && self.settings.fail_closed => Err(RefusalReason::KeysOutOfDate),
+            Ok(Some(_)) if stale && self.settings.fail_closed => Err(RefusalReason::KeysOutOfDate),
             Ok(caller) => Ok(caller),
         };
         let caller = caller.map_err(refusal)?;
@@ -79,23 +82,25 @@
         Ok(admission)
     }
 
-    /// Whether it is too long since it was sure which keys are known.
+    /// Whether the last confirmation that the known API keys are current is too
+    /// old.
     pub fn api_keys_stale(&self, now: Timestamp) -> bool {
-        let unconfirmed = now.since(self.keys_confirmed);
+        let unconfirmed_for = now.since(self.api_keys_confirmed_at);
         let api_key_validity = self.settings.api_key_validity;
-        api_key_validity.is_some_and(|api_key_validity| unconfirmed > api_key_validity)
+        api_key_validity.is_some_and(|api_key_validity| unconfirmed_for > api_key_validity)
     }
 
     pub(super) fn count_refusal(&mut self, refusal: &Refusal) {
         *self.counters.refused.entry(refusal.reason).or_default() += 1;
     }
 
-    /// Goes on to the keys of a later configuration.
-    pub(super) fn follow_keys(&mut self, later: &Configuration) -> KeyChanges {
+    /// Updates the API keys to those of a newer configuration and returns the
+    /// changes.
+    pub(super) fn update_api_keys(&mut self, next: &Configuration) -> KeyChanges {
         let none = BTreeMap::new();
-        let known = self.configuration.as_ref();
-        let known = known.map_or(&none, |known| &known.tenants);
-        self.keys.update(known, &later.tenants)
+        let current = self.configuration.as_ref();
+        let current = current.map_or(&none, |current| &current.tenants);
+        self.api_keys.update(current, &next.tenants)
     }
 }
 
--- a/crates/dispatch/src/dispatcher/attempts.rs
+++ b/crates/dispatch/src/dispatcher/attempts.rs
@@ -1,29 +1,33 @@
-//! Leave to send an attempt, and what follows from its end.
+//! Permission to send an attempt, and the consequences of its end.
 
 use threadledge_coordination::KeyOwner;
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{BackEndName, ServiceName};
 
 use super::{Dispatcher, NextAction};
-use crate::back_ends::Known;
-use crate::exchange::InFlight;
+use crate::back_ends::BackEndState;
+use crate::exchange::InFlightAttempt;
 use crate::outcome::{AttemptEnd, Fault, Rejection, ReportedLoad, UnknownReason};
 use crate::request::{AttemptId, ExchangeId};
 
-/// Part of the usual time of work below which no work can have been done.
-const TOO_SOON: f64 = 0.25;
+/// Fraction of the average service time within which a back end cannot have
+/// done any work.
+const MIN_SERVICE_TIME_FRACTION: f64 = 0.25;
 
 impl Dispatcher {
-    /// Whether an attempt may be sent now, asked right before its first byte.
+    /// Whether an attempt may be sent now. To be called right before its first
+    /// byte is written.
     ///
-    /// Invariants: a leaving, resting or vanished back end gets nothing new, one
-    /// that names a limit nothing beyond it, and a key's request goes to its owner
-    /// only, however long a connection took to open.
+    /// Invariants, however long opening a connection took: a back end that is
+    /// leaving, backing off or no longer registered gets no new requests, one
+    /// with a rate limit gets nothing beyond the limit, and a request with a
+    /// key only goes to the key's owner.
     pub fn may_send(&mut self, now: Timestamp, id: ExchangeId, attempt: AttemptId) -> bool {
         let Some(exchange) = self.exchanges.get_mut(&id) else {
             return false;
         };
-        // Another router may have found out while a connection was opened.
+        // Another router may have reported the request while a connection was
+        // being opened.
         if now >= exchange.deadline || self.suspects.is_held(&exchange.identity) {
             return false;
         }
@@ -31,9 +35,10 @@
             return false;
         };
         let keyed = exchange.key.is_some();
-        let known = self.back_ends.get(&in_flight.back_end);
-        let takes = |known: &Known| known.takes_requests() && known.rests_until(now).is_none();
-        if !known.is_some_and(takes) {
+        let state = self.back_ends.get(&in_flight.back_end);
+        let accepts =
+            |state: &BackEndState| state.accepts_requests() && state.backoff_until(now).is_none();
+        if !state.is_some_and(accepts) {
             return false;
         }
         if let Some(key) = exchange.key {
@@ -55,18 +60,18 @@
         if let Some(in_flight) = exchange.in_flight.get_mut(&attempt) {
             in_flight.sent = true;
         }
-        let retry = exchange.arrived > 0;
-        exchange.sent += 1;
-        exchange.arrived += 1;
-        if retry {
+        let is_retry = exchange.possibly_arrived > 0;
+        exchange.possibly_run += 1;
+        exchange.possibly_arrived += 1;
+        if is_retry {
             let service = exchange.service.clone();
             self.counters.repeats += 1;
-            self.budget(now, &service).count_sent();
+            self.retry_budget(now, &service).count_sent();
         }
         true
     }
 
-    /// An attempt ended.
+    /// Processes the end of an attempt.
     pub fn on_attempt_end(
         &mut self,
         now: Timestamp,
@@ -77,101 +82,108 @@
         let Some(in_flight) = self.remove_attempt(id, attempt) else {
             return NextAction::CallNext;
         };
-        self.learn(now, id, &in_flight, end);
-        self.look_for_crash(now, id, &in_flight, end);
-        let verdict = self.judge(now, id, &in_flight, end);
-        if verdict == NextAction::Deliver {
+        self.update_estimates(now, id, &in_flight, end);
+        self.record_crash_evidence(now, id, &in_flight, end);
+        let action = self.conclude_attempt(now, id, &in_flight, end);
+        if action == NextAction::Deliver {
             self.counters.answered += 1;
-            self.end(id);
+            self.remove_exchange(id);
         }
         let service = self.service_of_back_end(&in_flight.back_end);
         if let Some(service) = service {
-            self.serve_waiting(now, &service);
+            self.wake_waiting(now, &service);
         }
-        verdict
+        action
     }
 
+    /// Removes an attempt from its exchange and from its back end.
     pub(super) fn remove_attempt(
         &mut self,
         id: ExchangeId,
         attempt: AttemptId,
-    ) -> Option<InFlight> {
+    ) -> Option<InFlightAttempt> {
         let exchange = self.exchanges.get_mut(&id)?;
         let in_flight = exchange.in_flight.remove(&attempt)?;
-        if let Some(known) = self.back_ends.get_mut(&in_flight.back_end) {
-            known.in_flight.remove(&(id, attempt));
+        if let Some(state) = self.back_ends.get_mut(&in_flight.back_end) {
+            state.in_flight.remove(&(id, attempt));
         }
         Some(in_flight)
     }
 
     pub(super) fn service_of_back_end(&self, name: &BackEndName) -> Option<ServiceName> {
-        let known = self.back_ends.get(name)?;
-        Some(known.back_end.service.clone())
+        let state = self.back_ends.get(name)?;
+        Some(state.back_end.service.clone())
     }
 
-    /// What the end of an attempt tells of its back end.
-    pub(super) fn learn(
+    /// Updates the estimates of a back end after an attempt.
+    pub(super) fn update_estimates(
         &mut self,
         now: Timestamp,
         id: ExchangeId,
-        in_flight: &InFlight,
+        in_flight: &InFlightAttempt,
         end: &AttemptEnd,
     ) {
         let Some(exchange) = self.exchanges.get(&id) else {
             return;
         };
-        let usual = self.back_ends.usual(now, &exchange.service);
-        let Some(known) = self.back_ends.get_mut(&in_flight.back_end) else {
+        let averages = self.back_ends.averages(now, &exchange.service);
+        let Some(state) = self.back_ends.get_mut(&in_flight.back_end) else {
             return;
         };
-        let before = known.estimate.clone();
-        let own = u32::try_from(known.in_flight.len()).unwrap_or(u32::MAX);
-        let mut told = |load: &Option<ReportedLoad>| {
+        let before = state.estimate.clone();
+        let own_requests = u32::try_from(state.in_flight.len()).unwrap_or(u32::MAX);
+        let mut record_load = |load: &Option<ReportedLoad>| {
             if let Some(load) = load {
-                known.estimate.told(now, *load, own);
+                state.estimate.on_reported_load(now, *load, own_requests);
             }
         };
         match end {
             AttemptEnd::Answered { failed, load } => {
-                told(load);
+                record_load(load);
                 if let Some(key) = exchange.key {
-                    self.not_held.held(&exchange.service, key);
+                    self.key_refusals.on_answered(&exchange.service, key);
                 }
                 if !failed {
-                    let took = now.since(in_flight.chosen_at);
+                    let latency = now.since(in_flight.chosen_at);
                     if exchange.key.is_some() {
-                        let work_s = took.as_secs_f64() / in_flight.crowding.max(1.0);
-                        let observed = self.observed.entry(exchange.service.clone());
-                        observed.or_default().answered(&in_flight.back_end, work_s);
+                        let service_time_s = latency.as_secs_f64() / in_flight.load_factor.max(1.0);
+                        let observed = self.observed_load.entry(exchange.service.clone());
+                        observed
+                            .or_default()
+                            .add_service_time(&in_flight.back_end, service_time_s);
                     }
-                    known
+                    state
                         .estimate
-                        .measured(now, took, in_flight.crowding, &usual);
+                        .add_service_time(now, latency, in_flight.load_factor, &averages);
                 }
-                known.on_answer();
+                state.on_answer();
             }
             AttemptEnd::NotRun { reason, load } => {
-                told(load);
+                record_load(load);
                 if *reason == Rejection::Busy && load.is_none() {
-                    known.on_full(now);
+                    state.on_full(now);
                 }
                 if *reason == Rejection::OtherInstance {
-                    known.on_other_instance();
+                    state.on_other_instance();
                 }
             }
             AttemptEnd::Failed(fault) => {
-                // A connection that breaks before any work can have been done
-                // is how some back ends say that they are full.
-                let soon = now.since(in_flight.chosen_at).as_secs_f64() < usual.work_s * TOO_SOON;
-                if *fault == Fault::Broken && soon {
-                    known.on_full(now);
+                // Some back ends break connections when they are full. A
+                // connection that breaks before any work can have been done is
+                // taken for that.
+                let too_early = now.since(in_flight.chosen_at).as_secs_f64()
+                    < averages.service_time_s * MIN_SERVICE_TIME_FRACTION;
+                if *fault == Fault::Broken && too_early {
+                    state.on_full(now);
                 }
                 if *fault == Fault::NoConnection {
-                    known.on_no_connection(now);
+                    state.on_no_connection(now);
                 }
-                // What the caller did says nothing. A deadline says more about the request than about the back
-                // end, and a connection closed before a byte left says nothing.
-                let counts = !matches!(
+                // A failure of the caller says nothing about the back end. A
+                // timeout says more about the request than about the back end,
+                // and a connection that closed before a byte was sent says
+                // nothing either.
+                let is_back_end_fault = !matches!(
                     fault,
                     Fault::TimedOut
                         | Fault::NoConnection
@@ -179,64 +191,70 @@
                         | Fault::BodyGone
                         | Fault::CallerBroke
                 );
-                if counts && known.on_fault(now, *fault, &self.settings) {
+                if is_back_end_fault && state.on_fault(now, *fault, &self.settings) {
                     self.counters.ejections += 1;
                 }
             }
             AttemptEnd::Abandoned => {}
         }
         let name = &in_flight.back_end;
-        self.back_ends.estimate_changed(now, name, &before);
+        self.back_ends.on_estimate_change(now, name, &before);
     }
 
-    /// What the end of an attempt means for its exchange.
-    pub(super) fn judge(
+    /// Updates the exchange after an attempt and decides how it goes on.
+    pub(super) fn conclude_attempt(
         &mut self,
         now: Timestamp,
         id: ExchangeId,
-        in_flight: &InFlight,
+        in_flight: &InFlightAttempt,
         end: &AttemptEnd,
     ) -> NextAction {
-        let pause = self.settings.owner_retry_delay;
-        let never_arrived = match end {
+        let initial_delay = self.settings.owner_retry_delay;
+        let did_not_arrive = match end {
             AttemptEnd::Failed(fault) => !fault.may_have_run(),
             AttemptEnd::Abandoned => !in_flight.sent,
             AttemptEnd::Answered { .. } | AttemptEnd::NotRun { .. } => false,
         };
-        if never_arrived {
-            self.take_back(now, id, in_flight);
+        if did_not_arrive {
+            self.undo_attempt(now, id, in_flight);
         }
         let Some(exchange) = self.exchanges.get_mut(&id) else {
             return NextAction::CallNext;
         };
         match end {
             AttemptEnd::Answered { failed, .. } => {
-                let again = *failed && exchange.may_repeat() && exchange.route.repeatable;
-                if !again {
+                let may_retry = *failed && exchange.may_repeat() && exchange.route.repeatable;
+                if !may_retry {
                     return NextAction::Deliver;
                 }
-                exchange.tried.insert(in_flight.back_end.clone());
+                exchange.tried_back_ends.insert(in_flight.back_end.clone());
                 exchange.may_have_run = Some(UnknownReason::BadAnswer);
             }
             AttemptEnd::NotRun { reason, .. } => match reason {
                 Rejection::Malformed => return NextAction::Deliver,
                 Rejection::NotOwner => {
-                    // It ran nowhere, and the next owner is another back end.
-                    exchange.sent = exchange.sent.saturating_sub(1);
+                    // The request did not run, and its next owner is another
+                    // back end.
+                    exchange.possibly_run = exchange.possibly_run.saturating_sub(1);
                     let view = self.ownership.get(&exchange.service);
                     if let (Some(key), Some(view)) = (exchange.key, view) {
                         let (_, fence) = view.owner(key);
-                        self.not_held
-                            .refused(now, &exchange.service, key, fence, pause);
+                        self.key_refusals.on_refused(
+                            now,
+                            &exchange.service,
+                            key,
+                            fence,
+                            initial_delay,
+                        );
                     }
                 }
                 Rejection::Busy | Rejection::OtherInstance => {
-                    exchange.tried.insert(in_flight.back_end.clone());
+                    exchange.tried_back_ends.insert(in_flight.back_end.clone());
                 }
             },
             AttemptEnd::Failed(fault) => {
-                exchange.tried.insert(in_flight.back_end.clone());
-                exchange.body_gone |= matches!(fault, Fault::BodyGone | Fault::CallerBroke);
+                exchange.tried_back_ends.insert(in_flight.back_end.clone());
+                exchange.body_unavailable |= matches!(fault, Fault::BodyGone | Fault::CallerBroke);
                 if fault.may_have_run() {
                     exchange.may_have_run = Some((*fault).into());
                 }
@@ -250,22 +268,28 @@
         NextAction::CallNext
     }
 
-    /// An attempt never arrived: it counts neither for the route's bound nor
-    /// for the budget.
-    pub(super) fn take_back(&mut self, now: Timestamp, id: ExchangeId, in_flight: &InFlight) {
+    /// Undoes the accounting of an attempt that did not reach the back end: it
+    /// counts neither towards the route's maximum nor towards the retry budget.
+    pub(super) fn undo_attempt(
+        &mut self,
+        now: Timestamp,
+        id: ExchangeId,
+        in_flight: &InFlightAttempt,
+    ) {
         let Some(exchange) = self.exchanges.get_mut(&id) else {
             return;
         };
         if in_flight.sent {
-            exchange.sent = exchange.sent.saturating_sub(1);
-            exchange.arrived = exchange.arrived.saturating_sub(1);
+            exchange.possibly_run = exchange.possibly_run.saturating_sub(1);
+            exchange.possibly_arrived = exchange.possibly_arrived.saturating_sub(1);
         }
         if let Some(ends) = in_flight.send_by.filter(|_| exchange.key.is_some()) {
-            self.limited.put_back(now, &in_flight.back_end, ends);
+            self.limited_back_ends
+                .return_token(now, &in_flight.back_end, ends);
         }
-        if let Some(permit) = in_flight.retry {
+        if let Some(permit) = in_flight.retry_permit {
             let service = exchange.service.clone();
-            self.budget(now, &service).return_permit(now, permit);
+            self.retry_budget(now, &service).return_permit(now, permit);
         }
     }
 }
--- a/crates/dispatch/src/dispatcher/crashes.rs
+++ b/crates/dispatch/src/dispatcher/crashes.rs
@@ -1,9 +1,10 @@
-//! Requests that crash the back ends that run them: evidence, what a first or
-//! second crash changes, and the end of it with the third.
+//! Requests that crash the back ends that run them: collects the evidence,
+//! restricts suspects after one and two crashes, and blocks the request after
+//! the third.
 //!
-//! Nothing of a request used to outlive its exchange, so that each try of its
-//! caller, at whatever router, cost one or two back ends: 24 runs in 12 tries
-//! through three routers, measured with back ends that end under it; now 3.
+//! Without memory beyond an exchange, each retry by the caller, at any router,
+//! cost one or two more back ends: 24 runs in 12 tries through three routers,
+//! measured with back ends that end when they run the request. Now it is 3.
 
 use std::net::SocketAddr;
 
@@ -14,119 +15,124 @@
 use threadledge_types::deployment::BackEndName;
 
 use super::{Dispatcher, HELD_RETRY_AFTER};
-use crate::exchange::{Exchange, InFlight};
+use crate::exchange::{Exchange, InFlightAttempt};
 use crate::outcome::{AttemptEnd, Fault, RefusalReason, Rejection};
 use crate::request::{ExchangeId, Step};
 
-/// Crashes from which on a request is sent with care: once in an exchange, and
-/// one exchange at a time. The next crash holds it.
-const CAREFUL_FROM: usize = CRASHES_UNTIL_HELD - 1;
-/// Length of what operators are told of a request, in characters.
-const LABEL: usize = 160;
+/// Number of crashes from which a suspect is restricted: it is sent once per
+/// exchange, and by one exchange at a time. The next crash blocks it.
+const CAUTION_THRESHOLD: usize = CRASHES_UNTIL_HELD - 1;
+/// Maximum length of the description of a request for operators, in characters.
+const MAX_LABEL_CHARS: usize = 160;
 
-/// A process that is to be looked at: whether it answers.
+/// A process whose health is to be checked by the gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProcessCheck {
     /// The process.
     pub process: BackEndName,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
     /// Path of its health check.
     pub health_path: String,
-    /// The connection did not break; no answer came in time.
+    /// The attempt timed out; its connection did not break.
     pub silent: bool,
 }
 
 impl Dispatcher {
-    /// Requests under suspicion, as known here.
+    /// Requests suspected of crashing back ends, as known to this router.
     pub fn suspects(&self) -> &Suspects {
         &self.suspects
     }
 
-    /// Takes what another router knows of requests under suspicion. Says
-    /// whether any of it was new.
+    /// Merges what another router knows of suspects. Returns whether any of it
+    /// was new.
     pub fn merge_suspects(&mut self, now: Timestamp, news: &SuspectUpdate) -> bool {
         let new = self.suspects.merge(news, now);
         if new {
-            self.presume_open();
-            self.serve_all(now);
+            self.presume_unconfirmed();
+            self.wake_all(now);
         }
         new
     }
 
-    /// An operator lets a request go. Says whether it was known.
+    /// Releases a suspect on behalf of an operator. Returns whether it was
+    /// known.
     pub fn release_suspect(&mut self, now: Timestamp, request: RequestHash) -> bool {
         self.suspects.release(now, request)
     }
 
-    /// Crashes that were confirmed or presumed here since this was asked last.
+    /// Crashes that were confirmed or presumed by this router since the last
+    /// call.
     pub fn take_crashes(&mut self) -> Vec<BrokenAttempt> {
-        std::mem::take(&mut self.confirmed)
+        std::mem::take(&mut self.crashes)
     }
 
-    /// Whether it is still open what became of a process.
+    /// Whether it is still unknown if a process crashed.
     pub fn is_unconfirmed(&self, process: &BackEndName) -> bool {
-        self.unconfirmed.contains(process)
+        self.unconfirmed_breaks.contains(process)
     }
 
-    /// Whether [`Dispatcher::take_crashes`] has any.
+    /// Whether [`Dispatcher::take_crashes`] would return any.
     pub fn has_crashes(&self) -> bool {
-        !self.confirmed.is_empty()
+        !self.crashes.is_empty()
     }
 
-    /// Processes at which an attempt broke and that are to be looked at.
+    /// Processes at which an attempt broke and whose health is to be checked.
     pub fn take_process_checks(&mut self) -> Vec<ProcessCheck> {
         std::mem::take(&mut self.process_checks)
     }
 
-    /// Nobody answers at the address of a process, or another process does: it
-    /// has ended.
+    /// Records that a process has ended, because nothing answers at its address
+    /// or another process does.
     pub fn process_ended(&mut self, process: &BackEndName) {
-        for found in self.unconfirmed.remove_ended(process) {
+        for record in self.unconfirmed_breaks.remove_ended(process) {
             let BrokenAttempt {
                 identity,
                 label,
                 at,
                 ..
-            } = &found;
-            // It was answered elsewhere meanwhile: nothing to tell anybody.
+            } = &record;
+            // The request has been answered elsewhere since, so this crash is
+            // no evidence against it.
             if self.suspects.succeeded_since(*at, identity) {
                 continue;
             }
             let new = self.suspects.record_crash(*at, identity, process, label);
-            if new || found.presumed {
+            if new || record.presumed {
                 self.counters.crashes += 1;
                 let presumed = false;
-                self.confirmed.push(BrokenAttempt { presumed, ..found });
+                self.crashes.push(BrokenAttempt { presumed, ..record });
             }
         }
-        self.presume_open();
+        self.presume_unconfirmed();
     }
 
-    /// Looks at the breaks that were open when the crash before the last became
-    /// known.
-    fn presume_open(&mut self) {
-        let open = self.unconfirmed.not_presumed();
-        let last = open.filter(|found| self.suspects.crashes_of(&found.identity) >= CAREFUL_FROM);
-        let last: Vec<BrokenAttempt> = last.cloned().collect();
-        for mut found in last {
-            self.presume(&mut found);
-            if found.presumed {
-                self.unconfirmed
-                    .mark_presumed(&found.process, &found.identity);
+    /// Re-examines the unconfirmed breaks of requests that have reached
+    /// [`CAUTION_THRESHOLD`] crashes.
+    fn presume_unconfirmed(&mut self) {
+        let unconfirmed = self.unconfirmed_breaks.not_presumed();
+        let presumable = unconfirmed
+            .filter(|record| self.suspects.crashes_of(&record.identity) >= CAUTION_THRESHOLD);
+        let presumable: Vec<BrokenAttempt> = presumable.cloned().collect();
+        for mut record in presumable {
+            self.presume(&mut record);
+            if record.presumed {
+                self.unconfirmed_breaks
+                    .mark_presumed(&record.process, &record.identity);
             }
         }
     }
 
-    /// Counts a break as a crash until its process answers, if the request has
-    /// crashed so many that the next one holds it.
+    /// Counts a break as a crash until its process answers, if the request is
+    /// one crash away from being blocked.
     ///
-    /// Behind a proxy that takes connections for a process that has ended only
-    /// a registration tells, 2.5 s later. Until then other gateways sent the
-    /// request on, and what was open was lost with all gateways: 6 and 4 runs
-    /// too late where 3 are allowed (soak seeds 3509, 3511).
-    fn presume(&mut self, found: &mut BrokenAttempt) {
-        if self.suspects.crashes_of(&found.identity) < CAREFUL_FROM {
+    /// Behind a proxy that accepts connections for a process that has ended,
+    /// only the missing registration shows the crash, 2.5 s later. Until then,
+    /// other gateways kept sending the request, and unconfirmed breaks were
+    /// lost when all gateways ended: the request ran 6 and 4 times after it
+    /// should have been blocked, where 3 are allowed (soak seeds 3509, 3511).
+    fn presume(&mut self, record: &mut BrokenAttempt) {
+        if self.suspects.crashes_of(&record.identity) < CAUTION_THRESHOLD {
             return;
         }
         let BrokenAttempt {
@@ -135,21 +141,21 @@
             process,
             at,
             ..
-        } = &*found;
+        } = &*record;
         if self.suspects.record_crash(*at, identity, process, label) {
-            found.presumed = true;
-            self.confirmed.push(found.clone());
+            record.presumed = true;
+            self.crashes.push(record.clone());
         }
     }
 
-    /// What the end of an attempt tells of crashes. Processes count and not
-    /// breaks: links that are reset and answers that are lost leave the
-    /// process as it was, and what it answers later shows that.
-    pub(super) fn look_for_crash(
+    /// Evaluates the end of an attempt as evidence of a crash. Crashed
+    /// processes count, not broken connections: a reset link or a lost response
+    /// leaves the process running, as its later responses show.
+    pub(super) fn record_crash_evidence(
         &mut self,
         now: Timestamp,
         id: ExchangeId,
-        in_flight: &InFlight,
+        in_flight: &InFlightAttempt,
         end: &AttemptEnd,
     ) {
         let process = &in_flight.back_end;
@@ -157,7 +163,7 @@
             AttemptEnd::Answered { .. } => {
                 self.process_answered(in_flight.chosen_at, process);
                 if let Some(exchange) = self.exchanges.get(&id) {
-                    self.unconfirmed.on_success(&exchange.identity);
+                    self.unconfirmed_breaks.on_success(&exchange.identity);
                     self.suspects.record_success(now, &exchange.identity);
                 }
             }
@@ -182,23 +188,23 @@
         }
     }
 
-    /// The process answered what was sent to it at `sent`.
+    /// Records that a process responded to a request sent at `sent`.
     pub fn process_answered(&mut self, sent: Timestamp, process: &BackEndName) {
-        self.unconfirmed.on_response(sent, process);
+        self.unconfirmed_breaks.on_response(sent, process);
         self.suspects.record_response(sent, process);
     }
 
-    /// Processes that are not registered any more, or at whose address another
-    /// one registered later, have ended, if an attempt broke there.
-    pub(super) fn look_for_gone(&mut self) {
-        for process in self.unconfirmed.processes() {
-            if !self.back_ends.runs(&process) {
+    /// Treats processes with unconfirmed breaks as ended if they are no longer
+    /// registered or if another process registered later at their address.
+    pub(super) fn check_unregistered_processes(&mut self) {
+        for process in self.unconfirmed_breaks.processes() {
+            if !self.back_ends.is_current_process(&process) {
                 self.process_ended(&process);
             }
         }
     }
 
-    /// An attempt ended without an answer, or none came in time.
+    /// Records an attempt that ended without a response or timed out.
     pub(super) fn attempt_broke(
         &mut self,
         now: Timestamp,
@@ -209,21 +215,22 @@
         let Some(exchange) = self.exchanges.get(&id) else {
             return;
         };
-        let mut found = BrokenAttempt {
+        let mut record = BrokenAttempt {
             identity: exchange.identity,
-            label: exchange.label.chars().take(LABEL).collect(),
+            label: exchange.label.chars().take(MAX_LABEL_CHARS).collect(),
             process: process.clone(),
             at: now,
             presumed: false,
         };
-        self.presume(&mut found);
-        if self.unconfirmed.add(found) {
-            let look = self.look(process, silent);
-            self.process_checks.extend(look);
+        self.presume(&mut record);
+        if self.unconfirmed_breaks.add(record) {
+            let check = self.process_check(process, silent);
+            self.process_checks.extend(check);
         }
     }
 
-    fn look(&self, process: BackEndName, silent: bool) -> Option<ProcessCheck> {
+    /// The health check of a registered process.
+    fn process_check(&self, process: BackEndName, silent: bool) -> Option<ProcessCheck> {
         let back_end = &self.back_ends.get(&process)?.back_end;
         let services = &self.configuration.as_ref()?.services;
         let health_path = services.get(&back_end.service)?.health_path.clone();
@@ -236,35 +243,38 @@
         })
     }
 
-    /// What to do with an exchange whose request is under suspicion; `None`:
-    /// what is done with any other.
-    pub(super) fn step_of_suspect(&mut self, now: Timestamp, id: ExchangeId) -> Option<Step> {
+    /// The next step for an exchange whose request is a suspect; `None` if it
+    /// is handled like any other.
+    pub(super) fn next_step_for_suspect(&mut self, now: Timestamp, id: ExchangeId) -> Option<Step> {
         let exchange = self.exchanges.get(&id)?;
         let crashes = self.suspects.crashes_of(&exchange.identity);
-        let open = self.unconfirmed.possible_crashes(&exchange.identity);
+        let unconfirmed = self.unconfirmed_breaks.possible_crashes(&exchange.identity);
         if crashes >= CRASHES_UNTIL_HELD {
             return Some(self.finish_held(now, id));
         }
-        if crashes + open < CAREFUL_FROM {
+        if crashes + unconfirmed < CAUTION_THRESHOLD {
             return None;
         }
-        if exchange.sent > 0 {
+        if exchange.possibly_run > 0 {
             return Some(self.finish_held(now, id));
         }
-        let others = self.exchanges.iter();
-        let same = |other: &Exchange| other.identity.request == exchange.identity.request;
-        let mut at_work = others.filter(|(other, _)| **other != id);
-        if !at_work.any(|(_, other)| same(other) && !other.in_flight.is_empty()) {
+        let exchanges = self.exchanges.iter();
+        let is_same_request =
+            |other: &Exchange| other.identity.request == exchange.identity.request;
+        let mut other_exchanges = exchanges.filter(|(other, _)| **other != id);
+        if !other_exchanges.any(|(_, other)| is_same_request(other) && !other.in_flight.is_empty())
+        {
             return None;
         }
-        // What becomes of the other one decides; it is asked again soon.
-        let again = now + self.settings.owner_retry_delay;
-        if again >= exchange.patience_until {
+        // The result of the other exchange decides; check again shortly.
+        let retry_at = now + self.settings.owner_retry_delay;
+        if retry_at >= exchange.queue_deadline {
             return Some(self.finish(now, id, RefusalReason::Overloaded, None));
         }
-        Some(Step::Wait(again))
+        Some(Step::Wait(retry_at))
     }
 
+    /// Refuses a request because it crashes back ends.
     fn finish_held(&mut self, now: Timestamp, id: ExchangeId) -> Step {
         self.finish(
             now,
--- a/crates/dispatch/src/dispatcher/ending.rs
+++ b/crates/dispatch/src/dispatcher/finish.rs
@@ -1,4 +1,4 @@
-//! The end of an exchange that no answer ends.
+//! Ends exchanges that did not get a response.
 
 use std::time::Duration;
 
@@ -10,34 +10,39 @@
 use crate::request::{ExchangeId, Step};
 
 impl Dispatcher {
-    /// The caller left, or the shell gave the exchange up.
+    /// Ends an exchange because the caller disconnected or the gateway gave it
+    /// up.
     pub fn abandon(&mut self, now: Timestamp, id: ExchangeId) {
         let Some(exchange) = self.exchanges.get(&id) else {
             return;
         };
         let service = exchange.service.clone();
         self.counters.abandoned += 1;
-        self.end(id);
-        self.serve_waiting(now, &service);
+        self.remove_exchange(id);
+        self.wake_waiting(now, &service);
     }
 
-    pub(super) fn finish_late(&mut self, now: Timestamp, id: ExchangeId) -> Step {
+    /// Ends an exchange whose deadline has passed. Attempts in flight may have
+    /// run.
+    pub(super) fn finish_at_deadline(&mut self, now: Timestamp, id: ExchangeId) -> Step {
         if let Some(exchange) = self.exchanges.get_mut(&id) {
-            let sent = exchange.in_flight.values().filter(|flight| flight.sent);
-            let silent: Vec<BackEndName> = sent.map(|flight| flight.back_end.clone()).collect();
-            if !silent.is_empty() {
+            let sent = exchange.in_flight.values().filter(|attempt| attempt.sent);
+            let unanswered: Vec<BackEndName> =
+                sent.map(|attempt| attempt.back_end.clone()).collect();
+            if !unanswered.is_empty() {
                 exchange.may_have_run = Some(UnknownReason::DeadlinePassed);
             }
-            // A process that ended without a word shows it by its silence only.
-            for process in silent {
+            // A process that crashed without closing its connection can only be
+            // recognised by its silence.
+            for process in unanswered {
                 self.attempt_broke(now, id, process, true);
             }
         }
         self.finish(now, id, RefusalReason::DeadlinePassed, None)
     }
 
-    /// Ends an exchange that no answer ends. Invariant: it is refused only if
-    /// nothing of it can have run.
+    /// Ends an exchange without a response and returns the step that tells the
+    /// caller. Invariant: it is refused only if no attempt can have run.
     pub(super) fn finish(
         &mut self,
         now: Timestamp,
@@ -64,19 +69,20 @@
             }
         }
         let service = exchange.service.clone();
-        self.end(id);
-        self.serve_waiting(now, &service);
+        self.remove_exchange(id);
+        self.wake_waiting(now, &service);
         Step::Finish(outcome)
     }
 
-    pub(super) fn end(&mut self, id: ExchangeId) {
-        self.stop_waiting(id);
+    /// Removes an exchange and its attempts from all tables.
+    pub(super) fn remove_exchange(&mut self, id: ExchangeId) {
+        self.dequeue(id);
         let Some(exchange) = self.exchanges.remove(&id) else {
             return;
         };
         for (attempt, in_flight) in exchange.in_flight {
-            if let Some(known) = self.back_ends.get_mut(&in_flight.back_end) {
-                known.in_flight.remove(&(id, attempt));
+            if let Some(state) = self.back_ends.get_mut(&in_flight.back_end) {
+                state.in_flight.remove(&(id, attempt));
             }
         }
     }
--- a/crates/dispatch/src/dispatcher/signals.rs
+++ b/crates/dispatch/src/dispatcher/signals.rs
@@ -1,4 +1,5 @@
-//! What back ends say in their answers that concerns later requests.
+//! Processes what back ends report in their responses that affects later
+//! requests.
 
 use std::time::Duration;
 
@@ -11,8 +12,8 @@
 use crate::request::{AttemptId, ExchangeId};
 
 impl Dispatcher {
-    /// The head of an answer to an attempt came, whatever becomes of the
-    /// answer.
+    /// Processes the head of a response to an attempt, whatever becomes of the
+    /// response.
     pub fn on_response_head(
         &mut self,
         now: Timestamp,
@@ -20,7 +21,7 @@
         attempt: AttemptId,
         signals: &Signals,
     ) {
-        if *signals == Signals::default() && self.limited.is_empty() {
+        if *signals == Signals::default() && self.limited_back_ends.is_empty() {
             return;
         }
         let exchange = self.exchanges.get(&id);
@@ -29,37 +30,38 @@
             return;
         };
         let back_end = in_flight.back_end.clone();
-        let chosen = in_flight.chosen_at;
-        self.hear_limit(now, &back_end, chosen, signals.limit);
+        let chosen_at = in_flight.chosen_at;
+        self.on_reported_limit(now, &back_end, chosen_at, signals.limit);
         if signals.leaving {
-            self.hear_leaving(now, &back_end);
+            self.on_leaving(now, &back_end);
         }
         match signals.backoff {
             RequestedBackoff::None => {}
-            RequestedBackoff::For(backoff) => self.hear_rest(now, &back_end, backoff),
-            RequestedBackoff::Unreadable => self.hear_unreadable_rest(back_end),
+            RequestedBackoff::For(backoff) => self.on_backoff_requested(now, &back_end, backoff),
+            RequestedBackoff::Unreadable => self.on_unreadable_backoff(back_end),
         }
     }
 
-    /// What back ends said since this was asked last.
+    /// Events of back ends since the last call.
     pub fn take_back_end_events(&mut self) -> Vec<BackEndEvent> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.back_end_events)
     }
 
-    fn hear_leaving(&mut self, now: Timestamp, back_end: &BackEndName) {
+    fn on_leaving(&mut self, now: Timestamp, back_end: &BackEndName) {
         let is_new = self.back_ends.on_leaving(now, back_end);
         let service = self.service_of_back_end(back_end).filter(|_| is_new);
         if let Some(service) = service {
             let back_end = back_end.clone();
-            self.news.push(BackEndEvent::Leaving { back_end, service });
+            self.back_end_events
+                .push(BackEndEvent::Leaving { back_end, service });
         }
     }
 
-    fn hear_rest(&mut self, now: Timestamp, back_end: &BackEndName, backoff: Duration) {
-        let begins = self.back_ends.on_rest(now, back_end, backoff);
-        let service = self.service_of_back_end(back_end).filter(|_| begins);
+    fn on_backoff_requested(&mut self, now: Timestamp, back_end: &BackEndName, backoff: Duration) {
+        let is_new = self.back_ends.on_backoff_requested(now, back_end, backoff);
+        let service = self.service_of_back_end(back_end).filter(|_| is_new);
         if let Some(service) = service {
-            self.news.push(BackEndEvent::Resting {
+            self.back_end_events.push(BackEndEvent::Resting {
                 back_end: back_end.clone(),
                 service,
                 backoff,
@@ -67,10 +69,11 @@
         }
     }
 
-    /// Told once for each back end.
-    fn hear_unreadable_rest(&mut self, back_end: BackEndName) {
-        if self.odd_rests.insert(back_end.clone()) {
-            self.news.push(BackEndEvent::BackoffUnreadable { back_end });
+    /// Reports an unreadable backoff once for each back end.
+    fn on_unreadable_backoff(&mut self, back_end: BackEndName) {
+        if self.unreadable_backoffs.insert(back_end.clone()) {
+            self.back_end_events
+                .push(BackEndEvent::BackoffUnreadable { back_end });
         }
     }
 }
--- a/crates/dispatch/src/dispatcher/waiting.rs
+++ b/crates/dispatch/src/dispatcher/wait_queue.rs
@@ -10,7 +10,8 @@
 use crate::request::ExchangeId;
 
 impl Dispatcher {
-    pub(super) fn wait(&mut self, id: ExchangeId) {
+    /// Adds an exchange to the queue of its service.
+    pub(super) fn enqueue(&mut self, id: ExchangeId) {
         if let Some(exchange) = self.exchanges.get(&id) {
             let rank = (exchange.rank, id);
             let service = exchange.service.clone();
@@ -18,7 +19,8 @@
         }
     }
 
-    pub(super) fn stop_waiting(&mut self, id: ExchangeId) {
+    /// Removes an exchange from the queue of its service.
+    pub(super) fn dequeue(&mut self, id: ExchangeId) {
         let Some(exchange) = self.exchanges.get(&id) else {
             return;
         };
@@ -28,17 +30,19 @@
         }
     }
 
-    pub(super) fn serve_all(&mut self, now: Timestamp) {
+    /// Wakes waiting exchanges of all services.
+    pub(super) fn wake_all(&mut self, now: Timestamp) {
         let services: Vec<ServiceName> = self.waiting.keys().cloned().collect();
         for service in services {
-            self.serve_waiting(now, &service);
+            self.wake_waiting(now, &service);
         }
     }
 
-    /// Wakes the most urgent exchanges for which there is a back end now.
-    /// Each takes its place when it asks; until then the place may look free,
-    /// so that no more are woken for a back end than it has places.
-    pub(super) fn serve_waiting(&mut self, now: Timestamp, service: &ServiceName) {
+    /// Wakes the most urgent exchanges for which a back end is available now.
+    /// Each one takes its slot only when it asks for its next step, and until
+    /// then the slot looks free. So no more exchanges are woken for a back end
+    /// than it has slots and queue places.
+    pub(super) fn wake_waiting(&mut self, now: Timestamp, service: &ServiceName) {
         let Some(waiting) = self.waiting.get(service) else {
             return;
         };
@@ -48,16 +52,16 @@
         let ids: Vec<ExchangeId> = waiting.iter().map(|(_, id)| *id).collect();
         let mut woken_for: BTreeMap<BackEndName, u32> = BTreeMap::new();
         for id in ids {
-            let Some(Choice::Take(back_end)) = self.choose(now, id, Bound::Target) else {
+            let Some(Choice::BackEnd(back_end)) = self.choose(now, id, Bound::Target) else {
                 continue;
             };
             let slots = self
                 .back_ends
                 .get(&back_end)
-                .map_or(1, |known| known.back_end.slots);
-            let places = slots + self.settings.queue_per_back_end;
+                .map_or(1, |state| state.back_end.slots);
+            let capacity = slots + self.settings.queue_per_back_end;
             let woken = woken_for.entry(back_end).or_default();
-            if *woken < places {
+            if *woken < capacity {
                 *woken += 1;
                 self.woken.push(id);
             }
--- a/crates/dispatch/src/estimate.rs
+++ b/crates/dispatch/src/estimate.rs
@@ -1,7 +1,8 @@
-//! What a router can tell of one back end's speed and load.
+//! Estimates the speed and the load of a back end.
 //!
-//! A router sees its own requests and what answers tell. What it does not
-//! hear of for a while it takes to be like the other back ends of the service.
+//! A router knows its own requests and what responses report. Where it has had
+//! no information about a back end for some time, it assumes the average of the
+//! service's back ends.
 
 use std::time::Duration;
 
@@ -10,107 +11,126 @@
 use crate::decaying_mean::{DecayingMean, Sample};
 use crate::outcome::ReportedLoad;
 
-/// Weight of a new sample of the time that a request takes.
-const SPEED_GAIN: f64 = 0.25;
-/// Time after which half of what was told about load counts for nothing.
+/// Weight of a new sample in the moving average of the service time.
+const SERVICE_TIME_EWMA_WEIGHT: f64 = 0.25;
+/// Half-life of reported load.
 const LOAD_HALF_LIFE_S: f64 = 0.4;
-/// Time after which half of what was measured of speed counts for nothing.
-const SPEED_HALF_LIFE_S: f64 = 8.0;
+/// Half-life of measured service times.
+const SERVICE_TIME_HALF_LIFE_S: f64 = 8.0;
 
-/// What is known of one back end.
+/// What is known of the speed and load of one back end.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Estimate {
-    /// Time that a request takes once a slot works on it, in seconds.
-    work_s: Option<Sample>,
-    /// Requests of other routers, as last told.
-    others: Option<Sample>,
+    /// Time that a request takes once a slot processes it, in seconds.
+    service_time_s: Option<Sample>,
+    /// Requests of other routers, as of the last report.
+    other_requests: Option<Sample>,
 }
 
-/// What is usual among the back ends of a service.
+/// Averages over the back ends of a service.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Usual {
-    pub(crate) work_s: f64,
-    pub(crate) others: f64,
+pub(crate) struct ServiceAverages {
+    pub(crate) service_time_s: f64,
+    pub(crate) other_requests: f64,
 }
 
-/// The sample mixed with what is usual, the more the older it is.
-fn faded(sample: &Sample, now: Timestamp, usual: f64, half_life_s: f64) -> f64 {
+/// The sample's value, moved towards the average with increasing age.
+fn decayed(sample: &Sample, now: Timestamp, average: f64, half_life_s: f64) -> f64 {
     let age = now.since(sample.at).as_secs_f64();
-    let kept = (-age / half_life_s).exp2();
-    usual + (sample.value - usual) * kept
+    let remaining_weight = (-age / half_life_s).exp2();
+    average + (sample.value - average) * remaining_weight
 }
 
 impl Estimate {
-    pub(crate) fn measured(
+    /// Updates the estimate with the latency of a response. `load_factor` is
+    /// that of the back end when the request was sent.
+    pub(crate) fn add_service_time(
         &mut self,
         now: Timestamp,
-        took: Duration,
-        crowding: f64,
-        usual: &Usual,
+        latency: Duration,
+        load_factor: f64,
+        averages: &ServiceAverages,
     ) {
-        let work = took.as_secs_f64() / crowding.max(1.0);
-        let before = self.work_s(now, usual);
+        let service_time_s = latency.as_secs_f64() / load_factor.max(1.0);
+        let before = self.service_time_s(now, averages);
         let value = if before > 0.0 {
-            before + (work - before) * SPEED_GAIN
+            before + (service_time_s - before) * SERVICE_TIME_EWMA_WEIGHT
         } else {
-            work
+            service_time_s
         };
-        self.work_s = Some(Sample { value, at: now });
+        self.service_time_s = Some(Sample { value, at: now });
     }
 
-    /// `own` requests of this router are there beside the one that was
-    /// answered.
-    pub(crate) fn told(&mut self, now: Timestamp, load: ReportedLoad, own: u32) {
+    /// Updates the estimate with the load that a response reported.
+    /// `own_requests` is the number of this router's other requests at the back
+    /// end.
+    pub(crate) fn on_reported_load(
+        &mut self,
+        now: Timestamp,
+        load: ReportedLoad,
+        own_requests: u32,
+    ) {
         let total = f64::from(load.running) + f64::from(load.waiting);
-        let value = (total - f64::from(own)).max(0.0);
-        self.others = Some(Sample { value, at: now });
+        let value = (total - f64::from(own_requests)).max(0.0);
+        self.other_requests = Some(Sample { value, at: now });
     }
 
-    pub(crate) fn work_s(&self, now: Timestamp, usual: &Usual) -> f64 {
-        match &self.work_s {
-            Some(sample) => faded(sample, now, usual.work_s, SPEED_HALF_LIFE_S),
-            None => usual.work_s,
+    /// Estimated service time, which approaches the service's average as the
+    /// last sample ages.
+    pub(crate) fn service_time_s(&self, now: Timestamp, averages: &ServiceAverages) -> f64 {
+        match &self.service_time_s {
+            Some(sample) => decayed(
+                sample,
+                now,
+                averages.service_time_s,
+                SERVICE_TIME_HALF_LIFE_S,
+            ),
+            None => averages.service_time_s,
         }
     }
 
-    pub(crate) fn others(&self, now: Timestamp, usual: &Usual) -> f64 {
-        match &self.others {
-            Some(sample) => faded(sample, now, usual.others, LOAD_HALF_LIFE_S),
-            None => usual.others,
+    /// Estimated requests of other routers, which approach the service's
+    /// average as the last report ages.
+    pub(crate) fn other_requests(&self, now: Timestamp, averages: &ServiceAverages) -> f64 {
+        match &self.other_requests {
+            Some(sample) => decayed(sample, now, averages.other_requests, LOAD_HALF_LIFE_S),
+            None => averages.other_requests,
         }
     }
 }
 
-/// Mean over the back ends of a service, in which samples weigh the less the
-/// older they are. Kept as they come: a walk over all back ends for each request
-/// would cost the more the more there are.
+/// Means over the back ends of a service, in which older samples weigh less.
+/// They are maintained incrementally: iterating over all back ends for each
+/// request would become slower with their number.
 #[derive(Debug)]
-pub(crate) struct ServiceMean {
-    work: DecayingMean,
-    others: DecayingMean,
+pub(crate) struct ServiceMeans {
+    service_time: DecayingMean,
+    other_requests: DecayingMean,
 }
 
-impl ServiceMean {
+impl ServiceMeans {
     pub(crate) fn new() -> Self {
         let half_life = |seconds: f64| Duration::from_secs_f64(seconds * 3.0);
-        ServiceMean {
-            work: DecayingMean::new(half_life(SPEED_HALF_LIFE_S), 0.0),
-            // What one back end told of its load says little about the others:
-            // without more, they are taken to be idle.
-            others: DecayingMean::new(half_life(LOAD_HALF_LIFE_S), 1.0),
+        ServiceMeans {
+            service_time: DecayingMean::new(half_life(SERVICE_TIME_HALF_LIFE_S), 0.0),
+            // The load of one back end says little about that of the others:
+            // without further reports, they are assumed to be idle.
+            other_requests: DecayingMean::new(half_life(LOAD_HALF_LIFE_S), 1.0),
         }
     }
 
-    /// What is known of a back end changed.
-    pub(crate) fn change(&mut self, now: Timestamp, before: &Estimate, after: &Estimate) {
-        self.work.replace(now, before.work_s, after.work_s);
-        self.others.replace(now, before.others, after.others);
+    /// Replaces the estimate of one back end.
+    pub(crate) fn replace(&mut self, now: Timestamp, before: &Estimate, after: &Estimate) {
+        self.service_time
+            .replace(now, before.service_time_s, after.service_time_s);
+        self.other_requests
+            .replace(now, before.other_requests, after.other_requests);
     }
 
-    pub(crate) fn usual(&self, now: Timestamp) -> Usual {
-        Usual {
-            work_s: self.work.mean(now),
-            others: self.others.mean(now),
+    pub(crate) fn averages(&self, now: Timestamp) -> ServiceAverages {
+        ServiceAverages {
+            service_time_s: self.service_time.mean(now),
+            other_requests: self.other_requests.mean(now),
         }
     }
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,30 +1,32 @@
-//! The path of one request through a gateway, as decisions: its route, its
-//! service and back end, limits, waiting, second attempts and the one outcome.
+//! The decisions on the path of a request through a gateway: its route, its
+//! service and back end, rate limits, waiting, retries and hedged attempts, and
+//! its single outcome.
 //!
-//! Nothing here opens a socket, reads a clock or draws randomness of its own.
-//! A shell calls [`Dispatcher::begin`] for each request, then
-//! [`Dispatcher::next`] whenever something may have changed, carries the
-//! [`Step`] out and reports how each attempt ended.
+//! This crate opens no sockets and reads no clock, and all its random numbers
+//! come from a seed. Its caller, the gateway, performs the I/O: it calls
+//! [`Dispatcher::begin`] for each request, calls [`Dispatcher::next`] whenever
+//! something may have changed, carries out the [`Step`] and reports how each
+//! attempt ended.
 
 mod back_end_events;
 mod back_ends;
 pub mod budget;
 mod choice;
-mod cold;
+mod cold_start;
 pub mod counters;
 pub mod decaying_mean;
 pub mod dispatcher;
 mod estimate;
 mod exchange;
-mod limited;
-mod not_held;
-mod observed;
+mod key_refusals;
+mod limited_back_ends;
+mod observed_load;
 pub mod outcome;
-mod pace;
+mod pacing;
 pub mod request;
 pub mod routes;
 pub mod settings;
-mod slack;
+mod slack_bucket;
 
 pub use back_end_events::BackEndEvent;
 pub use counters::{Counters, RetryDenials};
--- a/crates/dispatch/src/outcome.rs
+++ b/crates/dispatch/src/outcome.rs
@@ -5,62 +5,63 @@
 /// How one attempt at a back end ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// A whole answer, or the head of one that is passed on as it comes.
+    /// A complete response, or the head of a response whose body is streamed.
     Answered {
-        /// The back end failed on the request: a status of 500 or above.
+        /// The back end failed to process the request: status 500 or above.
         failed: bool,
-        /// The load that the back end told.
+        /// The load that the back end reported.
         load: Option<ReportedLoad>,
     },
-    /// The back end did not run the request, and said so.
+    /// The back end declared that it did not run the request.
     NotRun {
-        /// Why.
+        /// The reason.
         reason: Rejection,
-        /// The load that the back end told.
+        /// The load that the back end reported.
         load: Option<ReportedLoad>,
     },
-    /// There is no answer.
+    /// There was no valid response.
     Failed(Fault),
-    /// It was given up here, because another attempt was faster or because
-    /// [`crate::Dispatcher::may_send`] said no. Nothing is known of the back
-    /// end from it.
+    /// The attempt was cancelled by this router, because another one was faster
+    /// or because [`crate::Dispatcher::may_send`] denied it. It says nothing
+    /// about the back end.
     Abandoned,
 }
 
 /// Why a back end did not run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// It is full or leaving, or the time was up before its turn.
+    /// It is full or leaving, or the deadline passed while the request was
+    /// queued.
     Busy,
-    /// It does not hold the key.
+    /// It does not own the request's key.
     NotOwner,
-    /// Another process runs at the address.
+    /// Another process runs at its address.
     OtherInstance,
-    /// It found the request malformed.
+    /// It considers the request malformed.
     Malformed,
 }
 
-/// Why an attempt has no answer.
+/// Why an attempt got no valid response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// No connection could be opened: nothing was sent.
+    /// No connection could be opened. Nothing was sent.
     Unreachable,
-    /// Every connection that this router may have there is used: nothing was
-    /// sent.
+    /// All connections that this router may have to the back end are in use.
+    /// Nothing was sent.
     NoConnection,
-    /// A connection was open, and no byte of the request was handed to it.
+    /// A connection was open, but no byte of the request was written to it.
     NothingSent,
-    /// The body can't be sent again, or its caller failed before any of the
-    /// request was sent.
+    /// The body cannot be sent again, or the caller failed to send it before
+    /// any part of the request was forwarded.
     BodyGone,
-    /// The caller failed to send its body after some of the request was sent.
-    /// It says nothing of the back end.
+    /// The caller failed to send its body after part of the request was
+    /// forwarded. This says nothing about the back end.
     CallerBroke,
-    /// The connection broke after some of the request was sent.
+    /// The connection broke after part of the request was sent.
     Broken,
-    /// The answer was malformed, cut short or another request's.
+    /// The response was malformed, truncated, or belonged to another request.
     BadAnswer,
-    /// The time was up.
+    /// The attempt timed out.
     TimedOut,
 }
 
@@ -74,110 +75,111 @@
     }
 }
 
-/// What a back end tells of its load.
+/// The load that a back end reports in a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that it works on.
+    /// Requests that it is processing.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests that are queued.
     pub waiting: u32,
-    /// Requests that it can work on at once.
+    /// Requests that it can process concurrently.
     pub slots: u32,
 }
 
-/// What the head of a back end's answer says of the requests a second that it
-/// takes from all routers together.
+/// The rate limit in the head of a back end's response: the requests per second
+/// that it accepts from all routers together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum ReportedLimit {
-    /// It names no limit.
+    /// The response contains no limit.
     #[default]
     None,
-    /// It names this one, in requests a second: zero or above.
+    /// The limit in requests per second, zero or above.
     Rate(f64),
-    /// It names something that is no such number.
+    /// The response contains a limit that is not such a number.
     Unreadable,
 }
 
-/// What the head of a back end's answer says that concerns later requests.
+/// The parts of a response's head that affect later requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Signals {
-    /// The requests a second that it takes.
+    /// The back end's rate limit.
     pub limit: ReportedLimit,
-    /// It leaves, and wants nothing new.
+    /// The back end is shutting down and wants no new requests.
     pub leaving: bool,
-    /// It turned the request away and wants nothing from this router for a
-    /// while.
+    /// The back end refused the request and asks this router to send nothing
+    /// for some time.
     pub backoff: RequestedBackoff,
 }
 
-/// The rest that a back end asks for when it turns a request away.
+/// The backoff that a back end requests when it refuses a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RequestedBackoff {
-    /// None.
+    /// No backoff was requested.
     #[default]
     None,
-    /// So long.
+    /// The requested time.
     For(Duration),
-    /// Something that is no time.
+    /// The response contains a backoff that is not a valid time.
     Unreadable,
 }
 
-/// The outcome of a request that no back end's answer ends.
+/// The outcome of a request that did not end with a back end's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Nothing of the request was run, and nothing will be.
+    /// The request did not run and will not run.
     Refused(Refusal),
-    /// It may have run.
+    /// The request may have run.
     Unknown(UnknownReason),
 }
 
-/// A refusal: the promise that the request has not run and never will.
+/// A refusal, which guarantees that the request did not run and never will.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: RefusalReason,
-    /// When the caller should come back.
+    /// How long the caller should wait before it retries.
     pub retry_after: Option<Duration>,
 }
 
 /// Why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RefusalReason {
-    /// No configuration is known yet.
+    /// The router has no configuration yet.
     NoConfiguration,
     /// No route matches.
     NoRoute,
-    /// The caller shows no key, and the route asks for one.
+    /// The request has no API key, and the route requires one.
     MissingApiKey,
-    /// The caller shows a key that no tenant holds.
+    /// The API key belongs to no tenant.
     UnknownApiKey,
-    /// Nobody has confirmed for too long which keys are known.
+    /// It has not been confirmed for too long that the known API keys are
+    /// current.
     KeysOutOfDate,
-    /// The service is divided by key and the request has none.
+    /// The service requires a key, and the request has none.
     MissingKey,
-    /// No back end of the service can be used.
+    /// The service has no usable back end.
     NoBackEnd,
-    /// Nobody owns the key now.
+    /// The key currently has no owner.
     NoOwner,
-    /// No slot will be free in time.
+    /// No slot is expected to be free in time.
     Overloaded,
-    /// The back end names a limit, and all routers together have used it up.
+    /// The back end has a rate limit, and all routers together have used it up.
     BackEndLimited,
-    /// Every back end that could take it asked this router for rest.
+    /// All suitable back ends asked this router for a backoff.
     BackEndResting,
-    /// The time was up before the request was sent.
+    /// The deadline passed before the request was sent.
     DeadlinePassed,
-    /// Back ends that were asked did not run it.
+    /// The back ends that were tried did not run the request.
     Rejected,
-    /// Each back end that ran it ended.
+    /// The back ends that ran the request crashed.
     CrashesBackEnds,
-    /// It may be served in other regions only than those in which its service
-    /// or its key is.
+    /// The request may only be served in regions other than those of its
+    /// service or of its key's owner.
     OutsideRegions,
 }
 
 impl RefusalReason {
-    /// Every reason.
+    /// All reasons.
     pub const ALL: [RefusalReason; 15] = [
         RefusalReason::NoConfiguration,
         RefusalReason::NoRoute,
@@ -196,7 +198,7 @@
         RefusalReason::OutsideRegions,
     ];
 
-    /// Name in logs and metrics.
+    /// The reason's name in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             RefusalReason::NoConfiguration => "no-configuration",
@@ -217,13 +219,14 @@
         }
     }
 
-    /// HTTP status of the answer.
+    /// HTTP status of the response to the caller.
     pub const fn status(self) -> u16 {
         match self {
             RefusalReason::NoRoute => 404,
             RefusalReason::MissingApiKey | RefusalReason::UnknownApiKey => 401,
             RefusalReason::MissingKey => 400,
-            // Nothing has run; the request is proper, and is in the wrong place.
+            // 421 Misdirected Request: nothing has run, and the request is
+            // valid but was sent to the wrong place.
             RefusalReason::OutsideRegions => 421,
             RefusalReason::NoConfiguration
             | RefusalReason::KeysOutOfDate
@@ -244,14 +247,14 @@
 pub enum UnknownReason {
     /// The connection broke.
     Broken,
-    /// The answer was malformed or cut short.
+    /// The response was malformed or truncated.
     BadAnswer,
-    /// The time was up.
+    /// The deadline passed.
     DeadlinePassed,
 }
 
 impl UnknownReason {
-    /// Name in logs and metrics.
+    /// The reason's name in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             UnknownReason::Broken => "connection-lost",
@@ -260,7 +263,7 @@
         }
     }
 
-    /// HTTP status of the answer.
+    /// HTTP status of the response to the caller.
     pub const fn status(self) -> u16 {
         match self {
             UnknownReason::Broken | UnknownReason::BadAnswer => 502,
--- a/crates/dispatch/src/request.rs
+++ b/crates/dispatch/src/request.rs
@@ -1,4 +1,4 @@
-//! What the shell tells of a request, and what it is told to do.
+//! Inputs and outputs of the dispatcher for one request.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,74 +9,76 @@
 
 use crate::outcome::Outcome;
 
-/// Number of one exchange: a request of a caller and its one outcome.
+/// Identifies an exchange: one request of a caller with its single outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExchangeId(pub u64);
 
-/// Number of one attempt within its exchange.
+/// Identifies an attempt within its exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u32);
 
-/// What of a request's head says who calls, and for what.
+/// The parts of a request's head that decide on its route and its tenant.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestHead<'a> {
-    /// Host, as the caller wrote it.
+    /// Host, as sent by the caller.
     pub host: &'a str,
     /// Path, without the query.
     pub path: &'a str,
-    /// Digest of the key that the caller shows.
+    /// Digest of the caller's API key.
     pub api_key: Option<&'a KeyDigest>,
 }
 
-/// What decisions depend on.
+/// The parts of a request that the dispatcher needs.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestInfo<'a> {
-    /// Method, as the caller wrote it.
+    /// Method, as sent by the caller.
     pub method: &'a str,
-    /// Who calls, and for what.
+    /// Host, path and API key.
     pub head: RequestHead<'a>,
-    /// How long ago its head came. All of its times count from there, also
-    /// where it waited for its body or for others of its connection.
+    /// Time since the request's head arrived. All timeouts of the request count
+    /// from that moment, even if it waited for its body or for earlier requests
+    /// of its connection.
     pub age: Duration,
-    /// How long the caller waits, from when the head came.
+    /// How long the caller waits, counted from the arrival of the head.
     pub time_left: Option<Duration>,
-    /// Key, if the request has one.
+    /// The request's key, if it has one.
     pub key: Option<ShardKey>,
-    /// The request can be sent more than once: its body is held whole.
+    /// The request can be sent more than once, because its whole body is
+    /// buffered.
     pub replayable: bool,
-    /// What makes it the same request as another try, and who sends it.
+    /// Hash by which repetitions of the request are recognised, and its sender.
     pub identity: RequestIdentity,
 }
 
-/// One attempt to make.
+/// An attempt to be made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// Its number.
+    /// The attempt's number within its exchange.
     pub id: AttemptId,
     /// The back end.
     pub back_end: BackEndName,
-    /// Where it takes requests.
+    /// Address at which the back end accepts requests.
     pub address: SocketAddr,
-    /// How far it is.
+    /// Distance between this router and the back end.
     pub distance: Distance,
-    /// It was taken because it owns the request's key.
+    /// The back end was chosen because it owns the request's key.
     pub keyed: bool,
-    /// Connections to it that may be open from here.
+    /// Number of connections that this router may have to the back end.
     pub connection_limit: usize,
     /// When the request must have been answered.
     pub deadline: Timestamp,
 }
 
-/// What to do for an exchange.
+/// The next step for an exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Make an attempt. Ask again at once.
+    /// Start this attempt, and call [`crate::Dispatcher::next`] again at once.
     Send(Attempt),
-    /// Wait for an attempt, for [`crate::Dispatcher::take_woken`], or until
-    /// the time given.
+    /// Wait until an attempt ends, until [`crate::Dispatcher::take_woken`]
+    /// returns this exchange, or until the given time.
     Wait(Timestamp),
-    /// Answer the caller.
+    /// Answer the caller with this outcome.
     Finish(Outcome),
-    /// The exchange is over.
+    /// The exchange has already ended.
     Ended,
 }
--- a/crates/dispatch/src/routes.rs
+++ b/crates/dispatch/src/routes.rs
@@ -1,18 +1,19 @@
-//! Which route a request takes.
+//! Selects the route and the destination of a request.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use threadledge_types::deployment::{Configuration, Destination, Route};
 
-/// Routes by host; of one host the longest prefix first.
+/// Routes by host. The routes of one host are sorted by prefix length, longest
+/// first.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     by_host: BTreeMap<String, Vec<Arc<Route>>>,
 }
 
 impl RouteTable {
-    /// The table of one configuration.
+    /// Builds the table of a configuration.
     pub fn of(configuration: &Configuration) -> Self {
         let mut by_host: BTreeMap<String, Vec<Arc<Route>>> = BTreeMap::new();
         for route in &configuration.routes {
@@ -27,7 +28,8 @@
         RouteTable { by_host }
     }
 
-    /// The route of a host, with or without a port, and a path without query.
+    /// Finds the route for a host, with or without a port, and a path without
+    /// query.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.by_host.get(&normalize_host(host))?;
         routes
@@ -46,7 +48,7 @@
     }
 }
 
-/// A host in lower case and without its port.
+/// Converts a host to lower case and removes its port.
 pub fn normalize_host(host: &str) -> String {
     let name = match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
@@ -55,64 +57,66 @@
     name.to_ascii_lowercase()
 }
 
-/// Deals the requests of a route to its destinations by weight, as evenly as
-/// whole requests allow.
+/// Distributes the requests of a route over its destinations by smooth weighted
+/// round robin, that is, as evenly as whole requests allow.
 #[derive(Clone, Debug)]
 pub struct WeightedRoundRobin {
-    /// The weights by which it deals.
+    /// Weight of each destination.
     weights: Vec<u32>,
-    /// What each destination is owed, in units of weight.
-    owed: Vec<i64>,
-    /// Where in the sequence to begin.
-    start: u32,
+    /// Accumulated weight that each destination has not been served for.
+    credit: Vec<i64>,
+    /// Position in the sequence at which to start.
+    offset: u32,
 }
 
-/// Longest part of a sequence that is skipped: longer ones differ too little
-/// from it to matter, and the skipping costs time.
-const LONGEST_SKIP: u32 = 1_000;
+/// Longest part of a sequence that is skipped at the start. Longer sequences
+/// have positions that differ too little to matter, and skipping takes time.
+const MAX_SKIP: u32 = 1_000;
 
 impl WeightedRoundRobin {
-    /// A dealer that begins at a place of the sequence that `start` chooses.
-    /// Routers that begin at different places keep to the weights together
-    /// also where each deals few requests.
-    pub fn with_offset(start: u32) -> Self {
+    /// Creates a round robin that starts at position `offset` of its sequence.
+    /// If routers start at different positions, they keep to the weights
+    /// together even if each of them gets few requests.
+    pub fn with_offset(offset: u32) -> Self {
         WeightedRoundRobin {
             weights: Vec::new(),
-            owed: Vec::new(),
-            start,
+            credit: Vec::new(),
+            offset,
         }
     }
 
-    /// The index of the destination of the next request.
+    /// Index of the destination for the next request.
     pub fn next(&mut self, destinations: &[Destination]) -> usize {
         let weights = destinations.iter().map(|each| each.weight);
         if !weights.clone().eq(self.weights.iter().copied()) {
-            self.begin(weights.collect());
+            self.reset(weights.collect());
         }
-        self.deal()
+        self.pick()
     }
 
-    fn begin(&mut self, weights: Vec<u32>) {
+    /// Restarts the sequence with new weights, at the offset.
+    fn reset(&mut self, weights: Vec<u32>) {
         let total = weights.iter().copied().fold(0, u32::saturating_add);
-        self.owed = vec![0; weights.len()];
+        self.credit = vec![0; weights.len()];
         self.weights = weights;
-        for _ in 0..self.start % total.clamp(1, LONGEST_SKIP) {
-            self.deal();
+        for _ in 0..self.offset % total.clamp(1, MAX_SKIP) {
+            self.pick();
         }
     }
 
-    fn deal(&mut self) -> usize {
+    /// Picks the destination with the most credit.
+    fn pick(&mut self) -> usize {
         let mut total = 0;
         let mut chosen = 0;
         for (index, weight) in self.weights.iter().enumerate() {
             let weight = i64::from(*weight);
             total += weight;
-            self.owed[index] += weight;
-            if self.owed[index] > self.owed[chosen] {
+            self.credit[index] += weight;
+            if self.credit[index] > self.credit[chosen] {
                 chosen = index;
             }
         }
-        self.owed[chosen] -= total;
+        self.credit[chosen] -= total;
         chosen
     }
 }
--- a/crates/dispatch/src/settings.rs
+++ b/crates/dispatch/src/settings.rs
@@ -1,56 +1,57 @@
-//! Bounds and preferences of the request path.
+//! Limits and preferences of the request path.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use threadledge_types::deployment::{Configuration, ServiceName, Topology};
 
-use crate::cold::mean_rate;
+use crate::cold_start::max_mean_rate;
 
-/// Bounds and preferences of one router's request path.
+/// Limits and preferences of one router's request path.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Where this router is.
+    /// The zone and region of this router, and those of the deployment.
     pub topology: Topology,
-    /// Part of a route's target latency that a back end of another zone must
-    /// be better by to be taken. One of another region is taken only where
-    /// none of the own region answers within the target.
+    /// Fraction of a route's target latency by which a back end in another zone
+    /// must be better to be chosen. A back end in another region is only chosen
+    /// if none in the local region can respond within the target latency.
     pub zone_penalty_ratio: f64,
-    /// Part of a route's target latency after which a request that found no
-    /// slot is refused.
+    /// Fraction of a route's target latency after which a request that found no
+    /// free slot is refused.
     pub queue_timeout_ratio: f64,
-    /// The same for a key that is on its way from one owner to another.
+    /// The same for a request whose key is being handed over to another owner.
     pub handover_timeout_ratio: f64,
-    /// Requests beyond its slots that a back end may have, as far as this
-    /// router can tell.
+    /// Number of requests beyond its slots that a back end may have, as
+    /// estimated by this router.
     pub queue_per_back_end: u32,
-    /// Repeats allowed for each request of a service, within the window.
+    /// Retries allowed for each request of a service within the window.
     pub retry_ratio: f64,
-    /// Repeats allowed besides, by all routers together, within the window.
+    /// Retries allowed in addition, by all routers together, within the window.
     pub retry_slack: u32,
-    /// Window of the retry budget.
+    /// Length of the retry budget's window.
     pub retry_window: Duration,
-    /// Part of a route's target latency after which a repeatable request
-    /// without an answer is sent to a second back end as well.
+    /// Fraction of a route's target latency after which a repeatable request
+    /// without a response is also sent to a second back end (hedged).
     pub hedge_delay_ratio: f64,
-    /// Wait before a back end that does not hold a key yet is asked again.
+    /// Delay before a back end that does not hold a key yet is tried again.
     pub owner_retry_delay: Duration,
-    /// Connections to one back end that this router opens at the most.
+    /// Most connections that this router opens to one back end.
     pub max_connections_per_back_end: u32,
     /// Requests that a cold back end may get in any second, as a multiple of
-    /// those that it bears.
+    /// its sustainable rate.
     pub cold_overage: f64,
-    /// Requests that a cold back end may get in any second besides.
+    /// Requests that a cold back end may get in any second in addition.
     pub cold_slack: f64,
-    /// How long callers' keys are sure that nobody has confirmed since; after
-    /// that an unknown one may have been added. `None`: they are always sure.
+    /// How long API keys count as current after the last confirmation. After
+    /// that, an unknown key may be one that was added since. `None` means for
+    /// ever.
     pub api_key_validity: Option<Duration>,
-    /// Known keys that are not sure are refused as well: they may have been
-    /// taken away.
+    /// Whether known API keys are refused as well once they are no longer
+    /// confirmed, because they may have been revoked.
     pub fail_closed: bool,
-    /// How long a back end that cannot be reached is left alone at first.
+    /// Duration of the first ejection of a back end.
     pub min_ejection: Duration,
-    /// How long it is left alone at the most.
+    /// Longest duration of an ejection.
     pub max_ejection: Duration,
 }
 
@@ -79,15 +80,16 @@
 }
 
 impl Settings {
-    /// Requests a second that a cold back end of each service should get from
-    /// all routers together, where back ends bear few while they are cold.
+    /// For each service with a rate limit during cold starts, the rate, in
+    /// requests per second, at which all routers together should send to one of
+    /// its cold back ends.
     pub(crate) fn cold_rates(&self, configuration: &Configuration) -> BTreeMap<ServiceName, f64> {
         let services = configuration.services.iter();
         services
             .filter_map(|(name, service)| {
-                let borne = service.cold_rate?;
-                let bound = borne * self.cold_overage + self.cold_slack;
-                Some((name.clone(), mean_rate(borne, bound)))
+                let sustainable = service.cold_rate?;
+                let bound = sustainable * self.cold_overage + self.cold_slack;
+                Some((name.clone(), max_mean_rate(sustainable, bound)))
             })
             .collect()
     }
