--- a/crates/dispatch/tests/dispatcher/choice.rs
+++ b/crates/dispatch/tests/dispatcher/choice.rs
@@ -1,4 +1,4 @@
-//! Which back end a request goes to.
+//! Tests of which back end a request goes to.
 
 use std::collections::BTreeMap;
 
@@ -6,33 +6,33 @@
 use threadledge_dispatch::{Attempt, Fault, ReportedLoad, Step};
 use threadledge_types::deployment::BackEndName;
 
-use super::support::{Station, answered, back_end, fault};
+use super::support::{Harness, answered, back_end, fault};
 
 #[test]
 fn near_back_end_is_preferred_while_it_is_as_good() {
-    let mut station = Station::new();
+    let mut harness = Harness::new();
     for _ in 0..50 {
-        let attempt = station.answer_one("safe", 50);
+        let attempt = harness.answer_one("safe", 50);
         assert_eq!(attempt.back_end, "p-near".into());
-        station.after(20);
+        harness.advance(20);
     }
 }
 
 #[test]
-fn routers_that_know_nothing_yet_do_not_all_ask_the_same_back_end() {
+fn routers_without_information_do_not_all_choose_the_same_back_end() {
     let mut asked: BTreeMap<BackEndName, u32> = BTreeMap::new();
     for seed in 0..60 {
-        let mut station = Station::with_seed(seed);
+        let mut harness = Harness::with_seed(seed);
         for number in 10..14 {
             let name = format!("p-near-{number}");
-            station
+            harness
                 .back_ends
                 .push(back_end(&name, "plain", "near", number));
         }
-        station.publish();
+        harness.publish_back_ends();
         for _ in 0..2 {
-            let begun = station.begin("unsafe").expect("admitted");
-            *asked.entry(station.send(&begun).back_end).or_default() += 1;
+            let begun = harness.begin("unsafe").expect("admitted");
+            *asked.entry(harness.send(&begun).back_end).or_default() += 1;
         }
     }
     let most = asked.values().max().copied().unwrap_or(0);
@@ -40,32 +40,32 @@
     assert!(asked.len() >= 5, "{asked:?}");
 }
 
-/// Back ends that join have to get requests within seconds, although those
-/// that were there before are known to be good.
+/// Back ends that join must get requests within seconds, although the existing
+/// ones are known to be good.
 #[test]
-fn back_end_that_joins_is_asked_soon() {
-    let mut station = Station::new();
+fn back_end_that_joins_gets_requests_soon() {
+    let mut harness = Harness::new();
     for _ in 0..30 {
-        station.answer_one("safe", 50);
+        harness.answer_one("safe", 50);
     }
-    station
+    harness
         .back_ends
         .push(back_end("p-new", "plain", "near", 9));
-    station.publish();
+    harness.publish_back_ends();
     let is_new = |attempt: &Attempt| attempt.back_end == "p-new".into();
-    let asked = (0..20).filter(|_| is_new(&station.answer_one("safe", 50)));
+    let asked = (0..20).filter(|_| is_new(&harness.answer_one("safe", 50)));
     let asked = asked.count();
     assert!(asked >= 3, "{asked} of 20");
 }
 
 #[test]
 fn far_back_end_is_taken_when_the_near_one_is_full() {
-    let mut station = Station::new();
-    station.answer_one("safe", 100);
+    let mut harness = Harness::new();
+    harness.answer_one("safe", 100);
     let mut far = 0;
     for _ in 0..4 {
-        let begun = station.begin("safe").expect("admitted");
-        if station.send(&begun).back_end == "p-far".into() {
+        let begun = harness.begin("safe").expect("admitted");
+        if harness.send(&begun).back_end == "p-far".into() {
             far += 1;
         }
     }
@@ -73,11 +73,11 @@
 }
 
 #[test]
-fn told_load_of_other_routers_counts() {
-    let mut station = Station::new();
-    let begun = station.begin("safe").expect("admitted");
-    let attempt = station.send(&begun);
-    station.after(60);
+fn reported_load_of_other_routers_counts() {
+    let mut harness = Harness::new();
+    let begun = harness.begin("safe").expect("admitted");
+    let attempt = harness.send(&begun);
+    harness.advance(60);
     let load = Some(ReportedLoad {
         running: 2,
         waiting: 6,
@@ -87,63 +87,63 @@
         failed: false,
         load,
     };
-    station.end(&begun, &attempt, end);
-    let next = station.begin("safe").expect("admitted");
-    assert_eq!(station.send(&next).back_end, "p-far".into());
+    harness.end(&begun, &attempt, end);
+    let next = harness.begin("safe").expect("admitted");
+    assert_eq!(harness.send(&next).back_end, "p-far".into());
 }
 
 #[test]
-fn back_end_that_cannot_be_reached_is_left_alone_and_tried_again() {
-    let mut station = Station::new();
-    let begun = station.begin("safe").expect("admitted");
-    let first = station.send(&begun);
-    station.end(&begun, &first, fault(Fault::Unreachable));
+fn unreachable_back_end_is_ejected_and_tried_again_later() {
+    let mut harness = Harness::new();
+    let begun = harness.begin("safe").expect("admitted");
+    let first = harness.send(&begun);
+    harness.end(&begun, &first, fault(Fault::Unreachable));
     for _ in 0..5 {
-        let attempt = station.answer_one("safe", 5);
+        let attempt = harness.answer_one("safe", 5);
         assert_ne!(attempt.back_end, first.back_end);
     }
-    station.after(400);
-    let again = station.answer_one("safe", 5);
+    harness.advance(400);
+    let again = harness.answer_one("safe", 5);
     assert_eq!(again.back_end, first.back_end);
 }
 
 #[test]
 fn slow_back_end_gets_fewer_requests() {
-    let mut station = Station::new();
-    station
+    let mut harness = Harness::new();
+    harness
         .back_ends
         .push(back_end("p-slow", "plain", "near", 9));
-    station.publish();
+    harness.publish_back_ends();
     let mut slow = 0;
     for _ in 0..100 {
-        let begun = station.begin("safe").expect("admitted");
-        let attempt = station.send(&begun);
+        let begun = harness.begin("safe").expect("admitted");
+        let attempt = harness.send(&begun);
         let is_slow = attempt.back_end == "p-slow".into();
-        station.after(if is_slow { 180 } else { 40 });
-        station.end(&begun, &attempt, answered());
+        harness.advance(if is_slow { 180 } else { 40 });
+        harness.end(&begun, &attempt, answered());
         slow += u32::from(is_slow);
     }
     assert!(slow < 15, "{slow} of 100");
 }
 
 #[test]
-fn request_without_an_answer_is_sent_to_a_second_back_end_once() {
-    let mut station = Station::new();
-    let begun = station.begin("safe").expect("admitted");
-    let first = station.send(&begun);
-    let Step::Wait(until) = station.next(&begun) else {
+fn request_without_a_response_is_hedged_once() {
+    let mut harness = Harness::new();
+    let begun = harness.begin("safe").expect("admitted");
+    let first = harness.send(&begun);
+    let Step::Wait(until) = harness.next(&begun) else {
         panic!("it waits first");
     };
-    station.now = until;
-    let second = station.send(&begun);
+    harness.now = until;
+    let second = harness.send(&begun);
     assert_ne!(first.back_end, second.back_end);
-    let Step::Wait(until) = station.next(&begun) else {
+    let Step::Wait(until) = harness.next(&begun) else {
         panic!("no third");
     };
     assert_eq!(until, begun.deadline);
-    let unsafe_one = station.begin("unsafe").expect("admitted");
-    station.send(&unsafe_one);
-    let Step::Wait(until) = station.next(&unsafe_one) else {
+    let unsafe_one = harness.begin("unsafe").expect("admitted");
+    harness.send(&unsafe_one);
+    let Step::Wait(until) = harness.next(&unsafe_one) else {
         panic!("it waits");
     };
     assert_eq!(until, unsafe_one.deadline, "an unsafe request is sent once");
@@ -151,31 +151,31 @@
 
 #[test]
 fn waiting_requests_are_served_by_priority() {
-    let mut station = Station::new();
+    let mut harness = Harness::new();
     let mut urgent = super::support::route("urgent", "plain", true);
     urgent.priority = 0;
     let mut patient = super::support::route("patient", "plain", true);
     patient.priority = 3;
-    station.configure(super::support::configuration(2, vec![patient, urgent]));
-    station.answer_one("patient", 150);
+    harness.configure(super::support::configuration(2, vec![patient, urgent]));
+    harness.answer_one("patient", 150);
     let mut sent = Vec::new();
     let waiting = loop {
-        let begun = station.begin("patient").expect("admitted");
-        match station.next(&begun) {
+        let begun = harness.begin("patient").expect("admitted");
+        match harness.next(&begun) {
             Step::Send(attempt) => {
-                let now = station.now;
-                assert!(station.dispatcher.may_send(now, begun.id, attempt.id));
+                let now = harness.now;
+                assert!(harness.dispatcher.may_send(now, begun.id, attempt.id));
                 sent.push((begun, attempt));
             }
             _ => break begun,
         }
     };
-    let urgent = station.begin("urgent").expect("admitted");
-    assert!(matches!(station.next(&urgent), Step::Wait(_)));
+    let urgent = harness.begin("urgent").expect("admitted");
+    assert!(matches!(harness.next(&urgent), Step::Wait(_)));
     let (begun, attempt) = sent.remove(0);
-    station.after(10);
-    station.end(&begun, &attempt, answered());
-    let woken = station.dispatcher.take_woken();
+    harness.advance(10);
+    harness.end(&begun, &attempt, answered());
+    let woken = harness.dispatcher.take_woken();
     assert_eq!(
         woken.first(),
         Some(&urgent.id),
--- a/crates/dispatch/tests/dispatcher/cold.rs
+++ b/crates/dispatch/tests/dispatcher/cold.rs
@@ -1,4 +1,4 @@
-//! Back ends that are cold, and what many routers send them together.
+//! Cold back ends, and how much many routers send them in total.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -13,23 +13,23 @@
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{BackEnd, Configuration, Topology};
 
-use super::support::{HOST, Station, answered, back_end, configuration, identity, route};
+use super::support::{HOST, Harness, answered, back_end, configuration, identity, route};
 
 const COLD: Duration = Duration::from_secs(3);
-/// Requests a second that a cold back end bears, and those that it may get in
-/// any second with an overage of 1.5 and a slack of 8.
-const BORNE: f64 = 4.2;
-const BOUND: usize = 14;
+/// Sustainable rate of a cold back end in requests per second, and the most
+/// that it may get in any second with an overage of 1.5 and a slack of 8.
+const SUSTAINABLE_RATE: f64 = 4.2;
+const MAX_PER_SECOND: usize = 14;
 const ROUTERS: usize = 74;
 
-fn with_cold_back_ends(services: &[&str]) -> Configuration {
+fn configuration_with_cold_starts(services: &[&str]) -> Configuration {
     let routes = vec![route("safe", "plain", true), route("keyed", "keyed", true)];
     let mut configuration = configuration(2, routes);
     for name in services {
         let service = configuration.services.get_mut(&(*name).into());
         let service = service.expect("the service");
         service.cold_start = COLD;
-        service.cold_rate = Some(BORNE);
+        service.cold_rate = Some(SUSTAINABLE_RATE);
     }
     configuration
 }
@@ -42,26 +42,26 @@
     }
 }
 
-/// Routers that each know the same back ends and share nothing else.
+/// Routers that know the same back ends and share nothing else.
 struct Routers {
     routers: Vec<Dispatcher>,
     back_ends: Vec<BackEnd>,
     now: Timestamp,
-    /// Requests under way, in the order of their ends.
-    ends: VecDeque<(
+    /// Requests in flight, in the order of their ends.
+    in_flight: VecDeque<(
         Timestamp,
         usize,
         StartedExchange,
         threadledge_dispatch::Attempt,
     )>,
-    /// When requests reached the cold back end.
+    /// Times at which requests reached the cold back end.
     arrivals: Vec<Timestamp>,
 }
 
 impl Routers {
     fn new(seed: u64, back_ends: Vec<BackEnd>) -> Self {
         let now = Timestamp::from_millis(50_000);
-        let configuration = Arc::new(with_cold_back_ends(&["plain"]));
+        let configuration = Arc::new(configuration_with_cold_starts(&["plain"]));
         let router = |number: usize| {
             let settings = Settings {
                 topology: Topology::new("near".into(), None, BTreeMap::new()),
@@ -77,12 +77,13 @@
             routers: (0..ROUTERS).map(router).collect(),
             back_ends,
             now,
-            ends: VecDeque::new(),
+            in_flight: VecDeque::new(),
             arrivals: Vec::new(),
         }
     }
 
-    /// One request at one of the routers; says whether it was sent.
+    /// Sends one request through a router. Returns whether it was sent to a
+    /// back end.
     fn request(&mut self, number: usize) -> bool {
         let router = &mut self.routers[number];
         let info = RequestInfo {
@@ -108,19 +109,20 @@
             self.arrivals.push(self.now);
         }
         let end = self.now + Duration::from_millis(150);
-        self.ends.push_back((end, number, begun, attempt));
+        self.in_flight.push_back((end, number, begun, attempt));
         true
     }
 
-    /// Lets requests come for `length`, so many a second, at any router.
+    /// Simulates `length` with this many requests per second, each through a
+    /// random router.
     fn run(&mut self, length: Duration, per_second: u64, random: &mut ChaCha8Rng) {
         let until = self.now + length;
         while self.now < until {
             self.now = self.now + Duration::from_micros(1_000_000 / per_second);
-            while let Some((end, ..)) = self.ends.front()
+            while let Some((end, ..)) = self.in_flight.front()
                 && *end <= self.now
             {
-                let (_, number, begun, attempt) = self.ends.pop_front().expect("one");
+                let (_, number, begun, attempt) = self.in_flight.pop_front().expect("one");
                 let router = &mut self.routers[number];
                 router.on_attempt_end(self.now, begun.id, attempt.id, &answered());
             }
@@ -128,7 +130,8 @@
         }
     }
 
-    /// Most requests that reached the cold back end within one second.
+    /// Largest number of requests that reached the cold back end within one
+    /// second.
     fn busiest_second(&self) -> usize {
         let within = |last: &Timestamp| {
             let second =
@@ -139,11 +142,11 @@
     }
 }
 
-/// Invariant: whatever the load, routers together stay below what a cold back
-/// end may get in any second, and it gets some.
+/// Invariant: under any load, the routers together stay below the most that a
+/// cold back end may get in any second, and it gets some requests.
 #[test]
-fn many_routers_together_spare_a_cold_back_end() {
-    let mut all = 0;
+fn many_routers_together_do_not_overload_a_cold_back_end() {
+    let mut total = 0;
     for seed in 1..=30 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut back_ends = vec![cold("cold", "plain", 1)];
@@ -153,16 +156,19 @@
         let mut routers = Routers::new(seed, back_ends);
         routers.run(COLD - Duration::from_millis(10), 400, &mut random);
         let busiest = routers.busiest_second();
-        assert!(busiest <= BOUND, "seed {seed}: {busiest} in one second");
-        all += routers.arrivals.len();
+        assert!(
+            busiest <= MAX_PER_SECOND,
+            "seed {seed}: {busiest} in one second"
+        );
+        total += routers.arrivals.len();
     }
-    assert!(all > 30, "{all} requests in 30 runs");
+    assert!(total > 30, "{total} requests in 30 runs");
 }
 
-/// Being told of it again, as every change of any back end does, opens no
-/// further turns.
+/// Every change of any back end reports the cold one again. That must not open
+/// additional turns.
 #[test]
-fn turns_stay_the_same_when_back_ends_are_told_again() {
+fn turns_stay_the_same_when_back_ends_are_reported_again() {
     let mut random = ChaCha8Rng::seed_from_u64(7);
     let mut routers = Routers::new(7, vec![cold("cold", "plain", 1)]);
     for step in 1..=20_u32 {
@@ -175,7 +181,7 @@
         }
     }
     let busiest = routers.busiest_second();
-    assert!(busiest <= BOUND, "{busiest} in one second");
+    assert!(busiest <= MAX_PER_SECOND, "{busiest} in one second");
 }
 
 #[test]
@@ -187,20 +193,20 @@
     assert!(routers.arrivals.len() >= 9, "{:?}", routers.arrivals);
 }
 
-/// Where nothing but cold back ends is left, callers learn when to come back.
+/// If all back ends are cold, callers are told when to retry.
 #[test]
-fn request_for_which_only_cold_back_ends_are_there_is_refused_in_time() {
-    let mut station = Station::new();
-    station
+fn request_for_which_there_are_only_cold_back_ends_is_refused_in_time() {
+    let mut harness = Harness::new();
+    harness
         .dispatcher
-        .set_router_count(station.now, 1_000_000, None);
-    station.configure(with_cold_back_ends(&["plain"]));
-    station.back_ends = vec![cold("p-cold", "plain", 1)];
-    station.publish();
-    let begun = station.begin("safe").expect("admitted");
-    assert!(matches!(station.next(&begun), Step::Wait(_)));
-    station.after(100);
-    let step = station.next(&begun);
+        .set_router_count(harness.now, 1_000_000, None);
+    harness.configure(configuration_with_cold_starts(&["plain"]));
+    harness.back_ends = vec![cold("p-cold", "plain", 1)];
+    harness.publish_back_ends();
+    let begun = harness.begin("safe").expect("admitted");
+    assert!(matches!(harness.next(&begun), Step::Wait(_)));
+    harness.advance(100);
+    let step = harness.next(&begun);
     let Step::Finish(Outcome::Refused(refusal)) = step else {
         panic!("{step:?}");
     };
@@ -209,66 +215,67 @@
 
 #[test]
 fn key_of_a_cold_owner_waits_for_a_turn_and_is_served_once_it_is_warm() {
-    let mut station = Station::new();
-    station
+    let mut harness = Harness::new();
+    harness
         .dispatcher
-        .set_router_count(station.now, 1_000_000, None);
-    station.configure(with_cold_back_ends(&["keyed"]));
-    station.back_ends = vec![cold("k-1", "keyed", 3), back_end("k-2", "keyed", "far", 4)];
-    station.publish();
-    let lower = station.begin_with("keyed", Some(5)).expect("admitted");
-    assert!(matches!(station.next(&lower), Step::Wait(_)));
-    let upper = station.begin_with("keyed", Some(60_000)).expect("admitted");
-    assert_eq!(station.send(&upper).back_end.as_str(), "k-2");
-    station.after(3_000);
-    let later = station.begin_with("keyed", Some(5)).expect("admitted");
-    assert_eq!(station.send(&later).back_end.as_str(), "k-1");
+        .set_router_count(harness.now, 1_000_000, None);
+    harness.configure(configuration_with_cold_starts(&["keyed"]));
+    harness.back_ends = vec![cold("k-1", "keyed", 3), back_end("k-2", "keyed", "far", 4)];
+    harness.publish_back_ends();
+    let lower = harness.begin_with("keyed", Some(5)).expect("admitted");
+    assert!(matches!(harness.next(&lower), Step::Wait(_)));
+    let upper = harness.begin_with("keyed", Some(60_000)).expect("admitted");
+    assert_eq!(harness.send(&upper).back_end.as_str(), "k-2");
+    harness.advance(3_000);
+    let later = harness.begin_with("keyed", Some(5)).expect("admitted");
+    assert_eq!(harness.send(&later).back_end.as_str(), "k-1");
 }
 
 #[test]
-fn cold_back_end_gets_nothing_from_a_router_that_does_not_know_how_many_there_are() {
-    let mut station = Station::with(Settings::default(), 1);
-    station.configure(with_cold_back_ends(&["plain"]));
-    station.back_ends = vec![cold("p-cold", "plain", 1)];
-    station.publish();
+fn cold_back_end_gets_no_requests_while_the_number_of_routers_is_unknown() {
+    let mut harness = Harness::with(Settings::default(), 1);
+    harness.configure(configuration_with_cold_starts(&["plain"]));
+    harness.back_ends = vec![cold("p-cold", "plain", 1)];
+    harness.publish_back_ends();
     for _ in 0..20 {
-        let begun = station.begin("safe").expect("admitted");
-        assert!(!matches!(station.next(&begun), Step::Send(_)));
-        station.after(100);
+        let begun = harness.begin("safe").expect("admitted");
+        assert!(!matches!(harness.next(&begun), Step::Send(_)));
+        harness.advance(100);
     }
 }
 
-/// At the moment at which a turn begins, rounding may put it a little later.
+/// At the start of a turn, rounding may place the turn slightly later than now.
+/// Computing its age must not panic on a negative duration.
 #[test]
-fn moment_at_which_a_turn_begins_is_reckoned_without_a_panic() {
+fn age_of_a_turn_that_has_just_started_does_not_panic() {
     for routers in 1..=40 {
         let settings = Settings {
             cold_slack: 1_000.0,
             ..Settings::default()
         };
-        let mut station = Station::with(settings, u64::from(routers));
-        station
+        let mut harness = Harness::with(settings, u64::from(routers));
+        harness
             .dispatcher
-            .set_router_count(station.now, routers, None);
-        let mut configuration = with_cold_back_ends(&["plain"]);
+            .set_router_count(harness.now, routers, None);
+        let mut configuration = configuration_with_cold_starts(&["plain"]);
         let service = configuration.services.get_mut(&"plain".into());
-        // Turns are whole milliseconds apart.
+        // Makes turns start whole milliseconds apart.
         service.expect("the service").cold_rate = Some(2.5);
-        station.configure(configuration);
+        harness.configure(configuration);
         let cold_for = Duration::from_secs(3_600);
-        station.back_ends = vec![BackEnd {
+        harness.back_ends = vec![BackEnd {
             cold_for,
             ..cold("p-cold", "plain", 1)
         }];
-        station.publish();
+        harness.publish_back_ends();
         for _ in 0..2_000 {
-            let begun = station.begin("safe").expect("admitted");
-            if let Step::Wait(until) = station.next(&begun) {
-                station.now = until;
-                station.next(&begun);
+            let begun = harness.begin("safe").expect("admitted");
+            if let Step::Wait(until) = harness.next(&begun) {
+                harness.now = until;
+                harness.next(&begun);
             }
-            station.dispatcher.abandon(station.now, begun.id);
-            station.after(20);
+            harness.dispatcher.abandon(harness.now, begun.id);
+            harness.advance(20);
         }
     }
 }
--- a/crates/dispatch/tests/dispatcher/crashes.rs
+++ b/crates/dispatch/tests/dispatcher/crashes.rs
@@ -9,25 +9,25 @@
 };
 use threadledge_suspects::{RequestIdentity, UpdateScope};
 
-use super::support::{HOST, Station, answered, back_end, fault, identity, not_run};
+use super::support::{HOST, Harness, answered, back_end, fault, identity, not_run};
 
 const BACK_ENDS: u16 = 8;
 
-/// A station with back ends enough of the service `plain`.
-fn station() -> Station {
-    let mut station = Station::with_seed(7);
+/// A harness with enough back ends of the service `plain`.
+fn harness() -> Harness {
+    let mut harness = Harness::with_seed(7);
     for port in 10..10 + BACK_ENDS {
         let name = format!("p-{port}");
-        station
+        harness
             .back_ends
             .push(back_end(&name, "plain", "near", port));
     }
-    station.publish();
-    station
+    harness.publish_back_ends();
+    harness
 }
 
 fn begin(
-    station: &mut Station,
+    harness: &mut Harness,
     route: &str,
     identity: RequestIdentity,
 ) -> Result<StartedExchange, Refusal> {
@@ -45,32 +45,32 @@
         replayable: true,
         identity,
     };
-    station.dispatcher.begin(station.now, &info)
+    harness.dispatcher.begin(harness.now, &info)
 }
 
-/// A try that breaks wherever it is sent; each process has ended when
-/// somebody looks. The number of back ends that it cost.
-fn crash_all(station: &mut Station, identity: RequestIdentity) -> usize {
-    let Ok(begun) = begin(station, "safe", identity) else {
+/// Sends a request whose attempts all break, and reports each process as ended.
+/// Returns the number of back ends that it cost.
+fn crash_all_attempts(harness: &mut Harness, identity: RequestIdentity) -> usize {
+    let Ok(begun) = begin(harness, "safe", identity) else {
         return 0;
     };
     let mut sent = 0;
     loop {
-        let step = station.next(&begun);
+        let step = harness.next(&begun);
         let Step::Send(attempt) = step else {
             assert!(matches!(step, Step::Finish(_)), "{step:?}");
             return sent;
         };
         assert!(
-            station
+            harness
                 .dispatcher
-                .may_send(station.now, begun.id, attempt.id)
+                .may_send(harness.now, begun.id, attempt.id)
         );
         sent += 1;
-        station.after(20);
-        station.end(&begun, &attempt, fault(Fault::Broken));
-        station.after(5);
-        station.dispatcher.process_ended(&attempt.back_end);
+        harness.advance(20);
+        harness.end(&begun, &attempt, fault(Fault::Broken));
+        harness.advance(5);
+        harness.dispatcher.process_ended(&attempt.back_end);
     }
 }
 
@@ -79,112 +79,112 @@
 }
 
 #[test]
-fn request_costs_two_back_ends_then_one_then_none() {
-    let mut station = station();
+fn crashing_request_costs_two_back_ends_then_one_then_none() {
+    let mut harness = harness();
     let bad = identity("/safe/x", 1);
-    assert_eq!(crash_all(&mut station, bad), 2);
-    assert_eq!(crash_all(&mut station, bad), 1);
-    assert_eq!(crash_all(&mut station, bad), 0);
-    assert!(is_held(begin(&mut station, "safe", bad)));
-    assert!(begin(&mut station, "safe", identity("/safe/x", 2)).is_ok());
+    assert_eq!(crash_all_attempts(&mut harness, bad), 2);
+    assert_eq!(crash_all_attempts(&mut harness, bad), 1);
+    assert_eq!(crash_all_attempts(&mut harness, bad), 0);
+    assert!(is_held(begin(&mut harness, "safe", bad)));
+    assert!(begin(&mut harness, "safe", identity("/safe/x", 2)).is_ok());
 }
 
-/// Links that are reset and answers that are lost break as well: the process
-/// goes on, and what it answers later shows that.
+/// Reset links and lost responses break attempts as well, but the process goes
+/// on, as its later responses show.
 #[test]
-fn breaks_at_processes_that_go_on_do_not_count() {
-    let mut station = station();
+fn breaks_at_processes_that_keep_running_do_not_count() {
+    let mut harness = harness();
     let request = identity("/safe/x", 1);
     for _ in 0..10 {
-        let begun = begin(&mut station, "safe", request).expect("not held");
-        while let Step::Send(attempt) = station.next(&begun) {
+        let begun = begin(&mut harness, "safe", request).expect("not held");
+        while let Step::Send(attempt) = harness.next(&begun) {
             assert!(
-                station
+                harness
                     .dispatcher
-                    .may_send(station.now, begun.id, attempt.id)
+                    .may_send(harness.now, begun.id, attempt.id)
             );
-            station.after(20);
-            station.end(&begun, &attempt, fault(Fault::Broken));
-            let other = station.begin("safe").expect("admitted");
-            let Step::Send(next) = station.next(&other) else {
+            harness.advance(20);
+            harness.end(&begun, &attempt, fault(Fault::Broken));
+            let other = harness.begin("safe").expect("admitted");
+            let Step::Send(next) = harness.next(&other) else {
                 panic!("no back end");
             };
-            assert!(station.dispatcher.may_send(station.now, other.id, next.id));
-            station.after(20);
-            station.end(&other, &next, answered());
+            assert!(harness.dispatcher.may_send(harness.now, other.id, next.id));
+            harness.advance(20);
+            harness.end(&other, &next, answered());
         }
-        station.after(11_000);
+        harness.advance(11_000);
     }
-    assert!(station.dispatcher.suspects().is_empty());
+    assert!(harness.dispatcher.suspects().is_empty());
 }
 
-/// An attempt of an unsafe request breaks, and the process goes unnoticed.
-fn break_one(station: &mut Station, request: RequestIdentity) -> Attempt {
-    let begun = begin(station, "unsafe", request).expect("admitted");
-    let attempt = station.send(&begun);
-    station.after(20);
-    station.end(&begun, &attempt, fault(Fault::Broken));
-    station.after(10);
+/// An attempt of an unsafe request breaks, and the process is not checked.
+fn break_one(harness: &mut Harness, request: RequestIdentity) -> Attempt {
+    let begun = begin(harness, "unsafe", request).expect("admitted");
+    let attempt = harness.send(&begun);
+    harness.advance(20);
+    harness.end(&begun, &attempt, fault(Fault::Broken));
+    harness.advance(10);
     attempt
 }
 
-/// Sends other requests until one reaches the process of `attempt`, which ends
-/// it so; the others are answered.
-fn reach_again(station: &mut Station, attempt: &Attempt, end: &AttemptEnd) {
+/// Sends other requests until one reaches the process of `attempt`, and ends it
+/// with `end`. The others are answered.
+fn reach_again(harness: &mut Harness, attempt: &Attempt, end: &AttemptEnd) {
     loop {
-        let other = station.begin("safe").expect("admitted");
-        let next = station.send(&other);
-        station.after(5);
+        let other = harness.begin("safe").expect("admitted");
+        let next = harness.send(&other);
+        harness.advance(5);
         if next.back_end == attempt.back_end {
-            station.end(&other, &next, end.clone());
+            harness.end(&other, &next, end.clone());
             return;
         }
-        station.end(&other, &next, answered());
+        harness.end(&other, &next, answered());
     }
 }
 
 #[test]
-fn answer_after_the_break_shows_that_the_process_goes_on() {
-    let mut station = station();
-    let attempt = break_one(&mut station, identity("/unsafe/x", 1));
-    reach_again(&mut station, &attempt, &answered());
-    station.dispatcher.process_ended(&attempt.back_end);
-    assert!(station.dispatcher.suspects().is_empty());
+fn response_after_the_break_shows_that_the_process_is_running() {
+    let mut harness = harness();
+    let attempt = break_one(&mut harness, identity("/unsafe/x", 1));
+    reach_again(&mut harness, &attempt, &answered());
+    harness.dispatcher.process_ended(&attempt.back_end);
+    assert!(harness.dispatcher.suspects().is_empty());
 }
 
 #[test]
-fn another_process_at_the_address_shows_that_the_one_before_ended() {
-    let mut station = station();
+fn another_process_at_the_address_shows_that_the_previous_one_ended() {
+    let mut harness = harness();
     let request = identity("/unsafe/x", 1);
-    let attempt = break_one(&mut station, request);
-    reach_again(&mut station, &attempt, &not_run(Rejection::OtherInstance));
-    assert_eq!(station.dispatcher.suspects().crashes_of(&request), 1);
+    let attempt = break_one(&mut harness, request);
+    reach_again(&mut harness, &attempt, &not_run(Rejection::OtherInstance));
+    assert_eq!(harness.dispatcher.suspects().crashes_of(&request), 1);
 }
 
 #[test]
-fn registration_that_is_gone_shows_that_the_process_ended() {
-    let mut station = station();
+fn missing_registration_shows_that_the_process_ended() {
+    let mut harness = harness();
     let request = identity("/unsafe/x", 1);
-    let attempt = break_one(&mut station, request);
-    station
+    let attempt = break_one(&mut harness, request);
+    harness
         .back_ends
         .retain(|known| known.name != attempt.back_end);
-    station.publish();
-    assert_eq!(station.dispatcher.suspects().crashes_of(&request), 1);
+    harness.publish_back_ends();
+    assert_eq!(harness.dispatcher.suspects().crashes_of(&request), 1);
 }
 
-/// It waits for the other one until its queue_timeout_ratio ends. Nothing is certain then:
-/// it is told to come back soon.
+/// A suspect that waits for another exchange of the same request until its
+/// queue deadline is told to retry soon, because nothing is certain yet.
 #[test]
-fn exchange_that_waited_for_another_in_vain_may_come_back_soon() {
-    let mut station = station();
+fn exchange_that_waited_for_another_in_vain_may_retry_soon() {
+    let mut harness = harness();
     let bad = identity("/safe/x", 1);
-    assert_eq!(crash_all(&mut station, bad), 2);
-    let first = begin(&mut station, "safe", bad).expect("not held yet");
-    let _attempt = station.send(&first);
-    let second = begin(&mut station, "safe", bad).expect("not held yet");
-    station.after(100);
-    let step = station.next(&second);
+    assert_eq!(crash_all_attempts(&mut harness, bad), 2);
+    let first = begin(&mut harness, "safe", bad).expect("not held yet");
+    let _attempt = harness.send(&first);
+    let second = begin(&mut harness, "safe", bad).expect("not held yet");
+    harness.advance(100);
+    let step = harness.next(&second);
     let Step::Finish(Outcome::Refused(refusal)) = step else {
         panic!("{step:?}");
     };
@@ -192,161 +192,160 @@
     assert!(refusal.retry_after < Some(Duration::from_secs(1)));
 }
 
-/// Two processes have surely ended under it. A third one breaks, and for a while
-/// nobody can tell whether it ended: no other router sends the request on
-/// meanwhile.
+/// Two processes have certainly ended under the request. While it is unknown
+/// whether a third one ended, no other router may send the request.
 #[test]
-fn third_break_holds_a_request_until_its_process_answers() {
-    let mut station = station();
+fn third_break_blocks_a_request_until_its_process_answers() {
+    let mut harness = harness();
     let bad = identity("/safe/x", 1);
-    assert_eq!(crash_all(&mut station, bad), 2);
-    let begun = begin(&mut station, "safe", bad).expect("not held yet");
-    let attempt = station.send(&begun);
-    station.after(20);
-    station.end(&begun, &attempt, fault(Fault::Broken));
-    assert!(is_held(begin(&mut station, "safe", bad)));
-    let told = station.dispatcher.suspects();
-    let told = told.updates_since(0, UpdateScope::Repeated, station.now);
-    let mut other = Station::with_seed(8);
-    other.dispatcher.merge_suspects(other.now, &told);
+    assert_eq!(crash_all_attempts(&mut harness, bad), 2);
+    let begun = begin(&mut harness, "safe", bad).expect("not held yet");
+    let attempt = harness.send(&begun);
+    harness.advance(20);
+    harness.end(&begun, &attempt, fault(Fault::Broken));
+    assert!(is_held(begin(&mut harness, "safe", bad)));
+    let news = harness.dispatcher.suspects();
+    let news = news.updates_since(0, UpdateScope::Repeated, harness.now);
+    let mut other = Harness::with_seed(8);
+    other.dispatcher.merge_suspects(other.now, &news);
     assert!(other.dispatcher.suspects().is_held(&bad));
-    // It is certain once only, and the log is told then.
-    let presumed = station.dispatcher.take_crashes();
+    // The crash becomes certain only once, and is logged then.
+    let presumed = harness.dispatcher.take_crashes();
     assert!(presumed.iter().any(|crash| crash.presumed));
-    station.dispatcher.process_ended(&attempt.back_end);
-    let certain = station.dispatcher.take_crashes();
+    harness.dispatcher.process_ended(&attempt.back_end);
+    let certain = harness.dispatcher.take_crashes();
     assert!(certain.iter().all(|crash| !crash.presumed));
     assert_eq!(certain.len(), 1);
-    assert!(is_held(begin(&mut station, "safe", bad)));
+    assert!(is_held(begin(&mut harness, "safe", bad)));
 }
 
-/// It broke at a third process before anybody knew what became of the first
-/// two: it is held as soon as that is known.
+/// The request broke at a third process before the first two were known to have
+/// ended: it is refused as soon as that is known.
 #[test]
-fn break_that_was_open_holds_a_request_once_two_processes_ended() {
-    let mut station = station();
+fn unconfirmed_break_blocks_a_request_once_two_processes_ended() {
+    let mut harness = harness();
     let bad = identity("/unsafe/x", 1);
-    let attempts: Vec<Attempt> = (0..3).map(|_| break_one(&mut station, bad)).collect();
-    assert!(!is_held(begin(&mut station, "unsafe", bad)));
-    station.dispatcher.process_ended(&attempts[0].back_end);
-    station.dispatcher.process_ended(&attempts[1].back_end);
-    assert!(is_held(begin(&mut station, "unsafe", bad)));
+    let attempts: Vec<Attempt> = (0..3).map(|_| break_one(&mut harness, bad)).collect();
+    assert!(!is_held(begin(&mut harness, "unsafe", bad)));
+    harness.dispatcher.process_ended(&attempts[0].back_end);
+    harness.dispatcher.process_ended(&attempts[1].back_end);
+    assert!(is_held(begin(&mut harness, "unsafe", bad)));
 }
 
-/// The link of a process was reset: what it answers next lets the request go.
+/// The link of a process was reset: its next response releases the request.
 #[test]
-fn request_held_for_a_break_is_let_go_when_the_process_answers() {
-    let mut station = station();
+fn request_blocked_for_a_break_is_released_when_the_process_answers() {
+    let mut harness = harness();
     let request = identity("/safe/x", 1);
-    assert_eq!(crash_all(&mut station, request), 2);
-    let begun = begin(&mut station, "safe", request).expect("not held yet");
-    let attempt = station.send(&begun);
-    station.after(20);
-    station.end(&begun, &attempt, fault(Fault::Broken));
-    assert!(is_held(begin(&mut station, "safe", request)));
-    station.after(10);
-    let now = station.now;
-    station.dispatcher.process_answered(now, &attempt.back_end);
-    assert!(begin(&mut station, "safe", request).is_ok());
+    assert_eq!(crash_all_attempts(&mut harness, request), 2);
+    let begun = begin(&mut harness, "safe", request).expect("not held yet");
+    let attempt = harness.send(&begun);
+    harness.advance(20);
+    harness.end(&begun, &attempt, fault(Fault::Broken));
+    assert!(is_held(begin(&mut harness, "safe", request)));
+    harness.advance(10);
+    let now = harness.now;
+    harness.dispatcher.process_answered(now, &attempt.back_end);
+    assert!(begin(&mut harness, "safe", request).is_ok());
 }
 
-/// A popular request: two tries of it were silent at back ends that are only
-/// slow, others are answered all the time.
+/// A popular request: two attempts timed out at back ends that are merely slow,
+/// while others are answered all the time. It must not be restricted.
 #[test]
 fn request_that_is_answered_elsewhere_is_not_sent_one_at_a_time() {
-    let mut station = station();
+    let mut harness = harness();
     let popular = identity("/safe/x", 1);
     for _ in 0..2 {
-        let begun = begin(&mut station, "safe", popular).expect("admitted");
-        station.send(&begun);
-        station.after(2_000);
-        let step = station.next(&begun);
+        let begun = begin(&mut harness, "safe", popular).expect("admitted");
+        harness.send(&begun);
+        harness.advance(2_000);
+        let step = harness.next(&begun);
         assert!(matches!(step, Step::Finish(_)), "{step:?}");
     }
-    let begun = begin(&mut station, "safe", popular).expect("admitted");
-    let attempt = station.send(&begun);
-    station.after(20);
-    station.end(&begun, &attempt, answered());
+    let begun = begin(&mut harness, "safe", popular).expect("admitted");
+    let attempt = harness.send(&begun);
+    harness.advance(20);
+    harness.end(&begun, &attempt, answered());
     for _ in 0..3 {
-        let begun = begin(&mut station, "safe", popular).expect("admitted");
-        station.send(&begun);
+        let begun = begin(&mut harness, "safe", popular).expect("admitted");
+        harness.send(&begun);
     }
 }
 
-/// A back end that falls silent takes a request along until its deadline.
+/// A back end that stops responding holds a request until its deadline.
 #[test]
-fn silent_processes_count_once_nobody_listens_there() {
-    let mut station = station();
+fn silent_process_counts_as_crashed_once_it_does_not_accept_connections() {
+    let mut harness = harness();
     let bad = identity("/safe/x", 1);
-    let begun = begin(&mut station, "safe", bad).expect("admitted");
-    let attempt = station.send(&begun);
-    station.after(10_000);
-    let step = station.next(&begun);
+    let begun = begin(&mut harness, "safe", bad).expect("admitted");
+    let attempt = harness.send(&begun);
+    harness.advance(10_000);
+    let step = harness.next(&begun);
     assert!(
         matches!(step, Step::Finish(Outcome::Unknown(_))),
         "{step:?}"
     );
-    let looked_at = station.dispatcher.take_process_checks();
+    let looked_at = harness.dispatcher.take_process_checks();
     assert_eq!(looked_at.len(), 1);
     assert_eq!(looked_at[0].process, attempt.back_end);
-    station.dispatcher.process_ended(&attempt.back_end);
-    assert_eq!(station.dispatcher.suspects().crashes_of(&bad), 1);
+    harness.dispatcher.process_ended(&attempt.back_end);
+    assert_eq!(harness.dispatcher.suspects().crashes_of(&bad), 1);
 }
 
 #[test]
-fn request_under_suspicion_is_not_sent_to_a_second_one_beside_the_first() {
-    let mut station = station();
+fn suspect_is_not_hedged() {
+    let mut harness = harness();
     let bad = identity("/safe/x", 1);
-    assert_eq!(crash_all(&mut station, bad), 2);
-    station.after(1_000);
-    let begun = begin(&mut station, "safe", bad).expect("not held yet");
-    let _first = station.send(&begun);
-    station.after(190);
-    let step = station.next(&begun);
+    assert_eq!(crash_all_attempts(&mut harness, bad), 2);
+    harness.advance(1_000);
+    let begun = begin(&mut harness, "safe", bad).expect("not held yet");
+    let _first = harness.send(&begun);
+    harness.advance(190);
+    let step = harness.next(&begun);
     assert!(matches!(step, Step::Wait(_)), "{step:?}");
 }
 
 #[test]
-fn after_two_crashes_one_exchange_at_a_time_is_under_way() {
-    let mut station = station();
+fn after_two_crashes_one_exchange_at_a_time_is_in_flight() {
+    let mut harness = harness();
     let bad = identity("/safe/x", 1);
-    assert_eq!(crash_all(&mut station, bad), 2);
-    let first = begin(&mut station, "safe", bad).expect("not held yet");
-    let attempt = station.send(&first);
-    let second = begin(&mut station, "safe", bad).expect("not held yet");
-    let step = station.next(&second);
+    assert_eq!(crash_all_attempts(&mut harness, bad), 2);
+    let first = begin(&mut harness, "safe", bad).expect("not held yet");
+    let attempt = harness.send(&first);
+    let second = begin(&mut harness, "safe", bad).expect("not held yet");
+    let step = harness.next(&second);
     assert!(matches!(step, Step::Wait(_)), "{step:?}");
-    // An answer clears it, and the other one goes on.
-    station.after(20);
-    station.end(&first, &attempt, answered());
-    let step = station.next(&second);
+    // A response clears the request, and the other exchange goes on.
+    harness.advance(20);
+    harness.end(&first, &attempt, answered());
+    let step = harness.next(&second);
     assert!(matches!(step, Step::Send(_)), "{step:?}");
 }
 
-/// Another router finds out while this one opens a connection.
+/// Another router refuses the request while this one opens a connection.
 #[test]
-fn request_that_others_hold_is_not_sent_any_more() {
-    let mut other = station();
+fn request_blocked_by_another_router_may_not_be_sent() {
+    let mut other = harness();
     let bad = identity("/safe/x", 1);
-    assert_eq!(crash_all(&mut other, bad), 2);
-    assert_eq!(crash_all(&mut other, bad), 1);
-    let mut station = station();
-    let begun = begin(&mut station, "safe", bad).expect("nothing is known here");
-    let Step::Send(attempt) = station.next(&begun) else {
+    assert_eq!(crash_all_attempts(&mut other, bad), 2);
+    assert_eq!(crash_all_attempts(&mut other, bad), 1);
+    let mut harness = harness();
+    let begun = begin(&mut harness, "safe", bad).expect("nothing is known here");
+    let Step::Send(attempt) = harness.next(&begun) else {
         panic!("no back end");
     };
     let news = other
         .dispatcher
         .suspects()
         .updates_since(0, UpdateScope::All, other.now);
-    assert!(station.dispatcher.merge_suspects(station.now, &news));
+    assert!(harness.dispatcher.merge_suspects(harness.now, &news));
     assert!(
-        !station
+        !harness
             .dispatcher
-            .may_send(station.now, begun.id, attempt.id)
+            .may_send(harness.now, begun.id, attempt.id)
     );
-    station.end(&begun, &attempt, AttemptEnd::Abandoned);
-    let step = station.next(&begun);
+    harness.end(&begun, &attempt, AttemptEnd::Abandoned);
+    let step = harness.next(&begun);
     let Step::Finish(Outcome::Refused(refusal)) = step else {
         panic!("{step:?}");
     };
--- a/crates/dispatch/tests/dispatcher/decaying_mean.rs
+++ b/crates/dispatch/tests/dispatcher/decaying_mean.rs
@@ -1,4 +1,4 @@
-//! Means of samples that weigh the less the older they are.
+//! Means of samples whose weights decay with their age.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 const HALF_LIFE: Duration = Duration::from_secs(24);
 
-/// The same by a walk over all samples.
+/// The same mean, computed by iterating over all samples.
 fn mean_of(samples: &BTreeMap<u32, Sample>, now: Timestamp, zero_weight: f64) -> f64 {
     let weighed = samples.values().map(|sample| {
         let age = now.since(sample.at).as_secs_f64();
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn mean_kept_as_samples_come_and_go_is_that_of_a_walk_over_all() {
+fn incremental_mean_equals_the_mean_over_all_samples() {
     for seed in 0..40 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let zero_weight = f64::from(seed as u32 % 2);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn mean_without_samples_is_zero_again() {
+fn mean_is_zero_after_the_last_sample_was_removed() {
     let now = Timestamp::from_millis(5_000);
     let sample = Some(Sample {
         value: 0.3,
--- a/crates/dispatch/tests/dispatcher/fleet.rs
+++ b/crates/dispatch/tests/dispatcher/fleet.rs
@@ -1,35 +1,36 @@
-//! What a router leaves to the others.
+//! How the retry budget and the connections are divided among routers, and how
+//! a router treats back ends that are full.
 
 use std::time::Duration;
 
 use threadledge_dispatch::{Fault, Step};
 
-use super::support::{Station, answered, failed_answer, fault, is_refused};
+use super::support::{Harness, answered, failed_answer, fault, is_refused};
 
-/// Repeats that one router makes for 40 requests that fail at first, a while
-/// after it was told that so many routers are there.
+/// Number of retries by one router for 40 requests that fail at first, some
+/// time after it was told this number of routers.
 fn repeats(routers: Option<u32>) -> usize {
-    let mut station = Station::new();
+    let mut harness = Harness::new();
     if let Some(routers) = routers {
-        station
+        harness
             .dispatcher
-            .set_router_count(station.now, routers, None);
+            .set_router_count(harness.now, routers, None);
     }
-    station.after(20_000);
+    harness.advance(20_000);
     let mut repeats = 0;
     for _ in 0..40 {
-        let begun = station.begin("safe").expect("admitted");
-        let first = station.send(&begun);
-        station.end(&begun, &first, failed_answer());
-        if let Step::Send(second) = station.next(&begun) {
+        let begun = harness.begin("safe").expect("admitted");
+        let first = harness.send(&begun);
+        harness.end(&begun, &first, failed_answer());
+        if let Step::Send(second) = harness.next(&begun) {
             repeats += 1;
-            station.end(&begun, &second, answered());
+            harness.end(&begun, &second, answered());
         }
     }
     repeats
 }
 
-/// Of 100 repeats beside the ratio, half may come at once.
+/// Of 100 retries in addition to the ratio, half may be sent at once.
 #[test]
 fn slack_of_the_retry_budget_is_divided_among_routers() {
     assert_eq!(repeats(None), 40);
@@ -46,88 +47,88 @@
 }
 
 #[test]
-fn connections_that_back_ends_take_are_divided_among_routers() {
+fn connections_to_back_ends_are_divided_among_routers() {
     let limit = |routers| {
-        let mut station = Station::new();
-        station
+        let mut harness = Harness::new();
+        harness
             .dispatcher
-            .set_router_count(station.now, routers, None);
-        let begun = station.begin("safe").expect("admitted");
-        station.send(&begun).connection_limit
+            .set_router_count(harness.now, routers, None);
+        let begun = harness.begin("safe").expect("admitted");
+        harness.send(&begun).connection_limit
     };
-    // The stations' back ends take 100 connections, of which 80 are shared.
+    // The back ends accept 100 connections, of which 80 are shared.
     assert_eq!(limit(1), 8);
     assert_eq!(limit(20), 4);
     assert_eq!(limit(1_000), 1);
 }
 
-/// Some back ends break connections when they are full. Their owner's keys
-/// have nowhere else to go: without the estimate each request breaks anew.
+/// Some back ends break connections when they are full. Keys of such an owner
+/// cannot go elsewhere: without a pause, each request would break again.
 #[test]
-fn owner_that_breaks_connections_at_once_is_left_alone_for_a_moment() {
-    let mut station = Station::new();
-    let warm = station.begin_with("keyed", Some(1)).expect("admitted");
-    let attempt = station.send(&warm);
-    station.after(100);
-    station.end(&warm, &attempt, answered());
-    let full = station.begin_with("keyed", Some(1)).expect("admitted");
-    let attempt = station.send(&full);
-    station.after(2);
-    station.end(&full, &attempt, fault(Fault::Broken));
-    let next = station.begin_with("keyed", Some(1)).expect("admitted");
-    assert!(matches!(station.next(&next), Step::Wait(_)));
-    station.after(100);
-    assert!(is_refused(&station.next(&next)));
-    station.after(50);
-    let later = station.begin_with("keyed", Some(1)).expect("admitted");
-    assert!(matches!(station.next(&later), Step::Send(_)));
+fn owner_that_breaks_connections_at_once_is_paused() {
+    let mut harness = Harness::new();
+    let warm = harness.begin_with("keyed", Some(1)).expect("admitted");
+    let attempt = harness.send(&warm);
+    harness.advance(100);
+    harness.end(&warm, &attempt, answered());
+    let full = harness.begin_with("keyed", Some(1)).expect("admitted");
+    let attempt = harness.send(&full);
+    harness.advance(2);
+    harness.end(&full, &attempt, fault(Fault::Broken));
+    let next = harness.begin_with("keyed", Some(1)).expect("admitted");
+    assert!(matches!(harness.next(&next), Step::Wait(_)));
+    harness.advance(100);
+    assert!(is_refused(&harness.next(&next)));
+    harness.advance(50);
+    let later = harness.begin_with("keyed", Some(1)).expect("admitted");
+    assert!(matches!(harness.next(&later), Step::Send(_)));
 }
 
-/// A connection that breaks while the request may be running says nothing
-/// about how full the back end is.
+/// A connection that breaks while the request may be running says nothing about
+/// how full the back end is.
 #[test]
-fn owner_that_breaks_a_connection_late_is_asked_again() {
-    let mut station = Station::new();
-    let warm = station.begin_with("keyed", Some(1)).expect("admitted");
-    let attempt = station.send(&warm);
-    station.after(100);
-    station.end(&warm, &attempt, answered());
-    let broken = station.begin_with("keyed", Some(1)).expect("admitted");
-    let attempt = station.send(&broken);
-    station.after(90);
-    station.end(&broken, &attempt, fault(Fault::Broken));
-    let next = station.begin_with("keyed", Some(1)).expect("admitted");
-    assert!(matches!(station.next(&next), Step::Send(_)));
+fn owner_that_breaks_a_connection_late_is_not_paused() {
+    let mut harness = Harness::new();
+    let warm = harness.begin_with("keyed", Some(1)).expect("admitted");
+    let attempt = harness.send(&warm);
+    harness.advance(100);
+    harness.end(&warm, &attempt, answered());
+    let broken = harness.begin_with("keyed", Some(1)).expect("admitted");
+    let attempt = harness.send(&broken);
+    harness.advance(90);
+    harness.end(&broken, &attempt, fault(Fault::Broken));
+    let next = harness.begin_with("keyed", Some(1)).expect("admitted");
+    assert!(matches!(harness.next(&next), Step::Send(_)));
 }
 
-/// With many routers each may have one connection to a back end only. Without
-/// the bound a second request was chosen for, refused by the pool and chosen
-/// for again without end.
+/// With many routers, each may have only one connection to a back end. Without
+/// the limit, a second request was assigned, refused by the connection pool and
+/// assigned again without end.
 #[test]
 fn request_waits_while_every_connection_to_its_owner_is_used() {
-    let mut station = Station::new();
-    station
+    let mut harness = Harness::new();
+    harness
         .dispatcher
-        .set_router_count(station.now, 1_000, None);
-    let first = station.begin_with("keyed", Some(1)).expect("admitted");
-    let attempt = station.send(&first);
-    let second = station.begin_with("keyed", Some(2)).expect("admitted");
-    assert!(matches!(station.next(&second), Step::Wait(_)));
-    station.after(20);
-    station.end(&first, &attempt, answered());
-    assert!(matches!(station.next(&second), Step::Send(_)));
+        .set_router_count(harness.now, 1_000, None);
+    let first = harness.begin_with("keyed", Some(1)).expect("admitted");
+    let attempt = harness.send(&first);
+    let second = harness.begin_with("keyed", Some(2)).expect("admitted");
+    assert!(matches!(harness.next(&second), Step::Wait(_)));
+    harness.advance(20);
+    harness.end(&first, &attempt, answered());
+    assert!(matches!(harness.next(&second), Step::Send(_)));
 }
 
-/// An answer that is still being passed on holds its connection, which the
+/// A response that is still being streamed holds its connection, which the
 /// dispatcher does not see.
 #[test]
-fn owner_without_a_free_connection_is_not_asked_at_once_again() {
-    let mut station = Station::new();
-    let begun = station.begin_with("keyed", Some(1)).expect("admitted");
-    let attempt = station.send(&begun);
-    station.end(&begun, &attempt, fault(Fault::NoConnection));
+fn owner_without_a_free_connection_is_retried_after_a_pause() {
+    let mut harness = Harness::new();
+    let begun = harness.begin_with("keyed", Some(1)).expect("admitted");
+    let attempt = harness.send(&begun);
+    harness.end(&begun, &attempt, fault(Fault::NoConnection));
     let pause = Duration::from_millis(20);
-    assert_eq!(station.next(&begun), Step::Wait(station.now + pause));
-    station.after(20);
-    assert!(matches!(station.next(&begun), Step::Send(_)));
+    assert_eq!(harness.next(&begun), Step::Wait(harness.now + pause));
+    harness.advance(20);
+    assert!(matches!(harness.next(&begun), Step::Send(_)));
 }
--- a/crates/dispatch/tests/dispatcher/limited.rs
+++ b/crates/dispatch/tests/dispatcher/limited.rs
@@ -1,4 +1,5 @@
-//! Back ends that name a limit, and what many routers send them together.
+//! Back ends that report a rate limit, and how much many routers send them in
+//! total.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,18 +20,18 @@
 use threadledge_types::deployment::{BackEnd, KeyRange, ServiceName, ShardKey, Topology};
 
 use super::support::{
-    HOST, Station, answered, back_end, configuration, identity, is_refused, route,
+    HOST, Harness, answered, back_end, configuration, identity, is_refused, route,
 };
 
 const WINDOW: Duration = Duration::from_secs(4);
-/// How long a back end takes for a request.
-const WORK: Duration = Duration::from_millis(100);
-/// Time from an ask for tokens to its answer.
+/// Time that a back end takes for a request.
+const SERVICE_TIME: Duration = Duration::from_millis(100);
+/// Time from a token request to its answer.
 const ROUND_TRIP: Duration = Duration::from_millis(6);
-/// Limits are kept from then on after they were first named.
-const CONTACT: Duration = Duration::from_secs(3);
-/// Time from when a router is told until its requests count.
-const TOLD: Duration = Duration::from_millis(500);
+/// Time after which a limit must be kept once it was first reported.
+const LIMIT_GRACE: Duration = Duration::from_secs(3);
+/// Time from when a router learns of the limit until its requests are counted.
+const SETTLING_TIME: Duration = Duration::from_millis(500);
 
 fn limit(limit: ReportedLimit) -> Signals {
     Signals {
@@ -43,31 +44,32 @@
     (1.5 * limit * WINDOW.as_secs_f64() + 5.0) as usize
 }
 
-/// An ask under way.
-struct Asked {
+/// A token request that has not been answered.
+struct PendingTokenRequest {
     number: usize,
     service: ServiceName,
     asks: Vec<TokenRequest>,
     at: Timestamp,
 }
 
-/// Routers before one limited back end, with the coordinator that gives out
-/// its tokens.
+/// Routers in front of one back end with a rate limit, and the coordinator that
+/// grants its tokens.
 struct Routers {
     routers: Vec<Dispatcher>,
     keyed: bool,
     limit: f64,
     ledger: TokenBuckets,
-    /// Routers reach the coordinator.
+    /// Whether routers reach the coordinator.
     reachable: bool,
     now: Timestamp,
     begun: Timestamp,
-    ends: Vec<(Timestamp, usize, StartedExchange, Attempt)>,
+    in_flight: Vec<(Timestamp, usize, StartedExchange, Attempt)>,
     waiting: Vec<(Timestamp, usize, StartedExchange)>,
-    asked: Vec<Asked>,
-    /// When each router was first told of the limit.
-    told: BTreeMap<usize, Timestamp>,
-    /// Arrivals from routers that were told half a second before or earlier.
+    token_requests: Vec<PendingTokenRequest>,
+    /// When each router first learned of the limit.
+    limit_known_at: BTreeMap<usize, Timestamp>,
+    /// Arrivals from routers that learned of the limit at least half a second
+    /// before.
     arrivals: Vec<Timestamp>,
 }
 
@@ -98,10 +100,10 @@
             reachable: true,
             now,
             begun: now,
-            ends: Vec::new(),
+            in_flight: Vec::new(),
             waiting: Vec::new(),
-            asked: Vec::new(),
-            told: BTreeMap::new(),
+            token_requests: Vec::new(),
+            limit_known_at: BTreeMap::new(),
             arrivals: Vec::new(),
         }
     }
@@ -133,52 +135,55 @@
         match router.next(self.now, begun.id) {
             Step::Send(attempt) => {
                 if router.may_send(self.now, begun.id, attempt.id) {
-                    let told = self.told.get(&number);
-                    let counts = told.is_some_and(|told| self.now >= *told + TOLD);
+                    let known_at = self.limit_known_at.get(&number);
+                    let counts =
+                        known_at.is_some_and(|known_at| self.now >= *known_at + SETTLING_TIME);
                     self.arrivals.extend(counts.then_some(self.now));
                 }
-                self.ends.push((self.now + WORK, number, begun, attempt));
+                self.in_flight
+                    .push((self.now + SERVICE_TIME, number, begun, attempt));
             }
             Step::Wait(until) => self.waiting.push((until, number, begun)),
             Step::Finish(_) | Step::Ended => {}
         }
     }
 
-    /// Lets `per_second` requests come for `length`, at any router.
+    /// Simulates `length` with `per_second` requests, each through a random
+    /// router.
     fn run(&mut self, length: Duration, per_second: u64, random: &mut ChaCha8Rng) {
         let step = Duration::from_millis(2);
         let until = self.now + length;
         while self.now < until {
             self.now = self.now + step;
-            self.end_work();
-            self.answer_asks();
+            self.complete_requests();
+            self.answer_token_requests();
             self.wake();
             if random.random_bool(per_second as f64 * step.as_secs_f64()) {
                 self.request(random.random_range(0..self.routers.len()));
             }
-            self.ask();
+            self.send_token_requests();
         }
     }
 
-    fn end_work(&mut self) {
+    fn complete_requests(&mut self) {
         let now = self.now;
-        let (over, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.ends)
+        let (over, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(|(end, ..)| *end <= now);
-        self.ends = rest;
+        self.in_flight = rest;
         for (_, number, begun, attempt) in over {
             let router = &mut self.routers[number];
-            let told = ReportedLimit::Rate(self.limit);
-            router.on_response_head(now, begun.id, attempt.id, &limit(told));
-            self.told.entry(number).or_insert(now);
+            let reported = ReportedLimit::Rate(self.limit);
+            router.on_response_head(now, begun.id, attempt.id, &limit(reported));
+            self.limit_known_at.entry(number).or_insert(now);
             router.on_attempt_end(now, begun.id, attempt.id, &answered());
         }
     }
 
-    fn ask(&mut self) {
+    fn send_token_requests(&mut self) {
         for number in 0..self.routers.len() {
             for (service, asks) in self.routers[number].take_token_requests() {
-                self.asked.push(Asked {
+                self.token_requests.push(PendingTokenRequest {
                     number,
                     service,
                     asks,
@@ -188,12 +193,12 @@
         }
     }
 
-    fn answer_asks(&mut self) {
+    fn answer_token_requests(&mut self) {
         let now = self.now;
-        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.asked)
+        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.token_requests)
             .into_iter()
             .partition(|asked| asked.at + ROUND_TRIP <= now);
-        self.asked = rest;
+        self.token_requests = rest;
         for asked in due {
             let router = &mut self.routers[asked.number];
             if !self.reachable {
@@ -224,10 +229,10 @@
         }
     }
 
-    /// Most requests that arrived within one window, from when the limit is to
-    /// be kept.
-    fn busiest(&self) -> usize {
-        let from = self.begun + CONTACT;
+    /// Largest number of requests that arrived within one window, counted from
+    /// when the limit must be kept.
+    fn max_in_window(&self) -> usize {
+        let from = self.begun + LIMIT_GRACE;
         let bound: Vec<Timestamp> = self
             .arrivals
             .iter()
@@ -261,30 +266,30 @@
     })
 }
 
-/// Runs routers for 20 s after the limit has to be kept; requests a second that
-/// those sent that were told of it.
+/// Simulates 20 s from when the limit must be kept. Returns the requests per
+/// second sent by the routers that know the limit.
 fn sent_within_bound(count: usize, keyed: bool, limit: f64, per_second: u64) -> f64 {
     const LENGTH: Duration = Duration::from_secs(20);
     let seed = count as u64;
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut routers = Routers::new(count, keyed, limit, seed);
-    routers.run(CONTACT + LENGTH, per_second, &mut random);
-    let busiest = routers.busiest();
+    routers.run(LIMIT_GRACE + LENGTH, per_second, &mut random);
+    let max_in_window = routers.max_in_window();
     let allowed = allowed(limit);
     assert!(
-        busiest <= allowed,
-        "{count} routers, limit {limit}: {busiest} of {allowed}"
+        max_in_window <= allowed,
+        "{count} routers, limit {limit}: {max_in_window} of {allowed}"
     );
-    let from = routers.begun + CONTACT;
+    let from = routers.begun + LIMIT_GRACE;
     let sent = routers.arrivals.iter().filter(|at| **at >= from);
     sent.count() as f64 / LENGTH.as_secs_f64()
 }
 
-/// Invariant: tokens keep routers that were told within the limit, however many
-/// there are, and use most of it.
+/// Invariant: with tokens, any number of routers that know the limit stays
+/// within it and uses most of it.
 #[test]
-fn owner_that_names_a_limit_is_asked_within_it_by_any_number_of_routers() {
-    // Of more routers few have been told by then.
+fn any_number_of_routers_keeps_the_limit_of_an_owner() {
+    // With more routers, too few have learned of the limit by then.
     for count in [1, 3, 11, 30] {
         for limit in [0.5, 2.1, 6.0] {
             let sent = sent_within_bound(count, true, limit, 20);
@@ -294,7 +299,7 @@
 }
 
 #[test]
-fn back_end_without_keys_that_names_a_limit_is_asked_within_it_by_any_number_of_routers() {
+fn any_number_of_routers_keeps_the_limit_of_a_back_end_without_keys() {
     for count in [1, 3, 11, 30, 80, 300] {
         for limit in [0.5, 2.1, 6.0] {
             sent_within_bound(count, false, limit, 20);
@@ -307,241 +312,247 @@
 }
 
 #[test]
-fn owner_that_names_a_limit_gets_nothing_while_nobody_gives_out_tokens() {
+fn owner_with_a_limit_gets_no_requests_while_no_coordinator_grants_tokens() {
     let mut random = ChaCha8Rng::seed_from_u64(5);
     let mut routers = Routers::new(11, true, 2.0, 5);
     routers.reachable = false;
-    routers.run(CONTACT * 3, 20, &mut random);
-    assert_eq!(routers.busiest(), 0);
+    routers.run(LIMIT_GRACE * 3, 20, &mut random);
+    assert_eq!(routers.max_in_window(), 0);
 }
 
 #[test]
-fn limit_that_routers_without_a_count_hear_of_opens_no_turn() {
-    let mut station = Station::with(Settings::default(), 1);
-    station.back_ends = vec![back_end("p-near", "plain", "near", 1)];
-    station.publish();
-    name_limit(&mut station, "safe", None, ReportedLimit::Rate(5.0));
+fn no_turn_starts_while_the_number_of_routers_is_unknown() {
+    let mut harness = Harness::with(Settings::default(), 1);
+    harness.back_ends = vec![back_end("p-near", "plain", "near", 1)];
+    harness.publish_back_ends();
+    answer_with_limit(&mut harness, "safe", None, ReportedLimit::Rate(5.0));
     for _ in 0..40 {
-        let begun = station.begin("safe").expect("admitted");
-        assert!(!matches!(station.next(&begun), Step::Send(_)));
-        station.after(100);
+        let begun = harness.begin("safe").expect("admitted");
+        assert!(!matches!(harness.next(&begun), Step::Send(_)));
+        harness.advance(100);
     }
 }
 
-/// Sends one request, and lets its answer name a limit.
-fn name_limit(station: &mut Station, route: &str, key: Option<u16>, told: ReportedLimit) {
-    let begun = station.begin_with(route, key).expect("admitted");
-    let attempt = station.send(&begun);
-    station.after(20);
-    let now = station.now;
-    station
+/// Sends one request and reports a limit in its response.
+fn answer_with_limit(
+    harness: &mut Harness,
+    route: &str,
+    key: Option<u16>,
+    reported: ReportedLimit,
+) {
+    let begun = harness.begin_with(route, key).expect("admitted");
+    let attempt = harness.send(&begun);
+    harness.advance(20);
+    let now = harness.now;
+    harness
         .dispatcher
-        .on_response_head(now, begun.id, attempt.id, &limit(told));
-    station.end(&begun, &attempt, answered());
+        .on_response_head(now, begun.id, attempt.id, &limit(reported));
+    harness.end(&begun, &attempt, answered());
 }
 
-fn is_limited(station: &mut Station) -> bool {
-    let begun = station.begin_with("keyed", Some(7)).expect("admitted");
-    let limited = match station.next(&begun) {
-        Step::Wait(_) => station.dispatcher.wants_tokens(),
+fn is_limited(harness: &mut Harness) -> bool {
+    let begun = harness.begin_with("keyed", Some(7)).expect("admitted");
+    let limited = match harness.next(&begun) {
+        Step::Wait(_) => harness.dispatcher.wants_tokens(),
         _ => false,
     };
-    station.dispatcher.abandon(station.now, begun.id);
+    harness.dispatcher.abandon(harness.now, begun.id);
     limited
 }
 
 #[test]
-fn answer_to_a_request_sent_before_the_limit_was_heard_lifts_and_raises_nothing() {
-    let mut station = Station::new();
-    let early = station.begin_with("keyed", Some(7)).expect("admitted");
-    let attempt = station.send(&early);
-    station.after(5);
-    name_limit(&mut station, "keyed", Some(7), ReportedLimit::Rate(2.0));
-    for told in [ReportedLimit::None, ReportedLimit::Rate(50.0)] {
-        let now = station.now;
-        station
+fn response_to_a_request_sent_before_the_limit_was_reported_neither_lifts_nor_raises_it() {
+    let mut harness = Harness::new();
+    let early = harness.begin_with("keyed", Some(7)).expect("admitted");
+    let attempt = harness.send(&early);
+    harness.advance(5);
+    answer_with_limit(&mut harness, "keyed", Some(7), ReportedLimit::Rate(2.0));
+    for reported in [ReportedLimit::None, ReportedLimit::Rate(50.0)] {
+        let now = harness.now;
+        harness
             .dispatcher
-            .on_response_head(now, early.id, attempt.id, &limit(told));
+            .on_response_head(now, early.id, attempt.id, &limit(reported));
     }
-    assert!(is_limited(&mut station));
-    let asks = station.dispatcher.take_token_requests();
+    assert!(is_limited(&mut harness));
+    let asks = harness.dispatcher.take_token_requests();
     assert_eq!(asks[&ServiceName::from("keyed")][0].rate, 2.0);
 }
 
-/// Gives the router one token, as the coordinator does.
-fn give_token(station: &mut Station) {
+/// Grants the router one token, as the coordinator does.
+fn grant_token(harness: &mut Harness) {
     let service = ServiceName::from("keyed");
-    for asks in station.dispatcher.take_token_requests().into_values() {
+    for asks in harness.dispatcher.take_token_requests().into_values() {
         let mut ledger = TokenBuckets::default();
-        ledger.grant(station.now, &asks[0], true);
-        station.after(2_000);
-        let asked = station.now;
+        ledger.grant(harness.now, &asks[0], true);
+        harness.advance(2_000);
+        let asked = harness.now;
         let grant = ledger.grant(asked, &asks[0], true);
         assert_eq!(grant.tokens, 1);
-        station
+        harness
             .dispatcher
             .on_token_grants(asked, &service, asked, &[grant]);
     }
 }
 
 #[test]
-fn later_answer_without_a_limit_lifts_it() {
-    let mut station = Station::new();
-    name_limit(&mut station, "keyed", Some(7), ReportedLimit::Rate(2.0));
-    assert!(is_limited(&mut station));
-    give_token(&mut station);
-    name_limit(&mut station, "keyed", Some(7), ReportedLimit::None);
-    assert!(!is_limited(&mut station));
-    let news = station.dispatcher.take_back_end_events();
+fn later_response_without_a_limit_lifts_it() {
+    let mut harness = Harness::new();
+    answer_with_limit(&mut harness, "keyed", Some(7), ReportedLimit::Rate(2.0));
+    assert!(is_limited(&mut harness));
+    grant_token(&mut harness);
+    answer_with_limit(&mut harness, "keyed", Some(7), ReportedLimit::None);
+    assert!(!is_limited(&mut harness));
+    let news = harness.dispatcher.take_back_end_events();
     assert!(matches!(news[0], BackEndEvent::Limited { rate: 2.0, .. }));
     assert!(matches!(news[1], BackEndEvent::LimitLifted { .. }));
 }
 
 #[test]
-fn limits_that_are_odd_have_a_defined_meaning() {
-    // What is told, and the limit by which tokens are asked for.
+fn unusual_limits_have_a_defined_meaning() {
+    // The reported limit, and the rate in the token request.
     let cases = [
         (ReportedLimit::Rate(0.0), Some(0.1)),
         (ReportedLimit::Rate(0.01), Some(0.1)),
         (ReportedLimit::Rate(1e9), None),
         (ReportedLimit::Unreadable, None),
     ];
-    for (told, rate) in cases {
-        let mut station = Station::new();
-        name_limit(&mut station, "keyed", Some(7), told);
-        assert_eq!(is_limited(&mut station), rate.is_some(), "{told:?}");
-        let asks = station.dispatcher.take_token_requests();
+    for (reported, rate) in cases {
+        let mut harness = Harness::new();
+        answer_with_limit(&mut harness, "keyed", Some(7), reported);
+        assert_eq!(is_limited(&mut harness), rate.is_some(), "{reported:?}");
+        let asks = harness.dispatcher.take_token_requests();
         let asked = asks.values().next().map(|asks| asks[0].rate);
-        assert_eq!(asked, rate, "{told:?}");
+        assert_eq!(asked, rate, "{reported:?}");
     }
 }
 
 #[test]
-fn limit_that_cannot_be_read_leaves_the_one_before_in_force_and_is_told_once() {
-    let mut station = Station::new();
-    name_limit(&mut station, "keyed", Some(7), ReportedLimit::Rate(2.0));
-    station.dispatcher.take_back_end_events();
-    assert!(is_limited(&mut station));
-    give_token(&mut station);
-    name_limit(&mut station, "keyed", Some(7), ReportedLimit::Unreadable);
-    assert!(is_limited(&mut station));
-    let news = station.dispatcher.take_back_end_events();
+fn unreadable_limit_keeps_the_previous_one_and_is_one_event() {
+    let mut harness = Harness::new();
+    answer_with_limit(&mut harness, "keyed", Some(7), ReportedLimit::Rate(2.0));
+    harness.dispatcher.take_back_end_events();
+    assert!(is_limited(&mut harness));
+    grant_token(&mut harness);
+    answer_with_limit(&mut harness, "keyed", Some(7), ReportedLimit::Unreadable);
+    assert!(is_limited(&mut harness));
+    let news = harness.dispatcher.take_back_end_events();
     assert!(matches!(news[..], [BackEndEvent::LimitUnreadable { .. }]));
 }
 
 #[test]
-fn list_that_lacks_a_limited_back_end_for_a_moment_lifts_nothing() {
-    let mut station = Station::new();
-    name_limit(&mut station, "keyed", Some(7), ReportedLimit::Rate(2.0));
-    let all = std::mem::take(&mut station.back_ends);
-    station.publish();
-    station.after(1_000);
-    station.back_ends = all;
-    station.publish();
-    assert!(is_limited(&mut station));
+fn limit_outlasts_a_short_gap_in_the_registration() {
+    let mut harness = Harness::new();
+    answer_with_limit(&mut harness, "keyed", Some(7), ReportedLimit::Rate(2.0));
+    let all = std::mem::take(&mut harness.back_ends);
+    harness.publish_back_ends();
+    harness.advance(1_000);
+    harness.back_ends = all;
+    harness.publish_back_ends();
+    assert!(is_limited(&mut harness));
 }
 
 #[test]
-fn request_that_was_chosen_before_the_limit_was_heard_is_not_sent_after() {
-    let mut station = Station::new();
-    let slow = station.begin_with("keyed", Some(7)).expect("admitted");
-    let Step::Send(attempt) = station.next(&slow) else {
+fn attempt_started_before_the_limit_was_reported_may_not_be_sent_after_it() {
+    let mut harness = Harness::new();
+    let slow = harness.begin_with("keyed", Some(7)).expect("admitted");
+    let Step::Send(attempt) = harness.next(&slow) else {
         panic!("not sent");
     };
-    name_limit(&mut station, "keyed", Some(7), ReportedLimit::Rate(2.0));
-    let now = station.now;
-    assert!(!station.dispatcher.may_send(now, slow.id, attempt.id));
+    answer_with_limit(&mut harness, "keyed", Some(7), ReportedLimit::Rate(2.0));
+    let now = harness.now;
+    assert!(!harness.dispatcher.may_send(now, slow.id, attempt.id));
 }
 
 #[test]
 fn request_beyond_the_limit_is_refused_at_once_with_the_time_of_the_next_token() {
-    let mut station = Station::new();
-    name_limit(&mut station, "keyed", Some(7), ReportedLimit::Rate(1.0));
-    let begun = station.begin_with("keyed", Some(7)).expect("admitted");
-    assert!(matches!(station.next(&begun), Step::Wait(_)));
-    let asked = station.now;
+    let mut harness = Harness::new();
+    answer_with_limit(&mut harness, "keyed", Some(7), ReportedLimit::Rate(1.0));
+    let begun = harness.begin_with("keyed", Some(7)).expect("admitted");
+    assert!(matches!(harness.next(&begun), Step::Wait(_)));
+    let asked = harness.now;
     let mut ledger = TokenBuckets::default();
-    for (service, asks) in station.dispatcher.take_token_requests() {
+    for (service, asks) in harness.dispatcher.take_token_requests() {
         let grant = ledger.grant(asked, &asks[0], true);
-        station.after(5);
-        let now = station.now;
-        station
+        harness.advance(5);
+        let now = harness.now;
+        harness
             .dispatcher
             .on_token_grants(now, &service, asked, &[grant]);
     }
-    assert_eq!(station.dispatcher.take_woken(), vec![begun.id]);
-    let step = station.next(&begun);
+    assert_eq!(harness.dispatcher.take_woken(), vec![begun.id]);
+    let step = harness.next(&begun);
     let Step::Finish(Outcome::Refused(refusal)) = step else {
         panic!("{step:?}");
     };
     assert_eq!(refusal.reason, RefusalReason::BackEndLimited);
     let wait = refusal.retry_after.expect("a time");
     assert!(wait >= Duration::from_millis(900), "{wait:?}");
-    let next = station.begin_with("keyed", Some(7)).expect("admitted");
-    let at_once = station.next(&next);
+    let next = harness.begin_with("keyed", Some(7)).expect("admitted");
+    let at_once = harness.next(&next);
     assert!(is_refused(&at_once), "{at_once:?}");
 }
 
 #[test]
-fn grant_of_any_number_of_tokens_takes_little_memory() {
-    let mut station = Station::new();
-    name_limit(&mut station, "keyed", Some(7), ReportedLimit::Rate(1.0));
-    assert!(is_limited(&mut station));
-    let asked = station.now;
-    for (service, asks) in station.dispatcher.take_token_requests() {
+fn number_of_tokens_from_one_grant_is_bounded() {
+    let mut harness = Harness::new();
+    answer_with_limit(&mut harness, "keyed", Some(7), ReportedLimit::Rate(1.0));
+    assert!(is_limited(&mut harness));
+    let asked = harness.now;
+    for (service, asks) in harness.dispatcher.take_token_requests() {
         let grant = TokenGrant {
             back_end: asks[0].back_end.clone(),
             tokens: u32::MAX,
             wait_ms: 0,
         };
-        station
+        harness
             .dispatcher
             .on_token_grants(asked, &service, asked, &[grant]);
     }
     let mut sent = 0;
     for _ in 0..40 {
-        let begun = station.begin_with("keyed", Some(7)).expect("admitted");
-        let Step::Send(attempt) = station.next(&begun) else {
+        let begun = harness.begin_with("keyed", Some(7)).expect("admitted");
+        let Step::Send(attempt) = harness.next(&begun) else {
             break;
         };
         assert!(
-            station
+            harness
                 .dispatcher
-                .may_send(station.now, begun.id, attempt.id)
+                .may_send(harness.now, begun.id, attempt.id)
         );
-        station.end(&begun, &attempt, answered());
+        harness.end(&begun, &attempt, answered());
         sent += 1;
     }
     assert_eq!(sent, 16);
 }
 
-/// Others have room: callers notice nothing of the limit.
+/// Other back ends have capacity, so callers notice nothing of the limit.
 #[test]
-fn requests_without_a_key_go_to_back_ends_that_name_no_limit() {
-    let mut station = Station::new();
-    station.back_ends.push(back_end("p-2", "plain", "near", 9));
-    station.publish();
+fn requests_without_a_key_go_to_back_ends_without_a_limit() {
+    let mut harness = Harness::new();
+    harness.back_ends.push(back_end("p-2", "plain", "near", 9));
+    harness.publish_back_ends();
     for _ in 0..8 {
-        name_limit_of(&mut station, "p-near");
+        answer_with_limit_from(&mut harness, "p-near");
     }
     for _ in 0..20 {
-        let attempt = station.answer_one("safe", 20);
+        let attempt = harness.answer_one("safe", 20);
         assert_ne!(attempt.back_end.as_str(), "p-near");
     }
 }
 
-/// The same where only answers of one back end name it.
-fn name_limit_of(station: &mut Station, name: &str) {
-    let begun = station.begin("safe").expect("admitted");
-    let attempt = station.send(&begun);
-    station.after(20);
-    let told = match attempt.back_end.as_str() == name {
+/// Sends one request. The response contains a limit if it comes from the back
+/// end `name`.
+fn answer_with_limit_from(harness: &mut Harness, name: &str) {
+    let begun = harness.begin("safe").expect("admitted");
+    let attempt = harness.send(&begun);
+    harness.advance(20);
+    let reported = match attempt.back_end.as_str() == name {
         true => ReportedLimit::Rate(0.1),
         false => ReportedLimit::None,
     };
-    let now = station.now;
-    station
+    let now = harness.now;
+    harness
         .dispatcher
-        .on_response_head(now, begun.id, attempt.id, &limit(told));
-    station.end(&begun, &attempt, answered());
+        .on_response_head(now, begun.id, attempt.id, &limit(reported));
+    harness.end(&begun, &attempt, answered());
 }
--- a/crates/dispatch/tests/dispatcher/main.rs
+++ b/crates/dispatch/tests/dispatcher/main.rs
@@ -1,4 +1,4 @@
-//! The request path in virtual time.
+//! Tests of the request path in virtual time.
 
 mod back_ends;
 mod choice;
--- a/crates/dispatch/tests/dispatcher/parts.rs
+++ b/crates/dispatch/tests/dispatcher/parts.rs
@@ -1,4 +1,4 @@
-//! Routes, and dealing by weight.
+//! The route table and the weighted round robin.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -30,29 +30,29 @@
 }
 
 #[test]
-fn requests_are_dealt_by_weight_in_every_stretch() {
+fn requests_are_distributed_by_weight_in_every_window() {
     let destinations: Vec<Destination> = [90, 0, 10]
         .map(|weight| Destination {
             service: "plain".into(),
             weight,
         })
         .into();
-    let mut dealer = WeightedRoundRobin::with_offset(0);
-    let dealt: Vec<usize> = (0..200).map(|_| dealer.next(&destinations)).collect();
-    for stretch in dealt.windows(20) {
+    let mut round_robin = WeightedRoundRobin::with_offset(0);
+    let picked: Vec<usize> = (0..200).map(|_| round_robin.next(&destinations)).collect();
+    for stretch in picked.windows(20) {
         let small = stretch.iter().filter(|index| **index == 2).count();
         assert_eq!(small, 2);
     }
     assert!(
-        !dealt.contains(&1),
+        !picked.contains(&1),
         "a destination without weight gets nothing"
     );
 }
 
-/// Each of many routers sees few requests of a route: together they keep to the
-/// weights only if they do not all begin with the same destination.
+/// Each of many routers gets few requests for a route: together they keep to
+/// the weights only if they do not all start with the same destination.
 #[test]
-fn first_requests_of_many_routers_are_dealt_by_weight() {
+fn first_requests_of_many_routers_are_distributed_by_weight() {
     let mut random = ChaCha8Rng::seed_from_u64(5);
     for weights in [vec![50, 50], vec![60, 40], vec![90, 10], vec![1, 1, 1]] {
         let total: u32 = weights.iter().sum();
@@ -70,14 +70,14 @@
         before[1..].iter_mut().for_each(|each| each.weight = 0);
         let mut counts = vec![0_u32; destinations.len()];
         for _ in 0..300 {
-            let mut dealer = WeightedRoundRobin::with_offset(random.random());
-            // One had everything at first.
-            dealer.next(&before);
-            counts[dealer.next(&destinations)] += 1;
+            let mut round_robin = WeightedRoundRobin::with_offset(random.random());
+            // At first, one destination has all the weight.
+            round_robin.next(&before);
+            counts[round_robin.next(&destinations)] += 1;
         }
         for (count, share) in counts.iter().zip(shares) {
-            let dealt = f64::from(*count) / 300.0;
-            assert!((dealt - share).abs() < 0.1, "{weights:?}: {counts:?}");
+            let picked = f64::from(*count) / 300.0;
+            assert!((picked - share).abs() < 0.1, "{weights:?}: {counts:?}");
         }
     }
 }
--- a/crates/dispatch/tests/dispatcher/regions.rs
+++ b/crates/dispatch/tests/dispatcher/regions.rs
@@ -1,4 +1,5 @@
-//! Back ends of other regions, and requests that must not leave some.
+//! Back ends in other regions, and requests that must not leave certain
+//! regions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,11 +10,11 @@
 use threadledge_types::RegionName;
 use threadledge_types::deployment::{KeyDigest, Route, Tenant, Topology};
 
-use super::support::{Station, answered, back_end, configuration, fault, is_refused, route};
+use super::support::{Harness, answered, back_end, configuration, fault, is_refused, route};
 
-/// A router in `zone`; zones `near` and `beside` lie in `home`, `far` and
-/// `farther` in `away`.
-fn station_in(zone: &str) -> Station {
+/// A router in `zone`. The zones `near` and `beside` are in the region `home`,
+/// `far` and `farther` in `away`.
+fn harness_in(zone: &str) -> Harness {
     let regions = [
         ("near", "home"),
         ("beside", "home"),
@@ -22,19 +23,19 @@
     ];
     let regions = regions.map(|(zone, region)| (zone.into(), region.into()));
     let topology = Topology::new(zone.into(), None, BTreeMap::from(regions));
-    let mut station = Station::at(topology, 1);
-    station
+    let mut harness = Harness::at(topology, 1);
+    harness
         .back_ends
         .push(back_end("p-beside", "plain", "beside", 5));
-    station.publish();
-    station
+    harness.publish_back_ends();
+    harness
 }
 
 fn only(regions: &[&str]) -> Option<BTreeSet<RegionName>> {
     Some(regions.iter().map(|region| (*region).into()).collect())
 }
 
-fn restrict(station: &mut Station, regions: &[&str]) {
+fn restrict(harness: &mut Harness, regions: &[&str]) {
     let restricted = |name, service| Route {
         allowed_regions: only(regions),
         ..route(name, service, true)
@@ -44,29 +45,30 @@
         restricted("keyed", "keyed"),
         route("free", "plain", true),
     ];
-    assert!(station.configure(configuration(2, routes)));
+    assert!(harness.configure(configuration(2, routes)));
 }
 
-/// Begins and sends requests until one is not sent at once. Says who got them.
-fn fill(station: &mut Station, route: &str) -> Vec<String> {
+/// Starts and sends requests until one is not sent at once. Returns the back
+/// ends that they were sent to.
+fn fill(harness: &mut Harness, route: &str) -> Vec<String> {
     let mut sent = Vec::new();
     while sent.len() < 100 {
-        let begun = station.begin(route).expect("admitted");
-        let Step::Send(attempt) = station.next(&begun) else {
+        let begun = harness.begin(route).expect("admitted");
+        let Step::Send(attempt) = harness.next(&begun) else {
             break;
         };
-        let now = station.now;
-        assert!(station.dispatcher.may_send(now, begun.id, attempt.id));
+        let now = harness.now;
+        assert!(harness.dispatcher.may_send(now, begun.id, attempt.id));
         sent.push(attempt.back_end.as_str().to_owned());
     }
     sent
 }
 
 #[test]
-fn other_region_is_for_what_the_own_one_cannot_answer_in_time() {
-    let mut station = station_in("near");
-    station.answer_one("safe", 60);
-    let sent = fill(&mut station, "safe");
+fn other_region_is_used_only_if_the_local_one_is_too_slow() {
+    let mut harness = harness_in("near");
+    harness.answer_one("safe", 60);
+    let sent = fill(&mut harness, "safe");
     let first_far = sent.iter().position(|name| name == "p-far");
     let first_far = first_far.expect("the other region helps out");
     let (home, away) = sent.split_at(first_far);
@@ -77,9 +79,9 @@
 
 #[test]
 fn without_regions_zones_are_alike() {
-    let mut station = Station::new();
-    station.answer_one("safe", 60);
-    let sent = fill(&mut station, "safe");
+    let mut harness = Harness::new();
+    harness.answer_one("safe", 60);
+    let sent = fill(&mut harness, "safe");
     let first_far = sent.iter().position(|name| name == "p-far").expect("used");
     let later = &sent[first_far..];
     assert!(later.iter().any(|name| name == "p-near"), "{sent:?}");
@@ -87,20 +89,20 @@
 
 #[test]
 fn repeats_and_hedges_stay_in_the_region_while_it_serves() {
-    let mut station = station_in("near");
+    let mut harness = harness_in("near");
     for _ in 0..20 {
-        station.answer_one("safe", 20);
+        harness.answer_one("safe", 20);
     }
-    let begun = station.begin("safe").expect("admitted");
-    let first = station.send(&begun);
+    let begun = harness.begin("safe").expect("admitted");
+    let first = harness.send(&begun);
     assert_eq!(
-        station.end(&begun, &first, fault(Fault::Unreachable)),
+        harness.end(&begun, &first, fault(Fault::Unreachable)),
         NextAction::CallNext
     );
-    let second = station.send(&begun);
+    let second = harness.send(&begun);
     let names = [first.back_end.as_str(), second.back_end.as_str()];
     assert!(!names.contains(&"p-far"), "{names:?}");
-    station.end(&begun, &second, answered());
+    harness.end(&begun, &second, answered());
 }
 
 #[test]
@@ -110,9 +112,9 @@
         ("near", "away", vec!["p-far"]),
         ("far", "home", vec!["p-near", "p-beside"]),
     ] {
-        let mut station = station_in(zone);
-        restrict(&mut station, &[region]);
-        let sent = fill(&mut station, "safe");
+        let mut harness = harness_in(zone);
+        restrict(&mut harness, &[region]);
+        let sent = fill(&mut harness, "safe");
         assert!(!sent.is_empty());
         for name in &sent {
             assert!(allowed.contains(&name.as_str()), "{zone} {region} {sent:?}");
@@ -121,26 +123,26 @@
 }
 
 #[test]
-fn nothing_but_the_allowed_region_is_repeated_or_hedged_to() {
-    let mut station = station_in("near");
-    restrict(&mut station, &["away"]);
-    let begun = station.begin("safe").expect("admitted");
-    let first = station.send(&begun);
+fn retries_and_hedges_of_a_restricted_request_stay_in_its_region() {
+    let mut harness = harness_in("near");
+    restrict(&mut harness, &["away"]);
+    let begun = harness.begin("safe").expect("admitted");
+    let first = harness.send(&begun);
     assert_eq!(first.back_end, "p-far".into());
-    let Step::Wait(hedge_at) = station.next(&begun) else {
+    let Step::Wait(hedge_at) = harness.next(&begun) else {
         panic!("it waits for the answer");
     };
-    station.now = hedge_at;
-    let step = station.next(&begun);
+    harness.now = hedge_at;
+    let step = harness.next(&begun);
     assert!(matches!(step, Step::Wait(_)), "no other there: {step:?}");
-    station.end(&begun, &first, fault(Fault::Unreachable));
+    harness.end(&begun, &first, fault(Fault::Unreachable));
     for _ in 0..5 {
-        match station.next(&begun) {
+        match harness.next(&begun) {
             Step::Send(again) => {
                 assert_eq!(again.back_end, "p-far".into());
-                station.end(&begun, &again, fault(Fault::Unreachable));
+                harness.end(&begun, &again, fault(Fault::Unreachable));
             }
-            Step::Wait(until) => station.now = until,
+            Step::Wait(until) => harness.now = until,
             step => {
                 assert!(is_refused(&step), "{step:?}");
                 return;
@@ -151,7 +153,7 @@
 
 #[test]
 fn route_and_tenant_must_both_allow_a_region() {
-    let mut station = station_in("near");
+    let mut harness = harness_in("near");
     let mut restricted = configuration(2, Vec::new());
     let home_or_away = Route {
         allowed_regions: only(&["home", "away"]),
@@ -167,16 +169,16 @@
         };
         restricted.tenants.insert(name.into(), tenant);
     }
-    assert!(station.configure(restricted));
+    assert!(harness.configure(restricted));
     let key = KeyDigest::of(b"in-both");
     for name in ["safe", "free"] {
-        let begun = station
+        let begun = harness
             .begin_by(name, None, Duration::ZERO, Some(&key))
             .expect("admitted");
-        assert_eq!(station.send(&begun).back_end, "p-far".into());
+        assert_eq!(harness.send(&begun).back_end, "p-far".into());
     }
     let key = KeyDigest::of(b"in-none");
-    let refusal = station.begin_by("safe", None, Duration::ZERO, Some(&key));
+    let refusal = harness.begin_by("safe", None, Duration::ZERO, Some(&key));
     let refusal = refusal.expect_err("no region is left");
     assert_eq!(refusal.reason, RefusalReason::OutsideRegions);
     assert_eq!(refusal.retry_after, None);
@@ -184,60 +186,60 @@
 
 #[test]
 fn key_held_in_another_region_is_refused_at_once() {
-    let mut station = station_in("near");
-    restrict(&mut station, &["away"]);
-    let begun = station.begin_with("keyed", Some(1)).expect("admitted");
-    let Step::Finish(Outcome::Refused(refusal)) = station.next(&begun) else {
+    let mut harness = harness_in("near");
+    restrict(&mut harness, &["away"]);
+    let begun = harness.begin_with("keyed", Some(1)).expect("admitted");
+    let Step::Finish(Outcome::Refused(refusal)) = harness.next(&begun) else {
         panic!("its owner is k-1, at home");
     };
     assert_eq!(refusal.reason, RefusalReason::OutsideRegions);
-    let begun = station.begin_with("keyed", Some(60_000)).expect("admitted");
-    assert_eq!(station.send(&begun).back_end, "k-2".into());
+    let begun = harness.begin_with("keyed", Some(60_000)).expect("admitted");
+    assert_eq!(harness.send(&begun).back_end, "k-2".into());
 }
 
 #[test]
-fn zone_without_a_region_is_allowed_to_nothing_restricted() {
-    let mut station = station_in("near");
-    station.back_ends = vec![back_end("p-lost", "plain", "nowhere", 6)];
-    station.publish();
-    restrict(&mut station, &["home", "away"]);
-    let begun = station.begin("safe").expect("admitted");
-    let Step::Wait(until) = station.next(&begun) else {
+fn restricted_requests_do_not_go_to_a_zone_without_a_region() {
+    let mut harness = harness_in("near");
+    harness.back_ends = vec![back_end("p-lost", "plain", "nowhere", 6)];
+    harness.publish_back_ends();
+    restrict(&mut harness, &["home", "away"]);
+    let begun = harness.begin("safe").expect("admitted");
+    let Step::Wait(until) = harness.next(&begun) else {
         panic!("one of its regions may come");
     };
-    station.now = until;
-    assert!(is_refused(&station.next(&begun)));
-    let begun = station.begin("free").expect("admitted");
-    assert_eq!(station.send(&begun).back_end, "p-lost".into());
+    harness.now = until;
+    assert!(is_refused(&harness.next(&begun)));
+    let begun = harness.begin("free").expect("admitted");
+    assert_eq!(harness.send(&begun).back_end, "p-lost".into());
 }
 
 #[test]
-fn gateway_of_another_region_keeps_nothing_of_the_request() {
+fn gateway_of_another_region_must_not_record_a_restricted_request() {
     for (zone, in_transit) in [("near", true), ("far", false)] {
-        let mut station = station_in(zone);
-        restrict(&mut station, &["away"]);
+        let mut harness = harness_in(zone);
+        restrict(&mut harness, &["away"]);
         assert_eq!(
-            station.begin("safe").expect("admitted").in_transit,
+            harness.begin("safe").expect("admitted").in_transit,
             in_transit
         );
-        assert!(!station.begin("free").expect("admitted").in_transit);
+        assert!(!harness.begin("free").expect("admitted").in_transit);
     }
 }
 
 #[test]
-fn what_is_told_of_a_crash_names_the_route_only() {
-    let mut station = station_in("near");
-    restrict(&mut station, &["home"]);
-    for (name, told) in [
+fn label_of_a_restricted_request_contains_only_the_route() {
+    let mut harness = harness_in("near");
+    restrict(&mut harness, &["home"]);
+    for (name, expected_label) in [
         ("safe", "GET route safe"),
         ("free", "GET host.example/free/x"),
     ] {
-        let begun = station.begin(name).expect("admitted");
-        let attempt = station.send(&begun);
-        station.end(&begun, &attempt, fault(Fault::Broken));
-        station.dispatcher.process_ended(&attempt.back_end);
-        let crashes = station.dispatcher.take_crashes();
+        let begun = harness.begin(name).expect("admitted");
+        let attempt = harness.send(&begun);
+        harness.end(&begun, &attempt, fault(Fault::Broken));
+        harness.dispatcher.process_ended(&attempt.back_end);
+        let crashes = harness.dispatcher.take_crashes();
         let labels: Vec<&str> = crashes.iter().map(|found| found.label.as_str()).collect();
-        assert_eq!(labels, [told]);
+        assert_eq!(labels, [expected_label]);
     }
 }
--- a/crates/dispatch/tests/dispatcher/retries.rs
+++ b/crates/dispatch/tests/dispatcher/retries.rs
@@ -6,20 +6,21 @@
 use threadledge_dispatch::{Settings, Step};
 use threadledge_types::Timestamp;
 
-use super::support::{Station, answered, failed_answer};
+use super::support::{Harness, answered, failed_answer};
 
-/// Retries that all routers may make in a window beside the ratio.
+/// Retries that all routers may send in a window in addition to the ratio.
 const SLACK: u32 = 100;
 const ROUTERS: u32 = 25;
 const RATIO: f64 = 0.15;
 const WINDOW: Duration = Duration::from_secs(10);
-/// How long a count of the routers holds.
+/// How long the number of routers stays valid.
 const CONFIRMED_FOR: Duration = Duration::from_secs(10);
 
-/// Routers whose requests all fail at first, and what reached the back ends.
+/// Routers whose requests all fail at first, and the times of their requests
+/// and retries.
 struct Routers {
-    stations: Vec<Station>,
-    lives: u64,
+    instances: Vec<Harness>,
+    started: u64,
     now: Timestamp,
     requests: Vec<Timestamp>,
     retries: Vec<Timestamp>,
@@ -28,72 +29,73 @@
 impl Routers {
     fn start(count: u32) -> Routers {
         let mut routers = Routers {
-            stations: Vec::new(),
-            lives: 0,
+            instances: Vec::new(),
+            started: 0,
             now: Timestamp::from_millis(100_000),
             requests: Vec::new(),
             retries: Vec::new(),
         };
-        routers.stations = (0..count).map(|_| routers.begin_life()).collect();
+        routers.instances = (0..count).map(|_| routers.start_instance()).collect();
         routers
     }
 
-    fn begin_life(&mut self) -> Station {
-        self.lives += 1;
+    fn start_instance(&mut self) -> Harness {
+        self.started += 1;
         let settings = Settings {
             retry_ratio: RATIO,
             retry_slack: SLACK,
             retry_window: WINDOW,
             ..Settings::default()
         };
-        Station::with(settings, self.lives)
+        Harness::with(settings, self.started)
     }
 
-    /// The first of the routers end, and another life begins in their place.
+    /// Replaces the first routers by new processes.
     fn restart(&mut self, first: usize) {
         for index in 0..first {
-            self.stations[index] = self.begin_life();
+            self.instances[index] = self.start_instance();
         }
     }
 
-    /// Every router is told how many there are.
-    fn tell_count(&mut self) {
-        self.tell_some(self.stations.len(), ROUTERS);
+    /// Tells every router the number of routers.
+    fn set_router_count_of_all(&mut self) {
+        self.set_router_count_of(self.instances.len(), ROUTERS);
     }
 
-    /// The first of the routers are told that there are so many.
-    fn tell_some(&mut self, first: usize, count: u32) {
-        for station in &mut self.stations[..first] {
-            station.now = self.now;
+    /// Tells the first routers this number of routers.
+    fn set_router_count_of(&mut self, first: usize, count: u32) {
+        for harness in &mut self.instances[..first] {
+            harness.now = self.now;
             let until = self.now + CONFIRMED_FOR;
-            station
+            harness
                 .dispatcher
                 .set_router_count(self.now, count, Some(until));
         }
     }
 
-    /// One request at each router: it fails, and is tried again if the budget
-    /// allows it.
+    /// Sends one request through each router. It fails and is retried if the
+    /// budget allows it.
     fn fail_one_each(&mut self) {
-        for station in &mut self.stations {
-            station.now = self.now;
-            let begun = station.begin("safe").expect("admitted");
+        for harness in &mut self.instances {
+            harness.now = self.now;
+            let begun = harness.begin("safe").expect("admitted");
             self.requests.push(self.now);
-            let first = station.send(&begun);
-            station.end(&begun, &first, failed_answer());
-            if let Step::Send(second) = station.next(&begun) {
+            let first = harness.send(&begun);
+            harness.end(&begun, &first, failed_answer());
+            if let Step::Send(second) = harness.next(&begun) {
                 self.retries.push(self.now);
-                station.end(&begun, &second, answered());
+                harness.end(&begun, &second, answered());
             }
         }
     }
 
-    fn after(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         self.now = self.now + Duration::from_millis(millis);
     }
 
-    /// Invariant: in no window more retries than the ratio and the slack allow.
-    fn check(&self) {
+    /// Invariant: in no window are there more retries than the ratio and the
+    /// slack allow.
+    fn check_budget(&self) {
         for first in &self.retries {
             let within = |at: &&Timestamp| **at >= *first && at.since(*first) < WINDOW;
             let retries = self.retries.iter().filter(within).count();
@@ -107,29 +109,30 @@
     }
 }
 
-/// What a life used is forgotten with it: its successor must not use it again.
+/// A process that restarts has forgotten what it used, and must not get it
+/// again.
 #[test]
-fn routers_that_start_again_and_again_keep_the_retry_budget_of_all() {
+fn routers_that_restart_repeatedly_keep_the_total_retry_budget() {
     let mut routers = Routers::start(ROUTERS);
-    for _life in 0..12 {
+    for _incarnation in 0..12 {
         for round in 0..4 {
-            routers.after(400);
+            routers.advance(400);
             if round == 1 {
-                routers.tell_count();
+                routers.set_router_count_of_all();
             }
             routers.fail_one_each();
         }
-        routers.restart(routers.stations.len());
+        routers.restart(routers.instances.len());
     }
-    routers.check();
+    routers.check_budget();
 }
 
-/// Whatever number it guessed, the routers that start may be many more.
+/// Whatever number a starting router guessed, there could be many more.
 #[test]
-fn router_that_does_not_know_how_many_there_are_uses_no_slack() {
+fn router_that_does_not_know_the_number_of_routers_uses_no_slack() {
     let mut routers = Routers::start(ROUTERS);
     for _second in 0..10 {
-        routers.after(1_000);
+        routers.advance(1_000);
         routers.fail_one_each();
     }
     let allowed = routers.requests.len() as f64 * RATIO;
@@ -140,8 +143,8 @@
     );
 }
 
-/// Invariant: in every window that slides, repeats stay within the ratio of
-/// the requests of that window and the one before, and the slack.
+/// Invariant: in every sliding window, retries stay within the ratio of the
+/// requests of that window and the one before, plus the slack.
 #[test]
 fn budget_holds_in_every_sliding_window() {
     for seed in 0..40_u64 {
@@ -156,22 +159,22 @@
         let mut budget = RetryBudget::new(now, 0.15, window);
         budget.set_slack(now, 3.0, None);
         let mut requests: Vec<Timestamp> = Vec::new();
-        let mut repeats: Vec<Timestamp> = Vec::new();
+        let mut retries: Vec<Timestamp> = Vec::new();
         for _ in 0..400 {
             now = now + Duration::from_millis(data.int_in_range(0..=120)?);
             if data.ratio(3, 5)? {
                 budget.count_request(now);
                 requests.push(now);
             } else if budget.take(now).is_some() {
-                repeats.push(now);
+                retries.push(now);
             }
         }
-        for last in &repeats {
+        for last in &retries {
             let within =
                 |at: &&Timestamp, length: Duration| **at <= *last && last.since(**at) < length;
-            let repeated = repeats.iter().filter(|at| within(at, window)).count();
-            let asked = requests.iter().filter(|at| within(at, window * 2)).count();
-            assert!(repeated as f64 <= asked as f64 * 0.15 + 3.0);
+            let retry_count = retries.iter().filter(|at| within(at, window)).count();
+            let request_count = requests.iter().filter(|at| within(at, window * 2)).count();
+            assert!(retry_count as f64 <= request_count as f64 * 0.15 + 3.0);
         }
         Ok(())
     })
@@ -179,7 +182,7 @@
 }
 
 #[test]
-fn right_that_was_not_used_can_be_given_back() {
+fn unused_permit_can_be_returned() {
     let start = Timestamp::from_millis(100);
     let mut budget = RetryBudget::new(start, 0.0, WINDOW);
     budget.set_slack(start, 2.0, None);
@@ -193,9 +196,9 @@
     assert!(budget.take(now + Duration::from_secs(11)).is_some());
 }
 
-/// What was earned meanwhile has taken the place of a right that comes back.
+/// The slack earned meanwhile has taken the place of the returned permit.
 #[test]
-fn retry_given_back_late_does_not_add_to_the_slack_earned_meanwhile() {
+fn permit_returned_late_does_not_add_to_the_slack_earned_meanwhile() {
     let start = Timestamp::from_millis(100);
     let mut budget = RetryBudget::new(start, 0.0, WINDOW);
     budget.set_slack(start, 2.0, None);
@@ -206,9 +209,9 @@
     assert!(budget.take(now).is_none());
 }
 
-/// Counted off the present window, it would hide a retry of that window.
+/// Subtracting it from the current window would hide a retry of that window.
 #[test]
-fn retry_given_back_late_leaves_the_window_in_which_it_was_taken() {
+fn permit_returned_late_does_not_change_the_current_window() {
     let start = Timestamp::from_millis(100);
     let mut budget = RetryBudget::new(start, 0.1, WINDOW);
     (0..10).for_each(|_| budget.count_request(start));
@@ -220,9 +223,9 @@
     assert!(budget.take(now).is_none());
 }
 
-/// A right given back within its window is there again.
+/// A permit that is returned within its window is available again.
 #[test]
-fn retry_given_back_in_time_can_be_made_by_another_request() {
+fn permit_returned_in_time_can_be_used_by_another_request() {
     let start = Timestamp::from_millis(100);
     let mut budget = RetryBudget::new(start, 0.1, WINDOW);
     (0..10).for_each(|_| budget.count_request(start));
@@ -233,49 +236,50 @@
     assert!(budget.take(now).is_some());
 }
 
-/// Routers that were cut off go on by the old count while the others, told of
-/// fewer, divide by the new one.
+/// Routers that were cut off keep using the old number, while the others are
+/// told a smaller one and divide by that.
 #[test]
-fn routers_cut_off_from_the_others_do_not_keep_a_share_that_these_use() {
+fn routers_cut_off_from_the_others_lose_their_share_of_the_slack() {
     let mut routers = Routers::start(ROUTERS);
-    routers.tell_count();
-    routers.after(30_000);
-    routers.tell_count();
+    routers.set_router_count_of_all();
+    routers.advance(30_000);
+    routers.set_router_count_of_all();
     for second in 0..30 {
-        routers.after(1_000);
+        routers.advance(1_000);
         let counted = if second < 12 { ROUTERS } else { 5 };
-        routers.tell_some(5, counted);
+        routers.set_router_count_of(5, counted);
     }
     for _ in 0..60 {
-        routers.after(200);
-        routers.tell_some(5, 5);
+        routers.advance(200);
+        routers.set_router_count_of(5, 5);
         routers.fail_one_each();
     }
-    routers.check();
+    routers.check_budget();
 }
 
-/// Restarts, silence and bursts of failures in any order, at some of them.
+/// Restarts, missing updates and bursts of failures in any order, at some of
+/// the routers.
 #[test]
-fn no_order_of_restarts_and_failures_takes_more_than_the_budget_of_all() {
+fn total_retry_budget_holds_in_any_order_of_restarts_and_failures() {
     for seed in 0..40_u64 {
-        budget_of_all_holds((seed << 32) | 0x800);
+        total_budget_holds((seed << 32) | 0x800);
     }
 }
 
-fn budget_of_all_holds(seed: u64) {
+fn total_budget_holds(seed: u64) {
     arbtest::arbtest(|data| {
         let mut routers = Routers::start(ROUTERS);
         for _ in 0..60 {
-            routers.after(data.int_in_range(0..=900)?);
-            let first = data.int_in_range(0..=routers.stations.len())?;
+            routers.advance(data.int_in_range(0..=900)?);
+            let first = data.int_in_range(0..=routers.instances.len())?;
             match data.int_in_range(0..=5)? {
                 0 => routers.restart(first),
-                1 => routers.tell_some(first, ROUTERS),
-                2 => routers.tell_count(),
+                1 => routers.set_router_count_of(first, ROUTERS),
+                2 => routers.set_router_count_of_all(),
                 _ => routers.fail_one_each(),
             }
         }
-        routers.check();
+        routers.check_budget();
         Ok(())
     })
     .seed(seed);
--- a/crates/dispatch/tests/dispatcher/schedules.rs
+++ b/crates/dispatch/tests/dispatcher/schedules.rs
@@ -1,4 +1,4 @@
-//! Random schedules against the promises of outcomes.
+//! Random schedules of events, checked against the guarantees of outcomes.
 
 use std::collections::BTreeMap;
 
@@ -10,24 +10,24 @@
     Attempt, AttemptEnd, ExchangeId, Fault, Outcome, StartedExchange, Step,
 };
 
-use super::support::{Station, answered, failed_answer, not_run};
+use super::support::{Harness, answered, failed_answer, not_run};
 
 const SEEDS: u64 = 150;
 const STEPS: u32 = 400;
 
-/// What the model knows of one exchange.
-struct Known {
+/// The model's state of one exchange.
+struct ExchangeModel {
     begun: StartedExchange,
     repeatable: bool,
     key: Option<u16>,
-    /// Attempts that were given leave and may have run.
+    /// Attempts that were allowed to be sent and may have run.
     may_have_run: u32,
     arrived: u32,
     running: Vec<Attempt>,
 }
 
 #[test]
-fn no_promise_is_broken_by_any_order_of_events() {
+fn guarantees_hold_in_any_order_of_events() {
     for seed in 0..SEEDS {
         run(seed);
     }
@@ -35,41 +35,45 @@
 
 fn run(seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut station = Station::new();
-    let mut known: BTreeMap<ExchangeId, Known> = BTreeMap::new();
-    let mut draining: Vec<bool> = vec![false; station.back_ends.len()];
+    let mut harness = Harness::new();
+    let mut exchanges: BTreeMap<ExchangeId, ExchangeModel> = BTreeMap::new();
+    let mut draining: Vec<bool> = vec![false; harness.back_ends.len()];
     for _ in 0..STEPS {
-        station.after(random.random_range(0..40));
+        harness.advance(random.random_range(0..40));
         match random.random_range(0..10) {
-            0..=3 => begin(&mut random, &mut station, &mut known),
+            0..=3 => begin(&mut random, &mut harness, &mut exchanges),
             4 => {
                 let index = random.random_range(0..draining.len());
                 draining[index] = !draining[index];
-                station.back_ends[index].draining = draining[index];
-                station.publish();
+                harness.back_ends[index].draining = draining[index];
+                harness.publish_back_ends();
             }
             5 => {
                 let names = ["k-1", "k-2", ""];
                 let lower = names[random.random_range(0..3)];
-                station.own(lower, names[random.random_range(0..3)]);
+                harness.set_owners(lower, names[random.random_range(0..3)]);
             }
-            _ => end_one(&mut random, &mut station, &mut known),
+            _ => end_one(&mut random, &mut harness, &mut exchanges),
         }
-        let ids: Vec<ExchangeId> = known.keys().copied().collect();
+        let ids: Vec<ExchangeId> = exchanges.keys().copied().collect();
         for id in ids {
-            ask(seed, &mut station, &mut known, id);
+            advance_exchange(seed, &mut harness, &mut exchanges, id);
         }
     }
 }
 
-fn begin(random: &mut ChaCha8Rng, station: &mut Station, known: &mut BTreeMap<ExchangeId, Known>) {
+fn begin(
+    random: &mut ChaCha8Rng,
+    harness: &mut Harness,
+    exchanges: &mut BTreeMap<ExchangeId, ExchangeModel>,
+) {
     let (route, key) = match random.random_range(0..3) {
         0 => ("safe", None),
         1 => ("unsafe", None),
         _ => ("keyed", Some(random.random_range(0..=u16::MAX))),
     };
-    let begun = station.begin_with(route, key).expect("a route");
-    let entry = Known {
+    let begun = harness.begin_with(route, key).expect("a route");
+    let entry = ExchangeModel {
         begun: begun.clone(),
         repeatable: route != "unsafe",
         key,
@@ -77,25 +81,25 @@
         arrived: 0,
         running: Vec::new(),
     };
-    known.insert(begun.id, entry);
+    exchanges.insert(begun.id, entry);
 }
 
 fn end_one(
     random: &mut ChaCha8Rng,
-    station: &mut Station,
-    known: &mut BTreeMap<ExchangeId, Known>,
+    harness: &mut Harness,
+    exchanges: &mut BTreeMap<ExchangeId, ExchangeModel>,
 ) {
-    let busy: Vec<ExchangeId> = known
+    let busy: Vec<ExchangeId> = exchanges
         .iter()
-        .filter(|(_, each)| !each.running.is_empty())
+        .filter(|(_, exchange)| !exchange.running.is_empty())
         .map(|(id, _)| *id)
         .collect();
     if busy.is_empty() {
         return;
     }
     let id = busy[random.random_range(0..busy.len())];
-    let each = known.get_mut(&id).expect("known");
-    let attempt = each.running.remove(0);
+    let exchange = exchanges.get_mut(&id).expect("known");
+    let attempt = exchange.running.remove(0);
     let end = match random.random_range(0..9) {
         0..=2 => answered(),
         3 => failed_answer(),
@@ -106,7 +110,7 @@
         _ => AttemptEnd::Failed(Fault::TimedOut),
     };
     if matches!(end, AttemptEnd::NotRun { .. }) {
-        each.may_have_run -= 1;
+        exchange.may_have_run -= 1;
     }
     if matches!(
         end,
@@ -115,28 +119,34 @@
             ..
         }
     ) {
-        // The bound is on back ends that may run it; the next owner may.
-        each.arrived -= 1;
+        // The limit is on back ends that may run the request; the next owner
+        // still may.
+        exchange.arrived -= 1;
     }
-    let begun = each.begun.clone();
-    let verdict = station.end(&begun, &attempt, end);
-    if verdict == NextAction::Deliver {
-        known.remove(&id);
+    let begun = exchange.begun.clone();
+    let action = harness.end(&begun, &attempt, end);
+    if action == NextAction::Deliver {
+        exchanges.remove(&id);
     }
 }
 
-fn ask(seed: u64, station: &mut Station, known: &mut BTreeMap<ExchangeId, Known>, id: ExchangeId) {
+fn advance_exchange(
+    seed: u64,
+    harness: &mut Harness,
+    exchanges: &mut BTreeMap<ExchangeId, ExchangeModel>,
+    id: ExchangeId,
+) {
     loop {
-        let each = known.get_mut(&id).expect("known");
-        let begun = each.begun.clone();
-        match station.next(&begun) {
+        let exchange = exchanges.get_mut(&id).expect("known");
+        let begun = exchange.begun.clone();
+        match harness.next(&begun) {
             Step::Send(attempt) => {
-                let now = station.now;
-                if !station.dispatcher.may_send(now, id, attempt.id) {
-                    station.end(&begun, &attempt, AttemptEnd::Abandoned);
+                let now = harness.now;
+                if !harness.dispatcher.may_send(now, id, attempt.id) {
+                    harness.end(&begun, &attempt, AttemptEnd::Abandoned);
                     continue;
                 }
-                let back_end = station
+                let back_end = harness
                     .back_ends
                     .iter()
                     .find(|back_end| back_end.name == attempt.back_end)
@@ -147,27 +157,30 @@
                 );
                 assert_eq!(back_end.service, begun.service, "seed {seed}");
                 assert!(
-                    each.repeatable || each.may_have_run == 0,
+                    exchange.repeatable || exchange.may_have_run == 0,
                     "seed {seed}: an unsafe request may run twice"
                 );
-                let alone = each.key.is_none() || each.running.is_empty();
-                assert!(alone, "seed {seed}: a keyed request is with two back ends");
-                each.may_have_run += 1;
-                each.arrived += 1;
-                assert!(each.arrived <= 2, "seed {seed}: more than max-attempts");
-                each.running.push(attempt);
+                let is_exclusive = exchange.key.is_none() || exchange.running.is_empty();
+                assert!(
+                    is_exclusive,
+                    "seed {seed}: a keyed request is with two back ends"
+                );
+                exchange.may_have_run += 1;
+                exchange.arrived += 1;
+                assert!(exchange.arrived <= 2, "seed {seed}: more than max-attempts");
+                exchange.running.push(attempt);
             }
             Step::Wait(until) => {
-                assert!(until > station.now, "seed {seed}: it waits for the past");
+                assert!(until > harness.now, "seed {seed}: it waits for the past");
                 return;
             }
             Step::Finish(outcome) => {
                 let refused = matches!(outcome, Outcome::Refused(_));
                 assert!(
-                    !refused || each.may_have_run == 0,
+                    !refused || exchange.may_have_run == 0,
                     "seed {seed}: refused though it may have run"
                 );
-                known.remove(&id);
+                exchanges.remove(&id);
                 return;
             }
             Step::Ended => panic!("seed {seed}: over without an outcome"),
--- a/crates/dispatch/tests/dispatcher/support.rs
+++ b/crates/dispatch/tests/dispatcher/support.rs
@@ -1,4 +1,4 @@
-//! A dispatcher with back ends, driven by hand.
+//! A dispatcher with back ends, driven step by step.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 pub const TARGET: Duration = Duration::from_millis(200);
 pub const TIMEOUT: Duration = Duration::from_millis(1_200);
 
-pub struct Station {
+pub struct Harness {
     pub dispatcher: Dispatcher,
     pub now: Timestamp,
     pub back_ends: Vec<BackEnd>,
@@ -89,36 +89,36 @@
     }
 }
 
-impl Station {
-    /// A router that has run for a while, alone.
-    /// Two back ends of each service, one a zone, and routes `safe`, `unsafe`
+impl Harness {
+    /// The only router of a deployment, which has run for some time. It has two
+    /// back ends of each service, one per zone, and the routes `safe`, `unsafe`
     /// and `keyed`.
     pub fn new() -> Self {
-        Station::with_seed(1)
+        Harness::with_seed(1)
     }
 
-    /// The same, of a router that draws other random numbers.
+    /// The same with a different seed.
     pub fn with_seed(seed: u64) -> Self {
-        Station::at(Topology::new("near".into(), None, BTreeMap::new()), seed)
+        Harness::at(Topology::new("near".into(), None, BTreeMap::new()), seed)
     }
 
-    /// The same, of a router elsewhere.
+    /// The same for a router in another place.
     pub fn at(topology: Topology, seed: u64) -> Self {
         let settings = Settings {
             topology,
             retry_slack: 100,
             ..Settings::default()
         };
-        let mut station = Station::with(settings, seed);
-        station
+        let mut harness = Harness::with(settings, seed);
+        harness
             .dispatcher
             .set_router_count(Timestamp::ZERO, 1, None);
-        station
+        harness
     }
 
-    /// The same, of a router with these settings that starts.
+    /// The same for a router that is just starting, with these settings.
     pub fn with(settings: Settings, seed: u64) -> Self {
-        let mut station = Station {
+        let mut harness = Harness {
             dispatcher: Dispatcher::new(settings, seed),
             now: Timestamp::from_millis(100_000),
             back_ends: vec![
@@ -135,10 +135,10 @@
             route("unsafe", "plain", false),
             route("keyed", "keyed", true),
         ];
-        station.configure(configuration(1, routes));
-        station.publish();
-        station.own("k-1", "k-2");
-        station
+        harness.configure(configuration(1, routes));
+        harness.publish_back_ends();
+        harness.set_owners("k-1", "k-2");
+        harness
     }
 
     pub fn configure(&mut self, configuration: Configuration) -> bool {
@@ -148,14 +148,14 @@
             .is_some()
     }
 
-    pub fn publish(&mut self) {
+    pub fn publish_back_ends(&mut self) {
         let back_ends = self.back_ends.clone();
         self.dispatcher.set_back_ends(self.now, &back_ends);
     }
 
-    /// Gives the lower half of the keys to one back end and the upper half to
-    /// another; an empty name leaves it without an owner.
-    pub fn own(&mut self, lower: &str, upper: &str) {
+    /// Assigns the lower half of the keys to one back end and the upper half to
+    /// another. An empty name leaves a half without an owner.
+    pub fn set_owners(&mut self, lower: &str, upper: &str) {
         let state = |name: &str| match name {
             "" => SliceState::Unowned,
             name => SliceState::Owned {
@@ -185,7 +185,7 @@
             .set_ownership(self.now, "keyed".into(), view);
     }
 
-    pub fn after(&mut self, millis: u64) {
+    pub fn advance(&mut self, millis: u64) {
         self.now = self.now + Duration::from_millis(millis);
     }
 
@@ -201,7 +201,7 @@
         self.begin_by(route, key, Duration::ZERO, None)
     }
 
-    /// Begins a request whose head came `age` ago.
+    /// Starts a request whose head arrived `age` ago.
     pub fn begin_after(
         &mut self,
         route: &str,
@@ -211,7 +211,7 @@
         self.begin_by(route, key, age, None)
     }
 
-    /// The same, of the caller that shows a key with this digest.
+    /// The same for a caller whose API key has this digest.
     pub fn begin_by(
         &mut self,
         route: &str,
@@ -260,17 +260,17 @@
             .on_attempt_end(self.now, begun.id, attempt.id, &end)
     }
 
-    /// Begins, sends and answers one request after `millis`.
+    /// Starts and sends one request and answers it after `millis`.
     pub fn answer_one(&mut self, route: &str, millis: u64) -> Attempt {
         let begun = self.begin(route).expect("admitted");
         let attempt = self.send(&begun);
-        self.after(millis);
+        self.advance(millis);
         assert_eq!(self.end(&begun, &attempt, answered()), NextAction::Deliver);
         attempt
     }
 }
 
-/// A request that differs from those with other numbers.
+/// The identity of a request that differs from those with other numbers.
 pub fn identity(path: &str, number: u64) -> RequestIdentity {
     let target = format!("{path}?number={number}");
     let builder = IdentityBuilder::new("GET", HOST, &target);
--- a/crates/dispatch/tests/model/fleet.rs
+++ b/crates/dispatch/tests/model/fleet.rs
@@ -1,4 +1,4 @@
-//! Back ends with queues, callers, and time.
+//! Simulates back ends with queues, and the arrival of requests.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -6,16 +6,16 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// What is played.
+/// The parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     pub gateways: usize,
-    /// Speed of each back end.
+    /// Relative speed of each back end.
     pub speeds: Vec<f64>,
     pub slots: usize,
-    /// Requests that wait at a back end before it resets connections.
+    /// Number of requests that a back end queues before it resets connections.
     pub queue: usize,
-    /// Mean time of work at speed 1, in seconds.
+    /// Mean service time at speed 1, in seconds.
     pub work_s: f64,
     pub target_s: f64,
     pub timeout_s: f64,
@@ -23,26 +23,26 @@
     pub length_s: f64,
 }
 
-/// How requests ended.
+/// Number of requests by how they ended.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
     pub asked: u64,
-    /// Answered within the target.
+    /// Answered within the target latency.
     pub in_target: u64,
-    /// Answered later.
+    /// Answered later than that.
     pub late: u64,
     /// Reset, refused or timed out.
     pub unanswered: u64,
 }
 
 impl Outcome {
-    /// Part of the requests that were answered within the target.
-    pub fn in_time(&self) -> f64 {
+    /// Fraction of the requests that were answered within the target latency.
+    pub fn in_target_share(&self) -> f64 {
         self.in_target as f64 / self.asked.max(1) as f64
     }
 
-    /// Part of the requests without an answer.
-    pub fn lost(&self) -> f64 {
+    /// Fraction of the requests without a response.
+    pub fn unanswered_share(&self) -> f64 {
         self.unanswered as f64 / self.asked.max(1) as f64
     }
 
@@ -61,9 +61,9 @@
 pub enum Choice {
     /// Send it to this back end.
     Send(usize),
-    /// Ask again then.
+    /// Ask again at this time.
     Wait(u64),
-    /// Answer that it was not run.
+    /// Tell the caller that it was not run.
     Refuse,
 }
 
@@ -75,37 +75,38 @@
     TimedOut,
 }
 
-/// The gateways' decisions. Times are in microseconds.
+/// The policy by which all gateways choose back ends. Times are in
+/// microseconds.
 pub trait Gateways {
-    /// A request came to a gateway, or asks again.
+    /// Decides on a request that has arrived at a gateway or asks again.
     fn choose(&mut self, now: u64, request: u64, gateway: usize, loads: &[Load]) -> Choice;
-    /// The request ended at its back end. Returns requests that should ask
-    /// again.
+    /// Reports that a request ended at its back end. Returns the requests that
+    /// should ask again.
     fn ended(&mut self, now: u64, request: u64, gateway: usize, end: End) -> Vec<u64>;
 }
 
-/// What is at a back end, which only the oracle may look at.
+/// The true state of a back end, which only the oracle may use.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    pub there: usize,
+    pub in_flight: usize,
     pub speed: f64,
     pub slots: usize,
     pub queue: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
-    Asks(u64),
+enum Event {
+    Request(u64),
     Done { back_end: usize, request: u64 },
-    TimesOut(u64),
+    Timeout(u64),
 }
 
 struct Request {
     gateway: usize,
-    came: u64,
+    arrived_at: u64,
     work_s: f64,
     at: Option<usize>,
-    over: bool,
+    ended: bool,
 }
 
 struct BackEnd {
@@ -113,11 +114,11 @@
     waiting: VecDeque<u64>,
 }
 
-struct World<'a> {
+struct Simulation<'a> {
     fleet: &'a Fleet,
     requests: Vec<Request>,
     back_ends: Vec<BackEnd>,
-    due: BinaryHeap<Reverse<(u64, Happening)>>,
+    events: BinaryHeap<Reverse<(u64, Event)>>,
     outcome: Outcome,
 }
 
@@ -125,33 +126,33 @@
     (seconds * 1e6) as u64
 }
 
-/// Plays one fleet with one kind of gateways.
-pub fn play(fleet: &Fleet, gateways: &mut impl Gateways, seed: u64) -> Outcome {
-    let mut world = World::new(fleet, seed);
-    while let Some(Reverse((now, happening))) = world.due.pop() {
-        match happening {
-            Happening::Asks(request) => world.asks(now, request, gateways),
-            Happening::Done { back_end, request } => {
-                world.done(now, back_end, request, gateways);
+/// Simulates one fleet with one policy.
+pub fn simulate(fleet: &Fleet, gateways: &mut impl Gateways, seed: u64) -> Outcome {
+    let mut simulation = Simulation::new(fleet, seed);
+    while let Some(Reverse((now, event))) = simulation.events.pop() {
+        match event {
+            Event::Request(request) => simulation.on_request(now, request, gateways),
+            Event::Done { back_end, request } => {
+                simulation.on_done(now, back_end, request, gateways);
             }
-            Happening::TimesOut(request) => world.times_out(now, request, gateways),
+            Event::Timeout(request) => simulation.on_timeout(now, request, gateways),
         }
     }
-    world.outcome
+    simulation.outcome
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     fn new(fleet: &'a Fleet, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let mut world = World {
+        let mut simulation = Simulation {
             fleet,
             requests: Vec::new(),
             back_ends: Vec::new(),
-            due: BinaryHeap::new(),
+            events: BinaryHeap::new(),
             outcome: Outcome::default(),
         };
         for _ in &fleet.speeds {
-            world.back_ends.push(BackEnd {
+            simulation.back_ends.push(BackEnd {
                 running: 0,
                 waiting: VecDeque::new(),
             });
@@ -161,26 +162,26 @@
             at -= (1.0 - random.random::<f64>()).ln() / fleet.per_second;
             let request = Request {
                 gateway: random.random_range(0..fleet.gateways),
-                came: micros(at),
+                arrived_at: micros(at),
                 work_s: fleet.work_s * (0.5 + random.random::<f64>()),
                 at: None,
-                over: false,
+                ended: false,
             };
-            let number = world.requests.len() as u64;
-            world.push(request.came, Happening::Asks(number));
-            world.requests.push(request);
+            let number = simulation.requests.len() as u64;
+            simulation.push(request.arrived_at, Event::Request(number));
+            simulation.requests.push(request);
         }
-        world.outcome.asked = world.requests.len() as u64;
-        world
+        simulation.outcome.asked = simulation.requests.len() as u64;
+        simulation
     }
 
-    fn push(&mut self, at: u64, happening: Happening) {
-        self.due.push(Reverse((at, happening)));
+    fn push(&mut self, at: u64, event: Event) {
+        self.events.push(Reverse((at, event)));
     }
 
     fn loads(&self) -> Vec<Load> {
         let load = |(back_end, speed): (&BackEnd, &f64)| Load {
-            there: back_end.running + back_end.waiting.len(),
+            in_flight: back_end.running + back_end.waiting.len(),
             speed: *speed,
             slots: self.fleet.slots,
             queue: self.fleet.queue,
@@ -192,66 +193,66 @@
             .collect()
     }
 
-    fn asks(&mut self, now: u64, number: u64, gateways: &mut impl Gateways) {
+    fn on_request(&mut self, now: u64, number: u64, gateways: &mut impl Gateways) {
         let request = &self.requests[number as usize];
-        if request.over || request.at.is_some() {
+        if request.ended || request.at.is_some() {
             return;
         }
         let gateway = request.gateway;
         let loads = self.loads();
         match gateways.choose(now, number, gateway, &loads) {
-            Choice::Wait(until) => self.push(until.max(now + 1), Happening::Asks(number)),
-            Choice::Refuse => self.lose(number),
-            Choice::Send(back_end) => self.arrives(now, number, back_end, gateways),
+            Choice::Wait(until) => self.push(until.max(now + 1), Event::Request(number)),
+            Choice::Refuse => self.fail(number),
+            Choice::Send(back_end) => self.send(now, number, back_end, gateways),
         }
     }
 
-    fn arrives(&mut self, now: u64, number: u64, back_end: usize, gateways: &mut impl Gateways) {
-        let there = &mut self.back_ends[back_end];
-        if there.running < self.fleet.slots {
-            there.running += 1;
+    fn send(&mut self, now: u64, number: u64, back_end: usize, gateways: &mut impl Gateways) {
+        let state = &mut self.back_ends[back_end];
+        if state.running < self.fleet.slots {
+            state.running += 1;
             self.requests[number as usize].at = Some(back_end);
             self.start(now, back_end, number);
-        } else if there.waiting.len() < self.fleet.queue {
-            there.waiting.push_back(number);
+        } else if state.waiting.len() < self.fleet.queue {
+            state.waiting.push_back(number);
             self.requests[number as usize].at = Some(back_end);
         } else {
-            self.lose(number);
-            self.tell(now, number, End::Reset, gateways);
+            self.fail(number);
+            self.notify_gateway(now, number, End::Reset, gateways);
             return;
         }
-        let until = self.requests[number as usize].came + micros(self.fleet.timeout_s);
-        self.push(until, Happening::TimesOut(number));
+        let until = self.requests[number as usize].arrived_at + micros(self.fleet.timeout_s);
+        self.push(until, Event::Timeout(number));
     }
 
     fn start(&mut self, now: u64, back_end: usize, number: u64) {
         let work_s = self.requests[number as usize].work_s / self.fleet.speeds[back_end];
-        let done = Happening::Done {
+        let done = Event::Done {
             back_end,
             request: number,
         };
         self.push(now + micros(work_s), done);
     }
 
-    fn done(&mut self, now: u64, back_end: usize, number: u64, gateways: &mut impl Gateways) {
-        self.next_in_line(now, back_end);
+    fn on_done(&mut self, now: u64, back_end: usize, number: u64, gateways: &mut impl Gateways) {
+        self.start_next(now, back_end);
         let request = &mut self.requests[number as usize];
-        if std::mem::replace(&mut request.over, true) {
+        if std::mem::replace(&mut request.ended, true) {
             return;
         }
-        if now - request.came <= micros(self.fleet.target_s) {
+        if now - request.arrived_at <= micros(self.fleet.target_s) {
             self.outcome.in_target += 1;
         } else {
             self.outcome.late += 1;
         }
-        self.tell(now, number, End::Answered, gateways);
+        self.notify_gateway(now, number, End::Answered, gateways);
     }
 
-    fn next_in_line(&mut self, now: u64, back_end: usize) {
-        let there = &mut self.back_ends[back_end];
-        there.running -= 1;
+    fn start_next(&mut self, now: u64, back_end: usize) {
+        let state = &mut self.back_ends[back_end];
+        state.running -= 1;
         while let Some(next) = self.back_ends[back_end].waiting.pop_front() {
-            if self.requests[next as usize].over {
+            if self.requests[next as usize].ended {
                 continue;
             }
             self.back_ends[back_end].running += 1;
@@ -260,28 +261,28 @@
         }
     }
 
-    fn times_out(&mut self, now: u64, number: u64, gateways: &mut impl Gateways) {
-        if self.requests[number as usize].over {
+    fn on_timeout(&mut self, now: u64, number: u64, gateways: &mut impl Gateways) {
+        if self.requests[number as usize].ended {
             return;
         }
-        self.lose(number);
+        self.fail(number);
         if let Some(back_end) = self.requests[number as usize].at {
             self.back_ends[back_end]
                 .waiting
                 .retain(|other| *other != number);
         }
-        self.tell(now, number, End::TimedOut, gateways);
+        self.notify_gateway(now, number, End::TimedOut, gateways);
     }
 
-    fn lose(&mut self, number: u64) {
-        self.requests[number as usize].over = true;
+    fn fail(&mut self, number: u64) {
+        self.requests[number as usize].ended = true;
         self.outcome.unanswered += 1;
     }
 
-    fn tell(&mut self, now: u64, number: u64, end: End, gateways: &mut impl Gateways) {
+    fn notify_gateway(&mut self, now: u64, number: u64, end: End, gateways: &mut impl Gateways) {
         let gateway = self.requests[number as usize].gateway;
         for woken in gateways.ended(now, number, gateway, end) {
-            self.push(now, Happening::Asks(woken));
+            self.push(now, Event::Request(woken));
         }
     }
 }
--- a/crates/dispatch/tests/model/gateways.rs
+++ b/crates/dispatch/tests/model/gateways.rs
@@ -1,4 +1,5 @@
-//! Ways of choosing a back end: the dispatcher's, and others beside it.
+//! Policies for choosing a back end: the dispatcher's, and others to compare it
+//! with.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -20,7 +21,7 @@
 
 use super::fleet::{Choice, End, Fleet, Gateways, Load};
 
-/// One dispatcher for each gateway, as the program has it.
+/// One dispatcher per gateway, as in production.
 pub struct Dispatchers {
     gateways: Vec<Dispatcher>,
     numbers: HashMap<BackEndName, usize>,
@@ -113,7 +114,7 @@
     }
 }
 
-/// A request that differs from all others.
+/// The identity of a request that differs from all others.
 fn identity(request: u64) -> RequestIdentity {
     let target = format!("/x/{request}");
     let builder = IdentityBuilder::new("GET", "host.example", &target);
@@ -180,7 +181,7 @@
     }
 }
 
-/// Any back end.
+/// Chooses a random back end.
 pub struct Random(ChaCha8Rng);
 
 impl Random {
@@ -199,7 +200,7 @@
     }
 }
 
-/// Each gateway's own requests at each back end.
+/// The number of requests that each gateway has in flight at each back end.
 struct OwnCounts {
     counts: Vec<Vec<usize>>,
     sent: HashMap<u64, usize>,
@@ -229,7 +230,8 @@
     }
 }
 
-/// The one of two drawn at random at which the gateway has fewer requests.
+/// Draws two back ends at random and chooses the one at which the gateway has
+/// fewer requests in flight.
 pub struct TwoChoices(OwnCounts);
 
 impl TwoChoices {
@@ -256,7 +258,8 @@
     }
 }
 
-/// One of those at which the gateway has fewest requests.
+/// Chooses at random among the back ends at which the gateway has the fewest
+/// requests in flight.
 pub struct LeastOwn(OwnCounts);
 
 impl LeastOwn {
@@ -281,16 +284,16 @@
     }
 }
 
-/// Sees every queue and every speed.
+/// Chooses with knowledge of every queue and every speed.
 pub struct Oracle;
 
 impl Gateways for Oracle {
     fn choose(&mut self, _now: u64, _request: u64, _gateway: usize, loads: &[Load]) -> Choice {
         let expected = |load: &Load| {
-            let rounds = (load.there + 1) as f64 / load.slots as f64;
+            let rounds = (load.in_flight + 1) as f64 / load.slots as f64;
             rounds.max(1.0) / load.speed
         };
-        let free = |load: &Load| load.there < load.slots + load.queue;
+        let free = |load: &Load| load.in_flight < load.slots + load.queue;
         let best = (0..loads.len())
             .filter(|number| free(&loads[*number]))
             .min_by(|left, right| expected(&loads[*left]).total_cmp(&expected(&loads[*right])));
--- a/crates/dispatch/tests/model/main.rs
+++ b/crates/dispatch/tests/model/main.rs
@@ -1,18 +1,19 @@
-//! A small model of dispatch alone: many gateways, back ends that differ in
-//! speed and tell no load, and that reset a connection when their queue is
-//! full. Other ways of choosing stand beside the dispatcher, down to one that
-//! sees every queue, so that the distance to the best possible is a number.
+//! A small simulation of dispatching alone: many gateways, and back ends that
+//! differ in speed, report no load, and reset connections when their queue is
+//! full. The dispatcher is compared with other policies, up to one that knows
+//! every queue, so that its distance to the optimum can be measured.
 
 mod fleet;
 mod gateways;
 
-use fleet::{Fleet, Outcome, play};
+use fleet::{Fleet, Outcome, simulate};
 use gateways::{Dispatchers, LeastOwn, Oracle, Random, TwoChoices};
 
-/// Seeds that are played; their outcomes are added up.
+/// Seeds that are simulated. Their outcomes are added up.
 const SEEDS: std::ops::Range<u64> = 1..4;
 
-/// Invented: some two dozen gateways, and back ends that differ by three.
+/// An invented fleet: about two dozen gateways, and back ends whose speeds
+/// differ by a factor of three.
 fn many_gateways() -> Fleet {
     Fleet {
         gateways: 26,
@@ -27,7 +28,7 @@
     }
 }
 
-/// Invented: few gateways and back ends, and short work.
+/// An invented fleet: few gateways and back ends, and short service times.
 fn few_gateways() -> Fleet {
     Fleet {
         gateways: 4,
@@ -42,50 +43,54 @@
     }
 }
 
-fn total(played: impl Fn(u64) -> Outcome) -> Outcome {
-    SEEDS.map(played).fold(Outcome::default(), Outcome::plus)
+fn total(simulate_seed: impl Fn(u64) -> Outcome) -> Outcome {
+    SEEDS
+        .map(simulate_seed)
+        .fold(Outcome::default(), Outcome::plus)
 }
 
 fn dispatchers(fleet: &Fleet) -> Outcome {
-    total(|seed| play(fleet, &mut Dispatchers::new(fleet, seed), seed))
+    total(|seed| simulate(fleet, &mut Dispatchers::new(fleet, seed), seed))
 }
 
 #[test]
-fn dispatcher_lies_between_the_oracle_and_choices_that_learn_nothing() {
+fn dispatcher_is_close_to_the_oracle_and_better_than_simple_policies() {
     for fleet in [many_gateways(), few_gateways()] {
-        let own = dispatchers(&fleet).in_time();
-        let oracle = total(|seed| play(&fleet, &mut Oracle, seed)).in_time();
-        let random = total(|seed| play(&fleet, &mut Random::new(seed), seed)).in_time();
-        let two = total(|seed| play(&fleet, &mut TwoChoices::new(&fleet, seed), seed)).in_time();
-        let least = total(|seed| play(&fleet, &mut LeastOwn::new(&fleet, seed), seed)).in_time();
-        let told = format!(
+        let own = dispatchers(&fleet).in_target_share();
+        let oracle = total(|seed| simulate(&fleet, &mut Oracle, seed)).in_target_share();
+        let random = total(|seed| simulate(&fleet, &mut Random::new(seed), seed)).in_target_share();
+        let two = total(|seed| simulate(&fleet, &mut TwoChoices::new(&fleet, seed), seed))
+            .in_target_share();
+        let least = total(|seed| simulate(&fleet, &mut LeastOwn::new(&fleet, seed), seed))
+            .in_target_share();
+        let summary = format!(
             "{} gateways: dispatcher {own:.4}, oracle {oracle:.4}, random {random:.4}, \
              two choices {two:.4}, least in flight {least:.4}",
             fleet.gateways
         );
-        println!("{told}");
-        assert!(oracle >= own, "{told}");
-        assert!(own > random + 0.01, "{told}");
-        assert!(own > two, "{told}");
-        assert!(oracle - own < 0.02, "{told}");
-        // Few gateways see most of the load themselves: there the fewest in
-        // flight is enough, and does without estimates of speed.
+        println!("{summary}");
+        assert!(oracle >= own, "{summary}");
+        assert!(own > random + 0.01, "{summary}");
+        assert!(own > two, "{summary}");
+        assert!(oracle - own < 0.02, "{summary}");
+        // With few gateways, each sees most of the load itself. Choosing the
+        // fewest in flight is then enough and needs no estimates of speed.
         let worst = if fleet.gateways > 10 {
             least
         } else {
             least - 0.01
         };
-        assert!(own > worst, "{told}");
+        assert!(own > worst, "{summary}");
     }
 }
 
-/// Before the first answer nothing is known: the first seconds must not fill
-/// one queue after the other.
+/// Before the first response, nothing is known about the back ends. The first
+/// second must not fill one queue after the other.
 #[test]
-fn first_second_loses_hardly_more_than_later_ones() {
+fn first_second_leaves_few_requests_unanswered() {
     for mut fleet in [many_gateways(), few_gateways()] {
         fleet.length_s = 1.0;
         let first = dispatchers(&fleet);
-        assert!(first.lost() < 0.02, "{first:?}");
+        assert!(first.unanswered_share() < 0.02, "{first:?}");
     }
 }
