--- a/crates/router/tests/gateway/zones.rs
+++ b/crates/router/tests/gateway/zones.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use serde_json::json;
-use threadledge::gateway::follow::Update;
-use threadledge::gateway::knowledge::{Knowledge, Learned};
-use threadledge::gateway::news::{Differences, Marks, News};
+use threadledge::gateway::cluster_state::{ClusterState, StateChange};
+use threadledge::gateway::sync::{Delta, PeerUpdate, SyncPosition};
+use threadledge::gateway::watcher::Update;
 use threadledge_ports::{Change, Changes, Listing};
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{
@@ -45,13 +45,13 @@
 
 /// One back end in each of the zones `a` and `b`, of a service with a cold
 /// start; nothing is known of drained zones.
-fn two_zones() -> Knowledge {
-    let mut knowledge = Knowledge::default();
+fn two_zones() -> ClusterState {
+    let mut state = ClusterState::default();
     let entries = vec![
         entry("b-1", 1, in_zone("b-1", "a")),
         entry("b-2", 1, in_zone("b-2", "b")),
     ];
-    knowledge.take_back_ends(Update::Listed(Listing { entries, at: 1 }), NOW);
+    state.apply_back_ends(Update::Listed(Listing { entries, at: 1 }), NOW);
     let service = Service {
         health_path: "/health".to_owned(),
         max_connections: 100,
@@ -72,75 +72,72 @@
         tenants: BTreeMap::new(),
     };
     let entries = vec![entry("main", 1, configuration)];
-    knowledge.take_configurations(Update::Listed(Listing { entries, at: 1 }));
-    knowledge
+    state.apply_configurations(Update::Listed(Listing { entries, at: 1 }));
+    state
 }
 
-fn draining(knowledge: &Knowledge, now: Timestamp) -> Vec<bool> {
-    let back_ends = knowledge.back_ends(now).expect("zones are known");
+fn draining(state: &ClusterState, now: Timestamp) -> Vec<bool> {
+    let back_ends = state.back_ends(now).expect("zones are known");
     back_ends.iter().map(|each| each.draining).collect()
 }
 
-fn cold_for(knowledge: &Knowledge, now: Timestamp) -> Vec<Duration> {
-    let back_ends = knowledge.back_ends(now).expect("zones are known");
+fn cold_for(state: &ClusterState, now: Timestamp) -> Vec<Duration> {
+    let back_ends = state.back_ends(now).expect("zones are known");
     back_ends.iter().map(|each| each.cold_for).collect()
 }
 
 #[test]
 fn no_back_end_is_used_before_drained_zones_are_known() {
-    let mut knowledge = two_zones();
-    assert_eq!(knowledge.back_ends(NOW), None);
-    knowledge.take_zones(nothing_drained(2), NOW);
-    assert_eq!(draining(&knowledge, NOW), [false, false]);
+    let mut state = two_zones();
+    assert_eq!(state.back_ends(NOW), None);
+    state.apply_zones(nothing_drained(2), NOW);
+    assert_eq!(draining(&state, NOW), [false, false]);
 }
 
 #[test]
 fn back_ends_of_a_drained_zone_leave_and_come_back_cold() {
-    let mut knowledge = two_zones();
-    knowledge.take_zones(nothing_drained(2), NOW);
-    let learned = knowledge.take_zones(changed(3, vec![drained("b", 3)]), NOW);
-    assert_eq!(learned, [Learned::ZoneDrained("b".into())]);
-    assert_eq!(draining(&knowledge, NOW), [false, true]);
+    let mut state = two_zones();
+    state.apply_zones(nothing_drained(2), NOW);
+    let learned = state.apply_zones(changed(3, vec![drained("b", 3)]), NOW);
+    assert_eq!(learned, [StateChange::ZoneDrained("b".into())]);
+    assert_eq!(draining(&state, NOW), [false, true]);
     let gone = Change::Gone("b".to_owned());
-    let learned = knowledge.take_zones(changed(9, vec![gone]), NOW);
-    assert_eq!(learned, [Learned::ZoneRestored("b".into())]);
-    assert_eq!(draining(&knowledge, NOW), [false, false]);
-    assert_eq!(cold_for(&knowledge, NOW), [Duration::ZERO, COLD_START]);
+    let learned = state.apply_zones(changed(9, vec![gone]), NOW);
+    assert_eq!(learned, [StateChange::ZoneRestored("b".into())]);
+    assert_eq!(draining(&state, NOW), [false, false]);
+    assert_eq!(cold_for(&state, NOW), [Duration::ZERO, COLD_START]);
     let soon = after(2_000);
-    assert_eq!(cold_for(&knowledge, soon)[1], Duration::from_secs(1));
-    assert_eq!(cold_for(&knowledge, after(3_000))[1], Duration::ZERO);
+    assert_eq!(cold_for(&state, soon)[1], Duration::from_secs(1));
+    assert_eq!(cold_for(&state, after(3_000))[1], Duration::ZERO);
 }
 
 /// What a back end said before it turned cold may arrive after the zone was
 /// restored.
 #[test]
 fn registration_of_a_warm_back_end_does_not_end_the_cold_start_of_its_zone() {
-    let mut knowledge = two_zones();
-    knowledge.take_zones(changed(3, vec![drained("b", 3)]), NOW);
-    knowledge.take_zones(changed(9, vec![Change::Gone("b".to_owned())]), NOW);
+    let mut state = two_zones();
+    state.apply_zones(changed(3, vec![drained("b", 3)]), NOW);
+    state.apply_zones(changed(9, vec![Change::Gone("b".to_owned())]), NOW);
     let put = Change::Put(entry("b-2", 8, in_zone("b-2", "b")));
     let changes = vec![put];
-    knowledge.take_back_ends(Update::Changed(Changes { changes, at: 8 }), after(100));
-    assert_eq!(
-        cold_for(&knowledge, after(1_000))[1],
-        Duration::from_secs(2)
-    );
+    state.apply_back_ends(Update::Changed(Changes { changes, at: 8 }), after(100));
+    assert_eq!(cold_for(&state, after(1_000))[1], Duration::from_secs(2));
 }
 
 #[test]
 fn cold_time_runs_on_from_when_it_was_told() {
-    let mut knowledge = two_zones();
-    knowledge.take_zones(nothing_drained(2), NOW);
+    let mut state = two_zones();
+    state.apply_zones(nothing_drained(2), NOW);
     let mut cold = in_zone("b-2", "b");
     cold.cold_for = Duration::from_millis(2_500);
     let put = |cold: BackEnd, at| {
         let changes = vec![Change::Put(entry("b-2", at, cold))];
         Update::Changed(Changes { changes, at })
     };
-    knowledge.take_back_ends(put(cold.clone(), 5), NOW);
-    assert_eq!(cold_for(&knowledge, after(500))[1], Duration::from_secs(2));
+    state.apply_back_ends(put(cold.clone(), 5), NOW);
+    assert_eq!(cold_for(&state, after(500))[1], Duration::from_secs(2));
     // A follower is told what is left.
-    let told = knowledge.differences_since(&Marks::default(), after(500));
+    let told = state.delta_since(&SyncPosition::default(), after(500));
     let told = &told
         .back_ends
         .iter()
@@ -150,11 +147,11 @@
         Duration::from_secs(2)
     );
     // It turns cold anew.
-    knowledge.take_back_ends(put(in_zone("b-2", "b"), 6), after(4_000));
-    assert_eq!(cold_for(&knowledge, after(4_000))[1], Duration::ZERO);
-    knowledge.take_back_ends(put(cold, 7), after(9_000));
+    state.apply_back_ends(put(in_zone("b-2", "b"), 6), after(4_000));
+    assert_eq!(cold_for(&state, after(4_000))[1], Duration::ZERO);
+    state.apply_back_ends(put(cold, 7), after(9_000));
     assert_eq!(
-        cold_for(&knowledge, after(10_000))[1],
+        cold_for(&state, after(10_000))[1],
         Duration::from_millis(1_500)
     );
 }
@@ -162,39 +159,42 @@
 #[test]
 fn zones_are_told_to_followers_and_peers_and_never_go_back() {
     let mut knowing = two_zones();
-    knowing.take_zones(nothing_drained(2), NOW);
-    knowing.take_zones(changed(7, vec![drained("b", 6)]), NOW);
+    knowing.apply_zones(nothing_drained(2), NOW);
+    knowing.apply_zones(changed(7, vec![drained("b", 6)]), NOW);
     let mut follower = two_zones();
-    let told = knowing.differences_since(&follower.marks(), NOW);
-    follower.take_differences(told, NOW);
+    let told = knowing.delta_since(&follower.position(), NOW);
+    follower.apply_delta(told, NOW);
     assert_eq!(draining(&follower, NOW), [false, true]);
-    assert_eq!(follower.marks(), knowing.marks());
-    assert!(knowing.differences_since(&follower.marks(), NOW).is_empty());
+    assert_eq!(follower.position(), knowing.position());
+    assert!(knowing.delta_since(&follower.position(), NOW).is_empty());
     let mut peer = two_zones();
-    peer.take_news(knowing.news_since(&peer.marks(), NOW), NOW);
+    peer.apply_peer_update(knowing.update_since(&peer.position(), NOW), NOW);
     assert_eq!(draining(&peer, NOW), [false, true]);
-    assert_eq!(knowing.news_since(&peer.marks(), NOW), News::default());
+    assert_eq!(
+        knowing.update_since(&peer.position(), NOW),
+        PeerUpdate::default()
+    );
     // An older list, watch and peer change nothing.
-    assert!(follower.take_zones(nothing_drained(3), NOW).is_empty());
+    assert!(follower.apply_zones(nothing_drained(3), NOW).is_empty());
     let mut older = two_zones();
-    older.take_zones(nothing_drained(4), NOW);
-    let told: Differences = older.differences_since(&Marks::default(), NOW);
-    follower.take_differences(told, NOW);
-    follower.take_news(older.news_since(&Marks::default(), NOW), NOW);
+    older.apply_zones(nothing_drained(4), NOW);
+    let told: Delta = older.delta_since(&SyncPosition::default(), NOW);
+    follower.apply_delta(told, NOW);
+    follower.apply_peer_update(older.update_since(&SyncPosition::default(), NOW), NOW);
     assert_eq!(draining(&follower, NOW), [false, true]);
 }
 
 /// A watch that goes on from before what a peer told repeats what led there.
 #[test]
 fn zone_drained_twice_stays_drained_when_an_older_watch_repeats_it() {
-    let mut knowledge = two_zones();
+    let mut state = two_zones();
     let mut knowing = two_zones();
-    knowing.take_zones(changed(8, vec![drained("b", 8)]), NOW);
-    knowledge.take_zones(changed(3, vec![drained("b", 3)]), NOW);
-    knowledge.take_news(knowing.news_since(&knowledge.marks(), NOW), NOW);
+    knowing.apply_zones(changed(8, vec![drained("b", 8)]), NOW);
+    state.apply_zones(changed(3, vec![drained("b", 3)]), NOW);
+    state.apply_peer_update(knowing.update_since(&state.position(), NOW), NOW);
     let repeated = vec![Change::Gone("b".to_owned()), drained("b", 8)];
-    assert!(knowledge.take_zones(changed(9, repeated), NOW).is_empty());
-    assert_eq!(draining(&knowledge, NOW), [false, true]);
+    assert!(state.apply_zones(changed(9, repeated), NOW).is_empty());
+    assert_eq!(draining(&state, NOW), [false, true]);
 }
 
 /// Invariant: nothing is sent to a drained zone, and its keys are served by
