--- a/crates/router/src/gateway/backoff.rs
+++ b/crates/router/src/gateway/backoff.rs
@@ -6,18 +6,18 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     first: Duration,
-    longest: Duration,
+    max: Duration,
     growth: u32,
     next: Duration,
 }
 
 impl Backoff {
     /// Pauses that begin with `first`; each is `growth` times the one before,
-    /// up to `longest`.
-    pub fn new(first: Duration, longest: Duration, growth: u32) -> Self {
+    /// up to `max`.
+    pub fn new(first: Duration, max: Duration, growth: u32) -> Self {
         Backoff {
             first,
-            longest,
+            max,
             growth,
             next: first,
         }
@@ -31,7 +31,7 @@
     /// The pause after one more failure.
     pub fn after_failure(&mut self) -> Duration {
         let pause = self.next;
-        self.next = (pause * self.growth).min(self.longest);
+        self.next = (pause * self.growth).min(self.max);
         pause
     }
 
--- a/crates/router/src/gateway/catch_up.rs
+++ b/crates/router/src/gateway/catch_up.rs
@@ -16,7 +16,7 @@
 /// Time between two questions.
 const INTERVAL: Duration = Duration::from_millis(400);
 /// Peers asked each time.
-const ASKED_AT_ONCE: usize = 2;
+const PEERS_PER_ROUND: usize = 2;
 
 /// Runs for ever.
 pub(super) async fn catch_up(
@@ -32,21 +32,26 @@
         }
         timer::sleep(INTERVAL).await;
         if health.has_lost_collections() || sources.is_waiting() {
-            ask(&publisher, &client, &sources, turn).await;
-            turn += ASKED_AT_ONCE;
+            ask_peers(&publisher, &client, &sources, turn).await;
+            turn += PEERS_PER_ROUND;
         }
     }
 }
 
 /// Asks the next peers in turn.
-async fn ask(publisher: &StatePublisher, client: &PeerClient, sources: &Sources, turn: usize) {
+async fn ask_peers(
+    publisher: &StatePublisher,
+    client: &PeerClient,
+    sources: &Sources,
+    turn: usize,
+) {
     let peers = client.most_recent();
     let chosen = peers.iter().cycle().skip(turn % peers.len().max(1));
-    for peer in chosen.take(ASKED_AT_ONCE.min(peers.len())) {
+    for peer in chosen.take(PEERS_PER_ROUND.min(peers.len())) {
         let asked = sources.now();
-        if let Some(news) = client.fetch_updates(*peer, &publisher.position()).await {
-            let age = news.age_ms.map(Duration::from_millis);
-            publisher.apply_peer_update(news);
+        if let Some(update) = client.fetch_updates(*peer, &publisher.position()).await {
+            let age = update.age_ms.map(Duration::from_millis);
+            publisher.apply_peer_update(update);
             if let Some(age) = age {
                 sources.confirm(asked, age);
             }
--- a/crates/router/src/gateway/changes.rs
+++ b/crates/router/src/gateway/changes.rs
@@ -14,13 +14,13 @@
 use threadledge_types::{EntryDiff, diff_maps};
 
 /// Changes of a kind that are remembered.
-const REMEMBERED: usize = 16;
+const MAX_LOGGED_CHANGES: usize = 16;
 /// Parts that a chain of changes may have before the whole is fetched instead.
-const MOST_PARTS: usize = 200;
+const MAX_PARTS: usize = 200;
 
 /// Keys of one tenant that count as one part: a digest is told in 67 bytes, a
 /// route in some 300.
-const KEYS_OF_A_PART: usize = 4;
+const KEYS_PER_PART: usize = 4;
 
 /// From one version of the configuration to a later one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -55,8 +55,8 @@
             old.routes.iter().map(|each| (&each.name, each)).collect();
         let after: BTreeSet<&RouteName> = new.routes.iter().map(|each| &each.name).collect();
         let routes = new.routes.iter();
-        let (services, gone_services) = split(&old.services, &new.services);
-        let (tenants, gone_tenants) = split(&old.tenants, &new.tenants);
+        let (services, gone_services) = changed_entries(&old.services, &new.services);
+        let (tenants, gone_tenants) = changed_entries(&old.tenants, &new.tenants);
         ConfigurationChange {
             from: old.version,
             to: new.version,
@@ -96,15 +96,15 @@
         Some(Configuration {
             version: self.to,
             routes: routes.into_values().collect(),
-            services: applied(&old.services, &self.gone_services, self.services),
+            services: merge_entries(&old.services, &self.gone_services, self.services),
             limits: self.limits,
-            tenants: applied(&old.tenants, &self.gone_tenants, self.tenants),
+            tenants: merge_entries(&old.tenants, &self.gone_tenants, self.tenants),
         })
     }
 }
 
 /// Entries that are new or differ, and names of those that are gone.
-fn split<N: Ord + Clone, V: PartialEq + Clone>(
+fn changed_entries<N: Ord + Clone, V: PartialEq + Clone>(
     old: &BTreeMap<N, V>,
     new: &BTreeMap<N, V>,
 ) -> (BTreeMap<N, V>, Vec<N>) {
@@ -122,7 +122,7 @@
 }
 
 /// `old` without what is gone, and with what changed.
-fn applied<N: Ord + Clone, V: Clone>(
+fn merge_entries<N: Ord + Clone, V: Clone>(
     old: &BTreeMap<N, V>,
     gone: &[N],
     changed: BTreeMap<N, V>,
@@ -164,7 +164,7 @@
             .map(|slice| (slice.range.first, slice.clone()))
             .collect();
         for slice in self.slices {
-            make_room(&mut slices, slice.range);
+            remove_range(&mut slices, slice.range);
             slices.insert(slice.range.first, slice);
         }
         let value = OwnershipRecord {
@@ -182,7 +182,7 @@
 }
 
 /// Takes the keys of `range` out of every slice.
-fn make_room(slices: &mut BTreeMap<ShardKey, Slice>, range: KeyRange) {
+fn remove_range(slices: &mut BTreeMap<ShardKey, Slice>, range: KeyRange) {
     let overlapping: Vec<ShardKey> = slices
         .iter()
         .filter(|(first, slice)| **first <= range.last && slice.range.last >= range.first)
@@ -225,52 +225,55 @@
 
     fn parts(&self) -> usize {
         let routes = self.routes.len() + self.gone_routes.len();
-        let tenants = self.tenants.values().map(parts_of).sum::<usize>();
+        let tenants = self.tenants.values().map(tenant_parts).sum::<usize>();
         let gone = self.gone_tenants.len();
         routes + tenants + gone + self.services.len()
     }
 }
 
 /// Parts of a change that a tenant counts for: as many bytes as a route has.
-fn parts_of(tenant: &Tenant) -> usize {
-    tenant.keys.len().div_ceil(KEYS_OF_A_PART).max(1)
+fn tenant_parts(tenant: &Tenant) -> usize {
+    tenant.keys.len().div_ceil(KEYS_PER_PART).max(1)
 }
 
 /// The last changes, each beginning where the one before it ends.
 #[derive(Clone, Debug)]
 pub struct ChangeLog<S> {
-    steps: VecDeque<S>,
+    changes: VecDeque<S>,
 }
 
 impl<S> Default for ChangeLog<S> {
     fn default() -> Self {
         ChangeLog {
-            steps: VecDeque::new(),
+            changes: VecDeque::new(),
         }
     }
 }
 
 impl<S: LoggedChange + Clone> ChangeLog<S> {
     /// Adds the latest change.
-    pub fn push(&mut self, step: S) {
-        self.steps.push_back(step);
-        if self.steps.len() > REMEMBERED {
-            self.steps.pop_front();
+    pub fn push(&mut self, change: S) {
+        self.changes.push_back(change);
+        if self.changes.len() > MAX_LOGGED_CHANGES {
+            self.changes.pop_front();
         }
     }
 
-    /// The changes that lead on from `mark`, unless they are forgotten or too
+    /// The changes that lead on from `position`, unless they are forgotten or too
     /// many.
-    pub fn since(&self, mark: S::Position) -> Option<Vec<S>> {
-        self.since_within(mark, MOST_PARTS)
+    pub fn since(&self, position: S::Position) -> Option<Vec<S>> {
+        self.since_within(position, MAX_PARTS)
     }
 
-    /// As [`ChangeLog::since`], with up to `most_parts` if that is more than
+    /// As [`ChangeLog::since`], with up to `max_parts` if that is more than
     /// usual.
-    pub fn since_within(&self, mark: S::Position, most_parts: usize) -> Option<Vec<S>> {
-        let begin = self.steps.iter().position(|step| step.from() == mark)?;
-        let steps: Vec<S> = self.steps.iter().skip(begin).cloned().collect();
-        let parts: usize = steps.iter().map(LoggedChange::parts).sum();
-        (parts <= most_parts.max(MOST_PARTS)).then_some(steps)
+    pub fn since_within(&self, position: S::Position, max_parts: usize) -> Option<Vec<S>> {
+        let start = self
+            .changes
+            .iter()
+            .position(|change| change.from() == position)?;
+        let changes: Vec<S> = self.changes.iter().skip(start).cloned().collect();
+        let parts: usize = changes.iter().map(LoggedChange::parts).sum();
+        (parts <= max_parts.max(MAX_PARTS)).then_some(changes)
     }
 }
--- a/crates/router/src/gateway/cluster_state.rs
+++ b/crates/router/src/gateway/cluster_state.rs
@@ -57,20 +57,20 @@
     configuration_changes: ChangeLog<ConfigurationChange>,
     back_ends: Registry,
     records: BTreeMap<ServiceName, TrackedRecord>,
-    configurations_reach: StoreRevision,
-    records_reach: StoreRevision,
+    configurations_revision: StoreRevision,
+    records_revision: StoreRevision,
     zones: DrainedZones,
     /// The back ends in use were told whole, and only single ones have changed
     /// since.
-    told_whole: bool,
+    in_use_published: bool,
     /// Speed of the link by which others are told, in Mbit/s; 0 until it is
     /// known.
     link_mbps: f64,
     /// Parts that the link bears to be told to one follower at once; fewer than
     /// any relay tells until its speed is known.
-    parts_told: usize,
+    max_parts: usize,
     /// Back ends that it bears to be told to one follower at once.
-    back_ends_told: usize,
+    max_back_ends: usize,
 }
 
 impl ClusterState {
@@ -108,10 +108,10 @@
     /// The same to someone who keeps what this tells: whole at first and when a
     /// zone changed, else what changed since the last call.
     pub fn take_in_use(&mut self, now: Timestamp) -> Option<InUse> {
-        if !self.told_whole {
+        if !self.in_use_published {
             let all = self.back_ends(now)?;
-            self.back_ends.all_told();
-            self.told_whole = true;
+            self.back_ends.clear_changed();
+            self.in_use_published = true;
             return Some(InUse::All(all));
         }
         let mut in_use = self.back_ends.take_changed(now);
@@ -125,8 +125,8 @@
 
     /// What a drained or restored zone makes of one of its back ends.
     fn apply_zone(&self, back_end: &mut BackEnd, now: Timestamp) {
-        back_end.draining |= self.zones.drained(&back_end.zone);
-        let restored = self.cold_after_restore(back_end, now);
+        back_end.draining |= self.zones.is_drained(&back_end.zone);
+        let restored = self.remaining_cold_after_restore(back_end, now);
         back_end.cold_for = back_end.cold_for.max(restored);
     }
 
@@ -137,8 +137,8 @@
 
     /// How much longer a back end counts as cold because its zone was
     /// restored.
-    fn cold_after_restore(&self, back_end: &BackEnd, now: Timestamp) -> Duration {
-        let Some(restored) = self.zones.restored(&back_end.zone) else {
+    fn remaining_cold_after_restore(&self, back_end: &BackEnd, now: Timestamp) -> Duration {
+        let Some(restored) = self.zones.restored_at(&back_end.zone) else {
             return Duration::ZERO;
         };
         let services = self.configuration.as_ref().map(|each| &each.services);
@@ -149,8 +149,8 @@
 
     /// Takes drained zones from the store.
     pub fn apply_zones(&mut self, update: Update<DrainedZone>, now: Timestamp) -> Vec<StateChange> {
-        self.told_whole = false;
-        self.zones.take(update, now)
+        self.in_use_published = false;
+        self.zones.apply_update(update, now)
     }
 
     /// Says that no zone is ever drained on this deployment.
@@ -159,7 +159,8 @@
             entries: Vec::new(),
             at: 0,
         };
-        self.zones.take(Update::Listed(listing), Timestamp::ZERO);
+        self.zones
+            .apply_update(Update::Listed(listing), Timestamp::ZERO);
     }
 
     /// Says until when registrations that the store tells to be gone are
@@ -181,66 +182,66 @@
     /// Revisions up to which it goes.
     pub fn revisions(&self) -> CollectionRevisions {
         CollectionRevisions {
-            configurations: self.configurations_reach,
+            configurations: self.configurations_revision,
             back_ends: self.back_ends.revision(),
-            records: self.records_reach,
+            records: self.records_revision,
             zones: self.zones.revision(),
         }
     }
 
     /// Takes what a relay tells beyond what this gateway knows.
-    pub fn apply_delta(&mut self, mut told: Delta, now: Timestamp) -> Vec<StateChange> {
-        let mut learned = Vec::new();
-        for change in std::mem::take(&mut told.configuration) {
+    pub fn apply_delta(&mut self, mut delta: Delta, now: Timestamp) -> Vec<StateChange> {
+        let mut changes = Vec::new();
+        for change in std::mem::take(&mut delta.configuration) {
             let known = self.configuration.clone();
             let later = known.and_then(|known| change.apply(&known));
-            learned.extend(later.and_then(|later| self.apply_configuration(later)));
+            changes.extend(later.and_then(|later| self.apply_configuration(later)));
         }
-        let whole = told.full_configuration.take();
-        learned.extend(whole.and_then(|whole| self.apply_configuration(whole)));
-        for (service, change) in std::mem::take(&mut told.changed_records) {
+        let whole = delta.full_configuration.take();
+        changes.extend(whole.and_then(|whole| self.apply_configuration(whole)));
+        for (service, change) in std::mem::take(&mut delta.changed_records) {
             let known = self.records.get(&service);
             if let Some(found) = known.and_then(|known| change.apply(known.found())) {
-                learned.extend(self.apply_record(service, found));
+                changes.extend(self.apply_record(service, found));
             }
         }
-        for known in std::mem::take(&mut told.records) {
+        for known in std::mem::take(&mut delta.records) {
             let found = Versioned {
                 value: known.record,
                 revision: known.revision,
             };
-            learned.extend(self.apply_record(known.service, found));
+            changes.extend(self.apply_record(known.service, found));
         }
-        if !told.fetch_configuration {
-            let reach = told.revisions.configurations;
-            self.configurations_reach = self.configurations_reach.max(reach);
+        if !delta.fetch_configuration {
+            let revision = delta.revisions.configurations;
+            self.configurations_revision = self.configurations_revision.max(revision);
         }
-        self.records_reach = self.records_reach.max(told.revisions.records);
-        if let Some(zones) = told.zones.take() {
-            self.told_whole = false;
-            learned.extend(self.zones.take_told(zones, now));
+        self.records_revision = self.records_revision.max(delta.revisions.records);
+        if let Some(zones) = delta.zones.take() {
+            self.in_use_published = false;
+            changes.extend(self.zones.apply_remote(zones, now));
         }
-        self.zones.unchanged_until(told.revisions.zones);
-        if told.revisions.back_ends > self.back_ends.revision() {
-            learned.extend(self.back_ends.take_told(told, now));
+        self.zones.advance_to(delta.revisions.zones);
+        if delta.revisions.back_ends > self.back_ends.revision() {
+            changes.extend(self.back_ends.apply_delta(delta, now));
         }
-        learned
+        changes
     }
 
     /// Takes what another gateway knows beyond this one.
-    pub fn apply_peer_update(&mut self, news: PeerUpdate, now: Timestamp) -> Vec<StateChange> {
-        self.apply_delta(news.delta, now)
+    pub fn apply_peer_update(&mut self, update: PeerUpdate, now: Timestamp) -> Vec<StateChange> {
+        self.apply_delta(update.delta, now)
     }
 
     /// Takes configurations from the store; the newest that can be understood
     /// counts.
     pub fn apply_configurations(&mut self, update: Update<Configuration>) -> Vec<StateChange> {
         let at = update.at();
-        self.configurations_reach = self.configurations_reach.max(at);
+        self.configurations_revision = self.configurations_revision.max(at);
         let entries = put_entries(update).into_iter();
         entries
             .filter_map(|entry| match entry.value {
-                Ok(configuration) => match check_tenants(&configuration) {
+                Ok(configuration) => match check_tenant_keys(&configuration) {
                     Ok(()) => self.apply_configuration(configuration),
                     Err(malformed) => Some(StateChange::Malformed(malformed)),
                 },
@@ -261,14 +262,14 @@
         }
         self.configuration = Some(configuration.clone());
         // How long back ends of a restored zone are cold may have changed.
-        self.told_whole &= !self.zones.any_restored();
+        self.in_use_published &= !self.zones.any_restored();
         Some(StateChange::Configuration(configuration))
     }
 
     /// Takes ownership records from the store.
     pub fn apply_records(&mut self, update: Update<OwnershipRecord>) -> Vec<StateChange> {
         let at = update.at();
-        self.records_reach = self.records_reach.max(at);
+        self.records_revision = self.records_revision.max(at);
         let entries = put_entries(update).into_iter();
         entries
             .filter_map(|entry| match entry.value {
@@ -310,13 +311,13 @@
 
     /// Takes back ends from the store.
     pub fn apply_back_ends(&mut self, update: Update<BackEnd>, now: Timestamp) -> Vec<StateChange> {
-        self.back_ends.take(update, now)
+        self.back_ends.apply_update(update, now)
     }
 }
 
 /// Nobody could say whose callers show a key that two tenants hold: the last
 /// configuration without such a key stays.
-fn check_tenants(configuration: &Configuration) -> Result<(), Malformed> {
+fn check_tenant_keys(configuration: &Configuration) -> Result<(), Malformed> {
     let Some((one, other)) = find_shared_key(&configuration.tenants) else {
         return Ok(());
     };
--- a/crates/router/src/gateway/coordination.rs
+++ b/crates/router/src/gateway/coordination.rs
@@ -23,7 +23,7 @@
 use super::cluster_state::ClusterState;
 use super::dispatch::Dispatch;
 use super::key_regions::{drain_outside_regions, key_regions};
-use super::notices::tell;
+use super::notices::log_notice;
 use super::patience;
 use super::peers::PeerClient;
 use super::sources::Sources;
@@ -34,11 +34,11 @@
 /// Time between two probes of the store where there is nothing to coordinate.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// Name of the lease that a probe reads; there need be none.
-const PROBE_NAME: &str = "probe";
+const PROBE_LEASE: &str = "probe";
 /// Shortest wait for the next event.
-const SHORTEST_WAIT: Duration = Duration::from_millis(1);
+const MIN_WAIT: Duration = Duration::from_millis(1);
 /// Added to the time after which a follower of a relay takes over.
-const FOLLOWER_PATIENCE: Duration = Duration::from_millis(700);
+const FOLLOWER_TAKEOVER_DELAY: Duration = Duration::from_millis(700);
 
 /// Something that coordinators have to know.
 pub(super) enum Event {
@@ -56,7 +56,7 @@
     /// for rest.
     OwnersUnavailable(ServiceName),
     /// A gateway asks for tokens of a service's back ends.
-    Tokens(
+    TokenRequest(
         ServiceName,
         Vec<TokenRequest>,
         async_channel::Sender<TokenReply>,
@@ -73,7 +73,7 @@
     /// Durations.
     pub(super) settings: Settings,
     /// Added to the time after which this gateway takes over.
-    pub(super) patience: Duration,
+    pub(super) takeover_delay: Duration,
     /// Where this gateway is.
     pub(super) places: Topology,
     /// Speaks to other gateways.
@@ -90,16 +90,16 @@
     coordinators: BTreeMap<ServiceName, Coordinator>,
     cluster_state: Arc<Mutex<ClusterState>>,
     /// All back ends are known.
-    knows_back_ends: bool,
+    back_ends_known: bool,
     /// Services whose coordinator was not told of the last change of them.
-    untold: BTreeSet<ServiceName>,
+    awaiting_back_ends: BTreeSet<ServiceName>,
     /// The only regions in which keys of a service may be held.
     key_regions: BTreeMap<ServiceName, BTreeSet<RegionName>>,
     stopping: bool,
     dispatch: Arc<Dispatch>,
     store_health: Arc<StoreHealth>,
     next_report: Timestamp,
-    next_greeting: Timestamp,
+    next_keepalive: Timestamp,
     next_probe: Timestamp,
     /// Given when every office has been handed back.
     stopped: StopSignal,
@@ -124,14 +124,14 @@
             config,
             coordinators: BTreeMap::new(),
             cluster_state,
-            knows_back_ends: false,
-            untold: BTreeSet::new(),
+            back_ends_known: false,
+            awaiting_back_ends: BTreeSet::new(),
             key_regions: BTreeMap::new(),
             stopping: false,
             dispatch,
             store_health,
             next_report: Timestamp::ZERO,
-            next_greeting: Timestamp::ZERO,
+            next_keepalive: Timestamp::ZERO,
             next_probe: Timestamp::ZERO,
             stopped,
             sender,
@@ -147,7 +147,7 @@
     pub(super) async fn run(mut self) {
         loop {
             self.set_candidates();
-            self.tell_back_ends();
+            self.push_back_ends();
             self.poll_all();
             self.report_load();
             self.probe_store();
@@ -160,7 +160,7 @@
             let received = match wake {
                 Some(wake) => {
                     // Never at once: other tasks share the thread.
-                    let wake = wake.max(now + SHORTEST_WAIT);
+                    let wake = wake.max(now + MIN_WAIT);
                     let deadline = self.clock.instant(wake);
                     timer::timeout_at(deadline, self.receiver.recv()).await.ok()
                 }
@@ -171,22 +171,23 @@
             };
             match received {
                 None => {}
-                Some(Ok(event)) => self.take(event),
+                Some(Ok(event)) => self.handle(event),
                 Some(Err(_)) => return,
             }
             while let Ok(event) = self.receiver.try_recv() {
-                self.take(event);
+                self.handle(event);
             }
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let now = self.clock.now();
         match event {
             Event::Configuration(configuration) => self.configure(&configuration),
             Event::BackEndsChanged => {
-                self.knows_back_ends = true;
-                self.untold.extend(self.coordinators.keys().cloned());
+                self.back_ends_known = true;
+                self.awaiting_back_ends
+                    .extend(self.coordinators.keys().cloned());
             }
             Event::RecordObserved(service, found) => {
                 if let Some(coordinator) = self.coordinators.get_mut(&service) {
@@ -201,12 +202,12 @@
                     }
                 }
             }
-            Event::OwnersUnavailable(service) => self.report_owners(now, &service),
-            Event::Tokens(service, asks, reply) => {
+            Event::OwnersUnavailable(service) => self.report_unavailable_owners(now, &service),
+            Event::TokenRequest(service, asks, reply) => {
                 // Whoever asked may have given up meanwhile.
-                let _ = reply.try_send(self.give_tokens(now, &service, &asks));
+                let _ = reply.try_send(self.grant_tokens(now, &service, &asks));
             }
-            Event::CallFinished(service, ended) => self.ended(&service, ended),
+            Event::CallFinished(service, outcome) => self.on_call_finished(&service, outcome),
             Event::Stop => {
                 self.stopping = true;
                 for coordinator in self.coordinators.values_mut() {
@@ -218,13 +219,18 @@
 
     /// Tells coordinators which back ends there are, and which of them may hold
     /// keys: those that decide by it. A standby is told when it is elected.
-    fn tell_back_ends(&mut self) {
+    fn push_back_ends(&mut self) {
         let coordinators = &self.coordinators;
-        let wants = |service: &&ServiceName| {
+        let needs_them = |service: &&ServiceName| {
             let coordinator = coordinators.get(*service);
             coordinator.is_some_and(Coordinator::needs_back_ends)
         };
-        let due: Vec<ServiceName> = self.untold.iter().filter(wants).cloned().collect();
+        let due: Vec<ServiceName> = self
+            .awaiting_back_ends
+            .iter()
+            .filter(needs_them)
+            .cloned()
+            .collect();
         if due.is_empty() {
             return;
         }
@@ -233,21 +239,21 @@
             return;
         };
         for service in due {
-            self.untold.remove(&service);
+            self.awaiting_back_ends.remove(&service);
             let Some(coordinator) = self.coordinators.get_mut(&service) else {
                 continue;
             };
             let regions = self.key_regions.get(&service);
-            let seen = drain_outside_regions(&back_ends, regions, &self.config.places);
-            coordinator.set_back_ends(now, &seen);
+            let restricted = drain_outside_regions(&back_ends, regions, &self.config.places);
+            coordinator.set_back_ends(now, &restricted);
         }
     }
 
     fn configure(&mut self, configuration: &Configuration) {
         let former = std::mem::replace(&mut self.key_regions, key_regions(configuration));
-        let moved = |name: &&ServiceName| former.get(*name) != self.key_regions.get(*name);
-        let moved = self.coordinators.keys().filter(moved);
-        self.untold.extend(moved.cloned());
+        let changed = |name: &&ServiceName| former.get(*name) != self.key_regions.get(*name);
+        let changed = self.coordinators.keys().filter(changed);
+        self.awaiting_back_ends.extend(changed.cloned());
         for (name, service) in &configuration.services {
             if let Some(coordinator) = self.coordinators.get_mut(name) {
                 coordinator.set_reduced_when_cold(service.cold_rate.is_some());
@@ -259,13 +265,13 @@
             let CoordinationConfig {
                 me,
                 settings,
-                patience,
+                takeover_delay,
                 ..
             } = self.config.clone();
-            let mut coordinator = Coordinator::new(me, name.clone(), settings, patience);
+            let mut coordinator = Coordinator::new(me, name.clone(), settings, takeover_delay);
             coordinator.set_reduced_when_cold(service.cold_rate.is_some());
             self.coordinators.insert(name.clone(), coordinator);
-            self.untold.insert(name.clone());
+            self.awaiting_back_ends.insert(name.clone());
         }
     }
 
@@ -275,31 +281,31 @@
     fn set_candidates(&mut self) {
         let source = self.config.sources.current();
         let settled = !matches!(source, Source::Starting { .. });
-        let candidate = self.knows_back_ends && settled;
-        let behind = match source {
+        let candidate = self.back_ends_known && settled;
+        let follower_delay = match source {
             Source::Relay { .. } | Source::Joining { .. } | Source::Unavailable => {
-                FOLLOWER_PATIENCE
+                FOLLOWER_TAKEOVER_DELAY
             }
             Source::Store | Source::Starting { .. } => Duration::ZERO,
         };
-        let near = patience::by_store(self.store_health.mean_call_time());
-        let patience = self.config.patience + near + behind;
+        let store_delay = patience::by_store(self.store_health.mean_call_time());
+        let takeover_delay = self.config.takeover_delay + store_delay + follower_delay;
         let relayed = matches!(source, Source::Relay { .. });
         for (service, coordinator) in &mut self.coordinators {
             // The relay will tell of the lease: no need to ask the store.
-            let told = !relayed || self.config.sources.lease(service).is_some();
-            coordinator.set_candidate(candidate && told);
-            coordinator.set_takeover_delay(patience);
+            let lease_known = !relayed || self.config.sources.lease(service).is_some();
+            coordinator.set_candidate(candidate && lease_known);
+            coordinator.set_takeover_delay(takeover_delay);
         }
     }
 
-    fn ended(&mut self, service: &ServiceName, ended: CallOutcome) {
+    fn on_call_finished(&mut self, service: &ServiceName, outcome: CallOutcome) {
         let now = self.clock.now();
         let Some(coordinator) = self.coordinators.get_mut(service) else {
             return;
         };
         let sources = &self.config.sources;
-        match ended {
+        match outcome {
             CallOutcome::LeaseRead(freshness, result) => {
                 if let ReadResult::Found(Some(found)) = &result {
                     sources.observe_lease(service, found);
@@ -314,7 +320,7 @@
             }
             CallOutcome::RecordRead(result) => {
                 if let Some(action) = coordinator.on_record_read(now, result) {
-                    self.start(now, service.clone(), action);
+                    self.start_call(now, service.clone(), action);
                 }
             }
             CallOutcome::RecordWrite(record, result) => {
@@ -329,12 +335,12 @@
         let mut calls = Vec::new();
         let relayed = self.config.sources.has_relay();
         for (service, coordinator) in &mut self.coordinators {
-            let first_look = coordinator.last_seen_holder().is_none();
+            let first_read = coordinator.last_seen_holder().is_none();
             for action in coordinator.poll(now) {
                 let action = match action {
                     // The relay has told of the lease: hundreds that start
                     // together need not ask the store who holds it.
-                    Action::ReadLease(_) if relayed && first_look => {
+                    Action::ReadLease(_) if relayed && first_read => {
                         Action::ReadLease(Freshness::Stale)
                     }
                     action => action,
@@ -342,11 +348,11 @@
                 calls.push((service.clone(), action));
             }
             for notice in coordinator.take_notices() {
-                tell(service, &notice);
+                log_notice(service, &notice);
             }
         }
         for (service, action) in calls {
-            self.start(now, service, action);
+            self.start_call(now, service, action);
         }
         let stopped = self.coordinators.values().all(Coordinator::is_stopped);
         if self.stopping && stopped {
@@ -366,7 +372,7 @@
         let ports = self.ports.clone();
         let store_health = self.store_health.clone();
         task::spawn(async move {
-            let read = ports.leases.read(PROBE_NAME, Freshness::Stale).await;
+            let read = ports.leases.read(PROBE_LEASE, Freshness::Stale).await;
             match read {
                 ReadResult::Failed => store_health.record_failure(),
                 ReadResult::Found(_) => store_health.record_answer(now),
@@ -375,7 +381,7 @@
     }
 
     /// Makes a call that a coordinator asked for at `now`.
-    fn start(&self, now: Timestamp, service: ServiceName, action: Action) {
+    fn start_call(&self, now: Timestamp, service: ServiceName, action: Action) {
         let ports = self.ports.clone();
         let sender = self.sender.clone();
         let store_health = self.store_health.clone();
@@ -384,7 +390,7 @@
         let asked = clock.instant(now);
         task::spawn(async move {
             let started = clock.now();
-            let told = match action {
+            let local = match action {
                 // The relay tells the lease with each of its answers.
                 Action::ReadLease(Freshness::Stale) if sources.has_relay() => {
                     let result = ReadResult::Found(sources.lease(&service));
@@ -396,21 +402,21 @@
                 }
                 _ => None,
             };
-            let ended = match told {
-                Some(told) => told,
+            let outcome = match local {
+                Some(outcome) => outcome,
                 None => {
-                    let ended = execute(&ports, &service, action, asked).await;
-                    if ended.store_answered() {
+                    let outcome = execute(&ports, &service, action, asked).await;
+                    if outcome.store_answered() {
                         store_health.record_answer(started);
                     }
-                    if ended.store_failed() {
+                    if outcome.store_failed() {
                         store_health.record_failure();
                     }
-                    ended
+                    outcome
                 }
             };
             // The channel is unbounded and closes only when the process ends.
-            let _ = sender.try_send(Event::CallFinished(service, ended));
+            let _ = sender.try_send(Event::CallFinished(service, outcome));
         });
     }
 }
--- a/crates/router/src/gateway/coordination/reports.rs
+++ b/crates/router/src/gateway/coordination/reports.rs
@@ -17,13 +17,13 @@
 
 /// Time after which a report is sent even if there is nothing to report, so
 /// that the coordinator and its peers know of this gateway.
-const GREETING_INTERVAL: Duration = Duration::from_secs(4);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(4);
 
 impl Coordination {
     /// Tells the coordinator of a service at once which back ends said that they
     /// leave or asked for rest: requests for their keys are refused until others
     /// have them.
-    pub(super) fn report_owners(&mut self, now: Timestamp, service: &ServiceName) {
+    pub(super) fn report_unavailable_owners(&mut self, now: Timestamp, service: &ServiceName) {
         let Some(coordinator) = self.coordinators.get_mut(service) else {
             return;
         };
@@ -52,14 +52,14 @@
         self.next_report = now + REPORT_INTERVAL;
         let sources = self.config.sources.clone();
         let relayed = sources.has_relay();
-        let mut below = if relayed {
+        let mut follower_load = if relayed {
             BTreeMap::new()
         } else {
             sources.drain_load()
         };
-        let greeting = now >= self.next_greeting;
-        if greeting {
-            self.next_greeting = now + GREETING_INTERVAL;
+        let keepalive = now >= self.next_keepalive;
+        if keepalive {
+            self.next_keepalive = now + KEEPALIVE_INTERVAL;
         }
         for (service, coordinator) in &mut self.coordinators {
             let mut report = self
@@ -73,8 +73,8 @@
                 sources.queue_load(service, report);
                 continue;
             }
-            if let Some(below) = below.remove(service) {
-                report.merge(below);
+            if let Some(follower_load) = follower_load.remove(service) {
+                report.merge(follower_load);
             }
             let holder = coordinator
                 .last_seen_holder()
@@ -83,7 +83,7 @@
                 continue;
             };
             self.config.peers.note_peer(address);
-            if !report.is_empty() || greeting {
+            if !report.is_empty() || keepalive {
                 self.config
                     .peers
                     .send_load(address, service.clone(), report);
@@ -92,7 +92,7 @@
     }
 
     /// Answers a gateway that asks for tokens of a service's back ends.
-    pub(super) fn give_tokens(
+    pub(super) fn grant_tokens(
         &mut self,
         now: Timestamp,
         service: &ServiceName,
--- a/crates/router/src/gateway/disconnects.rs
+++ b/crates/router/src/gateway/disconnects.rs
@@ -46,7 +46,7 @@
 /// Counts callers that left. Clones share the counts.
 #[derive(Clone, Debug)]
 pub(super) struct DisconnectCounter {
-    left: IntCounterVec,
+    total: IntCounterVec,
 }
 
 impl DisconnectCounter {
@@ -56,15 +56,15 @@
     ///
     /// Never with the names compiled in; the library checks them at run time.
     pub(super) fn new(registry: &Registry) -> Result<Self, prometheus::Error> {
-        let left = IntCounterVec::new(
+        let total = IntCounterVec::new(
             Opts::new(
                 "threadledge_gateway_left_total",
                 "Requests whose caller left before it had its answer, by how far they had come",
             ),
             &["stage"],
         )?;
-        registry.register(Box::new(left.clone()))?;
-        Ok(DisconnectCounter { left })
+        registry.register(Box::new(total.clone()))?;
+        Ok(DisconnectCounter { total })
     }
 
     /// A request came.
@@ -103,7 +103,7 @@
         self.reached(Stage::Answering);
         let tracked = TrackedBody {
             body: response.take_body_only(),
-            left: length,
+            remaining: length,
             tracker: self,
         };
         response.replace_body_only(Body::from_reader(tracked, length));
@@ -113,8 +113,8 @@
 impl Drop for RequestTracker {
     fn drop(&mut self) {
         if let Some(stage) = self.stage {
-            let left = &self.disconnects.left;
-            left.with_label_values(&[stage.as_str()]).inc();
+            let total = &self.disconnects.total;
+            total.with_label_values(&[stage.as_str()]).inc();
         }
     }
 }
@@ -123,7 +123,7 @@
 struct TrackedBody {
     body: Body,
     /// Bytes to come, if the answer tells its length.
-    left: Option<usize>,
+    remaining: Option<usize>,
     tracker: RequestTracker,
 }
 
@@ -147,8 +147,8 @@
 
 impl TrackedBody {
     fn count(&mut self, bytes: usize) {
-        self.left = self.left.map(|left| left.saturating_sub(bytes));
-        if self.left == Some(0) {
+        self.remaining = self.remaining.map(|left| left.saturating_sub(bytes));
+        if self.remaining == Some(0) {
             self.tracker.complete();
         }
     }
--- a/crates/router/src/gateway/followers.rs
+++ b/crates/router/src/gateway/followers.rs
@@ -38,7 +38,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct FollowerEntry {
     at: Timestamp,
     members: u32,
     for_zone: bool,
@@ -48,9 +48,9 @@
 pub(super) struct Followers {
     clock: Clock,
     sources: Arc<Sources>,
-    heard: Mutex<BTreeMap<SocketAddr, Heard>>,
+    entries: Mutex<BTreeMap<SocketAddr, FollowerEntry>>,
     leaving: AtomicBool,
-    left: Notifier,
+    leaving_notice: Notifier,
 }
 
 impl Followers {
@@ -58,21 +58,21 @@
         Followers {
             clock,
             sources,
-            heard: Mutex::default(),
+            entries: Mutex::default(),
             leaving: AtomicBool::new(false),
-            left: Notifier::default(),
+            leaving_notice: Notifier::default(),
         }
     }
 
     /// Resolves when this gateway leaves.
-    pub(super) fn until_left(&self) -> Stopped {
-        self.left.next()
+    pub(super) fn until_leaving(&self) -> Stopped {
+        self.leaving_notice.next()
     }
 
     /// Tells every follower to look for another relay.
     pub(super) fn leave(&self) {
         self.leaving.store(true, Ordering::Relaxed);
-        self.left.notify();
+        self.leaving_notice.notify();
     }
 
     pub(super) fn is_leaving(&self) -> bool {
@@ -91,28 +91,28 @@
         if let Err(followers) = self.admit(follower) {
             return FollowAnswer::Full { followers };
         }
-        let asked = self.clock.now();
-        let held = HeldPoll::new(asked, self.sources.fresh_as_of(), hold);
+        let received = self.clock.now();
+        let held = HeldPoll::new(received, self.sources.fresh_as_of(), hold);
         let deadline = self.clock.instant(held.until());
         let holders = self.sources.holder_changes();
         loop {
-            let passed = self.sources.lease_changes().next();
+            let lease_changed = self.sources.lease_changes().next();
             let fresher = self.sources.freshness_changes().next();
             let changed = publisher.changed.next();
-            let left = self.left.next();
+            let leaving_notice = self.leaving_notice.next();
             if self.is_leaving() {
                 return FollowAnswer::Leaving;
             }
-            let followers = self.heard.lock().len();
+            let followers = self.entries.lock().len();
             let delta = publisher.delta_since(follower.position, followers);
             let now = self.clock.now();
             // Who waits for the holder of a lease must not wait for this poll.
-            let news = !delta.is_empty() || self.sources.holder_changes() != holders;
+            let has_news = !delta.is_empty() || self.sources.holder_changes() != holders;
             let seen = self.sources.fresh_as_of();
-            if news || held.is_due(now, seen) {
+            if has_news || held.is_due(now, seen) {
                 return FollowAnswer::News(Box::new(FollowUpdate {
                     age_ms: millis(now.since(seen)),
-                    held_ms: millis(now.since(asked)),
+                    held_ms: millis(now.since(received)),
                     delta,
                     fleet: self.sources.fleet_size(),
                     leases: self.leases(),
@@ -120,8 +120,8 @@
                 }));
             }
             // The loop finds out which of them it was.
-            let changed = select(changed, select(passed, fresher));
-            let _ = timer::timeout_at(deadline, select(changed, left)).await;
+            let changed = select(changed, select(lease_changed, fresher));
+            let _ = timer::timeout_at(deadline, select(changed, leaving_notice)).await;
         }
     }
 
@@ -131,13 +131,13 @@
             return Ok(());
         };
         let now = self.clock.now();
-        let mut heard = self.heard.lock();
-        heard.retain(|_, heard| now.since(heard.at) < FOLLOWER_TIMEOUT);
+        let mut entries = self.entries.lock();
+        entries.retain(|_, entry| now.since(entry.at) < FOLLOWER_TIMEOUT);
         // A region has few zones; each follows its relay itself.
-        let of_zone = heard.iter().filter(|(_, heard)| !heard.for_zone);
-        let crowded = of_zone.clone().count() >= MAX_FOLLOWERS;
-        if crowded && !follower.for_zone && !heard.contains_key(&from) {
-            return Err(of_zone.map(|(follower, _)| *follower).collect());
+        let in_zone = entries.iter().filter(|(_, entry)| !entry.for_zone);
+        let crowded = in_zone.clone().count() >= MAX_FOLLOWERS;
+        if crowded && !follower.for_zone && !entries.contains_key(&from) {
+            return Err(in_zone.map(|(follower, _)| *follower).collect());
         }
         let members = if follower.for_zone {
             0
@@ -145,9 +145,9 @@
             follower.members
         };
         let for_zone = follower.for_zone;
-        heard.insert(
+        entries.insert(
             from,
-            Heard {
+            FollowerEntry {
                 at: now,
                 members,
                 for_zone,
@@ -164,21 +164,21 @@
     /// The followers themselves.
     pub(super) fn addresses(&self) -> Vec<SocketAddr> {
         let now = self.clock.now();
-        let heard = self.heard.lock();
-        let lately = heard
+        let entries = self.entries.lock();
+        let current = entries
             .iter()
-            .filter(|(_, heard)| now.since(heard.at) < FOLLOWER_TIMEOUT);
-        lately.map(|(follower, _)| *follower).collect()
+            .filter(|(_, entry)| now.since(entry.at) < FOLLOWER_TIMEOUT);
+        current.map(|(follower, _)| *follower).collect()
     }
 
     /// Gateways that learn through this one, itself included.
     pub(super) fn members(&self) -> u32 {
         let now = self.clock.now();
-        let heard = self.heard.lock();
-        let lately = heard
+        let entries = self.entries.lock();
+        let current = entries
             .values()
-            .filter(|heard| now.since(heard.at) < FOLLOWER_TIMEOUT);
-        lately.fold(1, |sum, heard| sum.saturating_add(heard.members))
+            .filter(|entry| now.since(entry.at) < FOLLOWER_TIMEOUT);
+        current.fold(1, |sum, entry| sum.saturating_add(entry.members))
     }
 
     fn leases(&self) -> Vec<KnownLease> {
--- a/crates/router/src/gateway/key_confirmation.rs
+++ b/crates/router/src/gateway/key_confirmation.rs
@@ -18,7 +18,7 @@
 
 /// Time between two looks: a tenth of the shortest time that deployments
 /// state for a key that is taken away.
-const INTERVAL: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Looks after the keys of one gateway.
 pub(super) struct KeyConfirmation {
@@ -27,7 +27,7 @@
     pub(super) health: Arc<StoreHealth>,
     pub(super) configurations: Arc<dyn Collection<Configuration>>,
     /// How long keys are sure that nobody has confirmed.
-    pub(super) keys_last: Duration,
+    pub(super) keys_valid_for: Duration,
 }
 
 impl KeyConfirmation {
@@ -36,9 +36,9 @@
     pub(super) async fn run(self) {
         let mut unsure = false;
         loop {
-            timer::sleep(INTERVAL).await;
-            if self.is_quiet() {
-                self.ask().await;
+            timer::sleep(CHECK_INTERVAL).await;
+            if self.needs_refresh() {
+                self.refresh().await;
             }
             let confirmed = self.sources.confirmed_at();
             let now_unsure = self.publisher.dispatch.with(|dispatcher, now| {
@@ -61,7 +61,7 @@
     /// Whether the store is followed without trouble and has said nothing for
     /// long: its watches wait longer than keys are sure. A gateway that relays
     /// or follows a relay hears more often.
-    fn is_quiet(&self) -> bool {
+    fn needs_refresh(&self) -> bool {
         let followed =
             self.sources.current() == Source::Store && !self.health.has_lost_collections();
         let unconfirmed = self.sources.now().since(self.sources.confirmed_at());
@@ -69,15 +69,16 @@
             .publisher
             .dispatch
             .with(|dispatcher, _now| dispatcher.api_key_count() > 0);
-        followed && has_keys && unconfirmed > self.keys_last / 2
+        followed && has_keys && unconfirmed > self.keys_valid_for / 2
     }
 
-    async fn ask(&self) {
+    async fn refresh(&self) {
         let started = self.sources.now();
         match self.configurations.list(Freshness::Linearizable).await {
             Ok(listing) => {
                 self.health.record_answer(started);
-                self.publisher.configurations(Update::Listed(listing));
+                self.publisher
+                    .update_configurations(Update::Listed(listing));
             }
             // Makes the watches look whether the store still knows of them.
             Err(_) => self.health.record_failure(),
--- a/crates/router/src/gateway/key_regions.rs
+++ b/crates/router/src/gateway/key_regions.rs
@@ -23,7 +23,7 @@
             continue;
         }
         let routes = configuration.routes.iter();
-        let routes = routes.filter(|route| leads_to(route, name));
+        let routes = routes.filter(|route| routes_to(route, name));
         let allowed = routes.filter_map(|route| route.allowed_regions.clone());
         let common = allowed.reduce(|left, right| &left & &right);
         if let Some(common) = common.filter(|common| !common.is_empty()) {
@@ -33,7 +33,7 @@
     regions
 }
 
-fn leads_to(route: &Route, service: &ServiceName) -> bool {
+fn routes_to(route: &Route, service: &ServiceName) -> bool {
     let mut destinations = route.destinations.iter();
     destinations.any(|destination| destination.service == *service && destination.weight > 0)
 }
@@ -48,9 +48,9 @@
     let Some(regions) = regions else {
         return back_ends.clone();
     };
-    let seen = back_ends.iter().map(|back_end| BackEnd {
+    let restricted = back_ends.iter().map(|back_end| BackEnd {
         draining: back_end.draining || !places.is_within(&back_end.zone, regions),
         ..back_end.clone()
     });
-    seen.collect()
+    restricted.collect()
 }
--- a/crates/router/src/gateway/limits/ask.rs
+++ b/crates/router/src/gateway/limits/ask.rs
@@ -68,7 +68,7 @@
             return Some(self.limits.answer(&ask));
         }
         let (_, address) = holder?;
-        let asked = self.client.ask_limits(address?, &ask);
+        let asked = self.client.request_quota(address?, &ask);
         timer::timeout(QUOTA_REQUEST_TIMEOUT, asked)
             .await
             .ok()
--- a/crates/router/src/gateway/notices.rs
+++ b/crates/router/src/gateway/notices.rs
@@ -6,7 +6,7 @@
 use crate::events::{EventId, emit};
 
 /// Writes one notice.
-pub(super) fn tell(service: &ServiceName, notice: &Notice) {
+pub(super) fn log_notice(service: &ServiceName, notice: &Notice) {
     match notice {
         Notice::Elected { term } => {
             emit!(EventId::CoordinatorElected, service = %service, term = term.0);
--- a/crates/router/src/gateway/peers.rs
+++ b/crates/router/src/gateway/peers.rs
@@ -66,32 +66,32 @@
 /// Gateways that this one has heard of lately.
 #[derive(Debug, Default)]
 pub(super) struct Peers {
-    heard: Mutex<BTreeMap<SocketAddr, Instant>>,
+    last_heard: Mutex<BTreeMap<SocketAddr, Instant>>,
 }
 
 impl Peers {
     pub(super) fn note_peers(&self, peers: impl IntoIterator<Item = SocketAddr>) {
         let now = Instant::now();
-        let mut heard = self.heard.lock();
-        heard.retain(|_, at| now.saturating_duration_since(*at) < PEER_RETENTION);
+        let mut last_heard = self.last_heard.lock();
+        last_heard.retain(|_, at| now.saturating_duration_since(*at) < PEER_RETENTION);
         for peer in peers {
-            if heard.len() < MAX_PEERS || heard.contains_key(&peer) {
-                heard.insert(peer, now);
+            if last_heard.len() < MAX_PEERS || last_heard.contains_key(&peer) {
+                last_heard.insert(peer, now);
             }
         }
     }
 
     /// Every peer, the last heard of first.
     pub(super) fn most_recent(&self) -> Vec<SocketAddr> {
-        let heard = self.heard.lock();
+        let last_heard = self.last_heard.lock();
         let mut peers: Vec<(Instant, SocketAddr)> =
-            heard.iter().map(|(peer, at)| (*at, *peer)).collect();
+            last_heard.iter().map(|(peer, at)| (*at, *peer)).collect();
         peers.sort_by(|left, right| right.cmp(left));
         peers.into_iter().map(|(_, peer)| peer).collect()
     }
 
     fn forget(&self, peer: SocketAddr) {
-        self.heard.lock().remove(&peer);
+        self.last_heard.lock().remove(&peer);
     }
 }
 
@@ -99,12 +99,12 @@
 #[derive(Clone, Debug)]
 pub(super) struct PeerClient {
     client: HttpClient,
-    own: Option<SocketAddr>,
+    own_address: Option<SocketAddr>,
     peers: Arc<Peers>,
 }
 
 impl PeerClient {
-    pub(super) fn new(own: Option<SocketAddr>, peers: Arc<Peers>) -> Self {
+    pub(super) fn new(own_address: Option<SocketAddr>, peers: Arc<Peers>) -> Self {
         PeerClient {
             client: HttpClient::new(PoolSettings {
                 connections_per_address: 2,
@@ -113,7 +113,7 @@
                 doubt_after: Some(PEER_SUSPECT_AFTER),
                 ..PoolSettings::default()
             }),
-            own,
+            own_address,
             peers,
         }
     }
@@ -123,7 +123,7 @@
         let client = self.clone();
         task::spawn(async move {
             let report = ServiceReport {
-                from: client.own,
+                from: client.own_address,
                 service,
                 load,
             };
@@ -136,7 +136,7 @@
                 let others = known
                     .peers
                     .into_iter()
-                    .filter(|peer| Some(*peer) != client.own);
+                    .filter(|peer| Some(*peer) != client.own_address);
                 client.peers.note_peers(others.chain([to]));
             }
         });
@@ -144,7 +144,7 @@
 
     /// A gateway is at this address, as the store says.
     pub(super) fn note_peer(&self, peer: SocketAddr) {
-        if Some(peer) != self.own {
+        if Some(peer) != self.own_address {
             self.peers.note_peers([peer]);
         }
     }
@@ -174,50 +174,50 @@
         to: SocketAddr,
         exchange: &SuspectExchange,
     ) -> Option<SuspectUpdate> {
-        let told = self
+        let call = self
             .client
             .post_json(to, SUSPECTS_PATH, exchange, SUSPECTS_TIMEOUT);
-        told.await.ok()
+        call.await.ok()
     }
 
     /// Asks the gateway that keeps the ledger for tokens. `None`: it did not
     /// answer.
-    pub(super) async fn ask_limits(&self, to: SocketAddr, ask: &QuotaRequest) -> Option<QuotaResponse> {
-        let asked = self
+    pub(super) async fn request_quota(&self, to: SocketAddr, ask: &QuotaRequest) -> Option<QuotaResponse> {
+        let call = self
             .client
             .post_json(to, LIMITS_PATH, ask, QUOTA_REQUEST_TIMEOUT);
-        asked.await.ok()
+        call.await.ok()
     }
 
     /// Asks the coordinator of a service for tokens. `None`: it did not answer.
-    pub(super) async fn ask_tokens(
+    pub(super) async fn request_tokens(
         &self,
         to: SocketAddr,
         ask: &ServiceTokenAsk,
     ) -> Option<TokenReply> {
-        let asked = self.client.post_json(to, TOKENS_PATH, ask, TOKEN_TIMEOUT);
-        asked.await.ok()
+        let call = self.client.post_json(to, TOKENS_PATH, ask, TOKEN_TIMEOUT);
+        call.await.ok()
     }
 
     /// The address at which other gateways reach this one.
     pub(super) fn own_address(&self) -> Option<SocketAddr> {
-        self.own
+        self.own_address
     }
 
-    /// Asks one peer for what it knows beyond `marks`.
+    /// Asks one peer for what it knows beyond `position`.
     pub(super) async fn fetch_updates(
         &self,
         from: SocketAddr,
-        marks: &SyncPosition,
+        position: &SyncPosition,
     ) -> Option<PeerUpdate> {
-        let asked = self
+        let answer = self
             .client
-            .post_json(from, NEWS_PATH, marks, PEER_TIMEOUT)
+            .post_json(from, NEWS_PATH, position, PEER_TIMEOUT)
             .await;
-        if asked.is_err() {
+        if answer.is_err() {
             self.peers.forget(from);
         }
-        asked.ok()
+        answer.ok()
     }
 
     /// Every peer, the last heard of first.
@@ -266,28 +266,28 @@
             TOKENS_PATH => "tokens",
             _ => "unknown",
         };
-        let response = self.answer_body(&request, &body).await;
+        let response = self.route(&request, &body).await;
         let answered = response.len().unwrap_or_default();
         self.usage.served_peer(message, body.len(), answered);
         response
     }
 
-    async fn answer_body(&self, request: &Request, body: &[u8]) -> Response {
+    async fn route(&self, request: &Request, body: &[u8]) -> Response {
         match (request.method(), request.url().path()) {
             (Method::Post, LOAD_PATH) => match serde_json::from_slice(body) {
-                Ok(report) => answer::json(&self.take_report(report)),
+                Ok(report) => answer::json(&self.handle_report(report)),
                 Err(_) => answer::own(400, "malformed-report", None),
             },
             (Method::Post, FOLLOW_PATH) => match serde_json::from_slice::<FollowPoll>(body) {
-                Ok(poll) => answer::json(&self.answer_poll(poll).await),
+                Ok(poll) => answer::json(&self.handle_poll(poll).await),
                 Err(_) => answer::own(400, "malformed-poll", None),
             },
             (Method::Post, NEWS_PATH) => match serde_json::from_slice::<SyncPosition>(body) {
-                Ok(marks) => answer::json(&self.update_since(&marks)),
+                Ok(position) => answer::json(&self.update_since(&position)),
                 Err(_) => answer::own(400, "malformed-marks", None),
             },
             (Method::Post, SUSPECTS_PATH) => match serde_json::from_slice(body) {
-                Ok(exchange) => answer::json(&self.take_suspects(&exchange)),
+                Ok(exchange) => answer::json(&self.handle_suspects(&exchange)),
                 Err(_) => answer::own(400, "malformed-suspects", None),
             },
             (Method::Post, LIMITS_PATH) => match serde_json::from_slice(body) {
@@ -295,30 +295,30 @@
                 Err(_) => answer::own(400, "malformed-ask", None),
             },
             (Method::Post, TOKENS_PATH) => match serde_json::from_slice(body) {
-                Ok(ask) => self.answer_tokens(&ask).await,
+                Ok(ask) => self.handle_tokens(&ask).await,
                 Err(_) => answer::own(400, "malformed-ask", None),
             },
             _ => answer::own(404, "unknown-path", None),
         }
     }
 
-    async fn answer_tokens(&self, ask: &ServiceTokenAsk) -> Response {
+    async fn handle_tokens(&self, ask: &ServiceTokenAsk) -> Response {
         match ask_here(&self.events, ask).await {
             Some(reply) => answer::json(&reply),
             None => answer::own(503, "stopping", None),
         }
     }
 
-    fn update_since(&self, marks: &SyncPosition) -> PeerUpdate {
+    fn update_since(&self, position: &SyncPosition) -> PeerUpdate {
         // Before the news: what comes in between makes them younger.
         let age = self.followers.confirmed_age();
         PeerUpdate {
             age_ms: Some(millis(age)),
-            ..self.publisher.update_since(marks)
+            ..self.publisher.update_since(position)
         }
     }
 
-    fn take_suspects(&self, exchange: &SuspectExchange) -> SuspectUpdate {
+    fn handle_suspects(&self, exchange: &SuspectExchange) -> SuspectUpdate {
         let source = exchange.from.map_or(String::new(), |from| from.to_string());
         // A relay that is new is told in turn before the store names it here.
         self.peers.note_peers(exchange.from);
@@ -330,7 +330,7 @@
         }
     }
 
-    async fn answer_poll(&self, mut poll: FollowPoll) -> FollowAnswer {
+    async fn handle_poll(&self, mut poll: FollowPoll) -> FollowAnswer {
         self.peers.note_peers(poll.from);
         for (service, load) in std::mem::take(&mut poll.load) {
             // The channel is unbounded and closes only when the process ends.
@@ -341,8 +341,8 @@
             Duration::ZERO
         } else {
             let longest = threadledge_relay::Settings::default().max_hold;
-            let asked = poll.hold_ms.map(Duration::from_millis);
-            asked.map_or(longest, |asked| asked.min(longest))
+            let requested = poll.hold_ms.map(Duration::from_millis);
+            requested.map_or(longest, |requested| requested.min(longest))
         };
         self.followers
             .answer(&self.publisher, &poll.follower(), peers, hold)
@@ -355,7 +355,7 @@
         peers
     }
 
-    fn take_report(&self, report: ServiceReport) -> KnownPeers {
+    fn handle_report(&self, report: ServiceReport) -> KnownPeers {
         let peers = self.recent_peers();
         self.peers.note_peers(report.from);
         // The channel is unbounded and closes only when the process ends.
--- a/crates/router/src/gateway/publisher.rs
+++ b/crates/router/src/gateway/publisher.rs
@@ -23,10 +23,10 @@
 
 /// Registrations learned at once that are told one by one. Where there are
 /// thousands, each gateway that starts would write as many lines.
-const MOST_TOLD_SINGLY: usize = 256;
+const MAX_LOGGED_SINGLY: usize = 256;
 
-fn is_registration(learned: &StateChange) -> bool {
-    matches!(learned, StateChange::Registered(_))
+fn is_registration(change: &StateChange) -> bool {
+    matches!(change, StateChange::Registered(_))
 }
 
 /// What the gateway knows, and who has to be told of it. Clones share it.
@@ -49,9 +49,9 @@
         self.cluster_state.lock().position()
     }
 
-    /// What it holds beyond `marks`.
-    pub(super) fn update_since(&self, marks: &SyncPosition) -> PeerUpdate {
-        self.cluster_state.lock().update_since(marks, self.now())
+    /// What it holds beyond `position`.
+    pub(super) fn update_since(&self, position: &SyncPosition) -> PeerUpdate {
+        self.cluster_state.lock().update_since(position, self.now())
     }
 
     /// Revisions of the store up to which the knowledge goes.
@@ -59,76 +59,76 @@
         self.cluster_state.lock().revisions()
     }
 
-    /// What one of `followers` that knows what `marks` say lacks.
-    pub(super) fn delta_since(&self, marks: &SyncPosition, followers: usize) -> Delta {
+    /// What one of `followers` that knows what `position` say lacks.
+    pub(super) fn delta_since(&self, position: &SyncPosition, followers: usize) -> Delta {
         let now = self.now();
         let mut cluster_state = self.cluster_state.lock();
         cluster_state.set_follower_count(followers);
-        cluster_state.delta_since(marks, now)
+        cluster_state.delta_since(position, now)
     }
 
     /// The relay told what changed.
-    pub(super) fn apply_delta(&self, told: Delta) {
-        let learned = self.learn(told);
-        self.tell(learned);
+    pub(super) fn apply_delta(&self, delta: Delta) {
+        let changes = self.apply(delta);
+        self.publish(changes);
     }
 
     /// Another gateway told what it knows beyond this one.
-    pub(super) fn apply_peer_update(&self, news: PeerUpdate) {
-        let learned = self.learn(news.delta);
-        if !learned.is_empty() {
-            emit!(EventId::LearnedFromPeer, changes = learned.len());
+    pub(super) fn apply_peer_update(&self, update: PeerUpdate) {
+        let changes = self.apply(update.delta);
+        if !changes.is_empty() {
+            emit!(EventId::LearnedFromPeer, changes = changes.len());
         }
-        self.tell(learned);
+        self.publish(changes);
     }
 
-    fn learn(&self, told: Delta) -> Vec<StateChange> {
+    fn apply(&self, delta: Delta) -> Vec<StateChange> {
         let mut cluster_state = self.cluster_state.lock();
-        let concerns_back_ends = told.concerns_back_ends() || cluster_state.is_partial();
+        let concerns_back_ends = delta.concerns_back_ends() || cluster_state.is_partial();
         let now = self.now();
-        let learned = cluster_state.apply_delta(told, now);
+        let changes = cluster_state.apply_delta(delta, now);
         if concerns_back_ends {
             self.publish_back_ends(cluster_state.take_in_use(now));
         }
-        learned
+        changes
     }
 
-    pub(super) fn configurations(&self, update: Update<Configuration>) {
-        let learned = self.cluster_state.lock().apply_configurations(update);
-        self.tell(learned);
+    pub(super) fn update_configurations(&self, update: Update<Configuration>) {
+        let changes = self.cluster_state.lock().apply_configurations(update);
+        self.publish(changes);
     }
 
-    pub(super) fn records(&self, update: Update<OwnershipRecord>) {
-        let learned = self.cluster_state.lock().apply_records(update);
-        self.tell(learned);
+    pub(super) fn update_records(&self, update: Update<OwnershipRecord>) {
+        let changes = self.cluster_state.lock().apply_records(update);
+        self.publish(changes);
     }
 
     /// The store told of back ends.
-    pub(super) fn back_ends(&self, update: Update<BackEnd>) {
+    pub(super) fn update_back_ends(&self, update: Update<BackEnd>) {
         let now = self.now();
         self.health.record_contact(now);
-        let learned = {
+        let changes = {
             let mut cluster_state = self.cluster_state.lock();
             cluster_state.set_lapse_grace(self.health.grace_until(now));
-            let learned = cluster_state.apply_back_ends(update, now);
+            let changes = cluster_state.apply_back_ends(update, now);
             // Under the lock, so that what is known and what is in use change
             // in the same order.
             self.publish_back_ends(cluster_state.take_in_use(now));
-            learned
+            changes
         };
-        self.tell(learned);
+        self.publish(changes);
     }
 
     /// The store told of drained zones.
-    pub(super) fn zones(&self, update: Update<DrainedZone>) {
-        let learned = {
+    pub(super) fn update_zones(&self, update: Update<DrainedZone>) {
+        let changes = {
             let mut cluster_state = self.cluster_state.lock();
             let now = self.now();
-            let learned = cluster_state.apply_zones(update, now);
+            let changes = cluster_state.apply_zones(update, now);
             self.publish_back_ends(cluster_state.take_in_use(now));
-            learned
+            changes
         };
-        self.tell(learned);
+        self.publish(changes);
     }
 
     /// Gives up back ends that were awaited in vain. Runs for ever.
@@ -149,14 +149,14 @@
     }
 
     fn expire(&self) {
-        let learned = {
+        let changes = {
             let mut cluster_state = self.cluster_state.lock();
             let now = self.now();
-            let learned = cluster_state.expire_lapsed(now);
+            let changes = cluster_state.expire_lapsed(now);
             self.publish_back_ends(cluster_state.take_in_use(now));
-            learned
+            changes
         };
-        self.tell(learned);
+        self.publish(changes);
     }
 
     fn now(&self) -> Timestamp {
@@ -168,30 +168,35 @@
         let Some(in_use) = in_use else {
             return;
         };
-        let left = self.dispatch.with(|dispatcher, now| match &in_use {
+        let unused = self.dispatch.with(|dispatcher, now| match &in_use {
             InUse::All(all) => dispatcher.set_back_ends(now, all),
             InUse::Changed { changed, gone } => dispatcher.update_back_ends(now, changed, gone),
         });
-        for address in left {
+        for address in unused {
             self.pool.forget(address);
         }
         self.readiness.listed();
         self.send(Event::BackEndsChanged);
     }
 
-    fn tell(&self, learned: Vec<StateChange>) {
-        if !learned.is_empty() {
+    fn publish(&self, changes: Vec<StateChange>) {
+        if !changes.is_empty() {
             self.changed.notify();
         }
-        let registered = learned.iter().filter(|each| is_registration(each)).count();
-        let singly = registered <= MOST_TOLD_SINGLY;
-        if !singly {
+        let registered = changes
+            .iter()
+            .filter(|change| is_registration(change))
+            .count();
+        let log_singly = registered <= MAX_LOGGED_SINGLY;
+        if !log_singly {
             emit!(EventId::BackEndsRegistered, back_ends = registered);
         }
-        for each in learned {
-            match each {
-                StateChange::Registered(_) if !singly => {}
-                StateChange::Configuration(configuration) => self.configuration(configuration),
+        for change in changes {
+            match change {
+                StateChange::Registered(_) if !log_singly => {}
+                StateChange::Configuration(configuration) => {
+                    self.publish_configuration(configuration)
+                }
                 StateChange::Record(service, found) => {
                     let view = OwnershipView::of(&found.value);
                     self.dispatch.with(|dispatcher, now| {
@@ -231,7 +236,7 @@
         }
     }
 
-    fn configuration(&self, configuration: Arc<Configuration>) {
+    fn publish_configuration(&self, configuration: Arc<Configuration>) {
         let keys = self
             .dispatch
             .with(|dispatcher, now| dispatcher.set_configuration(now, configuration.clone()));
@@ -243,13 +248,14 @@
             routes = configuration.routes.len(),
             services = configuration.services.len(),
         );
-        if let Some(changes) = keys.filter(|changes| *changes != KeyChanges::default()) {
+        if let Some(key_changes) = keys.filter(|key_changes| *key_changes != KeyChanges::default())
+        {
             emit!(
                 EventId::TenantKeysChanged,
                 version = configuration.version.0,
                 tenants = configuration.tenants.len(),
-                taken = changes.removed,
-                added = changes.added,
+                taken = key_changes.removed,
+                added = key_changes.added,
             );
         }
         self.send(Event::Configuration(configuration));
--- a/crates/router/src/gateway/registry.rs
+++ b/crates/router/src/gateway/registry.rs
@@ -11,13 +11,13 @@
 
 use super::cluster_state::StateChange;
 use super::in_use::{InUse, Touched};
-use super::removals::Removals;
+use super::removals::RemovalLog;
 use super::sync::{Delta, LapsedBackEnd, RevisedBackEnd};
 use super::watcher::Update;
 
 /// A back end whose registration lapsed.
 #[derive(Clone, Debug)]
-struct Awaited {
+struct LapsedEntry {
     known: RevisedBackEnd,
     /// It is gone from then on.
     until: Timestamp,
@@ -31,7 +31,7 @@
     /// is found without a walk over all.
     by_revision: BTreeSet<(StoreRevision, String)>,
     /// Not registered any more, and still taken for there.
-    lapsed: BTreeMap<String, Awaited>,
+    lapsed: BTreeMap<String, LapsedEntry>,
     /// Until when back ends are cold, as far as they told.
     cold_until: BTreeMap<String, Timestamp>,
     /// Entries that cannot be understood, with their revisions: each is told
@@ -39,130 +39,134 @@
     malformed: BTreeMap<String, StoreRevision>,
     /// What changed since the back ends in use were told.
     touched: Touched,
-    removals: Removals,
+    removals: RemovalLog,
     /// The revision up to which this goes.
-    reach: StoreRevision,
+    revision: StoreRevision,
     /// A relay tells in several parts, and the rest is still to come.
     partial: bool,
     /// Until when a registration that goes is awaited; `None`: not at all.
-    await_until: Option<Timestamp>,
+    grace_until: Option<Timestamp>,
 }
 
 impl Registry {
     /// The revision up to which it goes.
     pub(super) fn revision(&self) -> StoreRevision {
-        self.reach
+        self.revision
     }
 
     /// Whether nobody has told of them yet, or a relay a first part only.
     pub(super) fn is_partial(&self) -> bool {
-        self.partial || self.reach == 0
+        self.partial || self.revision == 0
     }
 
     /// Every back end, those that are awaited too, by name.
     pub(super) fn all(&self, now: Timestamp) -> Vec<BackEnd> {
         let mut all: BTreeMap<&str, &RevisedBackEnd> = BTreeMap::new();
         let lapsed = self.lapsed.iter();
-        all.extend(lapsed.map(|(name, awaited)| (name.as_str(), &awaited.known)));
+        all.extend(lapsed.map(|(name, entry)| (name.as_str(), &entry.known)));
         let registered = self.registered.iter();
         all.extend(registered.map(|(name, known)| (name.as_str(), known)));
         let all = all.into_values();
-        all.map(|known| self.told(known, now).back_end).collect()
+        all.map(|known| self.current(known, now).back_end).collect()
     }
 
     /// What is in use otherwise since this was called last.
     pub(super) fn take_changed(&mut self, now: Timestamp) -> InUse {
         let mut touched = std::mem::take(&mut self.touched);
         touched.take(|id| {
-            let awaited = || self.lapsed.get(id).map(|awaited| &awaited.known);
-            let known = self.registered.get(id).or_else(awaited)?;
-            Some(self.told(known, now).back_end)
+            let lapsed = || self.lapsed.get(id).map(|entry| &entry.known);
+            let known = self.registered.get(id).or_else(lapsed)?;
+            Some(self.current(known, now).back_end)
         })
     }
 
     /// All of them were told.
-    pub(super) fn all_told(&mut self) {
+    pub(super) fn clear_changed(&mut self) {
         self.touched.clear();
     }
 
     /// A back end as it is told now: what it said of being cold was true when
     /// it said so.
-    fn told(&self, known: &RevisedBackEnd, now: Timestamp) -> RevisedBackEnd {
-        let mut told = known.clone();
-        let cold_until = self.cold_until.get(told.back_end.name.as_str());
-        told.back_end.cold_for = cold_until.map_or(Duration::ZERO, |until| until.since(now));
-        told
+    fn current(&self, known: &RevisedBackEnd, now: Timestamp) -> RevisedBackEnd {
+        let mut current = known.clone();
+        let cold_until = self.cold_until.get(current.back_end.name.as_str());
+        current.back_end.cold_for = cold_until.map_or(Duration::ZERO, |until| until.since(now));
+        current
     }
 
     /// Says until when registrations that the store tells to be gone are
     /// awaited; `None`: they are gone at once.
     pub(super) fn set_lapse_grace(&mut self, until: Option<Timestamp>) {
-        self.await_until = until;
+        self.grace_until = until;
     }
 
     /// When the next wait for a back end is over.
     pub(super) fn next_expiry(&self) -> Option<Timestamp> {
-        self.lapsed.values().map(|awaited| awaited.until).min()
+        self.lapsed.values().map(|entry| entry.until).min()
     }
 
     /// Gives up the back ends that were awaited for long enough.
     pub(super) fn expire(&mut self, now: Timestamp) -> Vec<StateChange> {
-        let (over, left) = std::mem::take(&mut self.lapsed)
+        let (expired, remaining) = std::mem::take(&mut self.lapsed)
             .into_iter()
-            .partition(|(_, awaited)| awaited.until <= now);
-        self.lapsed = left;
-        let over: BTreeMap<String, Awaited> = over;
-        for (id, awaited) in &over {
-            self.touched.mark(id, Some(&awaited.known.back_end.name));
+            .partition(|(_, entry)| entry.until <= now);
+        self.lapsed = remaining;
+        let expired: BTreeMap<String, LapsedEntry> = expired;
+        for (id, entry) in &expired {
+            self.touched.mark(id, Some(&entry.known.back_end.name));
         }
-        let gone = over.into_values().map(|awaited| awaited.known.back_end);
+        let gone = expired.into_values().map(|entry| entry.known.back_end);
         gone.map(StateChange::Gone).collect()
     }
 
     /// Takes what the store tells.
-    pub(super) fn take(&mut self, update: Update<BackEnd>, now: Timestamp) -> Vec<StateChange> {
+    pub(super) fn apply_update(
+        &mut self,
+        update: Update<BackEnd>,
+        now: Timestamp,
+    ) -> Vec<StateChange> {
         match update {
-            Update::Listed(listing) if listing.at < self.reach => Vec::new(),
+            Update::Listed(listing) if listing.at < self.revision => Vec::new(),
             Update::Listed(listing) => {
-                let until = self.await_until;
-                self.replace(listing.at, listing.entries, |_| until, now)
+                let until = self.grace_until;
+                self.replace_all(listing.at, listing.entries, |_| until, now)
             }
-            Update::Changed(changes) => {
-                let mut learned = Vec::new();
-                for change in changes.changes {
+            Update::Changed(batch) => {
+                let mut state_changes = Vec::new();
+                for change in batch.changes {
                     match change {
-                        Change::Put(entry) if entry.revision > self.reach => {
-                            learned.extend(self.put(entry, now));
+                        Change::Put(entry) if entry.revision > self.revision => {
+                            state_changes.extend(self.upsert(entry, now));
                         }
-                        Change::Gone(name) if changes.at > self.reach => {
-                            learned.extend(self.remove(changes.at, &name, self.await_until));
+                        Change::Gone(name) if batch.at > self.revision => {
+                            state_changes.extend(self.remove(batch.at, &name, self.grace_until));
                         }
                         Change::Put(_) | Change::Gone(_) => {}
                     }
                 }
-                self.reach = self.reach.max(changes.at);
+                self.revision = self.revision.max(batch.at);
                 self.partial = false;
-                learned
+                state_changes
             }
         }
     }
 
-    /// What someone who knows them up to `mark` lacks, in the order of its
-    /// revisions; no more than `most` of it at once.
+    /// What someone who knows them up to `since` lacks, in the order of its
+    /// revisions; no more than `max_back_ends` of it at once.
     pub(super) fn delta_since(
         &self,
-        mark: StoreRevision,
+        since: StoreRevision,
         now: Timestamp,
-        most: usize,
+        max_back_ends: usize,
         delta: &mut Delta,
     ) {
-        if self.reach <= mark {
+        if self.revision <= since {
             return;
         }
-        let mut later = self.by_revision.range((mark + 1, String::new())..);
-        let told = later.by_ref().take(most);
-        let known = told.filter_map(|(_, id)| self.registered.get(id));
-        delta.back_ends = known.map(|known| self.told(known, now)).collect();
+        let mut later = self.by_revision.range((since + 1, String::new())..);
+        let sent = later.by_ref().take(max_back_ends);
+        let known = sent.filter_map(|(_, id)| self.registered.get(id));
+        delta.back_ends = known.map(|known| self.current(known, now)).collect();
         delta.more_back_ends = self.is_partial();
         if later.next().is_some()
             && let Some(last) = delta.back_ends.last()
@@ -170,52 +174,56 @@
             delta.revisions.back_ends = last.revision;
             delta.more_back_ends = true;
         }
-        delta.lapsed = self.told_lapsed(now);
-        if mark == 0 {
+        delta.lapsed = self.lapsed_back_ends(now);
+        if since == 0 {
             // Who knows nothing has nothing to forget.
             return;
         }
-        match self.removals.after(mark) {
+        match self.removals.since(since) {
             Some(gone) => delta.gone = gone,
             None => delta.remaining = Some(self.registered.keys().cloned().collect()),
         }
     }
 
-    fn told_lapsed(&self, now: Timestamp) -> Vec<LapsedBackEnd> {
+    fn lapsed_back_ends(&self, now: Timestamp) -> Vec<LapsedBackEnd> {
         let lapsed = self.lapsed.values();
-        let told =
-            lapsed.map(|awaited| LapsedBackEnd::new(&awaited.known, awaited.until.since(now)));
-        told.collect()
+        let lapsed = lapsed.map(|entry| LapsedBackEnd::new(&entry.known, entry.until.since(now)));
+        lapsed.collect()
     }
 
     /// Takes what a relay tells, which goes beyond what is known.
-    pub(super) fn take_told(&mut self, told: Delta, now: Timestamp) -> Vec<StateChange> {
-        let at = told.revisions.back_ends;
-        if told.more_back_ends {
+    pub(super) fn apply_delta(&mut self, delta: Delta, now: Timestamp) -> Vec<StateChange> {
+        let at = delta.revisions.back_ends;
+        if delta.more_back_ends {
             // Where a first part was never complete, nobody counts on it yet.
             self.partial |= self.registered.is_empty();
         } else {
             self.partial = false;
         }
-        let gone = match told.remaining {
-            None => told.gone,
-            Some(left) => {
-                let left: BTreeSet<String> = left.into_iter().collect();
+        let gone = match delta.remaining {
+            None => delta.gone,
+            Some(remaining) => {
+                let remaining: BTreeSet<String> = remaining.into_iter().collect();
                 let all = self.registered.keys();
-                all.filter(|id| !left.contains(*id)).cloned().collect()
+                all.filter(|id| !remaining.contains(*id)).cloned().collect()
             }
         };
-        let awaited: BTreeMap<String, Timestamp> = told
+        let grace_ends: BTreeMap<String, Timestamp> = delta
             .lapsed
             .iter()
-            .map(|each| (each.known.back_end.name.id().to_owned(), now + each.left()))
+            .map(|entry| {
+                (
+                    entry.known.back_end.name.id().to_owned(),
+                    now + entry.left(),
+                )
+            })
             .collect();
-        let mut learned = Vec::new();
+        let mut state_changes = Vec::new();
         for id in gone {
-            learned.extend(self.remove(at, &id, awaited.get(&id).copied()));
+            state_changes.extend(self.remove(at, &id, grace_ends.get(&id).copied()));
         }
-        learned.extend(self.add_lapsed(told.lapsed, now));
-        for known in told.back_ends {
+        state_changes.extend(self.add_lapsed(delta.lapsed, now));
+        for known in delta.back_ends {
             let name = known.back_end.name.id().to_owned();
             let (revision, value) = (known.revision, Ok(known.back_end));
             let entry = Entry {
@@ -223,31 +231,31 @@
                 revision,
                 value,
             };
-            learned.extend(self.put(entry, now));
+            state_changes.extend(self.upsert(entry, now));
         }
-        self.reach = at;
-        learned
+        self.revision = at;
+        state_changes
     }
 
     /// Takes back ends that others await and that were never known here.
     fn add_lapsed(&mut self, lapsed: Vec<LapsedBackEnd>, now: Timestamp) -> Vec<StateChange> {
-        let mut learned = Vec::new();
-        for each in lapsed {
-            let name = each.known.back_end.name.id().to_owned();
+        let mut state_changes = Vec::new();
+        for entry in lapsed {
+            let name = entry.known.back_end.name.id().to_owned();
             if self.registered.contains_key(&name) || self.lapsed.contains_key(&name) {
                 continue;
             }
-            learned.push(StateChange::Lapsed(each.known.back_end.clone()));
+            state_changes.push(StateChange::Lapsed(entry.known.back_end.clone()));
             self.touched.mark(&name, None);
-            let until = now + each.left();
-            let known = each.known;
-            self.lapsed.insert(name, Awaited { known, until });
+            let until = now + entry.left();
+            let known = entry.known;
+            self.lapsed.insert(name, LapsedEntry { known, until });
         }
-        learned
+        state_changes
     }
 
     /// Takes a whole list. `until` says how long one that it lacks is awaited.
-    fn replace(
+    fn replace_all(
         &mut self,
         at: StoreRevision,
         entries: Vec<Entry<BackEnd>>,
@@ -257,28 +265,28 @@
         if self.registered.is_empty() {
             self.removals.forget_until(at);
         }
-        self.reach = at;
+        self.revision = at;
         self.partial = false;
         let names: BTreeSet<&str> = entries.iter().map(|entry| entry.name.as_str()).collect();
         let known = self.registered.keys().chain(self.lapsed.keys());
         let missing = known.filter(|name| !names.contains(name.as_str()));
         let missing: Vec<String> = missing.cloned().collect();
-        let mut learned = Vec::new();
+        let mut state_changes = Vec::new();
         for name in missing {
-            learned.extend(self.remove(at, &name, until(&name)));
+            state_changes.extend(self.remove(at, &name, until(&name)));
         }
         for entry in entries {
-            learned.extend(self.put(entry, now));
+            state_changes.extend(self.upsert(entry, now));
         }
-        learned
+        state_changes
     }
 
     /// Takes one registration. Of two lives of one back end the later one
     /// counts, in whichever order they are told.
-    fn put(&mut self, entry: Entry<BackEnd>, now: Timestamp) -> Vec<StateChange> {
+    fn upsert(&mut self, entry: Entry<BackEnd>, now: Timestamp) -> Vec<StateChange> {
         let back_end = match entry.value {
             Ok(back_end) => back_end,
-            Err(malformed) => return self.put_malformed(&entry.name, entry.revision, malformed),
+            Err(malformed) => return self.upsert_malformed(&entry.name, entry.revision, malformed),
         };
         let before = self.registered.get(&entry.name);
         if before.is_some_and(|before| before.back_end.name.is_restart_of(&back_end.name)) {
@@ -290,14 +298,14 @@
             let until = now + back_end.cold_for;
             self.cold_until.insert(entry.name.clone(), until);
         }
-        let awaited = self.lapsed.remove(&entry.name);
-        if let Some(awaited) = &awaited {
-            let name = &awaited.known.back_end.name;
+        let lapsed_entry = self.lapsed.remove(&entry.name);
+        if let Some(lapsed_entry) = &lapsed_entry {
+            let name = &lapsed_entry.known.back_end.name;
             self.touched.mark(&entry.name, Some(name));
         }
         let before = self.register(&entry.name, entry.revision, back_end.clone());
         self.malformed.remove(&entry.name);
-        match before.or(awaited.map(|awaited| awaited.known)) {
+        match before.or(lapsed_entry.map(|entry| entry.known)) {
             None => vec![StateChange::Registered(back_end)],
             // It holds and knows nothing of before.
             Some(before) if back_end.name.is_restart_of(&before.back_end.name) => {
@@ -316,15 +324,15 @@
     /// An entry that cannot be understood names no back end to use. One that was
     /// known under its id may be at work: it gets nothing new, and its keys
     /// move in order, until it registers again itself.
-    fn put_malformed(
+    fn upsert_malformed(
         &mut self,
         id: &str,
         revision: StoreRevision,
         malformed: Malformed,
     ) -> Vec<StateChange> {
-        let mut learned = Vec::new();
+        let mut state_changes = Vec::new();
         if self.malformed.insert(id.to_owned(), revision) != Some(revision) {
-            learned.push(StateChange::Malformed(malformed));
+            state_changes.push(StateChange::Malformed(malformed));
         }
         let known = self
             .registered
@@ -333,10 +341,10 @@
         if let Some(known) = known {
             let mut back_end = known.back_end.clone();
             back_end.draining = true;
-            learned.push(StateChange::Leaving(back_end.clone()));
+            state_changes.push(StateChange::Leaving(back_end.clone()));
             self.register(id, revision, back_end);
         }
-        learned
+        state_changes
     }
 
     /// Files a back end under its id; who stood there before.
@@ -367,7 +375,7 @@
     ) -> Option<StateChange> {
         self.malformed.remove(name);
         let Some(known) = self.registered.remove(name) else {
-            return self.forget(name, until);
+            return self.forget_lapsed(name, until);
         };
         self.by_revision.remove(&(known.revision, name.to_owned()));
         self.touched.mark(name, Some(&known.back_end.name));
@@ -377,7 +385,7 @@
             Some(until) if !known.back_end.draining => {
                 let lapsed = StateChange::Lapsed(known.back_end.clone());
                 self.lapsed
-                    .insert(name.to_owned(), Awaited { known, until });
+                    .insert(name.to_owned(), LapsedEntry { known, until });
                 Some(lapsed)
             }
             _ => Some(StateChange::Gone(known.back_end)),
@@ -386,13 +394,13 @@
 
     /// Somebody tells that a back end without a registration is gone. It is
     /// still awaited if whoever tells it awaits it too.
-    fn forget(&mut self, name: &str, until: Option<Timestamp>) -> Option<StateChange> {
+    fn forget_lapsed(&mut self, name: &str, until: Option<Timestamp>) -> Option<StateChange> {
         if until.is_some() {
             return None;
         }
-        let awaited = self.lapsed.remove(name)?;
-        let before = &awaited.known.back_end.name;
+        let lapsed_entry = self.lapsed.remove(name)?;
+        let before = &lapsed_entry.known.back_end.name;
         self.touched.mark(name, Some(before));
-        Some(StateChange::Gone(awaited.known.back_end))
+        Some(StateChange::Gone(lapsed_entry.known.back_end))
     }
 }
--- a/crates/router/src/gateway/relay.rs
+++ b/crates/router/src/gateway/relay.rs
@@ -28,24 +28,24 @@
 use super::watcher::Update;
 use crate::proxy::Clock;
 
-pub(super) use tier::{Seat, Tier};
+pub(super) use tier::{MemberConfig, Tier};
 
 /// Gateways of a zone, its relay included, up to which the relay follows the
 /// relay of the region: as many as it serves directly.
-const MOST_MEMBERS: u32 = MAX_FOLLOWERS as u32 + 1;
+const MAX_MEMBERS: u32 = MAX_FOLLOWERS as u32 + 1;
 /// Gateways up to which it begins to: a zone about as large as that would come
 /// and go.
-const MOST_MEMBERS_TO_JOIN: u32 = MOST_MEMBERS * 3 / 4;
+const MAX_MEMBERS_TO_JOIN: u32 = MAX_MEMBERS * 3 / 4;
 /// Longest wait for a member's next step.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+const MAX_WAIT: Duration = Duration::from_secs(1);
 
 /// One gateway's part in the relaying of its zone, or of its region.
-pub(super) struct Relaying {
+pub(super) struct RelayTask {
     pub(super) tier: Tier,
     /// Name of the record.
     pub(super) record: String,
     pub(super) places: Topology,
-    pub(super) seat: Seat,
+    pub(super) member_config: MemberConfig,
     pub(super) member: Member,
     pub(super) ports: Ports,
     pub(super) clock: Clock,
@@ -59,7 +59,7 @@
 }
 
 /// What became of a poll on the way.
-enum Polled {
+enum PollResult {
     Answered(FollowAnswer),
     /// It was not answered.
     Silent,
@@ -67,7 +67,7 @@
     Late,
 }
 
-impl Relaying {
+impl RelayTask {
     /// Begins; ends when this gateway leaves.
     pub(super) fn start(self) {
         self.publish();
@@ -90,12 +90,12 @@
     async fn run_while_relay(mut self) {
         while !self.followers.is_leaving() {
             self.sources.until_is_relay().await;
-            if self.followers.members() > MOST_MEMBERS_TO_JOIN {
-                timer::sleep(LONGEST_WAIT).await;
+            if self.followers.members() > MAX_MEMBERS_TO_JOIN {
+                timer::sleep(MAX_WAIT).await;
                 continue;
             }
-            self.member = self.seat.take(self.clock.now());
-            while self.takes_part() && !self.followers.is_leaving() {
+            self.member = self.member_config.start_member(self.clock.now());
+            while self.may_join_region() && !self.followers.is_leaving() {
                 self.step().await;
             }
             self.member.leave();
@@ -107,8 +107,8 @@
     /// above them, what the last ones are told would be older than
     /// [`max_age`](threadledge_relay::Settings::max_age), and each would watch
     /// the store.
-    fn takes_part(&self) -> bool {
-        self.sources.is_relay() && self.followers.members() <= MOST_MEMBERS
+    fn may_join_region(&self) -> bool {
+        self.sources.is_relay() && self.followers.members() <= MAX_MEMBERS
     }
 
     async fn step(&mut self) {
@@ -121,11 +121,12 @@
                 let relayed = self.member.is_relay();
                 let claim = self.ports.relays.write(&self.record, &record, condition);
                 let result = claim.await;
-                self.heard_from_store(now, matches!(result, WriteResult::Accepted(_)));
+                self.record_store_call(now, matches!(result, WriteResult::Accepted(_)));
                 self.member.on_claim(self.clock.now(), result);
-                self.tier.tell_change(&self.record, relayed, &self.member);
+                self.tier
+                    .log_role_change(&self.record, relayed, &self.member);
             }
-            Some(Action::Poll(address)) => self.follow(now, address).await,
+            Some(Action::Poll(address)) => self.poll_source(now, address).await,
             None => self.wait(now).await,
         }
     }
@@ -159,11 +160,11 @@
     }
 
     async fn wait(&self, now: Timestamp) {
-        let longest = now + LONGEST_WAIT;
+        let longest = now + MAX_WAIT;
         let wake = self.member.next_wake().unwrap_or(longest).min(longest);
-        let left = self.followers.until_left();
+        let leaving = self.followers.until_leaving();
         // Whoever leaves is found out by the caller.
-        let _ = timer::timeout_at(self.clock.instant(wake), left).await;
+        let _ = timer::timeout_at(self.clock.instant(wake), leaving).await;
     }
 
     async fn read(&mut self) {
@@ -175,18 +176,19 @@
                 .record_call_time(self.clock.now().since(started));
         }
         let result = match listed {
-            Ok(listing) => ReadResult::Found(self.take_records(started, listing.entries)),
+            Ok(listing) => ReadResult::Found(self.apply_records(started, listing.entries)),
             Err(_) => ReadResult::Failed,
         };
-        self.heard_from_store(started, result != ReadResult::Failed);
+        self.record_store_call(started, result != ReadResult::Failed);
         self.member.on_read(self.clock.now(), result);
-        self.tier.tell_change(&self.record, relayed, &self.member);
+        self.tier
+            .log_role_change(&self.record, relayed, &self.member);
     }
 
     /// Counts the gateways of all zones; the record of this one.
-    fn take_records(
+    fn apply_records(
         &self,
-        asked: Timestamp,
+        started: Timestamp,
         entries: Vec<Entry<RelayRecord>>,
     ) -> Option<Versioned<RelayRecord>> {
         let records = RelayRecords::parse(entries, &self.record, &self.places);
@@ -200,12 +202,12 @@
             let recorded = records.own.as_ref().map_or(0, |own| own.value.members);
             let zone = self.followers.members().max(recorded);
             let fleet = records.members_elsewhere.saturating_add(zone);
-            self.sources.set_fleet_size(fleet, asked, None);
+            self.sources.set_fleet_size(fleet, started, None);
         }
         records.own
     }
 
-    fn heard_from_store(&self, started: Timestamp, answered: bool) {
+    fn record_store_call(&self, started: Timestamp, answered: bool) {
         if answered {
             self.health.record_answer(started);
         } else {
@@ -213,7 +215,7 @@
         }
     }
 
-    async fn follow(&mut self, asked: Timestamp, address: SocketAddr) {
+    async fn poll_source(&mut self, started: Timestamp, address: SocketAddr) {
         let before = self.member.active_upstream();
         let poll = FollowPoll {
             from: self.client.own_address(),
@@ -221,65 +223,69 @@
             members: self.members(),
             load: self.sources.drain_load(),
             at_once: self.member.is_joining(),
-            hold_ms: self.tier.hold_ms(&self.seat.settings),
+            hold_ms: self.tier.hold_ms(&self.member_config.settings),
             for_zone: self.tier == Tier::Region,
         };
         let polled = self.poll(address, &poll).await;
-        if matches!(polled, Polled::Silent | Polled::Late) {
+        if matches!(polled, PollResult::Silent | PollResult::Late) {
             // The next relay is told of it.
             for (service, load) in poll.load {
                 self.sources.queue_load(&service, load);
             }
         }
         let followed = match polled {
-            Polled::Answered(FollowAnswer::News(news)) => self.take(asked, address, *news).await,
-            Polled::Answered(FollowAnswer::Full { followers }) => {
+            PollResult::Answered(FollowAnswer::News(update)) => {
+                self.apply_update(started, address, *update).await
+            }
+            PollResult::Answered(FollowAnswer::Full { followers }) => {
                 PollOutcome::AtCapacity(followers)
             }
-            Polled::Answered(FollowAnswer::Leaving) | Polled::Silent => PollOutcome::Failed,
-            Polled::Late => PollOutcome::TimedOut,
+            PollResult::Answered(FollowAnswer::Leaving) | PollResult::Silent => PollOutcome::Failed,
+            PollResult::Late => PollOutcome::TimedOut,
         };
         let failed = followed == PollOutcome::Failed;
         self.member.on_poll(self.clock.now(), followed);
         self.publish();
         self.tier
-            .tell_informant(before, self.member.active_upstream(), failed);
+            .log_source_change(before, self.member.active_upstream(), failed);
     }
 
     /// Polls for as long as the member waits.
-    async fn poll(&self, address: SocketAddr, poll: &FollowPoll) -> Polled {
+    async fn poll(&self, address: SocketAddr, poll: &FollowPoll) -> PollResult {
         let polling = self
             .client
-            .poll_relay(address, poll, self.seat.settings.poll_timeout);
+            .poll_relay(address, poll, self.member_config.settings.poll_timeout);
         let answer = match self.member.poll_deadline() {
             None => polling.await,
             Some(deadline) => {
                 let deadline = self.clock.instant(deadline);
                 match timer::timeout_at(deadline, polling).await {
                     Ok(answer) => answer,
-                    Err(_) => return Polled::Late,
+                    Err(_) => return PollResult::Late,
                 }
             }
         };
-        answer.map_or(Polled::Silent, Polled::Answered)
+        answer.map_or(PollResult::Silent, PollResult::Answered)
     }
 
-    async fn take(
+    async fn apply_update(
         &mut self,
-        asked: Timestamp,
+        started: Timestamp,
         address: SocketAddr,
-        news: FollowUpdate,
+        update: FollowUpdate,
     ) -> PollOutcome {
         let now = self.clock.now();
         // The time on the way counts as age: a poll may have been answered
         // long before its answer came.
-        let on_the_way = now.since(asked).saturating_sub(from_millis(news.held_ms));
-        let age = from_millis(news.age_ms) + on_the_way;
+        let transit = now
+            .since(started)
+            .saturating_sub(from_millis(update.held_ms));
+        let age = from_millis(update.age_ms) + transit;
         let seen = now - age;
-        if let Some(fleet) = news.fleet {
+        if let Some(fleet) = update.fleet {
             self.sources.set_fleet_size(fleet, seen, Some(address));
         }
-        for known in news.leases {
+        for known in update.leases {
             let lease = Versioned {
                 value: known.lease,
                 revision: known.revision,
@@ -287,20 +293,17 @@
             self.sources.observe_lease(&known.service, &lease);
         }
         self.client.note_peer(address);
-        for peer in news.peers {
+        for peer in update.peers {
             self.client.note_peer(peer);
         }
-        let told = !news.delta.is_empty();
-        let fetch = news.delta.fetch_configuration;
-        self.publisher.apply_delta(news.delta);
+        let has_changes = !update.delta.is_empty();
+        let fetch = update.delta.fetch_configuration;
+        self.publisher.apply_delta(update.delta);
         if fetch {
             self.fetch_configuration(address).await;
         }
         self.health.record_contact(seen);
-        PollOutcome::Answered {
-            seen,
-            has_changes: told,
-        }
+PollOutcome :: Answered { seen , has_changes : has_changes } 
     }
 
     /// What changed is forgotten, or more than the link should carry for each
@@ -311,12 +314,13 @@
         match listed.await {
             Ok(listing) => {
                 self.health.record_answer(started);
-                self.publisher.configurations(Update::Listed(listing));
+                self.publisher
+                    .update_configurations(Update::Listed(listing));
             }
             Err(_) => {
-                let marks = self.publisher.position();
-                if let Some(news) = self.client.fetch_updates(relay, &marks).await {
-                    self.publisher.apply_peer_update(news);
+                let position = self.publisher.position();
+                if let Some(update) = self.client.fetch_updates(relay, &position).await {
+                    self.publisher.apply_peer_update(update);
                 }
             }
         }
--- a/crates/router/src/gateway/relay/tier.rs
+++ b/crates/router/src/gateway/relay/tier.rs
@@ -32,7 +32,7 @@
     }
 
     /// Tells that a member began or ceased to relay.
-    pub(super) fn tell_change(self, record: &str, relayed: bool, member: &Member) {
+    pub(super) fn log_role_change(self, record: &str, relayed: bool, member: &Member) {
         match (self, relayed, member.is_relay()) {
             (Tier::Zone, false, true) => emit!(EventId::RelayTaken, zone = record),
             (Tier::Zone, true, false) => emit!(EventId::RelayPassedOn, zone = record),
@@ -43,7 +43,7 @@
     }
 
     /// Tells that a member found a relay that tells it what is new, or lost it.
-    pub(super) fn tell_informant(
+    pub(super) fn log_source_change(
         self,
         before: Option<SocketAddr>,
         after: Option<SocketAddr>,
@@ -67,17 +67,17 @@
 
 /// What a member is made from.
 #[derive(Clone, Debug)]
-pub(in super::super) struct Seat {
+pub(in super::super) struct MemberConfig {
     pub(in super::super) me: NodeIdentity,
     pub(in super::super) settings: Settings,
     /// Time before it claims the record, so that members come in turn.
-    pub(in super::super) patience: Duration,
+    pub(in super::super) takeover_delay: Duration,
 }
 
-impl Seat {
+impl MemberConfig {
     /// A member that starts now.
-    pub(in super::super) fn take(&self, now: Timestamp) -> Member {
+    pub(in super::super) fn start_member(&self, now: Timestamp) -> Member {
         let me = self.me.clone();
-        Member::new(now, me, self.settings, self.patience, rand::random())
+        Member::new(now, me, self.settings, self.takeover_delay, rand::random())
     }
 }
--- a/crates/router/src/gateway/removals.rs
+++ b/crates/router/src/gateway/removals.rs
@@ -6,36 +6,36 @@
 
 /// Back ends that left lately.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Removals {
+pub(super) struct RemovalLog {
     /// Removals up to this revision are forgotten.
-    forgotten: StoreRevision,
+    forgotten_up_to: StoreRevision,
     latest: VecDeque<(StoreRevision, String)>,
 }
 
 /// Removals that are remembered.
-const REMEMBERED_REMOVALS: usize = 512;
+const MAX_REMOVALS: usize = 512;
 
-impl Removals {
+impl RemovalLog {
     /// Nothing is known of removals up to `at`.
     pub(super) fn forget_until(&mut self, at: StoreRevision) {
-        self.forgotten = at;
+        self.forgotten_up_to = at;
     }
 
     pub(super) fn push(&mut self, at: StoreRevision, name: String) {
         self.latest.push_back((at, name));
-        if self.latest.len() > REMEMBERED_REMOVALS
+        if self.latest.len() > MAX_REMOVALS
             && let Some((forgotten, _)) = self.latest.pop_front()
         {
-            self.forgotten = forgotten;
+            self.forgotten_up_to = forgotten;
         }
     }
 
-    /// Those after `mark`, unless some of them are forgotten.
-    pub(super) fn after(&self, mark: StoreRevision) -> Option<Vec<String>> {
-        if mark < self.forgotten {
+    /// Those after `position`, unless some of them are forgotten.
+    pub(super) fn since(&self, position: StoreRevision) -> Option<Vec<String>> {
+        if position < self.forgotten_up_to {
             return None;
         }
-        let later = self.latest.iter().filter(|(at, _)| *at > mark);
+        let later = self.latest.iter().filter(|(at, _)| *at > position);
         Some(later.map(|(_, name)| name.clone()).collect())
     }
 }
--- a/crates/router/src/gateway/run.rs
+++ b/crates/router/src/gateway/run.rs
@@ -37,7 +37,7 @@
 use super::peers::{PeerClient, PeerServer, Peers};
 use super::publisher::StatePublisher;
 use super::readiness::{Readiness, StateAnswers};
-use super::relay::{Relaying, Seat, Tier};
+use super::relay::{MemberConfig, RelayTask, Tier};
 use super::relay_records::region_record_name;
 use super::requests::Requests;
 use super::settings::{GatewaySettings, seconds};
@@ -53,16 +53,16 @@
 /// Longest time to open a connection to a back end.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 /// How long a connection to a back end is kept unused.
-const BACK_END_IDLE: Duration = Duration::from_secs(8);
+const BACK_END_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
 /// How long a back end may say nothing before connections to it at rest are
 /// doubted. Most answers come sooner; a wrong doubt costs a few new ones.
-const BACK_END_DOUBT: Duration = Duration::from_millis(400);
+const BACK_END_SUSPECT_AFTER: Duration = Duration::from_millis(400);
 /// Longest rest of a caller's connection.
-const CALLER_IDLE: Duration = Duration::from_secs(60);
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Left of the grace time when the last request has to be over.
 const STOP_MARGIN: Duration = Duration::from_millis(600);
 /// Longest wait for the offices to be handed back.
-const HAND_BACK_TIMEOUT: Duration = Duration::from_millis(1_500);
+const RESIGN_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Why a gateway stopped with an error.
 #[derive(Debug, Error)]
@@ -89,14 +89,14 @@
 ///
 /// It cannot start.
 pub async fn run(settings: GatewaySettings, ports: Ports) -> Result<(), GatewayError> {
-    let callers = listen(settings.listen.callers).await?;
-    let readiness = listen(settings.listen.readiness).await?;
+    let callers = bind(settings.listen.callers).await?;
+    let readiness = bind(settings.listen.readiness).await?;
     let operators = match settings.listen.operators {
-        Some(address) => Some(listen(address).await?),
+        Some(address) => Some(bind(address).await?),
         None => None,
     };
     let peers = match settings.listen.peers {
-        Some(address) => Some(listen(address).await?),
+        Some(address) => Some(bind(address).await?),
         None => None,
     };
     let stop = StopSignal::new();
@@ -114,19 +114,19 @@
 
 /// Passes on which services have back ends that said that they leave, or asked
 /// for rest.
-async fn tell_unfit(
-    unfit: async_channel::Receiver<ServiceName>,
+async fn forward_unavailable_owners(
+    unavailable: async_channel::Receiver<ServiceName>,
     events: async_channel::Sender<Event>,
 ) {
-    while let Ok(service) = unfit.recv().await {
+    while let Ok(service) = unavailable.recv().await {
         // The channel is unbounded and closes only when the process ends.
         let _ = events.try_send(Event::OwnersUnavailable(service));
     }
 }
 
-async fn listen(address: SocketAddr) -> Result<TcpListener, GatewayError> {
-    let listening = TcpListener::bind(address).await;
-    listening.map_err(|cause| GatewayError::Listen { address, cause })
+async fn bind(address: SocketAddr) -> Result<TcpListener, GatewayError> {
+    let bound = TcpListener::bind(address).await;
+    bound.map_err(|cause| GatewayError::Listen { address, cause })
 }
 
 struct Listeners {
@@ -176,9 +176,9 @@
         let suspects = SuspectService::new(dispatch.clone());
         let pool = Pool::new(PoolSettings {
             connect_timeout: CONNECT_TIMEOUT,
-            idle_timeout: BACK_END_IDLE,
+            idle_timeout: BACK_END_IDLE_TIMEOUT,
             unframed: Unframed::EndAtClose,
-            doubt_after: Some(BACK_END_DOUBT),
+            doubt_after: Some(BACK_END_SUSPECT_AFTER),
             ..PoolSettings::default()
         });
         let heartbeat = seconds(settings.platform.heartbeat_s);
@@ -235,14 +235,14 @@
             zone = self.settings.zone,
             callers = %self.settings.listen.callers,
         );
-        let ended = StopSignal::new();
-        let offices = StopSignal::new();
+        let servers_stop = StopSignal::new();
+        let resigned = StopSignal::new();
         let mut cluster_state = ClusterState::default();
         cluster_state.set_link_speed(self.settings.limits.link_mbps);
         let cluster_state = Arc::new(Mutex::new(cluster_state));
-        let events = self.start_coordination(cluster_state.clone(), offices.clone());
-        let publisher = self.start_followers(cluster_state, events.clone());
-        self.start_relaying(&publisher);
+        let events = self.start_coordination(cluster_state.clone(), resigned.clone());
+        let publisher = self.start_watchers(cluster_state, events.clone());
+        self.start_relays(&publisher);
         self.suspects.start(
             self.findings.clone(),
             self.peer_client(),
@@ -250,13 +250,16 @@
             &self.ports,
         );
         self.start_limits();
-        let tokens = TokenAsker {
+        let token_asker = TokenAsker {
             dispatch: self.dispatch.clone(),
             peers: self.peer_client(),
             events: events.clone(),
         };
-        task::spawn(tokens.run());
-        task::spawn(tell_unfit(self.dispatch.unfit(), events.clone()));
+        task::spawn(token_asker.run());
+        task::spawn(forward_unavailable_owners(
+            self.dispatch.unfit(),
+            events.clone(),
+        ));
         if let Some(listener) = listeners.peers {
             let server = PeerServer {
                 publisher: publisher.clone(),
@@ -267,23 +270,23 @@
                 suspects: self.suspects.clone(),
                 limits: self.limits.clone(),
             };
-            task::spawn(server.serve(listener, ended.clone()));
+            task::spawn(server.serve(listener, servers_stop.clone()));
         }
-        let keys = KeyConfirmation {
+        let key_confirmation = KeyConfirmation {
             publisher: publisher.clone(),
             sources: self.sources.clone(),
             health: self.store_health.clone(),
             configurations: self.ports.configurations.clone(),
-            keys_last: seconds(self.settings.bounds.revoke_s),
+            keys_valid_for: seconds(self.settings.bounds.revoke_s),
         };
-        task::spawn(keys.run());
+        task::spawn(key_confirmation.run());
         task::spawn(catch_up(
             publisher,
             self.peer_client(),
             self.store_health.clone(),
             self.sources.clone(),
         ));
-        let answers = StateAnswers {
+        let state_answers = StateAnswers {
             readiness: self.readiness.clone(),
             metrics: self.metrics.clone(),
             wording: self.ports.header_codec.clone(),
@@ -291,46 +294,55 @@
             keys: None,
             limits: self.limits.clone(),
         };
-        task::spawn(answers.clone().serve(listeners.readiness, ended.clone()));
+        task::spawn(
+            state_answers
+                .clone()
+                .serve(listeners.readiness, servers_stop.clone()),
+        );
         if let Some(listener) = listeners.operators {
-            let answers = StateAnswers {
+            let state_answers = StateAnswers {
                 suspects: Some(self.suspects.clone()),
                 keys: Some(self.dispatch.clone()),
-                ..answers
+                ..state_answers
             };
-            task::spawn(answers.serve(listener, ended.clone()));
+            task::spawn(state_answers.serve(listener, servers_stop.clone()));
         }
-        let close = StopSignal::new();
+        let callers_stop = StopSignal::new();
         let requests = self.requests.clone();
         let disconnects = self.metrics.disconnects().clone();
-        let answering = requests.clone();
+        let handling = requests.clone();
         let handler = move |request: Request, connection: ConnectionInfo| {
             let tracker = disconnects.track();
-            answering.clone().handle(request, connection, tracker)
+            handling.clone().handle(request, connection, tracker)
         };
         let rule = move |request: &Request| requests.run_beside(request);
         let handler = SideBySide { handler, rule };
         let limits = self.server_limits();
-        let served = task::spawn(serve(listeners.callers, limits, close.clone(), handler));
+        let served = task::spawn(serve(
+            listeners.callers,
+            limits,
+            callers_stop.clone(),
+            handler,
+        ));
         self.stop.stopped().await;
-        let asked = Instant::now();
-        self.leave(&events);
+        let stop_requested = Instant::now();
+        self.begin_stop(&events);
         timer::sleep(seconds(self.settings.bounds.leave_s)).await;
-        close.stop();
-        let report = served.await;
-        let handed_back = offices.stopped();
-        let _ = timer::timeout_at(asked + HAND_BACK_TIMEOUT, handed_back).await;
-        if report.cut > 0 {
-            emit!(EventId::StopCutShort, cut = report.cut);
+        callers_stop.stop();
+        let served_report = served.await;
+        let resigning = resigned.stopped();
+        let _ = timer::timeout_at(stop_requested + RESIGN_TIMEOUT, resigning).await;
+        if served_report.cut > 0 {
+            emit!(EventId::StopCutShort, cut = served_report.cut);
         } else {
-            emit!(EventId::StopFinished, requests = report.requests);
+            emit!(EventId::StopFinished, requests = served_report.requests);
         }
-        ended.stop();
+        servers_stop.stop();
     }
 
     /// Says to the platform that no new connection should come, and hands the
     /// offices back. Requests go on meanwhile.
-    fn leave(&self, events: &async_channel::Sender<Event>) {
+    fn begin_stop(&self, events: &async_channel::Sender<Event>) {
         self.readiness.leave();
         self.followers.leave();
         self.limits.leave();
@@ -345,7 +357,7 @@
         ServerLimits {
             max_connections: self.settings.limits.caller_connections,
             max_body_bytes: 64 * 1024 * 1024,
-            idle_timeout: CALLER_IDLE,
+            idle_timeout: CALLER_IDLE_TIMEOUT,
             drain_timeout: drain.saturating_sub(STOP_MARGIN),
             ..ServerLimits::default()
         }
@@ -361,7 +373,7 @@
             me: self.identity.clone(),
             sources: self.sources.clone(),
             settings: self.settings.coordination(),
-            patience: patience::of_coordinator(link, rand::random()),
+            takeover_delay: patience::of_coordinator(link, rand::random()),
             places: self.settings.places(),
             peers: self.peer_client(),
         };
@@ -382,7 +394,7 @@
     /// Follows the relay of this zone, or becomes it, and as such follows or
     /// becomes that of the region. A gateway that others cannot reach watches
     /// the store itself.
-    fn start_relaying(&self, publisher: &StatePublisher) {
+    fn start_relays(&self, publisher: &StatePublisher) {
         if self.settings.listen.peers.is_none() {
             return;
         }
@@ -391,36 +403,38 @@
         let region = places.region().filter(|_| places.has_region_relays());
         let Some(region) = region else {
             let settings = threadledge_relay::Settings::default();
-            self.relaying(Tier::Zone, zone, settings, publisher).start();
+            self.relay_task(Tier::Zone, zone, settings, publisher)
+                .start();
             return;
         };
         let settings = threadledge_relay::Settings::for_zone_below_region();
-        self.relaying(Tier::Zone, zone, settings, publisher).start();
+        self.relay_task(Tier::Zone, zone, settings, publisher)
+            .start();
         let settings = threadledge_relay::Settings::for_region();
         let record = region_record_name(region);
-        self.relaying(Tier::Region, record, settings, publisher)
+        self.relay_task(Tier::Region, record, settings, publisher)
             .start();
     }
 
-    fn relaying(
+    fn relay_task(
         &self,
         tier: Tier,
         record: String,
         settings: threadledge_relay::Settings,
         publisher: &StatePublisher,
-    ) -> Relaying {
+    ) -> RelayTask {
         let link = self.settings.limits.link_mbps;
-        let seat = Seat {
+        let member_config = MemberConfig {
             me: self.identity.clone(),
             settings,
-            patience: patience::of_relay(link, rand::random()),
+            takeover_delay: patience::of_relay(link, rand::random()),
         };
-        Relaying {
+        RelayTask {
             tier,
             record,
             places: self.settings.places(),
-            member: seat.take(self.clock.now()),
-            seat,
+            member: member_config.start_member(self.clock.now()),
+            member_config,
             ports: self.ports.clone(),
             clock: self.clock,
             sources: self.sources.clone(),
--- a/crates/router/src/gateway/run/watchers.rs
+++ b/crates/router/src/gateway/run/watchers.rs
@@ -18,16 +18,16 @@
 use super::Gateway;
 
 /// Registrations come together when back ends start, and leave together.
-const GATHER_BACK_ENDS: Duration = Duration::from_millis(250);
+const BACK_END_BATCH_WINDOW: Duration = Duration::from_millis(250);
 /// Keys that move together are written in a few steps.
-const GATHER_RECORDS: Duration = Duration::from_millis(30);
+const RECORD_BATCH_WINDOW: Duration = Duration::from_millis(30);
 /// Configurations may come in quick succession.
-const GATHER_CONFIGURATIONS: Duration = Duration::from_millis(200);
+const CONFIGURATION_BATCH_WINDOW: Duration = Duration::from_millis(200);
 
 impl Gateway {
     /// Follows everything that is kept in the store, and tells it to whom it
     /// concerns.
-    pub(super) fn start_followers(
+    pub(super) fn start_watchers(
         &self,
         cluster_state: Arc<Mutex<ClusterState>>,
         events: async_channel::Sender<Event>,
@@ -42,68 +42,69 @@
             events,
             changed: Arc::new(Notifier::default()),
         };
-        self.follow_back_ends(&publisher);
-        self.follow_configurations(&publisher);
-        self.follow_records(&publisher);
-        self.follow_zones(&publisher);
+        self.watch_back_ends(&publisher);
+        self.watch_configurations(&publisher);
+        self.watch_records(&publisher);
+        self.watch_zones(&publisher);
         task::spawn(publisher.clone().expire_lapsed());
         publisher
     }
 
-    fn follow_back_ends(&self, publisher: &StatePublisher) {
-        let back_ends = self.follower("back-ends", self.ports.back_ends.clone());
-        let back_ends = back_ends.batch_changes(GATHER_BACK_ENDS);
+    fn watch_back_ends(&self, publisher: &StatePublisher) {
+        let back_ends = self.watcher("back-ends", self.ports.back_ends.clone());
+        let back_ends = back_ends.batch_changes(BACK_END_BATCH_WINDOW);
         let known = publisher.clone();
-        let back_ends = self.relayed(back_ends, move || known.revisions().back_ends);
+        let back_ends = self.with_relay(back_ends, move || known.revisions().back_ends);
         let target = publisher.clone();
-        task::spawn(back_ends.run(move |update| target.back_ends(update)));
+        task::spawn(back_ends.run(move |update| target.update_back_ends(update)));
     }
 
-    fn follow_configurations(&self, publisher: &StatePublisher) {
-        let configurations = self.follower("configuration", self.ports.configurations.clone());
-        let configurations = configurations.batch_changes(GATHER_CONFIGURATIONS);
+    fn watch_configurations(&self, publisher: &StatePublisher) {
+        let configurations = self.watcher("configuration", self.ports.configurations.clone());
+        let configurations = configurations.batch_changes(CONFIGURATION_BATCH_WINDOW);
         let known = publisher.clone();
-        let configurations = self.relayed(configurations, move || known.revisions().configurations);
+        let configurations =
+            self.with_relay(configurations, move || known.revisions().configurations);
         let target = publisher.clone();
-        task::spawn(configurations.run(move |update| target.configurations(update)));
+        task::spawn(configurations.run(move |update| target.update_configurations(update)));
     }
 
-    fn follow_records(&self, publisher: &StatePublisher) {
+    fn watch_records(&self, publisher: &StatePublisher) {
         let records: Arc<dyn Collection<OwnershipRecord>> = self.ports.ownership.clone();
-        let records = self.follower("ownership", records);
-        let records = records.batch_changes(GATHER_RECORDS);
+        let records = self.watcher("ownership", records);
+        let records = records.batch_changes(RECORD_BATCH_WINDOW);
         let known = publisher.clone();
-        let records = self.relayed(records, move || known.revisions().records);
+        let records = self.with_relay(records, move || known.revisions().records);
         let target = publisher.clone();
-        task::spawn(records.run(move |update| target.records(update)));
+        task::spawn(records.run(move |update| target.update_records(update)));
     }
 
     /// Follows the zones that the operator drains, if the deployment promises
     /// to heed them.
-    fn follow_zones(&self, publisher: &StatePublisher) {
+    fn watch_zones(&self, publisher: &StatePublisher) {
         if self.settings.bounds.zone_drain_s.is_none() {
             publisher.cluster_state.lock().assume_no_drained_zones();
             return;
         }
-        let zones = self.follower("drained-zones", self.ports.drained_zones.clone());
+        let zones = self.watcher("drained-zones", self.ports.drained_zones.clone());
         let known = publisher.clone();
-        let zones = self.relayed(zones, move || known.revisions().zones);
+        let zones = self.with_relay(zones, move || known.revisions().zones);
         let target = publisher.clone();
-        task::spawn(zones.run(move |update| target.zones(update)));
+        task::spawn(zones.run(move |update| target.update_zones(update)));
     }
 
-    fn relayed<T: Send + 'static>(
+    fn with_relay<T: Send + 'static>(
         &self,
-        follower: CollectionWatcher<T>,
-        reach: impl Fn() -> StoreRevision + Send + Sync + 'static,
+        watcher: CollectionWatcher<T>,
+        revision: impl Fn() -> StoreRevision + Send + Sync + 'static,
     ) -> CollectionWatcher<T> {
         if self.settings.listen.peers.is_none() {
-            return follower;
+            return watcher;
         }
-        follower.with_relay(self.sources.clone(), reach)
+        watcher.with_relay(self.sources.clone(), revision)
     }
 
-    fn follower<T: Send + 'static>(
+    fn watcher<T: Send + 'static>(
         &self,
         name: &'static str,
         collection: Arc<dyn Collection<T>>,
--- a/crates/router/src/gateway/sources.rs
+++ b/crates/router/src/gateway/sources.rs
@@ -22,12 +22,12 @@
 
 /// How long fewer gateways must be told of before it counts: those that a
 /// relay has just lost still share what all may use together.
-const FEWER_AFTER: Duration = Duration::from_secs(12);
+const DECREASE_DELAY: Duration = Duration::from_secs(12);
 
 /// How long what all may use together is shared by a count. Invariant: for
 /// less long than a lower count waits, so that a gateway that the others lost
 /// sight of has given its share up before they divide it.
-const COUNT_LASTS: Duration = Duration::from_secs(10);
+const SHARE_LIFETIME: Duration = Duration::from_secs(10);
 
 /// How many gateways there are.
 #[derive(Debug, Default)]
@@ -36,7 +36,7 @@
     /// When the count was last surely so.
     seen: Timestamp,
     /// Since when fewer are told of, and how many at the most.
-    fewer: Option<(Timestamp, u32)>,
+    lower: Option<(Timestamp, u32)>,
 }
 
 impl Fleet {
@@ -45,15 +45,15 @@
         self.seen = self.seen.max(seen);
         if self.gateways.is_none_or(|known| gateways >= known) {
             self.gateways = Some(gateways);
-            self.fewer = None;
+            self.lower = None;
             return;
         }
-        let (since, most) = self.fewer.unwrap_or((now, gateways));
+        let (since, most) = self.lower.unwrap_or((now, gateways));
         let most = most.max(gateways);
-        self.fewer = Some((since, most));
-        if now.since(since) >= FEWER_AFTER {
+        self.lower = Some((since, most));
+        if now.since(since) >= DECREASE_DELAY {
             self.gateways = Some(most);
-            self.fewer = None;
+            self.lower = None;
         }
     }
 
@@ -64,7 +64,7 @@
 
     /// Until when this gateway may use its share of what all may use together.
     pub fn shared_until(&self) -> Timestamp {
-        self.seen + COUNT_LASTS
+        self.seen + SHARE_LIFETIME
     }
 }
 
@@ -78,7 +78,7 @@
     /// Within the region, while this gateway relays for its zone.
     region_source: Mutex<Option<Source>>,
     /// This gateway relays for its zone.
-    relays: AtomicBool,
+    is_relay: AtomicBool,
     /// The store surely answered the relay at that time, as last told.
     relay_fresh_as_of: Mutex<Timestamp>,
     /// What this gateway knows was surely so at that time, as other gateways
@@ -105,7 +105,7 @@
             health,
             source: Mutex::new(Source::Store),
             region_source: Mutex::default(),
-            relays: AtomicBool::new(false),
+            is_relay: AtomicBool::new(false),
             relay_fresh_as_of: Mutex::new(Timestamp::ZERO),
             peers_confirmed_at: Mutex::new(Timestamp::ZERO),
             changed: Notifier::default(),
@@ -120,11 +120,11 @@
     }
 
     /// Takes another source within the zone.
-    pub fn set(&self, source: Source, relays: bool) {
+    pub fn set(&self, source: Source, is_relay: bool) {
         self.record_relay_freshness(Some(source));
         let before = std::mem::replace(&mut *self.source.lock(), source);
-        let related = self.relays.swap(relays, Ordering::Relaxed);
-        if before != source || related != relays {
+        let was_relay = self.is_relay.swap(is_relay, Ordering::Relaxed);
+        if before != source || was_relay != is_relay {
             self.changed.notify();
         }
     }
@@ -147,7 +147,7 @@
 
     /// Whether this gateway relays for its zone.
     pub(super) fn is_relay(&self) -> bool {
-        self.relays.load(Ordering::Relaxed)
+        self.is_relay.load(Ordering::Relaxed)
     }
 
     /// Resolves when this gateway relays for its zone.
@@ -209,12 +209,12 @@
     /// Tells those who wait for it that this gateway is fresher, if it is.
     pub(super) fn notify_if_fresher(&self) {
         let seen = self.fresh_as_of();
-        let mut told = self.notified_as_of.lock();
-        if seen <= *told {
+        let mut notified = self.notified_as_of.lock();
+        if seen <= *notified {
             return;
         }
-        *told = seen;
-        drop(told);
+        *notified = seen;
+        drop(notified);
         self.freshness.notify();
     }
 
@@ -318,10 +318,10 @@
         if known.is_some_and(|known| known.revision >= found.revision) {
             return;
         }
-        let passed = known.is_none_or(|known| known.value.term != found.value.term);
+        let new_holder = known.is_none_or(|known| known.value.term != found.value.term);
         leases.insert(service.clone(), found.clone());
         drop(leases);
-        if passed {
+        if new_holder {
             self.holder_changes.fetch_add(1, Ordering::Relaxed);
             self.lease_changes.notify();
         }
--- a/crates/router/src/gateway/store_health.rs
+++ b/crates/router/src/gateway/store_health.rs
@@ -15,7 +15,7 @@
 use super::outage::OutageTracker;
 
 /// Calls over which the mean of their times goes, roughly.
-const MEAN_OVER: u64 = 8;
+const MEAN_WINDOW: u64 = 8;
 
 /// Shared by everything that calls the store.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
     /// Collections that cannot be followed now.
     lost_collections: AtomicUsize,
     /// Start of the latest call that was answered, in microseconds.
-    answered: AtomicU64,
+    last_answered: AtomicU64,
     outage: Mutex<OutageTracker>,
     /// What a call takes that waits for nothing, in microseconds; 0: unknown.
     call_micros: AtomicU64,
@@ -39,7 +39,7 @@
             failure: Notifier::default(),
             success: Notifier::default(),
             lost_collections: AtomicUsize::new(0),
-            answered: AtomicU64::new(0),
+            last_answered: AtomicU64::new(0),
             outage: Mutex::new(OutageTracker::new(heartbeat)),
             call_micros: AtomicU64::new(0),
         }
@@ -79,7 +79,7 @@
 
     /// A call that began at `started` was answered.
     pub fn record_answer(&self, started: Timestamp) {
-        self.answered
+        self.last_answered
             .fetch_max(started.as_micros(), Ordering::Relaxed);
         self.record_contact(started);
         if self.has_lost_collections() {
@@ -92,7 +92,7 @@
         let call = u64::try_from(call.as_micros()).unwrap_or(u64::MAX).max(1);
         let mean = match self.call_micros.load(Ordering::Relaxed) {
             0 => call,
-            known => (known * (MEAN_OVER - 1)).saturating_add(call) / MEAN_OVER,
+            known => (known * (MEAN_WINDOW - 1)).saturating_add(call) / MEAN_WINDOW,
         };
         self.call_micros.store(mean, Ordering::Relaxed);
     }
@@ -117,6 +117,6 @@
 
     /// The store surely answered this gateway at that time.
     pub fn last_answered(&self) -> Timestamp {
-        Timestamp::from_micros(self.answered.load(Ordering::Relaxed))
+        Timestamp::from_micros(self.last_answered.load(Ordering::Relaxed))
     }
 }
--- a/crates/router/src/gateway/sync.rs
+++ b/crates/router/src/gateway/sync.rs
@@ -140,8 +140,11 @@
 impl Delta {
     /// Whether it tells anything of back ends.
     pub fn concerns_back_ends(&self) -> bool {
-        let told = !self.back_ends.is_empty() || !self.gone.is_empty();
-        told || self.remaining.is_some() || !self.lapsed.is_empty() || self.zones.is_some()
+        let changes_registrations = !self.back_ends.is_empty() || !self.gone.is_empty();
+        changes_registrations
+            || self.remaining.is_some()
+            || !self.lapsed.is_empty()
+            || self.zones.is_some()
     }
 
     /// Whether there is anything to tell beside how far it reaches.
--- a/crates/router/src/gateway/tokens.rs
+++ b/crates/router/src/gateway/tokens.rs
@@ -84,7 +84,7 @@
         match ask_here(&self.events, ask).await? {
             TokenReply::Granted { grants } => Some(grants),
             TokenReply::Elsewhere { coordinator } => {
-                match self.peers.ask_tokens(coordinator?, ask).await? {
+                match self.peers.request_tokens(coordinator?, ask).await? {
                     TokenReply::Granted { grants } => Some(grants),
                     TokenReply::Elsewhere { .. } => None,
                 }
@@ -99,7 +99,7 @@
     ask: &ServiceTokenAsk,
 ) -> Option<TokenReply> {
     let (reply, replied) = async_channel::bounded(1);
-    let event = Event::Tokens(ask.service.clone(), ask.asks.clone(), reply);
+    let event = Event::TokenRequest(ask.service.clone(), ask.asks.clone(), reply);
     events.try_send(event).ok()?;
     replied.recv().await.ok()
 }
--- a/crates/router/src/gateway/watcher.rs
+++ b/crates/router/src/gateway/watcher.rs
@@ -18,17 +18,17 @@
 use crate::events::{EventId, emit};
 
 /// Pause after the first failed call, and the shortest after later ones.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const MIN_PAUSE: Duration = Duration::from_millis(100);
 /// How much longer each pause may be than the one before.
 const PAUSE_GROWTH: u32 = 5;
 /// Longest pause after failed calls. Each gateway has cheaper calls that show
 /// sooner that the store answers again.
-const LONGEST_PAUSE: Duration = Duration::from_secs(3);
+const MAX_PAUSE: Duration = Duration::from_secs(3);
 /// Wait of the first watch after a failure: a store that was silent may still
 /// be so behind a connection that stands, and a long watch would not tell.
-const TRIAL_WATCH: Duration = Duration::from_millis(200);
+const PROBE_WATCH: Duration = Duration::from_millis(200);
 /// A watch that ends sooner without a change is followed by a pause.
-const SHORTEST_WATCH: Duration = Duration::from_millis(20);
+const MIN_WATCH: Duration = Duration::from_millis(20);
 
 /// What a follower tells.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -56,37 +56,37 @@
     health: Arc<StoreHealth>,
     wait: Duration,
     /// Pause after changes, so that those that come together cost one call.
-    gather: Duration,
+    batch_window: Duration,
     relay: Option<Relayed>,
     backoff: Backoff,
     /// The last call failed.
     lost: bool,
     /// The store may have forgotten a watch: the next one is short.
-    doubtful: bool,
+    suspect: bool,
 }
 
 /// A collection that a relay tells of as well.
 struct Relayed {
     sources: Arc<Sources>,
     /// Up to which revision the collection is known.
-    reach: Box<dyn Fn() -> StoreRevision + Send + Sync>,
+    revision: Box<dyn Fn() -> StoreRevision + Send + Sync>,
 }
 
 /// How following begins.
-enum Begun<T> {
+enum InitialState<T> {
     /// The store listed everything, or failed.
     Listed(Result<Listing<T>, StoreError>),
     /// A relay tells; everything is known up to this revision.
-    Told(StoreRevision),
+    FromRelay(StoreRevision),
 }
 
 /// How a watch ended.
-enum Watched<T> {
+enum WatchOutcome<T> {
     /// A relay tells what is new.
     Relayed,
     Answered(Result<Changes<T>, StoreError>),
     /// Another call to the store failed meanwhile.
-    Doubted,
+    Suspect,
 }
 
 impl<T: Send + 'static> CollectionWatcher<T> {
@@ -102,18 +102,18 @@
             collection,
             health,
             wait,
-            gather: Duration::ZERO,
+            batch_window: Duration::ZERO,
             relay: None,
-            backoff: Backoff::new(FIRST_PAUSE, LONGEST_PAUSE, PAUSE_GROWTH),
+            backoff: Backoff::new(MIN_PAUSE, MAX_PAUSE, PAUSE_GROWTH),
             lost: false,
-            doubtful: false,
+            suspect: false,
         }
     }
 
     /// Lets changes that come together gather for so long before the next
     /// watch. The first of them is told at once.
-    pub fn batch_changes(mut self, gather: Duration) -> Self {
-        self.gather = gather;
+    pub fn batch_changes(mut self, batch_window: Duration) -> Self {
+        self.batch_window = batch_window;
         self
     }
 
@@ -123,20 +123,20 @@
         self
     }
 
-    /// Lets the watch rest while a relay tells what is new. `reach` says up
+    /// Lets the watch rest while a relay tells what is new. `revision` says up
     /// to which revision the collection is known.
     pub fn with_relay(
         mut self,
         sources: Arc<Sources>,
-        reach: impl Fn() -> StoreRevision + Send + Sync + 'static,
+        revision: impl Fn() -> StoreRevision + Send + Sync + 'static,
     ) -> Self {
-        let reach = Box::new(reach);
-        self.relay = Some(Relayed { sources, reach });
+        let revision = Box::new(revision);
+        self.relay = Some(Relayed { sources, revision });
         self
     }
 
-    /// Follows for ever, telling every update to `tell`.
-    pub async fn run(mut self, mut tell: impl FnMut(Update<T>) + Send) {
+    /// Follows for ever, telling every update to `on_update`.
+    pub async fn run(mut self, mut on_update: impl FnMut(Update<T>) + Send) {
         // A first list may be seconds old and costs little then: the watch
         // goes on from its revision.
         let mut freshness = match self.relay {
@@ -144,20 +144,20 @@
             None => Freshness::Linearizable,
         };
         loop {
-            match self.list_or_told(freshness).await {
-                Begun::Told(at) => {
-                    self.answered();
+            match self.list_or_relay(freshness).await {
+                InitialState::FromRelay(at) => {
+                    self.on_answer();
                     freshness = Freshness::Linearizable;
-                    self.watch(at, &mut tell).await;
+                    self.watch(at, &mut on_update).await;
                 }
-                Begun::Listed(Ok(listing)) => {
+                InitialState::Listed(Ok(listing)) => {
                     freshness = Freshness::Linearizable;
-                    self.answered();
+                    self.on_answer();
                     let at = listing.at;
-                    tell(Update::Listed(listing));
-                    self.watch(at, &mut tell).await;
+                    on_update(Update::Listed(listing));
+                    self.watch(at, &mut on_update).await;
                 }
-                Begun::Listed(Err(error)) => self.failed(&error).await,
+                InitialState::Listed(Err(error)) => self.on_failure(&error).await,
             }
         }
     }
@@ -165,12 +165,12 @@
     /// Lists the collection, unless a relay tells of it before the list is
     /// here. Over a full link to another region lists of many gateways held
     /// each other up for 17 s after all had started again.
-    async fn list_or_told(&self, freshness: Freshness) -> Begun<T> {
+    async fn list_or_relay(&self, freshness: Freshness) -> InitialState<T> {
         let listing = pin!(self.list(freshness));
-        let told = pin!(self.until_told());
-        match select(listing, told).await {
-            Either::Left((listed, _)) => Begun::Listed(listed),
-            Either::Right((at, _)) => Begun::Told(at),
+        let synced = pin!(self.until_relay_synced());
+        match select(listing, synced).await {
+            Either::Left((listed, _)) => InitialState::Listed(listed),
+            Either::Right((at, _)) => InitialState::FromRelay(at),
         }
     }
 
@@ -194,76 +194,80 @@
 
     /// Resolves when a relay tells of the collection; the revision up to which
     /// it is known then.
-    async fn until_told(&self) -> StoreRevision {
+    async fn until_relay_synced(&self) -> StoreRevision {
         let Some(relay) = &self.relay else {
             return pending().await;
         };
         loop {
             relay.sources.until_has_relay().await;
-            let at = (relay.reach)();
+            let at = (relay.revision)();
             if at > 0 {
                 return at;
             }
             // Nobody tells when the relay itself has learned.
-            timer::sleep(FIRST_PAUSE).await;
+            timer::sleep(MIN_PAUSE).await;
         }
     }
 
     /// Waits until the store has to be watched; the revision from which.
-    async fn rest(&mut self, at: StoreRevision) -> StoreRevision {
+    async fn wait_for_store(&mut self, at: StoreRevision) -> StoreRevision {
         let Some(relay) = &self.relay else {
             return at;
         };
         let sources = relay.sources.clone();
         if sources.has_relay() {
-            self.answered();
+            self.on_answer();
         }
         sources.until_store().await;
         match &self.relay {
-            Some(relay) => at.max((relay.reach)()),
+            Some(relay) => at.max((relay.revision)()),
             None => at,
         }
     }
 
     /// Watches until the history is gone.
-    async fn watch(&mut self, mut at: StoreRevision, tell: &mut (impl FnMut(Update<T>) + Send)) {
+    async fn watch(
+        &mut self,
+        mut at: StoreRevision,
+        on_update: &mut (impl FnMut(Update<T>) + Send),
+    ) {
         loop {
-            at = self.rest(at).await;
-            let asked = Instant::now();
+            at = self.wait_for_store(at).await;
+            let started = Instant::now();
             match self.next_changes(at).await {
-                Watched::Relayed => {}
-                Watched::Doubted => self.doubtful = true,
-                Watched::Answered(Ok(changes)) => {
-                    self.answered();
+                WatchOutcome::Relayed => {}
+                WatchOutcome::Suspect => self.suspect = true,
+                WatchOutcome::Answered(Ok(changes)) => {
+                    self.on_answer();
                     at = changes.at;
                     if !changes.changes.is_empty() {
-                        tell(Update::Changed(changes));
-                        if !self.gather.is_zero() {
-                            timer::sleep(self.gather).await;
+                        on_update(Update::Changed(changes));
+                        if !self.batch_window.is_zero() {
+                            timer::sleep(self.batch_window).await;
                         }
-                    } else if asked.elapsed() < SHORTEST_WATCH {
-                        timer::sleep(FIRST_PAUSE).await;
+                    } else if started.elapsed() < MIN_WATCH {
+                        timer::sleep(MIN_PAUSE).await;
                     }
                 }
-                Watched::Answered(Err(StoreError::HistoryGone)) => return,
-                Watched::Answered(Err(error)) => self.failed(&error).await,
+                WatchOutcome::Answered(Err(StoreError::HistoryGone)) => return,
+                WatchOutcome::Answered(Err(error)) => self.on_failure(&error).await,
             }
         }
     }
 
-    async fn next_changes(&self, at: StoreRevision) -> Watched<T> {
-        let unsure = self.lost || self.doubtful;
-        let wait = if unsure { TRIAL_WATCH } else { self.wait };
+    async fn next_changes(&self, at: StoreRevision) -> WatchOutcome<T> {
+        let unsure = self.lost || self.suspect;
+        let wait = if unsure { PROBE_WATCH } else { self.wait };
         let watching = self.collection.changes(at, wait);
         if unsure {
-            return Watched::Answered(watching.await);
+            return WatchOutcome::Answered(watching.await);
         }
         let failure = pin!(self.health.next_failure());
         let relayed = pin!(self.until_has_relay());
         match select(watching, select(failure, relayed)).await {
-            Either::Left((answer, _)) => Watched::Answered(answer),
-            Either::Right((Either::Left(_), _)) => Watched::Doubted,
-            Either::Right((Either::Right(_), _)) => Watched::Relayed,
+            Either::Left((answer, _)) => WatchOutcome::Answered(answer),
+            Either::Right((Either::Left(_), _)) => WatchOutcome::Suspect,
+            Either::Right((Either::Right(_), _)) => WatchOutcome::Relayed,
         }
     }
 
@@ -274,28 +278,28 @@
         }
     }
 
-    fn answered(&mut self) {
+    fn on_answer(&mut self) {
         self.backoff.reset();
-        self.doubtful = false;
+        self.suspect = false;
         if std::mem::take(&mut self.lost) {
             self.health.collection_regained();
             emit!(EventId::StoreRegained, collection = self.name);
         }
     }
 
-    async fn failed(&mut self, error: &StoreError) {
+    async fn on_failure(&mut self, error: &StoreError) {
         self.health.record_failure();
         if !std::mem::replace(&mut self.lost, true) {
             self.health.collection_lost();
             emit!(EventId::StoreLost, collection = self.name, cause = ?error);
         }
         let pause = self.backoff.after_failure();
-        self.rest_after_failure(pause).await;
+        self.pause_after_failure(pause).await;
     }
 
     /// Pauses until another call to the store is answered, or a relay tells
     /// what is new, or the pause is over.
-    async fn rest_after_failure(&self, pause: Duration) {
+    async fn pause_after_failure(&self, pause: Duration) {
         let success = self.health.next_success();
         let first = self.backoff.first();
         timer::sleep(first).await;
--- a/crates/router/src/gateway/zones.rs
+++ b/crates/router/src/gateway/zones.rs
@@ -27,7 +27,7 @@
     /// `None`: nobody has told yet.
     known: Option<DrainedZoneSet>,
     /// The revision up to which this goes.
-    reach: StoreRevision,
+    revision: StoreRevision,
     /// When zones were restored, as this gateway learned it.
     restored: BTreeMap<ZoneName, Timestamp>,
 }
@@ -45,17 +45,17 @@
 
     /// The revision up to which it goes.
     pub(super) fn revision(&self) -> StoreRevision {
-        self.reach
+        self.revision
     }
 
     /// Whether the back ends of `zone` get nothing new.
-    pub(super) fn drained(&self, zone: &ZoneName) -> bool {
+    pub(super) fn is_drained(&self, zone: &ZoneName) -> bool {
         let known = self.known.as_ref();
         known.is_some_and(|known| known.drained.contains(zone))
     }
 
     /// When `zone` was restored last, if it was drained before.
-    pub(super) fn restored(&self, zone: &ZoneName) -> Option<Timestamp> {
+    pub(super) fn restored_at(&self, zone: &ZoneName) -> Option<Timestamp> {
         self.restored.get(zone).copied()
     }
 
@@ -65,38 +65,42 @@
     }
 
     /// Takes what the store tells.
-    pub(super) fn take(&mut self, update: Update<DrainedZone>, now: Timestamp) -> Vec<StateChange> {
+    pub(super) fn apply_update(
+        &mut self,
+        update: Update<DrainedZone>,
+        now: Timestamp,
+    ) -> Vec<StateChange> {
         let at = update.at();
-        if self.known.is_some() && at < self.reach {
+        if self.known.is_some() && at < self.revision {
             return Vec::new();
         }
-        let mut learned = Vec::new();
+        let mut state_changes = Vec::new();
         let drained = match update {
             Update::Listed(listing) => {
                 let mut drained = BTreeSet::new();
                 for entry in listing.entries {
-                    put(&mut drained, entry, &mut learned);
+                    insert_entry(&mut drained, entry, &mut state_changes);
                 }
                 drained
             }
-            Update::Changed(changes) => self.changed(changes.changes, &mut learned),
+            Update::Changed(changes) => self.apply_changes(changes.changes, &mut state_changes),
         };
-        self.reach = at;
-        learned.extend(self.replace(at, drained, now));
-        learned
+        self.revision = at;
+        state_changes.extend(self.replace(at, drained, now));
+        state_changes
     }
 
     /// The last change of a zone decides, also where earlier ones are known.
-    fn changed(
+    fn apply_changes(
         &self,
         changes: Vec<Change<DrainedZone>>,
-        learned: &mut Vec<StateChange>,
+        state_changes: &mut Vec<StateChange>,
     ) -> BTreeSet<ZoneName> {
         let known = self.known.as_ref();
         let mut drained = known.map_or_else(BTreeSet::new, |known| known.drained.clone());
         for change in changes {
             match change {
-                Change::Put(entry) => put(&mut drained, entry, learned),
+                Change::Put(entry) => insert_entry(&mut drained, entry, state_changes),
                 Change::Gone(name) => {
                     drained.remove(&ZoneName(name));
                 }
@@ -105,24 +109,31 @@
         drained
     }
 
-    /// What someone who knows them up to `mark` lacks.
-    pub(super) fn since(&self, mark: Option<StoreRevision>) -> Option<DrainedZoneSet> {
+    /// What someone who knows them up to `known_revision` lacks.
+    pub(super) fn newer_than(
+        &self,
+        known_revision: Option<StoreRevision>,
+    ) -> Option<DrainedZoneSet> {
         let known = self.known.as_ref()?;
-        (Some(known.at) > mark).then(|| known.clone())
+        (Some(known.at) > known_revision).then(|| known.clone())
     }
 
     /// Takes what another gateway knows, if it knows more.
-    pub(super) fn take_told(&mut self, told: DrainedZoneSet, now: Timestamp) -> Vec<StateChange> {
-        if Some(told.at) <= self.changed_at() {
+    pub(super) fn apply_remote(
+        &mut self,
+        remote: DrainedZoneSet,
+        now: Timestamp,
+    ) -> Vec<StateChange> {
+        if Some(remote.at) <= self.changed_at() {
             return Vec::new();
         }
-        self.reach = self.reach.max(told.at);
-        self.replace(told.at, told.drained, now)
+        self.revision = self.revision.max(remote.at);
+        self.replace(remote.at, remote.drained, now)
     }
 
-    /// Another gateway knows nothing beyond this up to `reach`.
-    pub(super) fn unchanged_until(&mut self, reach: StoreRevision) {
-        self.reach = self.reach.max(reach);
+    /// Another gateway knows nothing beyond this up to `revision`.
+    pub(super) fn advance_to(&mut self, revision: StoreRevision) {
+        self.revision = self.revision.max(revision);
     }
 
     fn replace(
@@ -139,29 +150,29 @@
             Some(known) => known.drained,
             None => BTreeSet::new(),
         };
-        let mut learned = Vec::new();
+        let mut state_changes = Vec::new();
         for zone in drained.difference(&before) {
-            learned.push(StateChange::ZoneDrained(zone.clone()));
+            state_changes.push(StateChange::ZoneDrained(zone.clone()));
         }
         for zone in before.difference(&drained) {
             self.restored.insert(zone.clone(), now);
-            learned.push(StateChange::ZoneRestored(zone.clone()));
+            state_changes.push(StateChange::ZoneRestored(zone.clone()));
         }
         self.known = Some(DrainedZoneSet { at, drained });
-        learned
+        state_changes
     }
 }
 
 /// Adds a zone; an object that cannot be understood drains nothing and is told.
-fn put(
+fn insert_entry(
     drained: &mut BTreeSet<ZoneName>,
     entry: Entry<DrainedZone>,
-    learned: &mut Vec<StateChange>,
+    state_changes: &mut Vec<StateChange>,
 ) {
     match entry.value {
         Ok(DrainedZone(zone)) => {
             drained.insert(zone);
         }
-        Err(malformed) => learned.push(StateChange::Malformed(malformed)),
+        Err(malformed) => state_changes.push(StateChange::Malformed(malformed)),
     }
 }
