--- a/crates/router/tests/gateway/caller_disconnects.rs
+++ b/crates/router/tests/gateway/caller_disconnects.rs
@@ -1,5 +1,5 @@
-//! Callers that leave early, through the real program: what they asked for
-//! reaches no back end any more, and back ends are let go.
+//! Callers that disconnect early, with the real program: their requests reach
+//! no further back end, and the back ends at work on them are released.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -10,21 +10,22 @@
 use serde_json::{Value, json};
 use threadledge_platform_stand_in::{Behaviour, StandInBackEnd};
 
-use super::process::{Ask, Gateway, World, configuration, eventually};
+use super::process::{Gateway, TestRequest, World, configuration, eventually};
 
-/// Callers that leave, in all.
-const LEAVING: usize = 1_000;
-/// Callers that wait to be accepted at once; fewer than a listener holds.
+/// Total number of callers that disconnect.
+const DISCONNECTS: usize = 1_000;
+/// Callers that wait to be accepted at once; below the listener's backlog.
 const BATCH: usize = 100;
-/// Callers whose requests are under way at once.
-const UNDER_WAY: usize = 250;
-/// Requests at once after which connections to back ends are at rest.
-const AT_REST: usize = 32;
-/// Timeout of every route, in seconds: beyond the patience of these tests, so
-/// that it ends nothing in them.
-const LONG_S: f64 = 120.0;
-
-/// A caller whose connection is its own.
+/// Callers with requests in flight at once.
+const IN_FLIGHT: usize = 250;
+/// Concurrent requests after which the gateway has idle connections to the back
+/// ends.
+const WARM_UP_REQUESTS: usize = 32;
+/// Timeout of every route, in seconds: longer than these tests wait, so that no
+/// request times out.
+const LONG_TIMEOUT_S: f64 = 120.0;
+
+/// A caller with a connection of its own.
 struct Caller(TcpStream);
 
 impl Caller {
@@ -32,7 +33,7 @@
         Caller(TcpStream::connect(callers).expect("connected"))
     }
 
-    fn ask(callers: SocketAddr, id: &str, repeatable: bool) -> Caller {
+    fn connect_and_send(callers: SocketAddr, id: &str, repeatable: bool) -> Caller {
         let mut caller = Caller::connect(callers);
         caller.send(id, repeatable);
         caller
@@ -53,39 +54,45 @@
     }
 }
 
-/// A configuration in which no timeout ends a request.
-fn patient(version: u64) -> Value {
+/// A configuration in which no request times out.
+fn configuration_with_long_timeouts(version: u64) -> Value {
     let mut wanted = configuration(version);
     for route in ["safe", "unsafe"] {
-        wanted["Routes"][route]["TimeoutS"] = json!(LONG_S);
+        wanted["Routes"][route]["TimeoutS"] = json!(LONG_TIMEOUT_S);
     }
     wanted
 }
 
-/// A world in which the gateway has connections to back ends at rest.
+/// A world in which the gateway has idle connections to the back ends.
 fn world() -> World {
     let mut world = World::start_without_configuration();
-    world.store.put("config", "main", patient(1));
+    world
+        .store
+        .put("config", "main", configuration_with_long_timeouts(1));
     world.gateway.await_ready();
-    world.await_held();
-    let ids: Vec<String> = (0..AT_REST).map(|index| format!("warm-{index}")).collect();
-    let asks = ids.iter().map(|id| Ask {
+    world.await_all_keys_held();
+    let ids: Vec<String> = (0..WARM_UP_REQUESTS)
+        .map(|index| format!("warm-{index}"))
+        .collect();
+    let requests = ids.iter().map(|id| TestRequest {
         id,
-        ..Ask::default()
+        ..TestRequest::default()
     });
-    let asks: Vec<Ask<'_>> = asks.collect();
-    let sending = asks.iter().map(|ask| ask.sending(world.gateway.callers));
-    // Some may be refused: that is no matter.
+    let requests: Vec<TestRequest<'_>> = requests.collect();
+    let sending = requests
+        .iter()
+        .map(|request| request.send_async(world.gateway.callers));
+    // Some may be refused, which does not matter here.
     block_on(join_all(sending));
     world
 }
 
-fn at_work(world: &World) -> usize {
+fn in_flight(world: &World) -> usize {
     world.plain.iter().map(StandInBackEnd::in_flight).sum()
 }
 
-/// Requests that ran whose id begins so.
-fn runs_of_kind(world: &World, prefix: &str) -> usize {
+/// Number of executed requests whose id starts with `prefix`.
+fn runs_with_prefix(world: &World, prefix: &str) -> usize {
     let runs = world.plain.iter().flat_map(StandInBackEnd::runs);
     runs.filter(|run| run.id.starts_with(prefix)).count()
 }
@@ -96,8 +103,8 @@
     line.map_or(0, |value| value.trim().parse().expect("a count"))
 }
 
-/// Callers that left, by how far their requests had come.
-fn left(gateway: &Gateway) -> BTreeMap<&'static str, u64> {
+/// Callers that disconnected, by the stage that their requests had reached.
+fn disconnects(gateway: &Gateway) -> BTreeMap<&'static str, u64> {
     let stages = ["unread", "reading", "waiting", "at-back-end", "answering"];
     let count = |stage| {
         let name = format!("threadledge_gateway_left_total{{stage=\"{stage}\"}}");
@@ -106,84 +113,92 @@
     stages.map(count).into()
 }
 
-fn await_nothing_runs(world: &World) {
+fn await_idle(world: &World) {
     eventually(|| (metric(&world.gateway, "threadledge_gateway_running ") == 0).then_some(()));
 }
 
 #[test]
-fn requests_whose_callers_left_before_they_were_read_reach_no_back_end() {
+fn requests_abandoned_before_they_are_read_reach_no_back_end() {
     let world = world();
-    for batch in 0..LEAVING / BATCH {
+    for batch in 0..DISCONNECTS / BATCH {
         world.gateway.freeze();
         for index in 0..BATCH {
             let id = format!("left-{batch}-{index}");
-            drop(Caller::ask(world.gateway.callers, &id, index % 2 == 0));
+            drop(Caller::connect_and_send(
+                world.gateway.callers,
+                &id,
+                index % 2 == 0,
+            ));
         }
         world.gateway.signal("-CONT");
         let all = (batch + 1) * BATCH;
         eventually(|| {
-            let left: u64 = left(&world.gateway).values().sum();
+            let left: u64 = disconnects(&world.gateway).values().sum();
             (left == all as u64).then_some(())
         });
     }
-    await_nothing_runs(&world);
-    assert_eq!(runs_of_kind(&world, "left-"), 0);
-    let stages = left(&world.gateway);
-    assert_eq!(stages["unread"] + stages["reading"], LEAVING as u64);
+    await_idle(&world);
+    assert_eq!(runs_with_prefix(&world, "left-"), 0);
+    let stages = disconnects(&world.gateway);
+    assert_eq!(stages["unread"] + stages["reading"], DISCONNECTS as u64);
 }
 
 #[test]
-fn callers_that_leave_while_they_wait_or_are_served_are_dropped_everywhere() {
+fn abandoned_requests_are_cancelled_while_queued_or_in_flight() {
     let world = world();
     for back_end in &world.plain {
         back_end.set_behaviour(Behaviour::Silent);
     }
-    for round in 0..LEAVING / UNDER_WAY {
-        let callers: Vec<Caller> = (0..UNDER_WAY)
+    for round in 0..DISCONNECTS / IN_FLIGHT {
+        let callers: Vec<Caller> = (0..IN_FLIGHT)
             .map(|index| {
                 let id = format!("left-{round}-{index}");
-                Caller::ask(world.gateway.callers, &id, true)
+                Caller::connect_and_send(world.gateway.callers, &id, true)
             })
             .collect();
-        eventually(|| (at_work(&world) > 0).then_some(()));
+        eventually(|| (in_flight(&world) > 0).then_some(()));
         drop(callers);
-        eventually(|| (at_work(&world) == 0).then_some(()));
-        await_nothing_runs(&world);
+        eventually(|| (in_flight(&world) == 0).then_some(()));
+        await_idle(&world);
     }
-    let ran = runs_of_kind(&world, "left-");
+    let ran = runs_with_prefix(&world, "left-");
     for back_end in &world.plain {
         back_end.set_behaviour(Behaviour::Healthy);
     }
     for index in 0..20 {
         let id = format!("stays-{index}");
-        let ask = Ask {
+        let request = TestRequest {
             id: &id,
-            ..Ask::default()
+            ..TestRequest::default()
         };
-        assert_eq!(ask.send(&world.gateway).status(), 200);
+        assert_eq!(request.send(&world.gateway).status(), 200);
     }
-    assert_eq!(runs_of_kind(&world, "left-"), ran, "nothing was sent later");
-    assert!(left(&world.gateway)["at-back-end"] > 0);
+    assert_eq!(
+        runs_with_prefix(&world, "left-"),
+        ran,
+        "nothing was sent later"
+    );
+    assert!(disconnects(&world.gateway)["at-back-end"] > 0);
 }
 
 #[test]
-fn caller_that_leaves_ends_both_attempts_of_a_hedged_request() {
+fn disconnect_cancels_both_attempts_of_a_hedged_request() {
     let world = world();
     for back_end in &world.plain {
         back_end.set_behaviour(Behaviour::Silent);
     }
-    let caller = Caller::ask(world.gateway.callers, "left", true);
+    let caller = Caller::connect_and_send(world.gateway.callers, "left", true);
     eventually(|| (world.runs_of("left") == 2).then_some(()));
     drop(caller);
-    eventually(|| (at_work(&world) == 0).then_some(()));
-    await_nothing_runs(&world);
-    assert_eq!(left(&world.gateway)["at-back-end"], 1);
+    eventually(|| (in_flight(&world) == 0).then_some(()));
+    await_idle(&world);
+    assert_eq!(disconnects(&world.gateway)["at-back-end"], 1);
 }
 
 #[test]
-fn caller_that_leaves_a_kept_connection_is_noticed_as_well() {
+fn disconnect_on_a_kept_alive_connection_is_noticed() {
     let world = world();
-    let mut caller = Caller::ask(world.gateway.callers, "first", true);
+    let mut caller = Caller::connect_and_send(world.gateway.callers, "first", true);
     let mut start = [0; 12];
     caller.0.read_exact(&mut start).expect("an answer");
     assert_eq!(&start, b"HTTP/1.1 200");
@@ -191,40 +206,42 @@
         back_end.set_behaviour(Behaviour::Silent);
     }
     caller.send("left", true);
-    eventually(|| (at_work(&world) > 0).then_some(()));
+    eventually(|| (in_flight(&world) > 0).then_some(()));
     drop(caller);
-    eventually(|| (at_work(&world) == 0).then_some(()));
+    eventually(|| (in_flight(&world) == 0).then_some(()));
 }
 
 #[test]
-fn caller_that_stops_sending_counts_as_left() {
+fn half_closed_connection_counts_as_a_disconnect() {
     let world = world();
     for back_end in &world.plain {
         back_end.set_behaviour(Behaviour::Silent);
     }
-    let caller = Caller::ask(world.gateway.callers, "left", true);
-    eventually(|| (at_work(&world) > 0).then_some(()));
+    let caller = Caller::connect_and_send(world.gateway.callers, "left", true);
+    eventually(|| (in_flight(&world) > 0).then_some(()));
     caller.0.shutdown(Shutdown::Write).expect("shut down");
-    eventually(|| (at_work(&world) == 0).then_some(()));
+    eventually(|| (in_flight(&world) == 0).then_some(()));
     drop(caller);
 }
 
 #[test]
-fn callers_that_leave_amid_long_answers_are_noticed() {
+fn disconnects_during_long_responses_are_noticed() {
     let world = world();
     for back_end in &world.plain {
         back_end.set_behaviour(Behaviour::Stalls);
     }
     let mut callers: Vec<Caller> = (0..4)
-        .map(|index| Caller::ask(world.gateway.callers, &format!("left-{index}"), true))
+        .map(|index| {
+            Caller::connect_and_send(world.gateway.callers, &format!("left-{index}"), true)
+        })
         .collect();
     for caller in &mut callers {
         let mut start = [0; 12];
         caller.0.read_exact(&mut start).expect("an answer");
         assert_eq!(&start, b"HTTP/1.1 200");
     }
-    assert!(at_work(&world) >= callers.len());
+    assert!(in_flight(&world) >= callers.len());
     drop(callers);
-    eventually(|| (at_work(&world) == 0).then_some(()));
-    assert_eq!(left(&world.gateway)["answering"], 4);
+    eventually(|| (in_flight(&world) == 0).then_some(()));
+    assert_eq!(disconnects(&world.gateway)["answering"], 4);
 }
--- a/crates/router/tests/gateway/changes.rs
+++ b/crates/router/tests/gateway/changes.rs
@@ -1,5 +1,6 @@
-//! Changes of configurations and ownership records: whatever differs, the
-//! change leads from the one to the other, and nowhere else.
+//! Changes of configurations and ownership records: applied to the version from
+//! which it was computed a change yields the later version, and applied to
+//! another one it fails.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -25,7 +26,7 @@
 
 use super::samples;
 
-/// Any time: nothing here is awaited.
+/// The time is irrelevant here: nothing expires.
 const NOW: Timestamp = Timestamp::ZERO;
 
 fn route(random: &mut ChaCha8Rng, number: u32) -> Arc<Route> {
@@ -118,12 +119,12 @@
         slices,
         former: Vec::new(),
     };
-    value.check().expect("a whole record");
+    value.check().expect("a complete record");
     Versioned { value, revision }
 }
 
 #[test]
-fn change_of_a_configuration_leads_to_the_later_one() {
+fn configuration_change_yields_the_later_version() {
     let mut random = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..200 {
         let old = configuration(&mut random, 3);
@@ -136,14 +137,14 @@
 }
 
 #[test]
-fn change_of_a_record_leads_to_the_later_one() {
+fn record_change_yields_the_later_revision() {
     let mut random = ChaCha8Rng::seed_from_u64(2);
     for _ in 0..500 {
         let old = record(&mut random, 3);
         let new = record(&mut random, 5);
         let mut tracked = TrackedRecord::new(old.clone());
         tracked.replace(new.clone());
-        let change = tracked.change_since(3).expect("it was known");
+        let change = tracked.change_since(3).expect("a known revision");
         let other = record(&mut random, 4);
         assert_eq!(change.clone().apply(&other), None);
         assert_eq!(change.apply(&old), Some(new));
@@ -151,7 +152,7 @@
 }
 
 #[test]
-fn one_slice_that_moves_is_told_alone() {
+fn one_changed_slice_is_sent_alone() {
     let mut random = ChaCha8Rng::seed_from_u64(3);
     let old = record(&mut random, 3);
     let mut new = old.clone();
@@ -159,15 +160,16 @@
     new.value.slices[1].fence = Fence(8);
     let mut tracked = TrackedRecord::new(old);
     tracked.replace(new);
-    let change = tracked.change_since(3).expect("it was known");
+    let change = tracked.change_since(3).expect("a known revision");
     assert_eq!(change.slices.len(), 1);
-    assert_eq!(tracked.change_since(2), None, "that was never known here");
+    assert_eq!(tracked.change_since(2), None, "an unknown revision");
 }
 
 /// While keys of thousands of back ends move, the record changes ten times a
-/// second: who was away for some of that is told what moved, not everything.
+/// second. A follower that missed some of that receives the moved slices and
+/// not the full record.
 #[test]
-fn follower_that_missed_many_changes_is_told_only_what_changed() {
+fn follower_far_behind_receives_only_changed_slices() {
     let owner = |number: u64| SliceState::Owned {
         owner: Owner {
             name: format!("i-{number:010x}").as_str().into(),
@@ -199,16 +201,18 @@
         slice.state = owner(100_000 + revision);
         tracked.replace(found.clone());
     }
-    let change = tracked.change_since(1).expect("it was known");
+    let change = tracked.change_since(1).expect("a known revision");
     assert_eq!(change.slices.len(), 50);
-    let told = serde_json::to_string(&change).expect("written").len();
-    assert!(told < 50 * 100, "{told} bytes");
-    follower = change.apply(&follower).expect("it leads on from there");
+    let size = serde_json::to_string(&change).expect("serialized").len();
+    assert!(size < 50 * 100, "{size} bytes");
+    follower = change
+        .apply(&follower)
+        .expect("it applies to the follower's revision");
     assert_eq!(follower, found);
 }
 
-/// Fifty back ends for each of 13 gateways: the largest object of the store
-/// is 1 MiB.
+/// Fifty back ends for each of 13 gateways. The store's largest object is 1
+/// MiB.
 #[test]
 fn record_of_ten_thousand_owners_fits_an_object_of_the_store() {
     const LARGEST_OBJECT: usize = 1 << 20;
@@ -227,40 +231,39 @@
         slices: slices.collect(),
         ..OwnershipRecord::empty(Term(1))
     };
-    let written = serde_json::to_string(&value).expect("written");
+    let written = serde_json::to_string(&value).expect("serialized");
     assert!(written.len() < LARGEST_OBJECT, "{} bytes", written.len());
-    let read: OwnershipRecord = serde_json::from_str(&written).expect("read");
+    let read: OwnershipRecord = serde_json::from_str(&written).expect("deserialized");
     assert_eq!(read, value);
 }
 
 #[test]
-fn slices_with_names_of_fields_are_read_too() {
+fn slices_with_field_names_are_accepted() {
     let named = r#"[{"range":{"first":0,"last":9},"fence":3,"state":{"kind":"unowned"}},
         {"range":{"first":10,"last":20},"fence":4,"state":{"kind":"owned",
         "owner":{"name":"b-1","address":"10.0.0.1:80"},"handover":"t"}}]"#;
-    let slices: Vec<Slice> = serde_json::from_str(named).expect("read");
-    let rows = serde_json::to_string(&slices).expect("written");
+    let slices: Vec<Slice> = serde_json::from_str(named).expect("deserialized");
+    let rows = serde_json::to_string(&slices).expect("serialized");
     assert_eq!(rows, r#"[[0,9,3],[10,20,4,"b-1","10.0.0.1:80","t"]]"#);
     assert_eq!(
-        serde_json::from_str::<Vec<Slice>>(&rows).expect("read"),
+        serde_json::from_str::<Vec<Slice>>(&rows).expect("deserialized"),
         slices
     );
 }
 
 #[test]
-fn chain_begins_where_the_follower_is_or_not_at_all() {
+fn change_log_starts_at_the_follower_or_not_at_all() {
     let mut random = ChaCha8Rng::seed_from_u64(4);
-    let mut chain = ChangeLog::default();
+    let mut log = ChangeLog::default();
     let mut last = configuration(&mut random, 0);
     for version in 1..=40 {
         let mut next = last.clone();
         next.version = ConfigurationVersion(version);
-        chain.push(ConfigurationChange::between(&last, &next));
+        log.push(ConfigurationChange::between(&last, &next));
         last = next;
     }
     let after = |version| {
-        chain
-            .since(ConfigurationVersion(version))
+        log.since(ConfigurationVersion(version))
             .map(|steps| steps.len())
     };
     assert_eq!(after(38), Some(2));
@@ -281,10 +284,10 @@
     }
 }
 
-/// A follower that polls now and then, whatever it missed, knows what the
-/// relay knows; also one whose first list is older than the relay's.
+/// Whatever a follower missed between its polls, it converges to the relay's
+/// state, even if its first list is older than the relay's.
 #[test]
-fn follower_ends_up_with_what_the_relay_knows() {
+fn follower_converges_to_the_relay() {
     for seed in 0..50 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut relay = samples::empty_state();
@@ -299,7 +302,7 @@
         let mut revision = 9;
         for _ in 0..200 {
             revision += 1;
-            step(&mut random, &mut relay, revision);
+            random_change(&mut random, &mut relay, revision);
             if random.random_bool(0.2) {
                 poll(&mut follower, &relay);
             }
@@ -313,7 +316,7 @@
     }
 }
 
-fn step(random: &mut ChaCha8Rng, relay: &mut ClusterState, at: u64) {
+fn random_change(random: &mut ChaCha8Rng, relay: &mut ClusterState, at: u64) {
     match random.random_range(0..4) {
         0 => {
             let number = random.random_range(0..30);
@@ -349,16 +352,17 @@
     }
 }
 
-/// One poll; what cannot be told by changes is listed, as a gateway does.
+/// Polls once. What the relay cannot send as changes is listed, as a gateway
+/// does.
 fn poll(follower: &mut ClusterState, relay: &ClusterState) {
-    let told = relay.delta_since(&follower.position(), NOW);
-    let text = serde_json::to_string(&told).expect("written");
-    let told: Delta = serde_json::from_str(&text).expect("read");
-    let fetch = told.fetch_configuration;
-    follower.apply_delta(told, NOW);
+    let delta = relay.delta_since(&follower.position(), NOW);
+    let text = serde_json::to_string(&delta).expect("serialized");
+    let delta: Delta = serde_json::from_str(&text).expect("deserialized");
+    let fetch = delta.fetch_configuration;
+    follower.apply_delta(delta, NOW);
     if fetch {
-        let news = relay.update_since(&SyncPosition::default(), NOW);
-        let value = Ok(news.delta.full_configuration.expect("one is in force"));
+        let update = relay.update_since(&SyncPosition::default(), NOW);
+        let value = Ok(update.delta.full_configuration.expect("a configuration"));
         let entry = Entry {
             name: "main".to_owned(),
             revision: 0,
@@ -371,7 +375,7 @@
 }
 
 #[test]
-fn change_that_begins_elsewhere_is_not_taken() {
+fn change_from_another_revision_is_ignored() {
     let mut random = ChaCha8Rng::seed_from_u64(6);
     let mut relay = samples::empty_state();
     let mut follower = samples::empty_state();
@@ -387,19 +391,20 @@
     let records: BTreeMap<u64, _> = (1..=3).map(|at| (at, record(&mut random, at))).collect();
     take(&mut relay, &records[&2]);
     take(&mut relay, &records[&3]);
-    let told = relay.delta_since(&relay_marks(&records[&2]), NOW);
-    assert_eq!(told.changed_records.len(), 1);
+    let delta = relay.delta_since(&position_at(&records[&2]), NOW);
+    assert_eq!(delta.changed_records.len(), 1);
     take(&mut follower, &records[&1]);
-    assert!(follower.apply_delta(told, NOW).is_empty());
+    assert!(follower.apply_delta(delta, NOW).is_empty());
     assert_eq!(follower.position().ownership[&"service".into()], 1);
 }
 
-/// A follower that has just started knows no configuration to change. A small
-/// one is told whole, so that followers need not ask the store for it.
+/// A newly started follower has no configuration to apply changes to. It
+/// receives a small one in full, so that followers need not ask the store for
+/// it.
 #[test]
-fn small_configuration_is_told_whole_and_a_large_one_is_fetched() {
+fn small_configuration_is_sent_in_full_and_a_large_one_fetched() {
     let mut random = ChaCha8Rng::seed_from_u64(7);
-    for (routes, whole) in [(3, true), (400, false)] {
+    for (routes, in_full) in [(3, true), (400, false)] {
         let mut value = configuration(&mut random, 5);
         value.routes = (0..routes)
             .map(|number| route(&mut random, number))
@@ -411,19 +416,20 @@
             value: Ok(value),
         }];
         relay.apply_configurations(Update::Listed(Listing { entries, at: 5 }));
-        let told = relay.delta_since(&SyncPosition::default(), NOW);
-        assert_eq!(told.full_configuration.is_some(), whole);
-        assert_eq!(told.fetch_configuration, !whole);
+        let delta = relay.delta_since(&SyncPosition::default(), NOW);
+        assert_eq!(delta.full_configuration.is_some(), in_full);
+        assert_eq!(delta.fetch_configuration, !in_full);
         let mut follower = samples::empty_state();
-        let learned = follower.apply_delta(told, NOW);
-        assert_eq!(learned.len(), usize::from(whole));
+        let changes = follower.apply_delta(delta, NOW);
+        assert_eq!(changes.len(), usize::from(in_full));
     }
 }
 
-/// The link between two regions is shared by all: a relay whose own link bears
-/// it tells a large configuration, so that one gateway fetches it and not each.
+/// The link between two regions is shared by all their gateways. A relay with a
+/// fast link sends a large configuration, so that only one gateway fetches it
+/// over that link.
 #[test]
-fn large_configuration_is_told_by_a_relay_whose_link_bears_it() {
+fn large_configuration_is_sent_by_a_relay_with_a_fast_link() {
     let mut random = ChaCha8Rng::seed_from_u64(8);
     let mut relay = samples::empty_state();
     relay.set_link_speed(200.0);
@@ -441,24 +447,24 @@
             value: Ok(value),
         }];
         relay.apply_configurations(Update::Listed(Listing { entries, at }));
-        let told = relay.delta_since(&follower.position(), NOW);
-        assert!(!told.fetch_configuration);
+        let delta = relay.delta_since(&follower.position(), NOW);
+        assert!(!delta.fetch_configuration);
         assert_eq!(
-            told.full_configuration.is_some(),
+            delta.full_configuration.is_some(),
             at == 5,
-            "then by what changed"
+            "later versions are sent as changes"
         );
-        follower.apply_delta(told, NOW);
+        follower.apply_delta(delta, NOW);
     }
     assert_eq!(follower.position(), relay.position());
-    let told = relay.delta_since(&SyncPosition::default(), NOW);
+    let delta = relay.delta_since(&SyncPosition::default(), NOW);
     assert!(
-        told.full_configuration.is_some(),
-        "to one that has just started"
+        delta.full_configuration.is_some(),
+        "a newly started follower gets it in full"
     );
 }
 
-fn relay_marks(found: &Versioned<OwnershipRecord>) -> SyncPosition {
+fn position_at(found: &Versioned<OwnershipRecord>) -> SyncPosition {
     let ownership = [("service".into(), found.revision)].into();
     SyncPosition {
         ownership,
--- a/crates/router/tests/gateway/cluster_state.rs
+++ b/crates/router/tests/gateway/cluster_state.rs
@@ -1,4 +1,5 @@
-//! What a gateway knows, whoever told it: never back to something older.
+//! A gateway's copy of the store's data, from whichever source, never regresses
+//! to older data.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,7 +16,7 @@
 
 use super::samples::{back_end, back_ends, empty_state, entry};
 
-/// Any time: nothing here is awaited.
+/// The time is irrelevant here: nothing expires.
 const NOW: Timestamp = Timestamp::ZERO;
 
 fn listed<T>(at: u64, entries: Vec<Entry<T>>) -> Update<T> {
@@ -47,69 +48,69 @@
 }
 
 #[test]
-fn peer_gives_only_what_the_other_lacks() {
-    let mut knowing = empty_state();
-    knowing.apply_configurations(listed(5, vec![entry("main", 5, configuration(3))]));
-    knowing.apply_back_ends(
+fn peer_sends_only_missing_data() {
+    let mut informed = empty_state();
+    informed.apply_configurations(listed(5, vec![entry("main", 5, configuration(3))]));
+    informed.apply_back_ends(
         listed(5, vec![entry("b-1", 4, back_end("b-1", false))]),
         NOW,
     );
     let record = OwnershipRecord::empty(Term(1));
-    knowing.apply_records(listed(5, vec![entry("service", 5, record)]));
+    informed.apply_records(listed(5, vec![entry("service", 5, record)]));
     let mut other = empty_state();
-    let learned = other.apply_peer_update(knowing.update_since(&other.position(), NOW), NOW);
-    assert_eq!(learned.len(), 3);
-    assert_eq!(other.position(), knowing.position());
+    let changes = other.apply_peer_update(informed.update_since(&other.position(), NOW), NOW);
+    assert_eq!(changes.len(), 3);
+    assert_eq!(other.position(), informed.position());
     assert_eq!(names(&other), ["b-1"]);
-    let nothing = knowing.update_since(&other.position(), NOW);
+    let nothing = informed.update_since(&other.position(), NOW);
     assert_eq!(nothing, PeerUpdate::default());
 }
 
-/// Gateways that come back from a cut ask several peers at once, also across a
-/// narrow link: they are told what changed and not everything.
+/// Gateways that return from a network partition ask several peers at once,
+/// possibly over a narrow link. They receive the changes and not all back ends.
 #[test]
-fn peer_tells_what_changed_and_not_all_back_ends() {
+fn peer_sends_changes_and_not_all_back_ends() {
     let registered = |count: u64| -> Vec<_> {
         let numbers = 1..=count;
         let each = numbers.map(|at| entry(&format!("b-{at}"), at, back_end("b", false)));
         each.collect()
     };
-    let mut knowing = empty_state();
-    knowing.apply_back_ends(listed(200, registered(200)), NOW);
+    let mut informed = empty_state();
+    informed.apply_back_ends(listed(200, registered(200)), NOW);
     let mut behind = empty_state();
     behind.apply_back_ends(listed(199, registered(199)), NOW);
-    let news = knowing.update_since(&behind.position(), NOW);
-    assert_eq!(news.delta.back_ends.len(), 1);
-    assert_eq!(behind.apply_peer_update(news, NOW).len(), 1);
-    assert_eq!(behind.position(), knowing.position());
+    let update = informed.update_since(&behind.position(), NOW);
+    assert_eq!(update.delta.back_ends.len(), 1);
+    assert_eq!(behind.apply_peer_update(update, NOW).len(), 1);
+    assert_eq!(behind.position(), informed.position());
 }
 
-/// A peer may be behind the store in what it did not tell.
+/// The peer may be behind the store in the data that it did not send.
 #[test]
-fn news_reaches_no_further_than_what_it_tells() {
-    let mut knowing = empty_state();
-    knowing.apply_configurations(listed(9, vec![entry("main", 9, configuration(7))]));
-    knowing.apply_records(listed(9, Vec::new()));
+fn update_does_not_advance_revisions_of_absent_data() {
+    let mut informed = empty_state();
+    informed.apply_configurations(listed(9, vec![entry("main", 9, configuration(7))]));
+    informed.apply_records(listed(9, Vec::new()));
     let mut asking = empty_state();
     let before = asking.revisions();
-    asking.apply_peer_update(knowing.update_since(&asking.position(), NOW), NOW);
+    asking.apply_peer_update(informed.update_since(&asking.position(), NOW), NOW);
     assert_eq!(asking.revisions(), before);
 }
 
 #[test]
-fn older_watch_does_not_undo_what_a_peer_told() {
-    let mut knowing = empty_state();
+fn older_watch_does_not_undo_a_peer_update() {
+    let mut informed = empty_state();
     let draining = entry("b-1", 98, back_end("b-1", true));
-    knowing.apply_back_ends(listed(100, vec![draining]), NOW);
+    informed.apply_back_ends(listed(100, vec![draining]), NOW);
     let mut behind = empty_state();
     let both = vec![
         entry("b-1", 4, back_end("b-1", false)),
         entry("b-2", 4, back_end("b-2", false)),
     ];
     behind.apply_back_ends(listed(90, both), NOW);
-    behind.apply_peer_update(knowing.update_since(&behind.position(), NOW), NOW);
+    behind.apply_peer_update(informed.update_since(&behind.position(), NOW), NOW);
     assert_eq!(names(&behind), ["b-1"]);
-    // Its own watch goes on from where it was.
+    // The gateway's own watch continues from where it was.
     let put = Change::Put(entry("b-1", 95, back_end("b-1", false)));
     let again = Change::Put(entry("b-2", 96, back_end("b-2", false)));
     assert!(
@@ -128,10 +129,10 @@
 }
 
 #[test]
-fn older_peer_changes_nothing() {
-    let mut knowing = empty_state();
-    knowing.apply_configurations(listed(9, vec![entry("main", 9, configuration(7))]));
-    knowing.apply_back_ends(
+fn update_from_an_older_peer_changes_nothing() {
+    let mut informed = empty_state();
+    informed.apply_configurations(listed(9, vec![entry("main", 9, configuration(7))]));
+    informed.apply_back_ends(
         listed(9, vec![entry("b-1", 9, back_end("b-1", false))]),
         NOW,
     );
@@ -139,12 +140,12 @@
     older.apply_configurations(listed(5, vec![entry("main", 5, configuration(6))]));
     older.apply_back_ends(listed(5, Vec::new()), NOW);
     let everything = older.update_since(&SyncPosition::default(), NOW);
-    assert!(knowing.apply_peer_update(everything, NOW).is_empty());
-    assert_eq!(names(&knowing), ["b-1"]);
+    assert!(informed.apply_peer_update(everything, NOW).is_empty());
+    assert_eq!(names(&informed), ["b-1"]);
 }
 
 #[test]
-fn malformed_objects_take_nothing_away() {
+fn malformed_objects_remove_nothing() {
     let mut state = empty_state();
     state.apply_back_ends(
         listed(1, vec![entry("b-1", 1, back_end("b-1", false))]),
@@ -157,22 +158,23 @@
             problem: "broken".to_owned(),
         }),
     };
-    let learned = state.apply_back_ends(changed(2, vec![Change::Put(broken)]), NOW);
-    // It names no back end to use; the one that stood there is at work.
+    let changes = state.apply_back_ends(changed(2, vec![Change::Put(broken)]), NOW);
+    // The malformed entry names no usable back end; the known back end may
+    // still be serving.
     assert!(matches!(
-        learned[..],
+        changes[..],
         [StateChange::Malformed(_), StateChange::Leaving(_)]
     ));
     assert_eq!(back_ends(&state), [back_end("b-1", true)]);
     let mut gapped = OwnershipRecord::empty(Term(1));
     gapped.slices[0].range = KeyRange::new(1, 9).expect("a range");
-    let learned = state.apply_records(listed(3, vec![entry("service", 3, gapped)]));
-    assert!(matches!(learned[..], [StateChange::Malformed(_)]));
+    let changes = state.apply_records(listed(3, vec![entry("service", 3, gapped)]));
+    assert!(matches!(changes[..], [StateChange::Malformed(_)]));
     assert!(state.position().ownership.is_empty());
 }
 
 #[test]
-fn changes_are_told_once() {
+fn changes_are_reported_once() {
     let mut state = empty_state();
     let first = listed(1, vec![entry("b-1", 1, back_end("b-1", false))]);
     assert!(matches!(
@@ -180,11 +182,11 @@
         [StateChange::Registered(_)]
     ));
     let put = Change::Put(entry("b-1", 2, back_end("b-1", true)));
-    let learned = state.apply_back_ends(changed(2, vec![put]), NOW);
-    assert!(matches!(learned[..], [StateChange::Leaving(_)]));
+    let changes = state.apply_back_ends(changed(2, vec![put]), NOW);
+    assert!(matches!(changes[..], [StateChange::Leaving(_)]));
     let gone = Change::Gone("b-1".to_owned());
-    let learned = state.apply_back_ends(changed(3, vec![gone.clone()]), NOW);
-    assert!(matches!(learned[..], [StateChange::Gone(_)]));
+    let changes = state.apply_back_ends(changed(3, vec![gone.clone()]), NOW);
+    assert!(matches!(changes[..], [StateChange::Gone(_)]));
     assert!(
         state
             .apply_back_ends(changed(4, vec![gone]), NOW)
@@ -192,7 +194,8 @@
     );
 }
 
-/// A version with so many tenants, the first of which holds `key`.
+/// A version with `tenants` tenants, the first of which has a key made from
+/// `key`.
 fn with_tenants(version: u64, tenants: usize, key: &str) -> Configuration {
     let mut wanted = configuration(version);
     for number in 0..tenants {
@@ -207,11 +210,11 @@
     wanted
 }
 
-/// A version costs on the way what it changes, however many tenants there are;
-/// many are not told whole to each follower.
+/// A version costs as many bytes as it changes, however many tenants there are.
+/// A configuration with many tenants is not sent in full to each follower.
 #[test]
-fn change_of_one_tenant_is_told_alone_and_many_tenants_are_fetched() {
-    for (tenants, told_whole) in [(80, true), (5_000, false)] {
+fn one_changed_tenant_is_sent_alone_and_many_tenants_are_fetched() {
+    for (tenants, sent_in_full) in [(80, true), (5_000, false)] {
         let mut relay = empty_state();
         let mut follower = empty_state();
         for (version, key) in [(3, "old"), (4, "new")] {
@@ -222,16 +225,16 @@
             }
             relay.apply_configurations(update);
         }
-        let told = relay.delta_since(&follower.position(), NOW);
-        let size = serde_json::to_string(&told).expect("written").len();
+        let delta = relay.delta_since(&follower.position(), NOW);
+        let size = serde_json::to_string(&delta).expect("serialized").len();
         assert!(size < 1_000, "{size} bytes");
-        assert_eq!(told.configuration[0].tenants.len(), 1);
-        let learned = follower.apply_delta(told, NOW);
+        assert_eq!(delta.configuration[0].tenants.len(), 1);
+        let changes = follower.apply_delta(delta, NOW);
         let expected = with_tenants(4, tenants, "new");
-        assert!(matches!(&learned[..], [StateChange::Configuration(found)] if **found == expected));
-        // One that knows nothing.
-        let told = relay.delta_since(&SyncPosition::default(), NOW);
-        assert_eq!(told.full_configuration.is_some(), told_whole);
-        assert_eq!(told.fetch_configuration, !told_whole);
+        assert!(matches!(&changes[..], [StateChange::Configuration(found)] if **found == expected));
+        // A follower that has no data.
+        let delta = relay.delta_since(&SyncPosition::default(), NOW);
+        assert_eq!(delta.full_configuration.is_some(), sent_in_full);
+        assert_eq!(delta.fetch_configuration, !sent_in_full);
     }
 }
--- a/crates/router/tests/gateway/crashing.rs
+++ b/crates/router/tests/gateway/crashing.rs
@@ -20,7 +20,7 @@
 use threadledge_net::HttpClient;
 use threadledge_platform_stand_in::{CrashTrigger, Fault, StandInBackEnd};
 
-use super::process::{Ask, Gateway, TIMEOUT, World, eventually};
+use super::process::{Gateway, TIMEOUT, TestRequest, World, eventually};
 
 /// Path of the request that crashes its back ends.
 const CRASHES: &str = "/safe/crashes";
@@ -128,7 +128,7 @@
     }
 
     /// Waits until every gateway holds one request.
-    fn await_held(&self) {
+    fn await_all_keys_held(&self) {
         let line = "threadledge_gateway_requests_held 1\n";
         for gateway in self.gateways() {
             eventually(|| gateway.metrics().contains(line).then_some(()));
@@ -141,11 +141,11 @@
             self.tries += 1;
             let id = format!("try-{}", self.tries);
             let cookie = self.crashing.cookie.clone();
-            let crashing = Ask {
+            let crashing = TestRequest {
                 target: CRASHES,
                 id: &id,
                 cookie: cookie.as_deref(),
-                ..Ask::default()
+                ..TestRequest::default()
             };
             let gateway = self.gateways()[self.tries % 3];
             let status = crashing.send(gateway).status().as_u16();
@@ -165,10 +165,10 @@
     /// Another caller's request for the same path is answered everywhere.
     fn assert_others_served(&self, target: &str) {
         for gateway in self.gateways() {
-            let other = Ask {
+            let other = TestRequest {
                 target,
                 cookie: Some("another"),
-                ..Ask::default()
+                ..TestRequest::default()
             };
             assert_eq!(other.send(gateway).status(), 200);
         }
@@ -198,11 +198,11 @@
 fn held_request_is_refused_at_once() {
     let mut fleet = Fleet::start();
     fleet.send_crashing(3);
-    fleet.await_held();
-    let crashing = Ask {
+    fleet.await_all_keys_held();
+    let crashing = TestRequest {
         target: CRASHES,
         id: "refused",
-        ..Ask::default()
+        ..TestRequest::default()
     };
     let answer = crashing.send(fleet.gateways()[1]);
     assert_eq!(answer.status(), 503);
@@ -222,7 +222,7 @@
         fleet.send_crashing(1);
     }
     assert!(fleet.crashes() <= MOST_RUNS, "{} runs", fleet.crashes());
-    fleet.await_held();
+    fleet.await_all_keys_held();
     fleet.assert_others_served(CRASHES);
 }
 
@@ -230,14 +230,14 @@
 fn gateway_that_has_just_started_knows_what_others_hold() {
     let mut fleet = Fleet::start();
     fleet.send_crashing(3);
-    fleet.await_held();
+    fleet.await_all_keys_held();
     let store = fleet.world.store.address();
     fleet.others[0] = Gateway::start_named("router-2", store);
     fleet.others[0].await_ready();
-    fleet.await_held();
+    fleet.await_all_keys_held();
     fleet.others[1] = Gateway::start_in("zone-b", "router-3", store);
     fleet.others[1].await_ready();
-    fleet.await_held();
+    fleet.await_all_keys_held();
     fleet.send_crashing(6);
     assert!(fleet.crashes() <= MOST_RUNS, "{} runs", fleet.crashes());
 }
@@ -246,7 +246,7 @@
 fn what_is_held_outlives_all_gateways() {
     let mut fleet = Fleet::start();
     fleet.send_crashing(3);
-    fleet.await_held();
+    fleet.await_all_keys_held();
     let kept = || fleet.world.store.get("threadledge-held-requests", "all");
     eventually(kept);
     let store = fleet.world.store.address();
@@ -254,7 +254,7 @@
     fleet.world.gateway = Gateway::start(store);
     fleet.world.gateway.await_ready();
     fleet.start_others();
-    fleet.await_held();
+    fleet.await_all_keys_held();
     fleet.send_crashing(6);
     assert!(fleet.crashes() <= MOST_RUNS, "{} runs", fleet.crashes());
 }
@@ -275,7 +275,7 @@
 fn operator_sees_what_is_held_and_lets_it_go() {
     let mut fleet = Fleet::start();
     fleet.send_crashing(3);
-    fleet.await_held();
+    fleet.await_all_keys_held();
     eventually(|| fleet.world.store.get("threadledge-held-requests", "all"));
     let path = "/threadledge/v1/held";
     let (status, list) = ask_operators(fleet.gateways()[2], "GET", path);
--- a/crates/router/tests/gateway/draining_back_ends.rs
+++ b/crates/router/tests/gateway/draining_back_ends.rs
@@ -1,22 +1,22 @@
-//! Back ends that say in their answers that they leave, through the real
-//! program.
+//! Back ends that announce in their responses that they are leaving, with the
+//! real program.
 
 use std::time::{Duration, Instant};
 
 use threadledge_platform_stand_in::{Fault, StandInBackEnd};
 
 use super::pressed::{Fleet, Outcomes};
-use super::process::Ask;
+use super::process::TestRequest;
 
-/// From then on after an answer said so, nothing new is sent there.
-const DRAIN: Duration = Duration::from_secs(2);
-const LENGTH: Duration = Duration::from_secs(6);
+/// Time after the announcement from which a back end must get no new requests.
+const DRAIN_DELAY: Duration = Duration::from_secs(2);
+const RUN_TIME: Duration = Duration::from_secs(6);
 
-fn keyed() -> Ask<'static> {
-    Ask {
+fn keyed() -> TestRequest<'static> {
+    TestRequest {
         host: "keyed.example",
         target: "/k/x",
-        ..Ask::default()
+        ..TestRequest::default()
     }
 }
 
@@ -24,43 +24,47 @@
     (0..u16::MAX).step_by(1_000).collect()
 }
 
-/// Requests that came after everybody could know.
-fn late(back_end: &StandInBackEnd, said: Instant) -> usize {
+/// Number of requests that arrived after every gateway could know of the
+/// announcement.
+fn late_arrivals(back_end: &StandInBackEnd, announced: Instant) -> usize {
     let arrivals = back_end.arrivals();
-    let late = arrivals.iter().filter(|arrival| arrival.at >= said + DRAIN);
+    let late = arrivals
+        .iter()
+        .filter(|arrival| arrival.at >= announced + DRAIN_DELAY);
     late.count()
 }
 
 #[test]
-fn owner_that_said_that_it_leaves_is_still_asked() {
+fn leaving_owner_gets_no_new_requests() {
     let fleet = Fleet::start();
     let leaving = &fleet.world.keyed[0];
     leaving.set_leaving(true);
-    let said = Instant::now();
-    let Outcomes { served, others } = fleet.press(&keyed(), &keys(), DRAIN..LENGTH);
-    assert_eq!(late(leaving, said), 0);
-    // The other owner has its keys.
+    let announced = Instant::now();
+    let Outcomes { served, others } = fleet.press(&keyed(), &keys(), DRAIN_DELAY..RUN_TIME);
+    assert_eq!(late_arrivals(leaving, announced), 0);
+    // The other owner holds its keys.
     assert!(others * 50 < served, "{served} served, {others} not");
 }
 
 #[test]
-fn owner_that_said_that_it_leaves_is_still_asked_while_the_store_is_silent() {
+fn leaving_owner_gets_no_new_requests_while_the_store_is_silent() {
     let fleet = Fleet::start();
     let leaving = &fleet.world.keyed[0];
     fleet.world.store.set_fault(Fault::Silent);
     leaving.set_leaving(true);
-    let said = Instant::now();
-    fleet.press(&keyed(), &keys(), DRAIN..LENGTH);
-    assert_eq!(late(leaving, said), 0);
+    let announced = Instant::now();
+    fleet.press(&keyed(), &keys(), DRAIN_DELAY..RUN_TIME);
+    assert_eq!(late_arrivals(leaving, announced), 0);
 }
 
 #[test]
-fn back_end_without_keys_that_said_that_it_leaves_is_still_asked() {
+fn leaving_back_end_without_keys_gets_no_new_requests() {
     let fleet = Fleet::start();
     let leaving = &fleet.world.plain[0];
     leaving.set_leaving(true);
-    let said = Instant::now();
-    let Outcomes { served, others } = fleet.press(&Ask::default(), &[], DRAIN..LENGTH);
-    assert_eq!(late(leaving, said), 0);
+    let announced = Instant::now();
+    let Outcomes { served, others } =
+        fleet.press(&TestRequest::default(), &[], DRAIN_DELAY..RUN_TIME);
+    assert_eq!(late_arrivals(leaving, announced), 0);
     assert!(others * 50 < served, "{served} served, {others} not");
 }
--- a/crates/router/tests/gateway/incarnations.rs
+++ b/crates/router/tests/gateway/incarnations.rs
@@ -1,5 +1,5 @@
-//! Back ends that start again under their ids, and entries that another writer
-//! left among the registrations.
+//! Back ends that restart under the same id, and malformed entries that another
+//! writer left among the registrations.
 
 use threadledge::gateway::cluster_state::{ClusterState, StateChange};
 use threadledge::gateway::watcher::Update;
@@ -9,30 +9,30 @@
 
 use super::samples::{back_end, back_ends, empty_state, entry};
 
-/// Any time: nothing here is awaited.
+/// The time is irrelevant here: nothing expires.
 const NOW: Timestamp = Timestamp::ZERO;
 
-fn life(id: &str, started: u64) -> BackEnd {
+fn incarnation(id: &str, started: u64) -> BackEnd {
     BackEnd {
         name: BackEndName::new(id, Some(started)),
         ..back_end(id, false)
     }
 }
 
-fn spoiled(id: &str, revision: u64) -> Entry<BackEnd> {
+fn malformed(id: &str, revision: u64) -> Entry<BackEnd> {
     Entry {
         name: id.to_owned(),
         revision,
         value: Err(Malformed {
-            problem: format!("{id} cannot be read"),
+            problem: format!("{id} is malformed"),
         }),
     }
 }
 
-fn knowing(entries: Vec<Entry<BackEnd>>) -> ClusterState {
-    let mut knowing = empty_state();
-    knowing.apply_back_ends(Update::Listed(Listing { entries, at: 10 }), NOW);
-    knowing
+fn state_with(entries: Vec<Entry<BackEnd>>) -> ClusterState {
+    let mut state = empty_state();
+    state.apply_back_ends(Update::Listed(Listing { entries, at: 10 }), NOW);
+    state
 }
 
 fn put(state: &mut ClusterState, entry: Entry<BackEnd>) -> Vec<StateChange> {
@@ -42,12 +42,12 @@
 }
 
 #[test]
-fn next_life_takes_the_place_of_the_one_before_it() {
-    let mut state = knowing(vec![entry("b-1", 4, life("b-1", 100))]);
-    let learned = put(&mut state, entry("b-1", 11, life("b-1", 200)));
-    let (gone, registered) = (life("b-1", 100), life("b-1", 200));
+fn next_incarnation_replaces_the_former_one() {
+    let mut state = state_with(vec![entry("b-1", 4, incarnation("b-1", 100))]);
+    let changes = put(&mut state, entry("b-1", 11, incarnation("b-1", 200)));
+    let (gone, registered) = (incarnation("b-1", 100), incarnation("b-1", 200));
     assert_eq!(
-        learned,
+        changes,
         [
             StateChange::Gone(gone),
             StateChange::Registered(registered.clone())
@@ -56,53 +56,57 @@
     assert_eq!(back_ends(&state), [registered]);
 }
 
-/// What the former life wrote may take effect after it has ended.
+/// A write of the former incarnation may take effect after that incarnation has
+/// ended.
 #[test]
-fn entry_of_a_former_life_that_comes_late_is_not_taken() {
-    let mut state = knowing(vec![entry("b-1", 4, life("b-1", 200))]);
-    assert_eq!(put(&mut state, entry("b-1", 11, life("b-1", 100))), []);
-    assert_eq!(back_ends(&state), [life("b-1", 200)]);
+fn late_entry_of_a_former_incarnation_is_ignored() {
+    let mut state = state_with(vec![entry("b-1", 4, incarnation("b-1", 200))]);
+    assert_eq!(
+        put(&mut state, entry("b-1", 11, incarnation("b-1", 100))),
+        []
+    );
+    assert_eq!(back_ends(&state), [incarnation("b-1", 200)]);
 }
 
 #[test]
-fn followers_are_told_of_the_next_life() {
-    let mut relay = knowing(vec![entry("b-1", 4, life("b-1", 100))]);
+fn followers_receive_the_next_incarnation() {
+    let mut relay = state_with(vec![entry("b-1", 4, incarnation("b-1", 100))]);
     let mut follower = relay.clone();
-    put(&mut relay, entry("b-1", 11, life("b-1", 200)));
-    let told = relay.delta_since(&follower.position(), NOW);
-    follower.apply_delta(told, NOW);
-    assert_eq!(back_ends(&follower), [life("b-1", 200)]);
+    put(&mut relay, entry("b-1", 11, incarnation("b-1", 200)));
+    let delta = relay.delta_since(&follower.position(), NOW);
+    follower.apply_delta(delta, NOW);
+    assert_eq!(back_ends(&follower), [incarnation("b-1", 200)]);
 }
 
 #[test]
-fn entry_that_cannot_be_read_is_told_once_and_names_no_back_end() {
+fn malformed_entry_is_reported_once_and_names_no_back_end() {
     let sound = entry("b-1", 4, back_end("b-1", false));
-    let mut state = knowing(vec![sound, spoiled("x-1", 5)]);
+    let mut state = state_with(vec![sound, malformed("x-1", 5)]);
     assert_eq!(back_ends(&state), [back_end("b-1", false)]);
-    let entries = vec![entry("b-1", 4, back_end("b-1", false)), spoiled("x-1", 5)];
+    let entries = vec![entry("b-1", 4, back_end("b-1", false)), malformed("x-1", 5)];
     let again = Update::Listed(Listing { entries, at: 12 });
     assert_eq!(state.apply_back_ends(again, NOW), []);
-    let other = put(&mut state, spoiled("x-1", 13));
+    let other = put(&mut state, malformed("x-1", 13));
     assert!(
         matches!(other[..], [StateChange::Malformed(_)]),
         "{other:?}"
     );
 }
 
-/// Requests may be at work there, and keys held: they go in order, and what it
-/// says itself brings it back.
+/// The back end may be serving requests and holding keys: it drains in order,
+/// and its own next registration ends the draining.
 #[test]
-fn back_end_whose_entry_is_spoiled_gets_nothing_new_until_it_registers_again() {
-    let mut relay = knowing(vec![entry("b-1", 4, back_end("b-1", false))]);
+fn back_end_with_a_malformed_entry_drains_until_it_registers_again() {
+    let mut relay = state_with(vec![entry("b-1", 4, back_end("b-1", false))]);
     let mut follower = relay.clone();
-    let learned = put(&mut relay, spoiled("b-1", 11));
+    let changes = put(&mut relay, malformed("b-1", 11));
     let leaving = back_end("b-1", true);
-    assert!(learned.contains(&StateChange::Leaving(leaving.clone())));
-    let told = relay.delta_since(&follower.position(), NOW);
-    follower.apply_delta(told, NOW);
+    assert!(changes.contains(&StateChange::Leaving(leaving.clone())));
+    let delta = relay.delta_since(&follower.position(), NOW);
+    follower.apply_delta(delta, NOW);
     assert_eq!(back_ends(&follower), [leaving]);
     put(&mut relay, entry("b-1", 12, back_end("b-1", false)));
-    let told = relay.delta_since(&follower.position(), NOW);
-    follower.apply_delta(told, NOW);
+    let delta = relay.delta_since(&follower.position(), NOW);
+    follower.apply_delta(delta, NOW);
     assert_eq!(back_ends(&follower), [back_end("b-1", false)]);
 }
--- a/crates/router/tests/gateway/key_regions.rs
+++ b/crates/router/tests/gateway/key_regions.rs
@@ -1,4 +1,4 @@
-//! In which regions keys may be held.
+//! The regions in which a service's keys may be held.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -36,7 +36,7 @@
     })
 }
 
-/// Services `keyed` and `free` with these routes.
+/// A configuration with the services `keyed` and `free` and the given routes.
 fn configuration(routes: Vec<Arc<Route>>) -> Configuration {
     let service = |keyed| Service {
         health_path: "/health".to_owned(),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn routes_without_a_region_in_common_say_nothing() {
+fn routes_without_a_common_region_do_not_restrict_keys() {
     let routes = vec![
         route("keyed", Some(&["home"])),
         route("keyed", Some(&["away"])),
@@ -100,8 +100,8 @@
     ]
     .into();
     let home = regions(&["home"]);
-    let seen = drain_outside_regions(&all, Some(&home), &places);
-    let draining: Vec<bool> = seen.iter().map(|each| each.draining).collect();
+    let restricted = drain_outside_regions(&all, Some(&home), &places);
+    let draining: Vec<bool> = restricted.iter().map(|each| each.draining).collect();
     assert_eq!(draining, [false, true, true]);
     assert_eq!(drain_outside_regions(&all, None, &places), all);
 }
--- a/crates/router/tests/gateway/limited.rs
+++ b/crates/router/tests/gateway/limited.rs
@@ -6,7 +6,7 @@
 use threadledge_platform_stand_in::StandInBackEnd;
 
 use super::pressed::{Fleet, Outcomes};
-use super::process::Ask;
+use super::process::TestRequest;
 
 /// Requests a second that limited back ends take.
 const LIMIT: f64 = 2.0;
@@ -37,10 +37,10 @@
     let fleet = Fleet::start();
     let limited = &fleet.world.keyed[0];
     let keys: Vec<u16> = (0..u16::MAX).step_by(1_000).collect();
-    let ask = Ask {
+    let ask = TestRequest {
         host: "keyed.example",
         target: "/k/x",
-        ..Ask::default()
+        ..TestRequest::default()
     };
     limited.set_rate_limit(Some(&LIMIT.to_string()));
     let named = Instant::now();
@@ -60,7 +60,7 @@
     }
     let named = Instant::now();
     let counted = CONTACT..CONTACT + WINDOW * 2;
-    let Outcomes { served, .. } = fleet.press(&Ask::default(), &[], counted);
+    let Outcomes { served, .. } = fleet.press(&TestRequest::default(), &[], counted);
     for back_end in &fleet.world.plain {
         let most = busiest(back_end, named);
         assert!(most <= allowed(), "{most} in 4 s, {} allowed", allowed());
--- a/crates/router/tests/gateway/limits.rs
+++ b/crates/router/tests/gateway/limits.rs
@@ -9,7 +9,7 @@
 use threadledge_net::HttpClient;
 use threadledge_platform_stand_in::{Fault, StandInBackEnd, with_tenants};
 
-use super::process::{Ask, Gateway, TIMEOUT, World, configuration, eventually};
+use super::process::{Gateway, TIMEOUT, TestRequest, World, configuration, eventually};
 
 const HOT: &str = "hot-key";
 const CALM: &str = "calm-key";
@@ -104,9 +104,9 @@
 }
 
 fn ask(gateway: &Gateway, api_key: &str) -> Response<Vec<u8>> {
-    let ask = Ask {
+    let ask = TestRequest {
         api_key: Some(api_key),
-        ..Ask::default()
+        ..TestRequest::default()
     };
     ask.send(gateway)
 }
@@ -121,12 +121,12 @@
             let callers = gateway.callers;
             let (done, odd) = (&done, &odd);
             scope.spawn(move || {
-                let ask = Ask {
+                let ask = TestRequest {
                     api_key: Some(HOT),
-                    ..Ask::default()
+                    ..TestRequest::default()
                 };
                 while !done.load(Ordering::Relaxed) {
-                    let status = block_on(ask.sending(callers)).status().as_u16();
+                    let status = block_on(ask.send_async(callers)).status().as_u16();
                     if !matches!(status, 200 | 429) {
                         odd.fetch_add(1, Ordering::Relaxed);
                     }
--- a/crates/router/tests/gateway/main.rs
+++ b/crates/router/tests/gateway/main.rs
@@ -1,5 +1,6 @@
-//! The real program, started from the filled template, against stand-ins of
-//! the users' platform on loopback.
+//! Tests of the gateway: its units, and the real program, started from the
+//! filled settings template against stand-ins of the users' platform on
+//! loopback.
 
 mod caller_disconnects;
 mod changes;
--- a/crates/router/tests/gateway/outage.rs
+++ b/crates/router/tests/gateway/outage.rs
@@ -1,4 +1,4 @@
-//! Registrations that lapse while the store is away, in virtual time.
+//! Registrations that lapse during an outage of the store, in virtual time.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 use super::samples::{back_end, back_ends, empty_state, entry};
 
-/// Where the time of an update says nothing.
+/// For updates whose time is irrelevant.
 const NOW: Timestamp = Timestamp::ZERO;
 const HEARTBEAT: Duration = Duration::from_millis(1_300);
 
@@ -27,13 +27,13 @@
     Update::Changed(Changes { changes, at })
 }
 
-fn returned(at: StoreRevision, name: &str) -> Update<BackEnd> {
+fn registered_again(at: StoreRevision, name: &str) -> Update<BackEnd> {
     let changes = vec![Change::Put(entry(name, at, back_end(name, false)))];
     Update::Changed(Changes { changes, at })
 }
 
-/// Knows `a` and `b`, and `c`, which is draining.
-fn knowing() -> ClusterState {
+/// A state with back ends `a`, `b`, and `c`, which is draining.
+fn state_with_back_ends() -> ClusterState {
     let mut state = empty_state();
     let entries = vec![
         entry("a", 1, back_end("a", false)),
@@ -49,15 +49,16 @@
     back_ends.iter().map(|each| each.name.to_string()).collect()
 }
 
-/// What crosses the network is written and read.
-fn told(relay: &ClusterState, follower: &ClusterState, now: Timestamp) -> Delta {
-    let told = relay.delta_since(&follower.position(), now);
-    let text = serde_json::to_string(&told).expect("written");
-    serde_json::from_str(&text).expect("read")
+/// The relay's delta for the follower, serialized and deserialized as on the
+/// network.
+fn delta_over_the_wire(relay: &ClusterState, follower: &ClusterState, now: Timestamp) -> Delta {
+    let delta = relay.delta_since(&follower.position(), now);
+    let text = serde_json::to_string(&delta).expect("serialized");
+    serde_json::from_str(&text).expect("deserialized")
 }
 
 #[test]
-fn silence_counts_from_the_first_answer_after_it() {
+fn grace_period_starts_with_the_first_answer_after_an_outage() {
     let mut outage = OutageTracker::new(HEARTBEAT);
     outage.record_answer(at(50_000));
     assert_eq!(outage.grace_until(at(50_000)), None, "a start is no return");
@@ -74,123 +75,127 @@
 }
 
 #[test]
-fn registration_that_lapsed_is_awaited_and_comes_back_unnoticed() {
-    let mut state = knowing();
+fn lapsed_registration_that_returns_causes_no_change() {
+    let mut state = state_with_back_ends();
     state.set_lapse_grace(Some(at(12_000)));
-    let learned = state.apply_back_ends(gone(4, &["a"]), NOW);
-    assert!(matches!(learned[..], [StateChange::Lapsed(_)]));
+    let changes = state.apply_back_ends(gone(4, &["a"]), NOW);
+    assert!(matches!(changes[..], [StateChange::Lapsed(_)]));
     assert_eq!(names(&state), ["a", "b", "c"]);
     assert!(state.expire_lapsed(at(11_999)).is_empty());
-    assert!(state.apply_back_ends(returned(5, "a"), NOW).is_empty());
+    assert!(
+        state
+            .apply_back_ends(registered_again(5, "a"), NOW)
+            .is_empty()
+    );
     assert!(state.expire_lapsed(at(12_000)).is_empty());
     assert_eq!(names(&state), ["a", "b", "c"]);
 }
 
 #[test]
-fn registration_still_missing_after_the_wait_is_gone() {
-    let mut state = knowing();
+fn registration_missing_after_the_grace_period_is_gone() {
+    let mut state = state_with_back_ends();
     state.set_lapse_grace(Some(at(12_000)));
     state.apply_back_ends(gone(4, &["a"]), NOW);
     assert_eq!(state.next_expiry(), Some(at(12_000)));
-    let learned = state.expire_lapsed(at(12_000));
-    assert!(matches!(&learned[..], [StateChange::Gone(each)] if each.name.as_str() == "a"));
+    let changes = state.expire_lapsed(at(12_000));
+    assert!(matches!(&changes[..], [StateChange::Gone(each)] if each.name.as_str() == "a"));
     assert_eq!(names(&state), ["b", "c"]);
     assert_eq!(state.next_expiry(), None);
 }
 
 #[test]
-fn list_after_the_return_awaits_what_it_lacks() {
-    let mut state = knowing();
+fn list_after_an_outage_starts_grace_periods() {
+    let mut state = state_with_back_ends();
     state.set_lapse_grace(Some(at(12_000)));
     let entries = vec![entry("b", 2, back_end("b", false))];
-    let learned = state.apply_back_ends(Update::Listed(Listing { entries, at: 9 }), NOW);
+    let changes = state.apply_back_ends(Update::Listed(Listing { entries, at: 9 }), NOW);
     assert_eq!(names(&state), ["a", "b"]);
     assert!(matches!(
-        learned[..],
+        changes[..],
         [StateChange::Lapsed(_), StateChange::Gone(_)]
     ));
 }
 
 #[test]
-fn back_end_that_said_it_leaves_is_gone_at_once() {
-    let mut state = knowing();
+fn draining_back_end_is_gone_at_once() {
+    let mut state = state_with_back_ends();
     state.set_lapse_grace(Some(at(12_000)));
-    let learned = state.apply_back_ends(gone(4, &["c"]), NOW);
-    assert!(matches!(learned[..], [StateChange::Gone(_)]));
+    let changes = state.apply_back_ends(gone(4, &["c"]), NOW);
+    assert!(matches!(changes[..], [StateChange::Gone(_)]));
     assert_eq!(names(&state), ["a", "b"]);
 }
 
 #[test]
-fn without_an_outage_a_registration_that_goes_is_gone() {
-    let mut state = knowing();
+fn without_an_outage_a_missing_registration_is_gone() {
+    let mut state = state_with_back_ends();
     state.set_lapse_grace(None);
-    let learned = state.apply_back_ends(gone(4, &["a"]), NOW);
-    assert!(matches!(learned[..], [StateChange::Gone(_)]));
+    let changes = state.apply_back_ends(gone(4, &["a"]), NOW);
+    assert!(matches!(changes[..], [StateChange::Gone(_)]));
 }
 
-/// The relay watched the store, the follower did not: it goes by what the
-/// relay tells, and so does one that has just started.
+/// The relay watched the store and the follower did not: the follower takes
+/// over the relay's grace periods, and so does a newly started one.
 #[test]
-fn followers_await_what_their_relay_awaits() {
-    let mut relay = knowing();
-    let mut follower = knowing();
+fn followers_take_over_the_grace_periods_of_their_relay() {
+    let mut relay = state_with_back_ends();
+    let mut follower = state_with_back_ends();
     relay.set_lapse_grace(Some(at(12_000)));
     relay.apply_back_ends(gone(4, &["a"]), NOW);
     let mut newcomer = empty_state();
     for each in [&mut follower, &mut newcomer] {
-        let differences = told(&relay, each, at(11_000));
-        each.apply_delta(differences, at(11_100));
+        let delta = delta_over_the_wire(&relay, each, at(11_000));
+        each.apply_delta(delta, at(11_100));
         assert_eq!(names(each), ["a", "b", "c"]);
-        assert!(told(&relay, each, at(11_200)).is_empty());
+        assert!(delta_over_the_wire(&relay, each, at(11_200)).is_empty());
         assert!(each.expire_lapsed(at(12_000)).is_empty());
         assert_eq!(names(each), ["a", "b", "c"]);
     }
     relay.expire_lapsed(at(12_000));
-    let learned = follower.expire_lapsed(at(12_100));
-    assert!(matches!(learned[..], [StateChange::Gone(_)]));
+    let changes = follower.expire_lapsed(at(12_100));
+    assert!(matches!(changes[..], [StateChange::Gone(_)]));
     assert_eq!(names(&follower), names(&relay));
-    relay.apply_back_ends(returned(6, "a"), NOW);
-    let differences = told(&relay, &newcomer, at(12_050));
-    newcomer.apply_delta(differences, at(12_060));
+    relay.apply_back_ends(registered_again(6, "a"), NOW);
+    let delta = delta_over_the_wire(&relay, &newcomer, at(12_050));
+    newcomer.apply_delta(delta, at(12_060));
     assert!(newcomer.expire_lapsed(at(12_100)).is_empty());
     assert_eq!(names(&newcomer), names(&relay));
 }
 
-/// A relay that was served while the store turned others away knows that a
-/// back end is gone, whatever its followers wait for.
+/// A relay that the store answered while it refused others knows that a back
+/// end is gone, even if its followers have a grace period for it.
 #[test]
-fn what_a_relay_knows_to_be_gone_is_not_awaited() {
-    let mut relay = knowing();
+fn back_end_gone_at_the_relay_has_no_grace_period() {
+    let mut relay = state_with_back_ends();
     relay.apply_back_ends(gone(4, &["a"]), NOW);
-    let mut follower = knowing();
+    let mut follower = state_with_back_ends();
     follower.set_lapse_grace(Some(at(12_000)));
-    let differences = told(&relay, &follower, at(11_000));
-    let learned = follower.apply_delta(differences, at(11_100));
-    assert!(matches!(learned[..], [StateChange::Gone(_)]));
+    let delta = delta_over_the_wire(&relay, &follower, at(11_000));
+    let changes = follower.apply_delta(delta, at(11_100));
+    assert!(matches!(changes[..], [StateChange::Gone(_)]));
     assert_eq!(names(&follower), ["b", "c"]);
 }
 
 #[test]
-fn later_word_that_it_is_gone_ends_the_wait() {
-    let mut relay = knowing();
-    let mut follower = knowing();
+fn later_removal_ends_the_grace_period() {
+    let mut relay = state_with_back_ends();
+    let mut follower = state_with_back_ends();
     follower.set_lapse_grace(Some(at(12_000)));
     follower.apply_back_ends(gone(4, &["a"]), NOW);
     relay.apply_back_ends(gone(4, &["a"]), NOW);
-    relay.apply_back_ends(returned(5, "a"), NOW);
+    relay.apply_back_ends(registered_again(5, "a"), NOW);
     relay.apply_back_ends(gone(6, &["a"]), NOW);
-    let differences = told(&relay, &follower, at(11_000));
-    let learned = follower.apply_delta(differences, at(11_100));
-    assert!(matches!(learned[..], [StateChange::Gone(_)]));
+    let delta = delta_over_the_wire(&relay, &follower, at(11_000));
+    let changes = follower.apply_delta(delta, at(11_100));
+    assert!(matches!(changes[..], [StateChange::Gone(_)]));
     assert_eq!(names(&follower), ["b", "c"]);
 }
 
 #[test]
-fn peers_tell_what_they_await() {
-    let mut peer = knowing();
+fn peers_send_their_grace_periods() {
+    let mut peer = state_with_back_ends();
     peer.set_lapse_grace(Some(at(12_000)));
     peer.apply_back_ends(gone(4, &["a"]), NOW);
-    let mut asking = knowing();
+    let mut asking = state_with_back_ends();
     asking.apply_peer_update(
         peer.update_since(&asking.position(), at(11_000)),
         at(11_100),
--- a/crates/router/tests/gateway/partial_lists.rs
+++ b/crates/router/tests/gateway/partial_lists.rs
@@ -1,4 +1,4 @@
-//! Thousands of back ends, told by relays in parts that their links bear.
+//! Thousands of back ends, sent by relays in parts that fit their links.
 
 use threadledge::gateway::cluster_state::ClusterState;
 use threadledge::gateway::watcher::Update;
@@ -7,16 +7,16 @@
 
 use super::samples::{back_end, empty_state, entry};
 
-/// Any time: nothing here is awaited.
+/// The time is irrelevant here: nothing expires.
 const NOW: Timestamp = Timestamp::ZERO;
 const BACK_ENDS: u64 = 10_000;
-/// Links of the machines, in Mbit/s.
-const LARGE: f64 = 200.0;
-const SMALL: f64 = 20.0;
+/// Links of large and small machines, in Mbit/s.
+const LARGE_LINK_MBPS: f64 = 200.0;
+const SMALL_LINK_MBPS: f64 = 20.0;
 
 fn relay() -> ClusterState {
     let mut relay = empty_state();
-    relay.set_link_speed(LARGE);
+    relay.set_link_speed(LARGE_LINK_MBPS);
     let numbers = 1..=BACK_ENDS;
     let entries = numbers.map(|number| {
         let id = format!("b-{number}");
@@ -28,54 +28,60 @@
     relay
 }
 
-/// One poll; the bytes of the answer.
+/// Polls once and returns the size of the answer in bytes.
 fn poll(follower: &mut ClusterState, relay: &ClusterState) -> usize {
-    let told = relay.delta_since(&follower.position(), NOW);
-    let bytes = serde_json::to_vec(&told).expect("written").len();
-    follower.apply_delta(told, NOW);
+    let delta = relay.delta_since(&follower.position(), NOW);
+    let bytes = serde_json::to_vec(&delta).expect("serialized").len();
+    follower.apply_delta(delta, NOW);
     bytes
 }
 
-/// Seconds for which answers of so many bytes fill a link.
-fn seconds(bytes: usize, followers: usize, mbps: f64) -> f64 {
+/// Time in seconds for which answers of this size to all followers occupy a
+/// link.
+fn transfer_seconds(bytes: usize, followers: usize, mbps: f64) -> f64 {
     bytes as f64 * followers as f64 * 8.0 / (mbps * 1e6)
 }
 
-/// Two levels of a zone's tree, an answer to each follower and the store's own
-/// age (0.6 s) stay within the age at which followers give a relay up (1.2 s);
-/// nobody counts on a part.
+/// On two levels of a zone's tree, sending an answer to each follower and the
+/// age of the store's own data (0.6 s) stay within the age at which followers
+/// leave a relay (1.2 s). An incomplete list is not used.
 #[test]
-fn back_ends_are_told_in_parts_and_used_once_all_are_told() {
+fn back_ends_are_sent_in_parts_and_used_once_complete() {
     let mut relay = relay();
     relay.set_follower_count(32);
     let mut follower = empty_state();
-    follower.set_link_speed(SMALL);
-    let mut below = empty_state();
+    follower.set_link_speed(SMALL_LINK_MBPS);
+    let mut second_level = empty_state();
     let mut polls = 0;
     while follower.position() != relay.position() {
         let bytes = poll(&mut follower, &relay);
-        let first = seconds(bytes, 32, LARGE);
+        let first = transfer_seconds(bytes, 32, LARGE_LINK_MBPS);
         assert!(first < 0.3, "{bytes} bytes");
         polls += 1;
-        let all = follower.position() == relay.position();
-        assert_eq!(follower.back_ends(NOW).is_some(), all, "a part is not used");
+        let complete = follower.position() == relay.position();
+        assert_eq!(
+            follower.back_ends(NOW).is_some(),
+            complete,
+            "a part is not used"
+        );
         follower.set_follower_count(6);
-        let bytes = poll(&mut below, &follower);
-        let second = seconds(bytes, 6, SMALL);
+        let bytes = poll(&mut second_level, &follower);
+        let second = transfer_seconds(bytes, 6, SMALL_LINK_MBPS);
         assert!(first + second < 0.6, "{bytes} bytes");
     }
     assert_eq!(polls, 15);
     assert_eq!(follower.back_ends(NOW), relay.back_ends(NOW));
-    while below.position() != relay.position() {
-        assert!(below.back_ends(NOW).is_none(), "a part is not used");
-        poll(&mut below, &follower);
+    while second_level.position() != relay.position() {
+        assert!(second_level.back_ends(NOW).is_none(), "a part is not used");
+        poll(&mut second_level, &follower);
     }
-    assert_eq!(below.back_ends(NOW), relay.back_ends(NOW));
+    assert_eq!(second_level.back_ends(NOW), relay.back_ends(NOW));
 }
 
-/// A gateway that is ready with no back end refuses what others would serve.
+/// A gateway that reports ready without back ends would refuse requests that
+/// others could serve.
 #[test]
-fn nobody_counts_on_back_ends_before_they_are_told() {
+fn no_back_end_is_used_before_the_list_is_complete() {
     let mut follower = empty_state();
     assert!(follower.back_ends(NOW).is_none());
     let none = Listing {
@@ -86,10 +92,10 @@
     assert_eq!(follower.back_ends(NOW).map(|all| all.len()), Some(0));
 }
 
-/// One that changes is found without a walk over all: a relay looks for each
-/// of its followers.
+/// A changed back end is found without scanning all of them: a relay computes a
+/// delta for each follower.
 #[test]
-fn one_back_end_that_changes_is_told_alone() {
+fn one_changed_back_end_is_sent_alone() {
     let mut relay = relay();
     let mut follower = relay.clone();
     let at = BACK_ENDS + 8;
@@ -100,9 +106,9 @@
     ))];
     let update = Update::Changed(threadledge_ports::Changes { changes, at });
     relay.apply_back_ends(update, NOW);
-    let told = relay.delta_since(&follower.position(), NOW);
-    assert_eq!(told.back_ends.len(), 1);
-    assert!(!told.more_back_ends);
-    follower.apply_delta(told, NOW);
+    let delta = relay.delta_since(&follower.position(), NOW);
+    assert_eq!(delta.back_ends.len(), 1);
+    assert!(!delta.more_back_ends);
+    follower.apply_delta(delta, NOW);
     assert_eq!(follower.back_ends(NOW), relay.back_ends(NOW));
 }
--- a/crates/router/tests/gateway/pipelined.rs
+++ b/crates/router/tests/gateway/pipelined.rs
@@ -100,7 +100,7 @@
 
 #[test]
 fn safe_requests_are_at_back_ends_together_and_one_that_changes_something_waits() {
-    let world = World::start_patient();
+    let world = World::start_with_long_timeouts();
     set_all(&world, Behaviour::Silent);
     let mut caller = Caller::connect(world.gateway.callers);
     let ids = ids("together");
@@ -115,7 +115,7 @@
 
 #[test]
 fn planned_stop_answers_what_was_sent_on_and_says_so_in_the_last_answer() {
-    let world = World::start_patient();
+    let world = World::start_with_long_timeouts();
     set_all(&world, Behaviour::Silent);
     let mut caller = Caller::connect(world.gateway.callers);
     caller.send(&[safe("first")]);
--- a/crates/router/tests/gateway/pressed.rs
+++ b/crates/router/tests/gateway/pressed.rs
@@ -6,7 +6,7 @@
 
 use async_std::task::block_on;
 
-use super::process::{Ask, Gateway, World};
+use super::process::{Gateway, TestRequest, World};
 
 /// Pause of each gateway's callers between two requests.
 const PAUSE: Duration = Duration::from_millis(25);
@@ -39,7 +39,7 @@
     }
 
     /// Sends at every gateway; see [`press`].
-    pub fn press(&self, ask: &Ask<'_>, keys: &[u16], counted: Range<Duration>) -> Outcomes {
+    pub fn press(&self, ask: &TestRequest<'_>, keys: &[u16], counted: Range<Duration>) -> Outcomes {
         let gateways = std::iter::once(&self.world.gateway);
         let gateways: Vec<&Gateway> = gateways.chain(&self.others).collect();
         press(&gateways, ask, keys, counted)
@@ -50,7 +50,7 @@
 /// requests that ended within it.
 pub fn press(
     gateways: &[&Gateway],
-    ask: &Ask<'_>,
+    ask: &TestRequest<'_>,
     keys: &[u16],
     counted: Range<Duration>,
 ) -> Outcomes {
@@ -65,8 +65,8 @@
                 let mut keys = keys.iter().cycle();
                 while !done.load(Ordering::Relaxed) {
                     let key = keys.next().copied();
-                    let ask = Ask { key, ..*ask };
-                    let status = block_on(ask.sending(callers)).status().as_u16();
+                    let ask = TestRequest { key, ..*ask };
+                    let status = block_on(ask.send_async(callers)).status().as_u16();
                     if begun.elapsed() > counted.start {
                         let count = if status == 200 { served } else { others };
                         count.fetch_add(1, Ordering::Relaxed);
--- a/crates/router/tests/gateway/process.rs
+++ b/crates/router/tests/gateway/process.rs
@@ -1,4 +1,4 @@
-//! A gateway process with its platform.
+//! Runs a gateway process with stand-ins of its platform.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -16,14 +16,14 @@
 use super::template::fill;
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_threadledge");
-/// Longest wait for anything.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Timeout beyond it, in seconds.
-const LONG_S: f64 = 120.0;
-const PAUSE: Duration = Duration::from_millis(10);
+/// Longest wait for any condition.
+const MAX_WAIT: Duration = Duration::from_secs(30);
+/// A route timeout longer than [`MAX_WAIT`], in seconds.
+const LONG_TIMEOUT_S: f64 = 120.0;
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 pub const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A gateway, its platform and two services: `keyed` and `plain`.
+/// A gateway, its platform, and back ends of the services `keyed` and `plain`.
 pub struct World {
     pub store: StandInStore,
     pub keyed: Vec<StandInBackEnd>,
@@ -31,7 +31,7 @@
     pub gateway: Gateway,
 }
 
-/// One gateway process.
+/// One gateway process; killed on drop.
 pub struct Gateway {
     process: Child,
     settings: PathBuf,
@@ -47,20 +47,20 @@
         let mut world = World::start_without_configuration();
         world.store.put("config", "main", configuration(1));
         world.gateway.await_ready();
-        world.await_held();
+        world.await_all_keys_held();
         world
     }
 
-    /// The same with routes whose timeouts end nothing in a test.
-    pub fn start_patient() -> World {
+    /// Like [`World::start`], with route timeouts that no test reaches.
+    pub fn start_with_long_timeouts() -> World {
         let mut world = World::start_without_configuration();
         let mut wanted = configuration(1);
         for route in ["safe", "unsafe"] {
-            wanted["Routes"][route]["TimeoutS"] = json!(LONG_S);
+            wanted["Routes"][route]["TimeoutS"] = json!(LONG_TIMEOUT_S);
         }
         world.store.put("config", "main", wanted);
         world.gateway.await_ready();
-        world.await_held();
+        world.await_all_keys_held();
         world
     }
 
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Waits until every key that is looked at has a holder.
-    pub fn await_held(&self) {
+    /// Waits until every sampled key has a holder.
+    pub fn await_all_keys_held(&self) {
         eventually(|| {
             let keys = (0..=u16::MAX).step_by(4_096);
             let held = |key| self.keyed.iter().any(|back_end| back_end.holds(key));
@@ -101,7 +101,7 @@
         });
     }
 
-    /// Requests that ran anywhere, with this id.
+    /// Number of requests with this id that were executed by any back end.
     pub fn runs_of(&self, id: &str) -> usize {
         let all = self.keyed.iter().chain(&self.plain);
         all.flat_map(StandInBackEnd::runs)
@@ -123,8 +123,8 @@
         Gateway::start_with(zone, name, store, &[])
     }
 
-    /// The same with more values for the template, and what it does not ask
-    /// for: `log.level` and `without-peers`.
+    /// Starts a gateway with further template values. `log.level` and
+    /// `without-peers` are not in the template and are handled here.
     pub fn start_with(
         zone: &str,
         name: &str,
@@ -134,7 +134,7 @@
         Gateway::start_on(zone, name, store, &[], more)
     }
 
-    /// A gateway that knows the regions of zones, its own included.
+    /// Starts a gateway that knows the regions of zones, including its own.
     pub fn start_in_region(
         zone: &str,
         name: &str,
@@ -144,7 +144,7 @@
         Gateway::start_on(zone, name, store, regions, &[])
     }
 
-    /// A gateway that may use so much memory, in MB.
+    /// Starts a gateway with a memory limit in MB.
     pub fn start_small(name: &str, store: SocketAddr, memory_mb: u32) -> Gateway {
         let memory = memory_mb.to_string();
         Gateway::start_with("zone-a", name, store, &[("Limits.MemoryMb", &memory)])
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Status of the answer on a path of the readiness address.
+    /// The status of the readiness endpoint; `None` if there is no response.
     pub fn readiness(&self) -> Option<u16> {
         let request = http::Request::get("/api/ready")
             .body(Vec::new())
@@ -232,11 +232,11 @@
     }
 
     pub fn metrics(&self) -> String {
-        self.operated("/metrics")
+        self.operator_get("/metrics")
     }
 
-    /// What operators see on a path.
-    pub fn operated(&self, path: &str) -> String {
+    /// Body of a GET request to the operator address.
+    pub fn operator_get(&self, path: &str) -> String {
         let request = http::Request::get(path).body(Vec::new()).expect("valid");
         let client = HttpClient::default();
         let answer = block_on(client.send(self.operators, request, TIMEOUT)).expect("an answer");
@@ -249,15 +249,15 @@
         assert!(sent.expect("kill runs").success());
     }
 
-    /// Stops the process, and waits until each of its threads stands still: on
-    /// a machine under load one may run on for a moment after the signal was
+    /// Stops the process and waits until each of its threads has stopped: on a
+    /// busy machine a thread may still run for a moment after the signal was
     /// sent.
     pub fn freeze(&self) {
         self.signal("-STOP");
         let tasks = format!("/proc/{}/task", self.process.id());
         let stopped = |task: std::fs::DirEntry| {
             let stat = std::fs::read_to_string(task.path().join("stat")).unwrap_or_default();
-            // The state stands behind the name, which is in brackets.
+            // The state follows the name, which is in parentheses.
             let state = stat
                 .rsplit(')')
                 .next()
@@ -270,8 +270,8 @@
         });
     }
 
-    /// Waits for the end; the lines of the log.
-    pub fn finish(mut self) -> (ExitStatus, Vec<Value>) {
+    /// Waits for the process to exit and returns its status and log lines.
+    pub fn wait_for_exit(mut self) -> (ExitStatus, Vec<Value>) {
         let status = eventually(|| self.process.try_wait().expect("waited for"));
         let mut log = String::new();
         if let Some(mut output) = self.process.stdout.take() {
@@ -298,13 +298,16 @@
         if let Some(value) = attempt() {
             return value;
         }
-        assert!(start.elapsed() < PATIENCE, "nothing for {PATIENCE:?}");
-        std::thread::sleep(PAUSE);
+        assert!(
+            start.elapsed() < MAX_WAIT,
+            "condition not met within {MAX_WAIT:?}"
+        );
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// A loopback address that no other process of this run listens on, so that
-/// its ports are free.
+/// A loopback address on which no other process of this test run listens, so
+/// that its ports are free.
 fn own_address() -> Ipv4Addr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
@@ -312,8 +315,8 @@
     Ipv4Addr::new(127, 64 | (high & 63), low, number)
 }
 
-/// One request of a caller.
-pub struct Ask<'a> {
+/// A caller's request to a gateway.
+pub struct TestRequest<'a> {
     pub method: &'a str,
     pub host: &'a str,
     pub target: &'a str,
@@ -326,9 +329,9 @@
     pub deadline_ms: u64,
 }
 
-impl Default for Ask<'_> {
+impl Default for TestRequest<'_> {
     fn default() -> Self {
-        Ask {
+        TestRequest {
             method: "GET",
             host: "plain.example",
             target: "/safe/x",
@@ -343,12 +346,12 @@
     }
 }
 
-impl Ask<'_> {
+impl TestRequest<'_> {
     pub fn send(&self, gateway: &Gateway) -> http::Response<Vec<u8>> {
-        block_on(self.sending(gateway.callers))
+        block_on(self.send_async(gateway.callers))
     }
 
-    pub async fn sending(&self, callers: SocketAddr) -> http::Response<Vec<u8>> {
+    pub async fn send_async(&self, callers: SocketAddr) -> http::Response<Vec<u8>> {
         let request = CallerRequest {
             method: &self.method.parse().expect("a method"),
             host: self.host,
--- a/crates/router/tests/gateway/regions.rs
+++ b/crates/router/tests/gateway/regions.rs
@@ -3,7 +3,7 @@
 use async_std::task::block_on;
 use serde_json::{Value, json};
 
-use super::process::{Ask, Gateway, World, configuration, eventually};
+use super::process::{Gateway, TestRequest, World, configuration, eventually};
 
 /// The back ends are in `zone-a`.
 const ZONES: [(&str, &str); 3] = [("zone-a", "home"), ("zone-b", "home"), ("zone-c", "away")];
@@ -37,9 +37,9 @@
     far.await_ready();
     store.put("config", "main", allowing(2, "home"));
     await_version(&far, 2);
-    let ask = Ask {
+    let ask = TestRequest {
         id: "restricted",
-        ..Ask::default()
+        ..TestRequest::default()
     };
     assert_eq!(ask.send(&far).status(), 200);
     let ran = plain.iter().flat_map(|back_end| back_end.runs());
@@ -50,9 +50,9 @@
 
     store.put("config", "main", allowing(3, "away"));
     await_version(&far, 3);
-    let refused = Ask {
+    let refused = TestRequest {
         id: "refused",
-        ..Ask::default()
+        ..TestRequest::default()
     };
     let answer = refused.send(&far);
     assert_eq!(answer.status(), 503, "none is registered in its region");
@@ -60,7 +60,7 @@
     assert_eq!(ran.filter(|run| run.id == "refused").count(), 0);
 
     far.signal("-TERM");
-    let (_, log) = far.finish();
+    let (_, log) = far.wait_for_exit();
     let kept = line_of(&log, "refused").expect("refusals are logged");
     assert_eq!(kept["path"], json!("/safe/x"), "this region may keep it");
     if let Some(passed_on) = line_of(&log, "restricted") {
--- a/crates/router/tests/gateway/relay.rs
+++ b/crates/router/tests/gateway/relay.rs
@@ -3,44 +3,44 @@
 use async_std::task::block_on;
 use threadledge_platform_stand_in::Fault;
 
-use super::process::{Ask, Gateway, World, configuration, eventually};
+use super::process::{Gateway, TestRequest, World, configuration, eventually};
 
-fn shows(gateway: &Gateway, line: &str) -> Option<()> {
+fn metrics_contain(gateway: &Gateway, line: &str) -> Option<()> {
     gateway.metrics().contains(line).then_some(())
 }
 
-fn follows(gateway: &Gateway) -> Option<()> {
-    shows(gateway, "threadledge_gateway_follows_relay 1\n")
+fn follows_relay(gateway: &Gateway) -> Option<()> {
+    metrics_contain(gateway, "threadledge_gateway_follows_relay 1\n")
 }
 
-fn version(number: u64) -> String {
+fn version_metric(number: u64) -> String {
     format!("threadledge_gateway_configuration_version {number}\n")
 }
 
-/// What is new reaches followers without a watch of their own.
+/// Updates reach followers without a watch of their own.
 #[test]
-fn followers_learn_from_the_relay_and_do_not_watch_the_store() {
+fn followers_get_updates_from_the_relay_without_watching_the_store() {
     let world = World::start();
-    let door = block_on(world.store.open_endpoint()).expect("another address");
-    let mut follower = Gateway::start_named("router-2", door.address());
+    let endpoint = block_on(world.store.open_endpoint()).expect("another address");
+    let mut follower = Gateway::start_named("router-2", endpoint.address());
     follower.await_ready();
-    eventually(|| follows(&follower));
-    let watches = door.watches();
+    eventually(|| follows_relay(&follower));
+    let watches = endpoint.watches();
     for number in 2..=5 {
         world.store.put("config", "main", configuration(number));
-        eventually(|| shows(&follower, &version(number)));
+        eventually(|| metrics_contain(&follower, &version_metric(number)));
     }
     let leaving = &world.plain[0];
     let entry = leaving.registration("plain", "draining");
     world.store.put("servers", &leaving.id, entry);
     world.store.remove("servers", &world.plain[1].id);
     let count = "threadledge_gateway_back_ends 3\n";
-    eventually(|| shows(&follower, count));
-    assert_eq!(Ask::default().send(&follower).status(), 503);
-    assert_eq!(door.watches(), watches);
+    eventually(|| metrics_contain(&follower, count));
+    assert_eq!(TestRequest::default().send(&follower).status(), 503);
+    assert_eq!(endpoint.watches(), watches);
 }
 
-/// A relay that is gone is replaced, and nothing is missed meanwhile.
+/// A relay that ends is replaced, and no update is missed meanwhile.
 #[test]
 fn followers_of_a_lost_relay_watch_the_store_at_once() {
     let World { store, gateway, .. } = World::start();
@@ -48,28 +48,28 @@
     let mut third = Gateway::start_named("router-3", store.address());
     second.await_ready();
     third.await_ready();
-    eventually(|| follows(&second));
-    eventually(|| follows(&third));
+    eventually(|| follows_relay(&second));
+    eventually(|| follows_relay(&third));
     drop(gateway);
     store.put("config", "main", configuration(2));
-    eventually(|| shows(&second, &version(2)));
-    eventually(|| shows(&third, &version(2)));
-    eventually(|| follows(&second).or_else(|| follows(&third)));
+    eventually(|| metrics_contain(&second, &version_metric(2)));
+    eventually(|| metrics_contain(&third, &version_metric(2)));
+    eventually(|| follows_relay(&second).or_else(|| follows_relay(&third)));
 }
 
-/// The store turns the relay away: its followers leave it for another.
+/// If the store refuses the relay, its followers leave it for another.
 #[test]
 fn relay_that_the_store_refuses_is_replaced() {
     let world = World::start();
-    let door = block_on(world.store.open_endpoint()).expect("another address");
-    let mut second = Gateway::start_named("router-2", door.address());
+    let endpoint = block_on(world.store.open_endpoint()).expect("another address");
+    let mut second = Gateway::start_named("router-2", endpoint.address());
     second.await_ready();
-    eventually(|| follows(&second));
+    eventually(|| follows_relay(&second));
     world.store.set_fault(Fault::Busy);
-    eventually(|| shows(&second, "threadledge_gateway_follows_relay 0\n"));
-    // The stand-in's own calls are no calls to its address.
+    eventually(|| metrics_contain(&second, "threadledge_gateway_follows_relay 0\n"));
+    // The stand-in's own calls do not go through its address and its fault.
     world.store.put("config", "main", configuration(2));
-    eventually(|| shows(&second, &version(2)));
+    eventually(|| metrics_contain(&second, &version_metric(2)));
     world.store.set_fault(Fault::None);
-    eventually(|| follows(&world.gateway).or_else(|| follows(&second)));
+    eventually(|| follows_relay(&world.gateway).or_else(|| follows_relay(&second)));
 }
--- a/crates/router/tests/gateway/relay_records.rs
+++ b/crates/router/tests/gateway/relay_records.rs
@@ -1,4 +1,4 @@
-//! What the records of relays say.
+//! Parsing of the relay records.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
     entry(name, u64::from(members), RelayRecord { holder, members })
 }
 
-/// In zone `a` of two regions with two zones each.
+/// Topology as seen from zone `a`: two regions with two zones each.
 fn places() -> Topology {
     let regions = [("a", "home"), ("b", "home"), ("c", "away"), ("d", "away")];
     let regions = regions.map(|(zone, region)| (zone.into(), region.into()));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn one_relay_of_each_other_region_is_told() {
+fn one_relay_of_each_other_region_is_a_neighbour() {
     let mut all = zones();
     all.push(record(&region_record_name(&"home".into()), 1, 0));
     all.push(record(&region_record_name(&"away".into()), 4, 0));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn relays_of_all_zones_are_told_of_a_region_without_a_relay_of_its_own() {
+fn all_zone_relays_of_a_region_without_its_own_relay_are_neighbours() {
     let records = RelayRecords::parse(zones(), "a", &places());
     assert_eq!(records.neighbours, [address(2), address(3), address(4)]);
     let one_region = Topology::new("a".into(), None, BTreeMap::new());
--- a/crates/router/tests/gateway/requests.rs
+++ b/crates/router/tests/gateway/requests.rs
@@ -2,7 +2,7 @@
 
 use threadledge_platform_stand_in::{Behaviour, Fault};
 
-use super::process::{Ask, World, configuration, eventually};
+use super::process::{TestRequest, World, configuration, eventually};
 
 fn text(answer: &http::Response<Vec<u8>>) -> String {
     String::from_utf8_lossy(answer.body()).into_owned()
@@ -13,12 +13,12 @@
     let world = World::start();
     for key in [5, 40_000] {
         let id = format!("request-{key}");
-        let ask = Ask {
+        let ask = TestRequest {
             host: "keyed.example",
             target: "/k/x?y=1",
             id: &id,
             key: Some(key),
-            ..Ask::default()
+            ..TestRequest::default()
         };
         let answer = ask.send(&world.gateway);
         assert_eq!(answer.status(), 200, "{}", text(&answer));
@@ -38,11 +38,11 @@
 #[test]
 fn method_path_and_body_reach_the_back_end_unchanged_with_the_time_left() {
     let world = World::start();
-    let ask = Ask {
+    let ask = TestRequest {
         method: "POST",
         target: "/unsafe/a/b?c=d",
         body: "two invitations",
-        ..Ask::default()
+        ..TestRequest::default()
     };
     assert_eq!(ask.send(&world.gateway).status(), 200);
     let runs: Vec<_> = world.plain.iter().flat_map(|each| each.runs()).collect();
@@ -60,15 +60,15 @@
 #[test]
 fn unknown_route_gets_404_and_missing_key_400() {
     let world = World::start();
-    let other = Ask {
+    let other = TestRequest {
         target: "/elsewhere/x",
-        ..Ask::default()
+        ..TestRequest::default()
     };
     assert_eq!(other.send(&world.gateway).status(), 404);
-    let keyless = Ask {
+    let keyless = TestRequest {
         host: "keyed.example",
         target: "/k/x",
-        ..Ask::default()
+        ..TestRequest::default()
     };
     assert_eq!(keyless.send(&world.gateway).status(), 400);
 }
@@ -79,10 +79,10 @@
     for back_end in &world.plain {
         back_end.set_behaviour(Behaviour::Full);
     }
-    let ask = Ask {
+    let ask = TestRequest {
         method: "POST",
         target: "/unsafe/x",
-        ..Ask::default()
+        ..TestRequest::default()
     };
     let answer = ask.send(&world.gateway);
     assert_eq!(answer.status(), 503);
@@ -101,10 +101,10 @@
     for back_end in &world.plain {
         back_end.set_behaviour(Behaviour::Silent);
     }
-    let ask = Ask {
+    let ask = TestRequest {
         method: "POST",
         target: "/unsafe/x",
-        ..Ask::default()
+        ..TestRequest::default()
     };
     let answer = ask.send(&world.gateway);
     assert_eq!(answer.status(), 504);
@@ -118,10 +118,10 @@
         for back_end in &world.plain {
             back_end.set_behaviour(behaviour);
         }
-        let ask = Ask {
+        let ask = TestRequest {
             method: "POST",
             target: "/unsafe/x",
-            ..Ask::default()
+            ..TestRequest::default()
         };
         let answer = ask.send(&world.gateway);
         assert_eq!(answer.status(), 502, "{behaviour:?}");
@@ -135,9 +135,9 @@
     world.plain[0].set_behaviour(Behaviour::Fails);
     for index in 0..6 {
         let id = format!("request-{index}");
-        let ask = Ask {
+        let ask = TestRequest {
             id: &id,
-            ..Ask::default()
+            ..TestRequest::default()
         };
         let answer = ask.send(&world.gateway);
         let stamp = answer.headers().get("x-server-stamp");
@@ -147,11 +147,11 @@
             assert_eq!(stamp.as_deref(), Some("stamp-of-p-2"));
         }
     }
-    let unsafe_ask = Ask {
+    let unsafe_ask = TestRequest {
         method: "POST",
         target: "/unsafe/x",
         id: "unsafe-1",
-        ..Ask::default()
+        ..TestRequest::default()
     };
     unsafe_ask.send(&world.gateway);
     assert_eq!(world.runs_of("unsafe-1"), 1);
@@ -167,7 +167,7 @@
         leaving.registration("plain", "draining"),
     );
     eventually(|| {
-        let ask = Ask::default();
+        let ask = TestRequest::default();
         let answer = ask.send(&world.gateway);
         let stamp = answer.headers()["x-server-stamp"].to_str().expect("text");
         (stamp == "stamp-of-p-2" && leaving.runs().len() < 1_000).then_some(())
@@ -182,9 +182,9 @@
     let before = leaving.runs().len();
     for index in 0..10 {
         let id = format!("later-{index}");
-        let ask = Ask {
+        let ask = TestRequest {
             id: &id,
-            ..Ask::default()
+            ..TestRequest::default()
         };
         assert_eq!(ask.send(&world.gateway).status(), 200);
     }
@@ -201,11 +201,11 @@
     let other = &world.keyed[1 - owner];
     eventually(|| other.holds(key).then_some(()));
     eventually(|| {
-        let ask = Ask {
+        let ask = TestRequest {
             host: "keyed.example",
             target: "/k/x",
             key: Some(key),
-            ..Ask::default()
+            ..TestRequest::default()
         };
         (ask.send(&world.gateway).status() == 200).then_some(())
     });
@@ -218,11 +218,11 @@
     let grants = || world.keyed.iter().map(|each| each.grants()).sum::<u64>();
     let before = grants();
     eventually(|| (grants() >= before + 6).then_some(()));
-    let ask = Ask {
+    let ask = TestRequest {
         host: "keyed.example",
         target: "/k/x",
         key: Some(5),
-        ..Ask::default()
+        ..TestRequest::default()
     };
     assert_eq!(ask.send(&world.gateway).status(), 200);
 }
@@ -234,7 +234,7 @@
         .store
         .put("config", "main", serde_json::json!({"Version": "later"}));
     world.store.put("servers", "p-3", serde_json::json!({}));
-    let ask = Ask::default();
+    let ask = TestRequest::default();
     assert_eq!(ask.send(&world.gateway).status(), 200);
     world.store.put("config", "main", configuration(3));
     eventually(|| {
--- a/crates/router/tests/gateway/rest.rs
+++ b/crates/router/tests/gateway/rest.rs
@@ -8,7 +8,7 @@
 use async_std::task::block_on;
 
 use super::pressed::{Fleet, Outcomes, press};
-use super::process::{Ask, World, eventually};
+use super::process::{TestRequest, World, eventually};
 
 /// Rest that is asked for.
 const REST: Duration = Duration::from_secs(3);
@@ -38,11 +38,11 @@
     arrivals.iter().map(within).max().unwrap_or(0)
 }
 
-fn keyed() -> Ask<'static> {
-    Ask {
+fn keyed() -> TestRequest<'static> {
+    TestRequest {
         host: "keyed.example",
         target: "/k/x",
-        ..Ask::default()
+        ..TestRequest::default()
     }
 }
 
@@ -51,7 +51,12 @@
     let world = World::start();
     let back_ends: Vec<&StandInBackEnd> = world.plain.iter().collect();
     ask_for_rest(&back_ends);
-    press(&[&world.gateway], &Ask::default(), &[], HEARD..LENGTH);
+    press(
+        &[&world.gateway],
+        &TestRequest::default(),
+        &[],
+        HEARD..LENGTH,
+    );
     for back_end in back_ends {
         assert!(disturbed(back_end) <= ALLOWED, "{}", disturbed(back_end));
     }
@@ -72,7 +77,12 @@
     let world = World::start();
     let resting = &world.plain[0];
     ask_for_rest(&[resting]);
-    let outcomes = press(&[&world.gateway], &Ask::default(), &[], HEARD..LENGTH);
+    let outcomes = press(
+        &[&world.gateway],
+        &TestRequest::default(),
+        &[],
+        HEARD..LENGTH,
+    );
     assert!(disturbed(resting) <= ALLOWED, "{}", disturbed(resting));
     let Outcomes { served, others } = outcomes;
     assert!(others * 50 < served, "{served} served, {others} not");
--- a/crates/router/tests/gateway/samples.rs
+++ b/crates/router/tests/gateway/samples.rs
@@ -1,4 +1,4 @@
-//! Back ends as the store or another gateway tells of them.
+//! Sample back ends, entries and states.
 
 use std::time::Duration;
 
@@ -8,15 +8,15 @@
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::BackEnd;
 
-/// Of a gateway that knows nothing yet, on a deployment whose zones are never
-/// drained.
+/// The state of a gateway without data, on a deployment that never drains
+/// zones.
 pub fn empty_state() -> ClusterState {
     let mut state = ClusterState::default();
     state.assume_no_drained_zones();
     state
 }
 
-/// The back ends that may be used now.
+/// All back ends in use.
 pub fn back_ends(state: &ClusterState) -> Vec<BackEnd> {
     let known = state.back_ends(Timestamp::ZERO);
     known.expect("the drained zones are known").to_vec()
@@ -35,7 +35,7 @@
     }
 }
 
-/// An object that can be understood.
+/// A well-formed entry.
 pub fn entry<T>(name: &str, revision: StoreRevision, value: T) -> Entry<T> {
     Entry {
         name: name.to_owned(),
--- a/crates/router/tests/gateway/stalling_proxy.rs
+++ b/crates/router/tests/gateway/stalling_proxy.rs
@@ -1,6 +1,6 @@
-//! A proxy whose open connections can fall silent for good: they stay open and
-//! swallow every byte, while new ones work. The kernel goes on acknowledging,
-//! so that nothing but a bound on waiting shows it.
+//! A proxy whose open connections can stall for good: they stay open and
+//! discard every byte, while new ones work. The kernel keeps acknowledging, so
+//! that only a timeout detects it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,15 +11,15 @@
 use async_std::task;
 use async_std::task::block_on;
 
-/// Bytes passed on at once.
+/// Size of the copy buffer in bytes.
 const CHUNK: usize = 16 * 1024;
 
 #[derive(Debug, Default)]
-struct State {
-    /// Connections that were opened.
+struct ConnectionCounts {
+    /// Number of connections opened so far.
     opened: AtomicU64,
-    /// Those up to this number are silent.
-    silent: AtomicU64,
+    /// Connections up to this number are stalled.
+    stalled: AtomicU64,
 }
 
 /// A running proxy. Clones share it.
@@ -27,7 +27,7 @@
 pub struct StallingProxy {
     address: SocketAddr,
     target: SocketAddr,
-    state: Arc<State>,
+    counts: Arc<ConnectionCounts>,
 }
 
 impl StallingProxy {
@@ -36,7 +36,7 @@
         let proxy = StallingProxy {
             address: listener.local_addr().expect("an address"),
             target,
-            state: Arc::default(),
+            counts: Arc::default(),
         };
         task::spawn(proxy.clone().accept(listener));
         proxy
@@ -46,47 +46,48 @@
         self.address
     }
 
-    /// From now on every connection that is open swallows what comes.
-    pub fn silence(&self) {
-        let opened = self.state.opened.load(Ordering::SeqCst);
-        self.state.silent.store(opened, Ordering::SeqCst);
+    /// Makes every open connection discard all further data.
+    pub fn stall(&self) {
+        let opened = self.counts.opened.load(Ordering::SeqCst);
+        self.counts.stalled.store(opened, Ordering::SeqCst);
     }
 
     async fn accept(self, listener: TcpListener) {
-        while let Ok((near, _)) = listener.accept().await {
-            let number = self.state.opened.fetch_add(1, Ordering::SeqCst) + 1;
-            task::spawn(self.clone().connect(near, number));
+        while let Ok((client, _)) = listener.accept().await {
+            let number = self.counts.opened.fetch_add(1, Ordering::SeqCst) + 1;
+            task::spawn(self.clone().connect(client, number));
         }
     }
 
-    async fn connect(self, near: TcpStream, number: u64) {
-        let Ok(far) = TcpStream::connect(self.target).await else {
+    async fn connect(self, client: TcpStream, number: u64) {
+        let Ok(server) = TcpStream::connect(self.target).await else {
             return;
         };
-        // Small messages must not wait for acknowledgements.
-        let _ = near.set_nodelay(true);
-        let _ = far.set_nodelay(true);
-        let there = self.clone().pump(near.clone(), far.clone(), number);
-        let back = self.pump(far, near, number);
-        futures::future::join(there, back).await;
+        // Nagle's algorithm would delay small messages until earlier ones are
+        // acknowledged.
+        let _ = client.set_nodelay(true);
+        let _ = server.set_nodelay(true);
+        let upstream = self.clone().pump(client.clone(), server.clone(), number);
+        let downstream = self.pump(server, client, number);
+        futures::future::join(upstream, downstream).await;
     }
 
     async fn pump(self, mut from: TcpStream, mut to: TcpStream, number: u64) {
         let mut chunk = vec![0; CHUNK];
         while let Ok(read) = from.read(&mut chunk).await {
-            let silent = number <= self.state.silent.load(Ordering::SeqCst);
-            if read == 0 && silent {
-                // The end is swallowed as well.
+            let stalled = number <= self.counts.stalled.load(Ordering::SeqCst);
+            if read == 0 && stalled {
+                // The end of the stream is not passed on either.
                 return;
             }
             if read == 0 {
                 break;
             }
-            if !silent && to.write_all(&chunk[..read]).await.is_err() {
+            if !stalled && to.write_all(&chunk[..read]).await.is_err() {
                 break;
             }
         }
-        // The other way may have ended already.
+        // The other direction may have ended already.
         let _ = to.shutdown(Shutdown::Write);
     }
 }
--- a/crates/router/tests/gateway/stop.rs
+++ b/crates/router/tests/gateway/stop.rs
@@ -3,7 +3,7 @@
 use async_std::task;
 use threadledge_platform_stand_in::Behaviour;
 
-use super::process::{Ask, World, configuration, eventually};
+use super::process::{TestRequest, World, configuration, eventually};
 
 fn numbers(log: &[serde_json::Value]) -> Vec<u64> {
     log.iter()
@@ -16,7 +16,7 @@
     let mut world = World::start_without_configuration();
     eventually(|| world.gateway.readiness());
     assert_eq!(world.gateway.readiness(), Some(503));
-    let answer = Ask::default().send(&world.gateway);
+    let answer = TestRequest::default().send(&world.gateway);
     assert_eq!(answer.status(), 503);
     world.store.put("config", "main", configuration(1));
     world.gateway.await_ready();
@@ -30,22 +30,22 @@
     }
     let callers = world.gateway.callers;
     let running = task::spawn(async move {
-        let ask = Ask {
+        let ask = TestRequest {
             method: "POST",
             target: "/unsafe/x",
-            ..Ask::default()
+            ..TestRequest::default()
         };
-        ask.sending(callers).await
+        ask.send_async(callers).await
     });
     eventually(|| (world.runs_of("request-1") == 1).then_some(()));
     world.gateway.signal("-TERM");
     eventually(|| (world.gateway.readiness() == Some(503)).then_some(()));
-    let late = Ask {
+    let late = TestRequest {
         host: "keyed.example",
         target: "/k/x",
         id: "late",
         key: Some(5),
-        ..Ask::default()
+        ..TestRequest::default()
     };
     let answer = late.send(&world.gateway);
     assert_eq!(
@@ -60,7 +60,7 @@
         504,
         "the route's timeout ends it, not the stop"
     );
-    let (status, log) = world.gateway.finish();
+    let (status, log) = world.gateway.wait_for_exit();
     assert_eq!(status.code(), Some(0));
     let numbers = numbers(&log);
     for wanted in [101, 102, 103, 106, 107, 310] {
@@ -80,9 +80,9 @@
 fn hangup_signal_ends_nothing() {
     let world = World::start();
     world.gateway.signal("-HUP");
-    assert_eq!(Ask::default().send(&world.gateway).status(), 200);
+    assert_eq!(TestRequest::default().send(&world.gateway).status(), 200);
     world.gateway.signal("-TERM");
-    let (status, log) = world.gateway.finish();
+    let (status, log) = world.gateway.wait_for_exit();
     assert_eq!(status.code(), Some(0));
     assert!(numbers(&log).contains(&110));
 }
@@ -93,13 +93,13 @@
     for back_end in &world.plain {
         back_end.set_behaviour(Behaviour::Full);
     }
-    let ask = Ask {
+    let ask = TestRequest {
         id: "wanted",
-        ..Ask::default()
+        ..TestRequest::default()
     };
     assert_eq!(ask.send(&world.gateway).status(), 503);
     world.gateway.signal("-TERM");
-    let (_, log) = world.gateway.finish();
+    let (_, log) = world.gateway.wait_for_exit();
     let line = log.iter().find(|line| line["request"] == "wanted");
     let line = line.expect("the request's line");
     assert_eq!(line["status"], 503);
--- a/crates/router/tests/gateway/tenants.rs
+++ b/crates/router/tests/gateway/tenants.rs
@@ -7,7 +7,7 @@
 use threadledge_platform_stand_in::{Fault, StandInBackEnd, StandInStore, with_tenants};
 use threadledge_types::deployment::KeyDigest;
 
-use super::process::{Ask, Gateway, TIMEOUT, World, configuration, eventually};
+use super::process::{Gateway, TIMEOUT, TestRequest, World, configuration, eventually};
 
 const ALPHA: &str = "alpha-key-one";
 const BETA: &str = "beta-key-one";
@@ -50,7 +50,7 @@
 fn back_end_sees_the_tenant_that_holds_the_key_and_never_the_key() {
     let world = start();
     for (id, key, tenant) in [("a", ALPHA, "alpha"), ("b", BETA, "beta")] {
-        let ask = Ask {
+        let ask = TestRequest {
             method: "POST",
             target: "/unsafe/x",
             body: "two invitations",
@@ -58,7 +58,7 @@
             api_key: Some(key),
             // What a caller says of itself counts for nothing.
             tenant: Some("alpha"),
-            ..Ask::default()
+            ..TestRequest::default()
         };
         assert_eq!(ask.send(&world.gateway).status(), 200);
         assert_eq!(seen(&world, id), (Some(tenant.to_owned()), None));
@@ -73,13 +73,13 @@
         (Some("gamma-key"), "unknown-api-key\n"),
         (Some(""), "unknown-api-key\n"),
     ] {
-        let ask = Ask {
+        let ask = TestRequest {
             method: "POST",
             target: "/unsafe/x",
             body: "two invitations",
             api_key,
             tenant: Some("alpha"),
-            ..Ask::default()
+            ..TestRequest::default()
         };
         let answer = ask.send(&world.gateway);
         assert_eq!(answer.status(), 401);
@@ -92,12 +92,12 @@
 #[test]
 fn public_route_asks_for_no_key_and_takes_no_unknown_one() {
     let world = start();
-    let ask = |id, api_key| Ask {
+    let ask = |id, api_key| TestRequest {
         host: "open.example",
         id,
         api_key,
         tenant: Some("alpha"),
-        ..Ask::default()
+        ..TestRequest::default()
     };
     assert_eq!(ask("none", None).send(&world.gateway).status(), 200);
     assert_eq!(seen(&world, "none"), (None, None));
@@ -110,10 +110,10 @@
 #[test]
 fn key_and_tenant_are_taken_out_also_where_nobody_asks_for_keys() {
     let world = World::start();
-    let ask = Ask {
+    let ask = TestRequest {
         api_key: Some(ALPHA),
         tenant: Some("alpha"),
-        ..Ask::default()
+        ..TestRequest::default()
     };
     assert_eq!(ask.send(&world.gateway).status(), 200);
     assert_eq!(seen(&world, ask.id), (None, None));
@@ -121,9 +121,9 @@
 
 /// Status of the answer to a request with a key.
 fn status(gateway: &Gateway, api_key: &str) -> u16 {
-    let ask = Ask {
+    let ask = TestRequest {
         api_key: Some(api_key),
-        ..Ask::default()
+        ..TestRequest::default()
     };
     ask.send(gateway).status().as_u16()
 }
@@ -171,9 +171,9 @@
     let away = Gateway::start_in("zone-c", "router-3", door.address());
     eventually(|| away.readiness());
     for api_key in [Some(ALPHA), Some("gamma-key"), None] {
-        let ask = Ask {
+        let ask = TestRequest {
             api_key,
-            ..Ask::default()
+            ..TestRequest::default()
         };
         let answer = ask.send(&away);
         assert_eq!(answer.status(), 503, "{}", text(&answer));
@@ -241,7 +241,7 @@
     assert_eq!(status(&world.gateway, BETA), 200);
     world.gateway.await_ready();
     world.gateway.signal("-TERM");
-    let (_, log) = world.gateway.finish();
+    let (_, log) = world.gateway.wait_for_exit();
     let problem = log
         .iter()
         .find_map(|line| line["problem"].as_str())
@@ -257,7 +257,7 @@
         let digest = serde_json::to_value(KeyDigest::of(key.as_bytes())).expect("written");
         let digest = digest.as_str().expect("text").to_owned();
         let path = format!("/threadledge/v1/keys/{digest}");
-        let text = world.gateway.operated(&path);
+        let text = world.gateway.operator_get(&path);
         serde_json::from_str::<Value>(&text).expect("JSON")
     };
     let held = state(BETA);
@@ -265,7 +265,9 @@
     assert_eq!(held["version"], 2);
     assert_eq!(held["unsure"], false);
     assert_eq!(state("gamma-key")["tenant"], Value::Null);
-    let wrong = world.gateway.operated("/threadledge/v1/keys/beta-key-one");
+    let wrong = world
+        .gateway
+        .operator_get("/threadledge/v1/keys/beta-key-one");
     assert_eq!(wrong, "digest-is-64-hex-digits-of-sha-256\n");
 }
 
@@ -283,7 +285,7 @@
         for key in keys {
             status(gateway, key);
         }
-        Ask::default().send(gateway);
+        TestRequest::default().send(gateway);
     }
     take_away(&world.store, 3);
     eventually(|| (status(&second, ALPHA) == 401).then_some(()));
@@ -294,8 +296,8 @@
         status(&second, key);
     }
     let mut told = second.metrics();
-    told += &second.operated("/threadledge/v1/held");
-    told += &second.operated("/threadledge/v1/keys/gamma-key");
+    told += &second.operator_get("/threadledge/v1/held");
+    told += &second.operator_get("/threadledge/v1/keys/gamma-key");
     let marks = json!({"configuration": null, "back-ends": 0, "ownership": {}});
     let news = http::Request::post("/threadledge/v1/news")
         .body(marks.to_string().into_bytes())
@@ -306,7 +308,7 @@
     let news = text(&news);
     assert!(news.contains("beta"), "the tenants are told: {news}");
     second.signal("-TERM");
-    let (_, log) = second.finish();
+    let (_, log) = second.wait_for_exit();
     let log: String = log.iter().map(|line| format!("{line}\n")).collect();
     assert!(log.contains("unknown-api-key"), "{log}");
     assert!(log.contains("tenant-keys-changed"), "{log}");
--- a/crates/router/tests/gateway/uploads.rs
+++ b/crates/router/tests/gateway/uploads.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use threadledge_platform_stand_in::StandInBackEnd;
 
-use super::process::{Ask, Gateway, World, eventually};
+use super::process::{Gateway, TestRequest, World, eventually};
 
 /// Length of a long body, in bytes: more than is read ahead, less than is
 /// kept.
@@ -177,7 +177,7 @@
 
 #[test]
 fn upload_that_is_refused_before_its_body_is_in_runs_whole_at_another_back_end() {
-    let world = World::start_patient();
+    let world = World::start_with_long_timeouts();
     // All slots of the others but one are taken, so that it gets requests too.
     let _holding: Vec<TcpStream> = (0..SLOTS - 1)
         .map(|index| stalled(&world.gateway, &format!("holding-{index}")))
@@ -221,7 +221,7 @@
 
 #[test]
 fn long_body_that_comes_slowly_is_whole_at_each_of_two_back_ends() {
-    let world = World::start_patient();
+    let world = World::start_with_long_timeouts();
     let whole = body(LONG);
     let head = format!(
         "PUT /safe/x HTTP/1.1\r\nhost: plain.example\r\nx-request-id: slow\r\n\
@@ -241,7 +241,7 @@
 
 #[test]
 fn body_longer_than_what_is_kept_arrives_whole() {
-    let world = World::start_patient();
+    let world = World::start_with_long_timeouts();
     let sent = body(LONGER);
     for (id, bytes) in [
         ("length", with_length("length", &sent)),
@@ -254,7 +254,7 @@
 
 #[test]
 fn callers_that_break_off_their_bodies_count_against_no_back_end() {
-    let world = World::start_patient();
+    let world = World::start_with_long_timeouts();
     let whole = body(LONG);
     for index in 0..UPLOADS {
         let id = format!("broken-{index}");
@@ -267,12 +267,12 @@
         assert!(bodies_of(&world, &id).iter().all(|ran| *ran != whole));
     }
     assert_eq!(metric(&world.gateway, "back_ends_ejected"), 0);
-    assert_eq!(Ask::default().send(&world.gateway).status(), 200);
+    assert_eq!(TestRequest::default().send(&world.gateway).status(), 200);
 }
 
 #[test]
 fn uploads_beyond_the_memory_are_refused_and_short_requests_are_served() {
-    let mut world = World::start_patient();
+    let mut world = World::start_with_long_timeouts();
     world.gateway = Gateway::start_small("router-2", world.store.address(), 16);
     world.gateway.await_ready();
     let mut streams = Vec::new();
@@ -289,11 +289,11 @@
     assert_eq!(refused, 503);
     assert!(!streams.is_empty());
     // At back ends whose slots the stalled ones do not hold.
-    let short = Ask {
+    let short = TestRequest {
         host: "keyed.example",
         target: "/k/x",
         key: Some(5),
-        ..Ask::default()
+        ..TestRequest::default()
     };
     assert_eq!(short.send(&world.gateway).status(), 200);
     drop(streams);
--- a/crates/router/tests/gateway/watcher.rs
+++ b/crates/router/tests/gateway/watcher.rs
@@ -1,4 +1,4 @@
-//! Following a collection of the store through its failures.
+//! Watching a collection of the store through its failures.
 
 use std::collections::VecDeque;
 use std::future::pending;
@@ -17,32 +17,35 @@
 use threadledge_relay::Source;
 use threadledge_types::Timestamp;
 
-/// Of the back ends' registrations.
+/// Heartbeat interval of the back ends.
 const HEARTBEAT: Duration = Duration::from_millis(1_300);
 
 const WAIT: Duration = Duration::from_secs(20);
 
-/// What a call does.
+/// The scripted reaction to one call.
 #[derive(Clone, Debug)]
 enum Reply {
     List(u64),
-    /// A page, and the name after which the next begins.
+    /// A page with the name after which the next page begins.
     Page(u64, &'static str),
     Changes(u64),
     Fail(StoreError),
-    Silence,
+    NeverAnswer,
 }
 
-/// A collection that answers by a script and tells what it was asked.
+/// A collection that replies by a script and records its calls.
 struct Scripted {
     replies: Mutex<VecDeque<Reply>>,
-    asked: async_channel::Sender<String>,
+    calls: async_channel::Sender<String>,
 }
 
 impl Scripted {
-    fn next(&self, asked: String) -> Reply {
-        let _ = self.asked.try_send(asked);
-        self.replies.lock().pop_front().unwrap_or(Reply::Silence)
+    fn next(&self, call: String) -> Reply {
+        let _ = self.calls.try_send(call);
+        self.replies
+            .lock()
+            .pop_front()
+            .unwrap_or(Reply::NeverAnswer)
     }
 }
 
@@ -60,8 +63,8 @@
         after: &'a str,
         _freshness: Freshness,
     ) -> PortFuture<'a, Result<Page<u64>, StoreError>> {
-        let asked = format!("list {after}");
-        let reply = self.next(asked.trim_end().to_owned());
+        let call = format!("list {after}");
+        let reply = self.next(call.trim_end().to_owned());
         Box::pin(async move {
             let page = |at, next| Page {
                 entries: vec![entry(at)],
@@ -72,7 +75,7 @@
                 Reply::List(at) => Ok(page(at, None)),
                 Reply::Page(at, next) => Ok(page(at, Some(next.to_owned()))),
                 Reply::Fail(error) => Err(error),
-                Reply::Changes(_) | Reply::Silence => pending().await,
+                Reply::Changes(_) | Reply::NeverAnswer => pending().await,
             }
         })
     }
@@ -91,50 +94,53 @@
                     at,
                 }),
                 Reply::Fail(error) => Err(error),
-                Reply::List(_) | Reply::Page(..) | Reply::Silence => pending().await,
+                Reply::List(_) | Reply::Page(..) | Reply::NeverAnswer => pending().await,
             }
         })
     }
 }
 
-struct Following {
-    asked: async_channel::Receiver<String>,
-    told: async_channel::Receiver<Update<u64>>,
+struct RunningWatcher {
+    calls: async_channel::Receiver<String>,
+    updates: async_channel::Receiver<Update<u64>>,
     health: Arc<StoreHealth>,
 }
 
-fn follow(replies: impl IntoIterator<Item = Reply>) -> Following {
+fn start_watcher(replies: impl IntoIterator<Item = Reply>) -> RunningWatcher {
     let pause = Duration::from_millis(100);
-    follow_pausing(replies, Backoff::new(pause, pause, 1))
+    start_watcher_with(replies, Backoff::new(pause, pause, 1))
 }
 
-fn follow_pausing(replies: impl IntoIterator<Item = Reply>, backoff: Backoff) -> Following {
-    let (asked_sender, asked) = async_channel::unbounded();
-    let (told_sender, told) = async_channel::unbounded();
+fn start_watcher_with(
+    replies: impl IntoIterator<Item = Reply>,
+    backoff: Backoff,
+) -> RunningWatcher {
+    let (call_sender, calls) = async_channel::unbounded();
+    let (update_sender, updates) = async_channel::unbounded();
     let collection = Arc::new(Scripted {
         replies: Mutex::new(replies.into_iter().collect()),
-        asked: asked_sender,
+        calls: call_sender,
     });
     let health = Arc::new(StoreHealth::new(HEARTBEAT));
-    let follower =
+    let collection_watcher =
         CollectionWatcher::new("test", collection, health.clone(), WAIT).with_backoff(backoff);
-    task::spawn(follower.run(move |update| {
-        let _ = told_sender.try_send(update);
+    task::spawn(collection_watcher.run(move |update| {
+        let _ = update_sender.try_send(update);
     }));
-    Following {
-        asked,
-        told,
+    RunningWatcher {
+        calls,
+        updates,
         health,
     }
 }
 
-impl Following {
-    fn asked(&self) -> String {
-        task::block_on(self.asked.recv()).expect("asked")
+impl RunningWatcher {
+    fn next_call(&self) -> String {
+        task::block_on(self.calls.recv()).expect("a call")
     }
 
-    fn told_at(&self) -> u64 {
-        match task::block_on(self.told.recv()).expect("told") {
+    fn next_revision(&self) -> u64 {
+        match task::block_on(self.updates.recv()).expect("an update") {
             Update::Listed(listing) => listing.at,
             Update::Changed(changes) => changes.at,
         }
@@ -142,60 +148,61 @@
 }
 
 #[test]
-fn watch_goes_on_from_the_last_revision() {
-    let following = follow([Reply::List(3), Reply::Changes(5), Reply::Changes(8)]);
-    assert_eq!(following.asked(), "list");
-    assert_eq!(following.asked(), "long watch after 3");
-    assert_eq!(following.asked(), "long watch after 5");
-    assert_eq!(following.asked(), "long watch after 8");
-    assert_eq!([(); 3].map(|()| following.told_at()), [3, 5, 8]);
+fn watch_continues_from_the_last_revision() {
+    let watcher = start_watcher([Reply::List(3), Reply::Changes(5), Reply::Changes(8)]);
+    assert_eq!(watcher.next_call(), "list");
+    assert_eq!(watcher.next_call(), "long watch after 3");
+    assert_eq!(watcher.next_call(), "long watch after 5");
+    assert_eq!(watcher.next_call(), "long watch after 8");
+    assert_eq!([(); 3].map(|()| watcher.next_revision()), [3, 5, 8]);
 }
 
 #[test]
-fn forgotten_history_is_followed_by_a_new_list() {
-    let following = follow([
+fn compacted_history_causes_a_new_list() {
+    let watcher = start_watcher([
         Reply::List(3),
         Reply::Fail(StoreError::HistoryGone),
         Reply::List(9),
     ]);
-    assert_eq!(following.asked(), "list");
-    assert_eq!(following.asked(), "long watch after 3");
-    assert_eq!(following.asked(), "list");
-    assert_eq!(following.asked(), "long watch after 9");
+    assert_eq!(watcher.next_call(), "list");
+    assert_eq!(watcher.next_call(), "long watch after 3");
+    assert_eq!(watcher.next_call(), "list");
+    assert_eq!(watcher.next_call(), "long watch after 9");
 }
 
 #[test]
 fn failed_watch_is_followed_by_a_short_one() {
-    let following = follow([
+    let watcher = start_watcher([
         Reply::List(3),
         Reply::Fail(StoreError::NoAnswer),
         Reply::Fail(StoreError::Unreachable),
         Reply::Changes(4),
     ]);
-    assert_eq!(following.asked(), "list");
-    assert_eq!(following.asked(), "long watch after 3");
-    assert_eq!(following.asked(), "short watch after 3");
-    assert_eq!(following.asked(), "short watch after 3");
-    assert_eq!(following.asked(), "long watch after 4");
+    assert_eq!(watcher.next_call(), "list");
+    assert_eq!(watcher.next_call(), "long watch after 3");
+    assert_eq!(watcher.next_call(), "short watch after 3");
+    assert_eq!(watcher.next_call(), "short watch after 3");
+    assert_eq!(watcher.next_call(), "long watch after 4");
 }
 
-/// A store that fell silent forgets the watches that wait; only another call
-/// shows that it did. Without the doubt, the watch waits its 20 s out.
+/// A store that falls silent forgets waiting watches, and only another call
+/// shows it. Unless that call makes the watch suspect, the watch waits its full
+/// 20 s.
 #[test]
-fn watch_that_waits_is_doubted_when_another_call_fails() {
-    let following = follow([Reply::List(3), Reply::Silence, Reply::Changes(7)]);
-    assert_eq!(following.asked(), "list");
-    assert_eq!(following.asked(), "long watch after 3");
-    following.health.record_failure();
-    assert_eq!(following.asked(), "short watch after 3");
-    assert_eq!(following.asked(), "long watch after 7");
-    assert_eq!([(); 2].map(|()| following.told_at()), [3, 7]);
+fn waiting_watch_is_checked_when_another_call_fails() {
+    let watcher = start_watcher([Reply::List(3), Reply::NeverAnswer, Reply::Changes(7)]);
+    assert_eq!(watcher.next_call(), "list");
+    assert_eq!(watcher.next_call(), "long watch after 3");
+    watcher.health.record_failure();
+    assert_eq!(watcher.next_call(), "short watch after 3");
+    assert_eq!(watcher.next_call(), "long watch after 7");
+    assert_eq!([(); 2].map(|()| watcher.next_revision()), [3, 7]);
 }
 
-/// While the store is down every gateway would otherwise call it for each of
-/// its collections again and again, and each call is paid for.
+/// Without a growing backoff every gateway would keep calling a store that is
+/// down for each of its collections, and each call is paid for.
 #[test]
-fn store_that_stays_down_is_called_ever_more_rarely() {
+fn backoff_grows_while_the_store_is_down() {
     let (first, longest) = (Duration::from_millis(100), Duration::from_secs(3));
     let mut backoff = Backoff::new(first, longest, 5);
     let pauses: Vec<u128> = (0..5)
@@ -207,66 +214,67 @@
 }
 
 #[test]
-fn call_that_the_store_answers_ends_the_pause_of_the_others() {
+fn answered_call_ends_the_backoff_of_other_watchers() {
     let down = || Reply::Fail(StoreError::Unreachable);
     let replies = [Reply::List(3), down(), down(), Reply::Changes(4)];
     let (first, hour) = (Duration::from_millis(1), Duration::from_secs(3_600));
     let growth = 3_600_000;
-    let following = follow_pausing(replies, Backoff::new(first, hour, growth));
-    assert_eq!(following.asked(), "list");
-    assert_eq!(following.asked(), "long watch after 3");
-    assert_eq!(following.asked(), "short watch after 3");
-    // The pause is an hour now. An answer may come before it begins, so there
-    // are several.
-    let health = following.health.clone();
+    let watcher = start_watcher_with(replies, Backoff::new(first, hour, growth));
+    assert_eq!(watcher.next_call(), "list");
+    assert_eq!(watcher.next_call(), "long watch after 3");
+    assert_eq!(watcher.next_call(), "short watch after 3");
+    // The pause is an hour now. An answer may come before the pause begins, so
+    // several are recorded.
+    let health = watcher.health.clone();
     let answering = task::spawn(async move {
         loop {
             health.record_answer(Timestamp::from_millis(1));
             task::sleep(first).await;
         }
     });
-    assert_eq!(following.asked(), "short watch after 3");
-    assert_eq!([(); 2].map(|()| following.told_at()), [3, 4]);
+    assert_eq!(watcher.next_call(), "short watch after 3");
+    assert_eq!([(); 2].map(|()| watcher.next_revision()), [3, 4]);
     task::block_on(answering.cancel());
 }
 
-/// After all gateways had started again, those of one region listed the
-/// configuration at once over a full link and gave it up together, for 17 s,
-/// while the relay that one of them followed could have told them.
+/// After all gateways had restarted, those of one region listed the
+/// configuration at once over a saturated link and gave up together, for 17 s,
+/// while the relay that one of them followed could have delivered it.
 #[test]
-fn list_that_does_not_come_is_left_once_a_relay_tells() {
+fn pending_list_is_abandoned_when_a_relay_delivers() {
     let clock = Clock::start();
     let health = Arc::new(StoreHealth::new(HEARTBEAT));
     let sources = Arc::new(Sources::new(clock, health.clone()));
-    let (asked_sender, asked) = async_channel::unbounded();
+    let (call_sender, calls) = async_channel::unbounded();
     let collection = Arc::new(Scripted {
-        replies: Mutex::new([Reply::Silence].into()),
-        asked: asked_sender,
+        replies: Mutex::new([Reply::NeverAnswer].into()),
+        calls: call_sender,
     });
-    let (looked_sender, looked) = async_channel::unbounded();
-    let reach = move || {
-        let _ = looked_sender.try_send(());
+    let (revision_read_sender, revision_reads) = async_channel::unbounded();
+    let read_revision = move || {
+        let _ = revision_read_sender.try_send(());
         7
     };
-    let follower = CollectionWatcher::new("test", collection, health, WAIT);
-    let follower = follower.with_relay(sources.clone(), reach);
-    task::spawn(follower.run(|_| {}));
-    let next = || task::block_on(asked.recv()).expect("asked");
+    let collection_watcher = CollectionWatcher::new("test", collection, health, WAIT);
+    let collection_watcher = collection_watcher.with_relay(sources.clone(), read_revision);
+    task::spawn(collection_watcher.run(|_| {}));
+    let next = || task::block_on(calls.recv()).expect("a call");
     assert_eq!(next(), "list");
     let relay = Source::Relay {
         until: clock.now() + Duration::from_secs(600),
         seen: clock.now(),
     };
     sources.set(relay, false);
-    task::block_on(looked.recv()).expect("it looks how far that goes");
+    task::block_on(revision_reads.recv()).expect("the revision is read");
     sources.set(Source::Store, false);
     assert_eq!(next(), "long watch after 7");
 }
 
-/// Hundreds of gateways that start together would list thousands of back ends
-/// each: one in each zone does, and tells the others.
+/// If hundreds of gateways start together, each would list thousands of back
+/// ends. Instead one gateway of each zone lists them and delivers them to the
+/// others.
 #[test]
-fn later_pages_of_a_long_list_are_left_to_a_relay() {
+fn further_pages_wait_for_a_relay() {
     let clock = Clock::start();
     let health = Arc::new(StoreHealth::new(HEARTBEAT));
     let sources = Arc::new(Sources::new(clock, health.clone()));
@@ -276,7 +284,7 @@
         },
         false,
     );
-    let (asked_sender, asked) = async_channel::unbounded();
+    let (call_sender, calls) = async_channel::unbounded();
     let replies = [
         Reply::Page(5, "b-500"),
         Reply::Page(6, "b-999"),
@@ -284,23 +292,23 @@
     ];
     let collection = Arc::new(Scripted {
         replies: Mutex::new(replies.into()),
-        asked: asked_sender,
+        calls: call_sender,
     });
-    let (told_sender, told) = async_channel::unbounded();
-    let follower = CollectionWatcher::new("test", collection, health, WAIT);
-    let follower = follower.with_relay(sources.clone(), || 0);
-    task::spawn(follower.run(move |update| {
-        let _ = told_sender.try_send(update);
+    let (update_sender, updates) = async_channel::unbounded();
+    let collection_watcher = CollectionWatcher::new("test", collection, health, WAIT);
+    let collection_watcher = collection_watcher.with_relay(sources.clone(), || 0);
+    task::spawn(collection_watcher.run(move |update| {
+        let _ = update_sender.try_send(update);
     }));
-    let next = || task::block_on(asked.recv()).expect("asked");
+    let next = || task::block_on(calls.recv()).expect("a call");
     assert_eq!(next(), "list");
-    // It is to relay itself: nobody else lists.
+    // This gateway becomes the relay itself, so no other gateway lists for it.
     sources.set(Source::Store, true);
     assert_eq!(
         [(); 3].map(|()| next()),
         ["list b-500", "list b-999", "long watch after 5"]
     );
-    let Update::Listed(listing) = task::block_on(told.recv()).expect("told") else {
+    let Update::Listed(listing) = task::block_on(updates.recv()).expect("an update") else {
         panic!("a list comes first");
     };
     assert_eq!((listing.entries.len(), listing.at), (3, 5));
--- a/crates/router/tests/gateway/zones.rs
+++ b/crates/router/tests/gateway/zones.rs
@@ -13,7 +13,7 @@
     BackEnd, CallerLimits, Configuration, ConfigurationVersion, DrainedZone, Service,
 };
 
-use super::process::{Ask, World, eventually};
+use super::process::{TestRequest, World, eventually};
 use super::samples::{back_end, entry};
 
 const NOW: Timestamp = Timestamp::from_millis(10_000);
@@ -44,7 +44,7 @@
 }
 
 /// One back end in each of the zones `a` and `b`, of a service with a cold
-/// start; nothing is known of drained zones.
+/// start; the drained zones are unknown.
 fn two_zones() -> ClusterState {
     let mut state = ClusterState::default();
     let entries = vec![
@@ -95,15 +95,15 @@
 }
 
 #[test]
-fn back_ends_of_a_drained_zone_leave_and_come_back_cold() {
+fn back_ends_of_a_drained_zone_drain_and_return_cold() {
     let mut state = two_zones();
     state.apply_zones(nothing_drained(2), NOW);
-    let learned = state.apply_zones(changed(3, vec![drained("b", 3)]), NOW);
-    assert_eq!(learned, [StateChange::ZoneDrained("b".into())]);
+    let state_changes = state.apply_zones(changed(3, vec![drained("b", 3)]), NOW);
+    assert_eq!(state_changes, [StateChange::ZoneDrained("b".into())]);
     assert_eq!(draining(&state, NOW), [false, true]);
     let gone = Change::Gone("b".to_owned());
-    let learned = state.apply_zones(changed(9, vec![gone]), NOW);
-    assert_eq!(learned, [StateChange::ZoneRestored("b".into())]);
+    let state_changes = state.apply_zones(changed(9, vec![gone]), NOW);
+    assert_eq!(state_changes, [StateChange::ZoneRestored("b".into())]);
     assert_eq!(draining(&state, NOW), [false, false]);
     assert_eq!(cold_for(&state, NOW), [Duration::ZERO, COLD_START]);
     let soon = after(2_000);
@@ -111,10 +111,10 @@
     assert_eq!(cold_for(&state, after(3_000))[1], Duration::ZERO);
 }
 
-/// What a back end said before it turned cold may arrive after the zone was
-/// restored.
+/// A registration from before the back end turned cold may arrive after its
+/// zone was restored.
 #[test]
-fn registration_of_a_warm_back_end_does_not_end_the_cold_start_of_its_zone() {
+fn late_warm_registration_does_not_end_the_cold_time_of_a_restored_zone() {
     let mut state = two_zones();
     state.apply_zones(changed(3, vec![drained("b", 3)]), NOW);
     state.apply_zones(changed(9, vec![Change::Gone("b".to_owned())]), NOW);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn cold_time_runs_on_from_when_it_was_told() {
+fn cold_time_counts_from_its_report() {
     let mut state = two_zones();
     state.apply_zones(nothing_drained(2), NOW);
     let mut cold = in_zone("b-2", "b");
@@ -136,17 +136,17 @@
     };
     state.apply_back_ends(put(cold.clone(), 5), NOW);
     assert_eq!(cold_for(&state, after(500))[1], Duration::from_secs(2));
-    // A follower is told what is left.
-    let told = state.delta_since(&SyncPosition::default(), after(500));
-    let told = &told
+    // A follower receives the remaining cold time.
+    let delta = state.delta_since(&SyncPosition::default(), after(500));
+    let delta = &delta
         .back_ends
         .iter()
         .find(|each| each.back_end.name == cold.name);
     assert_eq!(
-        told.expect("told").back_end.cold_for,
+        delta.expect("sent").back_end.cold_for,
         Duration::from_secs(2)
     );
-    // It turns cold anew.
+    // The back end turns warm, and later cold again.
     state.apply_back_ends(put(in_zone("b-2", "b"), 6), after(4_000));
     assert_eq!(cold_for(&state, after(4_000))[1], Duration::ZERO);
     state.apply_back_ends(put(cold, 7), after(9_000));
@@ -157,81 +157,82 @@
 }
 
 #[test]
-fn zones_are_told_to_followers_and_peers_and_never_go_back() {
-    let mut knowing = two_zones();
-    knowing.apply_zones(nothing_drained(2), NOW);
-    knowing.apply_zones(changed(7, vec![drained("b", 6)]), NOW);
+fn zones_reach_followers_and_peers_and_never_regress() {
+    let mut informed = two_zones();
+    informed.apply_zones(nothing_drained(2), NOW);
+    informed.apply_zones(changed(7, vec![drained("b", 6)]), NOW);
     let mut follower = two_zones();
-    let told = knowing.delta_since(&follower.position(), NOW);
-    follower.apply_delta(told, NOW);
+    let delta = informed.delta_since(&follower.position(), NOW);
+    follower.apply_delta(delta, NOW);
     assert_eq!(draining(&follower, NOW), [false, true]);
-    assert_eq!(follower.position(), knowing.position());
-    assert!(knowing.delta_since(&follower.position(), NOW).is_empty());
+    assert_eq!(follower.position(), informed.position());
+    assert!(informed.delta_since(&follower.position(), NOW).is_empty());
     let mut peer = two_zones();
-    peer.apply_peer_update(knowing.update_since(&peer.position(), NOW), NOW);
+    peer.apply_peer_update(informed.update_since(&peer.position(), NOW), NOW);
     assert_eq!(draining(&peer, NOW), [false, true]);
     assert_eq!(
-        knowing.update_since(&peer.position(), NOW),
+        informed.update_since(&peer.position(), NOW),
         PeerUpdate::default()
     );
-    // An older list, watch and peer change nothing.
+    // An older list, watch or peer changes nothing.
     assert!(follower.apply_zones(nothing_drained(3), NOW).is_empty());
     let mut older = two_zones();
     older.apply_zones(nothing_drained(4), NOW);
-    let told: Delta = older.delta_since(&SyncPosition::default(), NOW);
-    follower.apply_delta(told, NOW);
+    let delta: Delta = older.delta_since(&SyncPosition::default(), NOW);
+    follower.apply_delta(delta, NOW);
     follower.apply_peer_update(older.update_since(&SyncPosition::default(), NOW), NOW);
     assert_eq!(draining(&follower, NOW), [false, true]);
 }
 
-/// A watch that goes on from before what a peer told repeats what led there.
+/// A watch that continues from before the peer's update replays the changes
+/// that led to it.
 #[test]
-fn zone_drained_twice_stays_drained_when_an_older_watch_repeats_it() {
+fn zone_stays_drained_when_an_older_watch_replays_changes() {
     let mut state = two_zones();
-    let mut knowing = two_zones();
-    knowing.apply_zones(changed(8, vec![drained("b", 8)]), NOW);
+    let mut informed = two_zones();
+    informed.apply_zones(changed(8, vec![drained("b", 8)]), NOW);
     state.apply_zones(changed(3, vec![drained("b", 3)]), NOW);
-    state.apply_peer_update(knowing.update_since(&state.position(), NOW), NOW);
+    state.apply_peer_update(informed.update_since(&state.position(), NOW), NOW);
     let repeated = vec![Change::Gone("b".to_owned()), drained("b", 8)];
     assert!(state.apply_zones(changed(9, repeated), NOW).is_empty());
     assert_eq!(draining(&state, NOW), [false, true]);
 }
 
-/// Invariant: nothing is sent to a drained zone, and its keys are served by
-/// the others.
+/// Invariant: a drained zone receives no requests, and other zones serve its
+/// keys.
 #[test]
 fn drained_zone_gets_no_request_and_loses_its_keys_until_it_is_restored() {
     let world = World::start();
     let (near, far) = (&world.plain[0], &world.plain[1]);
-    let (keeps, leaves) = (&world.keyed[0], &world.keyed[1]);
-    for (service, each) in [("plain", far), ("keyed", leaves)] {
+    let (keeping_owner, drained_owner) = (&world.keyed[0], &world.keyed[1]);
+    for (service, each) in [("plain", far), ("keyed", drained_owner)] {
         let mut entry = each.registration(service, "ready");
         entry["Zone"] = json!("zone-b");
         world.store.put("servers", &each.id, entry);
     }
     world.store.put("evacuations", "zone-b", json!({}));
     let keys: Vec<u16> = (0..=u16::MAX).step_by(4_096).collect();
-    eventually(|| (keeps.held(&keys).len() == keys.len()).then_some(()));
-    let before = far.runs().len() + leaves.runs().len();
+    eventually(|| (keeping_owner.held(&keys).len() == keys.len()).then_some(()));
+    let before = far.runs().len() + drained_owner.runs().len();
     for number in 0..40 {
         let id = format!("plain-{number}");
-        let plain = Ask {
+        let plain = TestRequest {
             id: &id,
-            ..Ask::default()
+            ..TestRequest::default()
         };
         assert_eq!(plain.send(&world.gateway).status(), 200);
         let id = format!("keyed-{number}");
-        let keyed = Ask {
+        let keyed = TestRequest {
             host: "keyed.example",
             target: "/k/x",
             id: &id,
             key: Some(number * 1_600),
-            ..Ask::default()
+            ..TestRequest::default()
         };
         assert_eq!(keyed.send(&world.gateway).status(), 200);
     }
     assert_eq!(near.runs().len(), 40);
-    assert_eq!(far.runs().len() + leaves.runs().len(), before);
+    assert_eq!(far.runs().len() + drained_owner.runs().len(), before);
     world.store.remove("evacuations", "zone-b");
-    eventually(|| (!leaves.held(&keys).is_empty()).then_some(()));
+    eventually(|| (!drained_owner.held(&keys).is_empty()).then_some(()));
 }
