--- a/crates/lab/src/baseline/failure.rs
+++ b/crates/lab/src/baseline/failure.rs
@@ -1,7 +1,7 @@
 //! How a baseline's router tells of a request that no back end answered.
 
 use http_types::Response;
-use threadledge_net::refusal::{not_run, unknown};
+use threadledge_net::error_response::{not_run, unknown};
 use threadledge_net::{ExchangeError, ExchangeFault};
 use threadledge_types::{NotRunReason, Outcome, UnknownReason};
 
--- a/crates/lab/src/baseline/router.rs
+++ b/crates/lab/src/baseline/router.rs
@@ -15,8 +15,8 @@
 use parking_lot::Mutex;
 use threadledge::operations::stop_on_signal;
 use threadledge_net::Instant;
+use threadledge_net::error_response::not_run;
 use threadledge_net::message::Message;
-use threadledge_net::refusal::not_run;
 use threadledge_net::{ExchangeError, Pool, PoolSettings, ServerLimits, StopSignal, serve};
 use threadledge_types::outcome::OUTCOME_HEADER;
 use threadledge_types::session::{
@@ -188,12 +188,12 @@
         let owner = owner.and_then(|id| self.back_ends.get(&id));
         let owner =
             owner.ok_or_else(|| Failure::not_run(NotRunReason::NoOwner, "no back end is alive"))?;
-        let body = request.take_body_only();
+        let body = request.take_body_keeping_headers();
         request.remove_header("connection");
         request.insert_header(SERVICE_HEADER, service.to_string());
         request.insert_header(POINT_HEADER, point.to_string());
         request.insert_header(EPOCH_HEADER, epoch.to_string());
-        request.replace_body_only(body);
+        request.replace_body_keeping_headers(body);
         let deadline = Instant::now() + FORWARD_LIMIT;
         self.exchange(owner.address, owner.connections, request, deadline)
             .await
@@ -209,7 +209,7 @@
     ) -> Result<Response, ExchangeError> {
         let connection = self
             .pool
-            .connection_within(address, connections, deadline)
+            .checkout_with_limit(address, connections, deadline)
             .await?;
         connection.exchange(request, deadline).await
     }
--- a/crates/lab/tests/platform/client.rs
+++ b/crates/lab/tests/platform/client.rs
@@ -185,7 +185,7 @@
     guarded(async {
         let (api, _) = empty().await;
         let settings = TransportSettings {
-            answer_timeout: Duration::from_millis(50),
+            response_timeout: Duration::from_millis(50),
             ..TransportSettings::default()
         };
         let client = ObjectClient::new(api.address(), settings);
@@ -233,7 +233,7 @@
         };
         let api = stand_in(settings).await;
         let settings = TransportSettings {
-            max_answer_bytes: 1_000,
+            max_response_bytes: 1_000,
             ..TransportSettings::default()
         };
         let client = ObjectClient::new(api.address(), settings);
--- a/crates/lab/tests/platform/machine_list.rs
+++ b/crates/lab/tests/platform/machine_list.rs
@@ -95,7 +95,7 @@
         let client = MachineListClient::new(
             server.address(),
             TransportSettings {
-                answer_timeout: Duration::from_secs(5),
+                response_timeout: Duration::from_secs(5),
                 ..TransportSettings::default()
             },
         );
--- a/crates/lab/tests/platform/schedules.rs
+++ b/crates/lab/tests/platform/schedules.rs
@@ -10,8 +10,8 @@
 use threadledge_lab::stand_in::object_api::operation::{Write, WriteTarget};
 use threadledge_lab::stand_in::object_api::path::{Collection, ObjectPath, RESOURCES};
 use threadledge_lab::stand_in::object_api::store::{ChangeKind, StoreChange};
-use threadledge_object_api::tracker::{EventVerdict, ListVerdict};
-use threadledge_object_api::{Change, Event, Listed, ObjectTracker, StoredObject};
+use threadledge_object_api::tracker::{EventOutcome, ListOutcome};
+use threadledge_object_api::{Change, Event, ObjectList, ObjectTracker, StoredObject};
 use threadledge_types::objects::BackEndObject;
 
 use super::support::back_end_json;
@@ -172,17 +172,17 @@
     }
 
     fn begin(&mut self) {
-        let seen = self.tracker.seen();
+        let seen = self.tracker.highest_seen();
         if seen > 0 && self.store.changes_after(&collection(), seen).is_ok() {
             self.watching = Some(seen);
             return self.follow();
         }
         let page = self.store.list(&collection(), None, None).expect("current");
-        let listed = Listed {
+        let listed = ObjectList {
             items: page.items.iter().map(stored).collect::<Vec<Object>>(),
             resource_version: page.version,
         };
-        if let ListVerdict::Current {
+        if let ListOutcome::Current {
             objects, removed, ..
         } = self.tracker.on_list(listed)
         {
@@ -205,10 +205,10 @@
             ChangeKind::Deleted => Event::Deleted(object),
         };
         match self.tracker.on_event(event) {
-            EventVerdict::Change(Change::Applied(object)) => self.put(&object),
-            EventVerdict::Change(Change::Removed(key)) => self.remove(&key.name),
-            EventVerdict::Confirmed(_) | EventVerdict::Repeated => {}
-            EventVerdict::Older { .. } | EventVerdict::Relist => self.watching = None,
+            EventOutcome::Change(Change::Applied(object)) => self.put(&object),
+            EventOutcome::Change(Change::Removed(key)) => self.remove(&key.name),
+            EventOutcome::Confirmed(_) | EventOutcome::Duplicate => {}
+            EventOutcome::Older { .. } | EventOutcome::Relist => self.watching = None,
         }
     }
 
--- a/crates/lab/tests/platform/support.rs
+++ b/crates/lab/tests/platform/support.rs
@@ -90,8 +90,8 @@
 
 pub fn fast_backoff() -> BackoffSettings {
     BackoffSettings {
-        first: Duration::from_millis(5),
-        longest: Duration::from_millis(20),
+        initial: Duration::from_millis(5),
+        max: Duration::from_millis(20),
     }
 }
 
--- a/crates/lab/tests/platform/watcher.rs
+++ b/crates/lab/tests/platform/watcher.rs
@@ -240,7 +240,7 @@
     guarded(async {
         let (api, client) = empty().await;
         create(&client, "a", 1_000).await;
-        let known = ObjectTracker::with_known([(key("a"), 50)]);
+        let known = ObjectTracker::with_delivered([(key("a"), 50)]);
         let mut follower = Follower::start(&client, known);
         follower.until(|follower| follower.older >= 2).await;
         assert!(follower.in_force.is_empty());
--- a/crates/lab/tests/platform/writes.rs
+++ b/crates/lab/tests/platform/writes.rs
@@ -134,7 +134,10 @@
         // As if the first writer's read came only now.
         api.fault(&FaultCommand::LoseWrites(1)).expect("set");
         let outcome = write(&client, Write::Replace(with_slots(created, 5))).await;
-        assert!(matches!(outcome, WriteOutcome::Overtaken(_)), "{outcome:?}");
+        assert!(
+            matches!(outcome, WriteOutcome::Superseded(_)),
+            "{outcome:?}"
+        );
         assert_eq!(read(&client, "a").await.spec.slots, 9);
     });
 }
--- a/crates/net/examples/pipelined.rs
+++ b/crates/net/examples/pipelined.rs
@@ -12,7 +12,7 @@
 use futures::{AsyncReadExt, AsyncWriteExt};
 use http_types::{Request, Response};
 use threadledge_net::{
-    ConnectionInfo, Instant, ServerLimits, SideBySide, StopSignal, serve, timer,
+    ConcurrentHandler, ConnectionInfo, Instant, ServerLimits, StopSignal, serve, timer,
 };
 
 /// Work of one request.
@@ -22,27 +22,27 @@
 
 fn main() -> std::io::Result<()> {
     task::block_on(async {
-        for requests_ahead in [0, ServerLimits::default().requests_ahead] {
-            let took = measure(requests_ahead).await?;
-            println!("{requests_ahead} ahead: {AT_ONCE} requests of {WORK:?} in {took:?}");
+        for max_pipelined_requests in [0, ServerLimits::default().max_pipelined_requests] {
+            let took = measure(max_pipelined_requests).await?;
+            println!("{max_pipelined_requests} ahead: {AT_ONCE} requests of {WORK:?} in {took:?}");
         }
         Ok(())
     })
 }
 
-async fn measure(requests_ahead: usize) -> std::io::Result<Duration> {
+async fn measure(max_pipelined_requests: usize) -> std::io::Result<Duration> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     let stop = StopSignal::new();
-    let handler = SideBySide {
+    let handler = ConcurrentHandler {
         handler: |_request: Request, _connection: ConnectionInfo| async {
             timer::sleep(WORK).await;
             Response::new(200)
         },
-        rule: |_request: &Request| true,
+        may_run_concurrently: |_request: &Request| true,
     };
     let limits = ServerLimits {
-        requests_ahead,
+        max_pipelined_requests,
         ..ServerLimits::default()
     };
     let server = task::spawn(serve(listener, limits, stop.clone(), handler));
--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -14,7 +14,7 @@
 use crate::wire::Wire;
 
 /// Bytes a second that a sender must keep up, beyond the time it has anyway.
-pub const LEAST_BODY_BYTES_PER_SECOND: u32 = 1024;
+pub const MIN_BODY_BYTES_PER_SECOND: u32 = 1024;
 
 /// Why a body could not be read to its end. It is the inner error of the
 /// [`io::Error`] that reading gives.
@@ -36,7 +36,7 @@
 
 impl BodyFault {
     /// The fault inside an error that reading a body gave.
-    pub fn of(error: &io::Error) -> Option<BodyFault> {
+    pub fn from_io_error(error: &io::Error) -> Option<BodyFault> {
         error.get_ref()?.downcast_ref::<BodyFault>().copied()
     }
 
@@ -58,7 +58,7 @@
     /// Until a point in time.
     Until(Instant),
     /// `base` from `start`, and one second more for each
-    /// [`LEAST_BODY_BYTES_PER_SECOND`] that came: bounds both a long pause and
+    /// [`MIN_BODY_BYTES_PER_SECOND`] that came: bounds both a long pause and
     /// a sender that drips.
     Rate { start: Instant, base: Duration },
 }
@@ -69,7 +69,7 @@
             Pace::Unbounded => None,
             Pace::Until(deadline) => Some(deadline),
             Pace::Rate { start, base } => {
-                let millis = received * 1_000 / u64::from(LEAST_BODY_BYTES_PER_SECOND);
+                let millis = received * 1_000 / u64::from(MIN_BODY_BYTES_PER_SECOND);
                 Some(start + base + Duration::from_millis(millis))
             }
         }
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -21,11 +21,11 @@
 
 /// How long the body of an answer that may be large may take.
 #[derive(Clone, Copy, Debug)]
-pub struct LargePace {
+pub struct BodyTimeouts {
     /// Longest time in which nothing comes.
-    pub pause: Duration,
+    pub idle: Duration,
     /// Longest time for all of it.
-    pub longest: Duration,
+    pub total: Duration,
 }
 
 /// Pooled HTTP client. Clones share the pool.
@@ -89,31 +89,35 @@
     /// the time to the answer's head, and `pace` the time for its body. What
     /// comes slowly over a full link is read on: asked for again from the
     /// beginning it would fill that link once more.
-    pub async fn send_for_large(
+    pub async fn send_with_body_timeouts(
         &self,
         to: SocketAddr,
         request: http::Request<Vec<u8>>,
         timeout: Duration,
-        pace: LargePace,
+        pace: BodyTimeouts,
     ) -> Result<http::Response<Vec<u8>>, ClientError> {
         let request =
             convert::request_to_http_types(request, &to.to_string()).map_err(RequestError::from)?;
-        let (response, body) = self.call_for_large(to, request, timeout, pace).await?;
+        let (response, body) = self
+            .call_with_body_timeouts(to, request, timeout, pace)
+            .await?;
         Ok(convert::response_to_http(&response, body).map_err(RequestError::from)?)
     }
 
     /// As [`HttpClient::post_json`], for answers that may be large: see
-    /// [`HttpClient::send_for_large`].
-    pub async fn post_json_for_large<T: Serialize + ?Sized, R: DeserializeOwned>(
+    /// [`HttpClient::send_with_body_timeouts`].
+    pub async fn post_json_with_body_timeouts<T: Serialize + ?Sized, R: DeserializeOwned>(
         &self,
         to: SocketAddr,
         path: &str,
         body: &T,
         timeout: Duration,
-        pace: LargePace,
+        pace: BodyTimeouts,
     ) -> Result<R, ClientError> {
         let request = request(Method::Post, to, path, Some(json(body)?))?;
-        let answer = self.call_for_large(to, request, timeout, pace).await?;
+        let answer = self
+            .call_with_body_timeouts(to, request, timeout, pace)
+            .await?;
         read_json(to, answer)
     }
 
@@ -150,12 +154,12 @@
         read_json(to, self.call(to, request, timeout).await?)
     }
 
-    async fn call_for_large(
+    async fn call_with_body_timeouts(
         &self,
         to: SocketAddr,
         request: Request,
         timeout: Duration,
-        pace: LargePace,
+        pace: BodyTimeouts,
     ) -> Result<(Response, Vec<u8>), ClientError> {
         let head_deadline = Instant::now() + timeout;
         let sent = self.pool.exchange_stream(to, request, head_deadline).await;
@@ -183,14 +187,14 @@
         &self,
         from: SocketAddr,
         mut body: Body,
-        pace: LargePace,
+        pace: BodyTimeouts,
     ) -> Result<Vec<u8>, ClientError> {
         let limit = self.max_body_bytes();
-        let longest = Instant::now() + pace.longest;
+        let longest = Instant::now() + pace.total;
         let mut bytes = Vec::new();
         let mut part = vec![0; PART_BYTES];
         loop {
-            let deadline = longest.min(Instant::now() + pace.pause);
+            let deadline = longest.min(Instant::now() + pace.idle);
             let read = match timer::timeout_at(deadline, body.read(&mut part)).await {
                 Err(timer::Elapsed) => return Err(ClientError::late(from)),
                 Ok(Err(error)) => return Err(ClientError::from_body(from, error)),
@@ -201,7 +205,7 @@
             }
             bytes.extend_from_slice(&part[..read]);
             if bytes.len() as u64 > limit {
-                return Err(ClientError::AnswerTooLarge {
+                return Err(ClientError::ResponseTooLarge {
                     address: from,
                     limit,
                 });
@@ -222,7 +226,7 @@
         match timer::timeout_at(deadline, read).await {
             Err(timer::Elapsed) => Err(ClientError::late(from)),
             Ok(Err(error)) => Err(ClientError::from_body(from, error)),
-            Ok(Ok(_)) if bytes.len() as u64 > limit => Err(ClientError::AnswerTooLarge {
+            Ok(Ok(_)) if bytes.len() as u64 > limit => Err(ClientError::ResponseTooLarge {
                 address: from,
                 limit,
             }),
--- a/crates/net/src/client_error.rs
+++ b/crates/net/src/client_error.rs
@@ -52,7 +52,7 @@
     #[error(
         "the answer of {address} is larger than {limit} bytes; ask for less or raise the limit"
     )]
-    AnswerTooLarge {
+    ResponseTooLarge {
         /// The peer.
         address: SocketAddr,
         /// The limit.
@@ -86,13 +86,13 @@
             ClientError::Broken(_)
             | ClientError::Status { .. }
             | ClientError::Body(_)
-            | ClientError::AnswerTooLarge { .. } => true,
+            | ClientError::ResponseTooLarge { .. } => true,
         }
     }
 
     /// Whether the call was not made because every connection that this
     /// client may have to the peer is in use.
-    pub fn is_own_limit(&self) -> bool {
+    pub fn is_pool_exhausted(&self) -> bool {
         match self {
             ClientError::Connect { source, .. } => {
                 matches!(source.fault, ExchangeFault::NoConnectionFree)
@@ -102,7 +102,7 @@
     }
 
     /// Status and body, if the peer answered with a status other than 2xx.
-    pub fn answered_status(&self) -> Option<(u16, &[u8])> {
+    pub fn error_response(&self) -> Option<(u16, &[u8])> {
         match self {
             ClientError::Status { code, body, .. } => Some((*code, body)),
             _ => None,
@@ -125,7 +125,7 @@
     }
 
     pub(crate) fn from_body(address: SocketAddr, error: std::io::Error) -> Self {
-        let fault = match BodyFault::of(&error) {
+        let fault = match BodyFault::from_io_error(&error) {
             Some(BodyFault::TooSlow) => return ClientError::late(address),
             Some(BodyFault::Truncated) => ExchangeFault::Truncated,
             Some(fault) => ExchangeFault::Malformed(fault.to_string()),
--- a/crates/net/src/head.rs
+++ b/crates/net/src/head.rs
@@ -13,7 +13,7 @@
 use crate::wire::Wire;
 
 /// Largest head that async-h1 takes.
-pub const LARGEST_HEAD: usize = 8 * 1024 - 1;
+pub const MAX_HEAD_BYTES: usize = 8 * 1024 - 1;
 
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
 
@@ -46,7 +46,7 @@
         max_bytes: usize,
         context: &mut Context<'_>,
     ) -> Poll<Result<usize, HeadError>> {
-        let max_bytes = max_bytes.min(LARGEST_HEAD);
+        let max_bytes = max_bytes.min(MAX_HEAD_BYTES);
         loop {
             match self.find_end(wire.unread()) {
                 Some(length) if length <= max_bytes => return Poll::Ready(Ok(length)),
--- a/crates/net/src/json_lines.rs
+++ b/crates/net/src/json_lines.rs
@@ -79,7 +79,7 @@
 
     fn poll_fill(&mut self, context: &mut Context<'_>) -> Poll<Result<(), ClientError>> {
         if self.buffer.len() as u64 > self.max_line_bytes {
-            return Poll::Ready(Err(ClientError::AnswerTooLarge {
+            return Poll::Ready(Err(ClientError::ResponseTooLarge {
                 address: self.address,
                 limit: self.max_line_bytes,
             }));
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -8,26 +8,26 @@
 pub mod client;
 mod client_error;
 pub mod convert;
+pub mod error_response;
 mod framing;
 mod head;
 pub mod instant;
 mod json_lines;
 pub mod message;
 pub mod pool;
-pub mod refusal;
 pub mod server;
 pub mod stop;
 pub mod timer;
 mod transmit;
 mod wire;
 
-pub use body::{BodyFault, LEAST_BODY_BYTES_PER_SECOND};
-pub use client::{ClientError, HttpClient, LargePace};
-pub use head::LARGEST_HEAD;
+pub use body::{BodyFault, MIN_BODY_BYTES_PER_SECOND};
+pub use client::{BodyTimeouts, ClientError, HttpClient};
+pub use head::MAX_HEAD_BYTES;
 pub use instant::Instant;
 pub use json_lines::JsonLines;
 pub use pool::{
-    ExchangeError, ExchangeFault, Pool, PoolSettings, PooledConnection, Stage, Unframed,
+    ExchangeError, ExchangeFault, Pool, PoolSettings, PooledConnection, Stage, UnframedBodies,
 };
-pub use server::{ConnectionInfo, Handler, ServeReport, ServerLimits, SideBySide, serve};
+pub use server::{ConcurrentHandler, ConnectionInfo, Handler, ServeReport, ServerLimits, serve};
 pub use stop::StopSignal;
--- a/crates/net/src/pool/address.rs
+++ b/crates/net/src/pool/address.rs
@@ -17,7 +17,7 @@
     default_limit: usize,
     /// How long nothing may be heard on a connection before those that are at
     /// rest since before are doubted as well.
-    doubt_after: Option<Duration>,
+    suspect_idle_after: Option<Duration>,
     by_address: Mutex<HashMap<SocketAddr, Address>>,
     sweeping: Mutex<bool>,
 }
@@ -71,10 +71,10 @@
 }
 
 impl Addresses {
-    pub(super) fn new(default_limit: usize, doubt_after: Option<Duration>) -> Self {
+    pub(super) fn new(default_limit: usize, suspect_idle_after: Option<Duration>) -> Self {
         Addresses {
             default_limit,
-            doubt_after,
+            suspect_idle_after,
             by_address: Mutex::default(),
             sweeping: Mutex::new(false),
         }
@@ -85,7 +85,7 @@
         by_address.entry(address).or_default().limit = Some(connections);
     }
 
-    pub(super) fn forget(&self, address: SocketAddr) {
+    pub(super) fn remove_address(&self, address: SocketAddr) {
         let closed = {
             let mut by_address = self.by_address.lock();
             let Some(entry) = by_address.get_mut(&address) else {
@@ -115,7 +115,7 @@
     ) -> Reservation {
         let mut by_address = self.by_address.lock();
         let entry = by_address.entry(address).or_default();
-        let doubted = entry.take_doubted(self.doubt_after);
+        let doubted = entry.take_doubted(self.suspect_idle_after);
         entry.limit = limit.or(entry.limit);
         let limit = entry.limit.unwrap_or(self.default_limit);
         let fresh = |idle: &Idle| expired_before.is_none_or(|before| idle.since > before);
@@ -205,8 +205,8 @@
     }
 
     /// Takes out the connections at rest that are doubted, to be closed.
-    fn take_doubted(&mut self, doubt_after: Option<Duration>) -> Vec<Idle> {
-        let silent_since = doubt_after.and_then(|after| Instant::now().checked_sub(after));
+    fn take_doubted(&mut self, suspect_idle_after: Option<Duration>) -> Vec<Idle> {
+        let silent_since = suspect_idle_after.and_then(|after| Instant::now().checked_sub(after));
         let silent = self.unheard.iter().copied();
         let silent = silent.filter(|since| silent_since.is_some_and(|before| *since <= before));
         let doubted = silent.chain(self.doubted).max();
@@ -229,7 +229,7 @@
             return;
         };
         let silent = addresses
-            .doubt_after
+            .suspect_idle_after
             .is_some_and(|after| !self.heard && self.since.elapsed() >= after);
         let mut by_address = addresses.by_address.lock();
         let Some(entry) = by_address.get_mut(&self.address) else {
--- a/crates/net/src/pool/exchange.rs
+++ b/crates/net/src/pool/exchange.rs
@@ -9,7 +9,7 @@
 
 use super::error::{ExchangeFault, Stage};
 use super::response::{self, ResponseHead};
-use super::{PoolSettings, Unframed};
+use super::{PoolSettings, UnframedBodies};
 use crate::body::{BodyReader, Pace, Returned};
 use crate::head::{HeadError, HeadSearch};
 use crate::message::Message;
@@ -34,7 +34,7 @@
     send_fault: Option<SendFault>,
     wire: Wire,
     max_head_bytes: usize,
-    unframed: Unframed,
+    unframed_bodies: UnframedBodies,
     stage: Stage,
 }
 
@@ -47,7 +47,7 @@
             send_fault: None,
             wire,
             max_head_bytes: settings.max_head_bytes,
-            unframed: settings.unframed,
+            unframed_bodies: settings.unframed_bodies,
             stage: Stage::NothingSent,
         }
     }
@@ -64,7 +64,7 @@
             let mut search = HeadSearch::default();
             let length = poll_fn(|context| self.poll_head(&mut search, context)).await?;
             let head = self.wire.unread();
-            let head = response::parse(&head[..length], self.method, self.unframed)?;
+            let head = response::parse(&head[..length], self.method, self.unframed_bodies)?;
             self.wire.consume(length);
             if !head.is_interim() {
                 return Ok(head);
@@ -156,12 +156,12 @@
         match body {
             Some(decoder) => {
                 let reader = BodyReader::new(self.wire, decoder, u64::MAX, pace, Box::new(finish));
-                response.replace_body_only(Body::from_reader(reader, length));
+                response.replace_body_keeping_headers(Body::from_reader(reader, length));
             }
             None => {
                 finish(Returned::Clean(self.wire));
                 let empty = futures::io::empty();
-                response.replace_body_only(Body::from_reader(empty, length));
+                response.replace_body_keeping_headers(Body::from_reader(empty, length));
             }
         }
         response
--- a/crates/net/src/pool/mod.rs
+++ b/crates/net/src/pool/mod.rs
@@ -21,7 +21,7 @@
 
 use crate::Instant;
 use crate::body::Pace;
-use crate::head::LARGEST_HEAD;
+use crate::head::MAX_HEAD_BYTES;
 use crate::timer;
 use crate::wire::Wire;
 use address::{Addresses, Reservation, Slot};
@@ -39,33 +39,33 @@
     pub idle_timeout: Duration,
     /// Longest time to open a connection.
     pub connect_timeout: Duration,
-    /// Largest head of a response, in bytes; at most [`LARGEST_HEAD`].
+    /// Largest head of a response, in bytes; at most [`MAX_HEAD_BYTES`].
     pub max_head_bytes: usize,
     /// Largest body of a response that is read whole, in bytes.
     pub max_body_bytes: u64,
     /// What to do with a response that does not tell where its body ends.
-    pub unframed: Unframed,
+    pub unframed_bodies: UnframedBodies,
     /// How long a peer that became silent may go unnoticed, also while
     /// nothing is sent: connections are probed by the kernel. `None` leaves
     /// that to the kernel's defaults, which are hours.
-    pub silence: Option<Duration>,
+    pub dead_peer_timeout: Option<Duration>,
     /// How long nothing may be heard of an exchange on a connection that had
     /// been at rest before others at rest since before it began are closed
     /// instead of used: where one fell silent, all may have. New connections
     /// tell nothing about old ones. Longer than what a sound peer holds an
     /// answer back.
-    pub doubt_after: Option<Duration>,
+    pub suspect_idle_after: Option<Duration>,
 }
 
 /// What to do with a response whose body ends with the connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Unframed {
+pub enum UnframedBodies {
     /// Refuse it: its end cannot be told from a cut by a peer that closes in
     /// order while it fails.
     #[default]
     Refuse,
     /// Take an orderly close for the end, and a reset for a cut.
-    EndAtClose,
+    ReadUntilClose,
 }
 
 impl Default for PoolSettings {
@@ -74,11 +74,11 @@
             connections_per_address: 64,
             idle_timeout: Duration::from_secs(30),
             connect_timeout: Duration::from_secs(1),
-            max_head_bytes: LARGEST_HEAD,
+            max_head_bytes: MAX_HEAD_BYTES,
             max_body_bytes: 64 * 1024 * 1024,
-            unframed: Unframed::default(),
-            silence: None,
-            doubt_after: None,
+            unframed_bodies: UnframedBodies::default(),
+            dead_peer_timeout: None,
+            suspect_idle_after: None,
         }
     }
 }
@@ -96,7 +96,7 @@
         Pool {
             addresses: Arc::new(Addresses::new(
                 settings.connections_per_address,
-                settings.doubt_after,
+                settings.suspect_idle_after,
             )),
             settings: Arc::new(settings),
         }
@@ -113,8 +113,8 @@
     }
 
     /// Forgets the limit of an address and closes its idle connections.
-    pub fn forget(&self, address: SocketAddr) {
-        self.addresses.forget(address);
+    pub fn remove_address(&self, address: SocketAddr) {
+        self.addresses.remove_address(address);
     }
 
     /// Connections open to an address: those in use and those idle.
@@ -130,7 +130,7 @@
     /// body too.
     ///
     /// A response must tell where its body ends, by `Content-Length` or
-    /// chunks, unless [`PoolSettings::unframed`] says otherwise.
+    /// chunks, unless [`PoolSettings::unframed_bodies`] says otherwise.
     pub async fn exchange(
         &self,
         address: SocketAddr,
@@ -160,32 +160,32 @@
         deadline: Instant,
         pace: Pace,
     ) -> Result<Response, ExchangeError> {
-        let connection = self.connection(address, deadline).await?;
+        let connection = self.checkout(address, deadline).await?;
         connection.exchange_paced(request, deadline, pace).await
     }
 
     /// Gets a connection without sending anything: an idle one that is still
     /// good, or a new one.
-    pub async fn connection(
+    pub async fn checkout(
         &self,
         address: SocketAddr,
         deadline: Instant,
     ) -> Result<PooledConnection, ExchangeError> {
-        self.connection_of(address, None, deadline).await
+        self.checkout_within(address, None, deadline).await
     }
 
-    /// As [`Pool::connection`], setting the limit of connections to the
+    /// As [`Pool::checkout`], setting the limit of connections to the
     /// address at the same time.
-    pub async fn connection_within(
+    pub async fn checkout_with_limit(
         &self,
         address: SocketAddr,
         limit: usize,
         deadline: Instant,
     ) -> Result<PooledConnection, ExchangeError> {
-        self.connection_of(address, Some(limit), deadline).await
+        self.checkout_within(address, Some(limit), deadline).await
     }
 
-    async fn connection_of(
+    async fn checkout_within(
         &self,
         address: SocketAddr,
         limit: Option<usize>,
@@ -234,7 +234,7 @@
             fault,
         };
         let deadline = deadline.min(Instant::now() + self.settings.connect_timeout);
-        let connecting = socket::connect(address, self.settings.silence);
+        let connecting = socket::connect(address, self.settings.dead_peer_timeout);
         let connected = timer::timeout_at(deadline, connecting).await;
         let stream = match connected {
             Err(timer::Elapsed) => return Err(failed(ExchangeFault::DeadlinePassed)),
--- a/crates/net/src/pool/response.rs
+++ b/crates/net/src/pool/response.rs
@@ -4,7 +4,7 @@
 use http_types::headers::{CONTENT_TYPE, DATE};
 use http_types::{Method, Response, StatusCode};
 
-use super::Unframed;
+use super::UnframedBodies;
 use super::error::ExchangeFault;
 use crate::framing::BodyDecoder;
 use crate::head::{self, HeadBytes};
@@ -33,7 +33,7 @@
 pub(super) fn parse(
     head: &[u8],
     method: Method,
-    unframed: Unframed,
+    unframed_bodies: UnframedBodies,
 ) -> Result<ResponseHead, ExchangeFault> {
     head::check_bytes(head).map_err(malformed)?;
     // The bytes are all here, so that this never waits.
@@ -57,7 +57,7 @@
     let bodiless = method == Method::Head || has_no_body(status);
     let mut closes = head::connection_has(response.as_ref(), "close");
     if !bodiless && framing.is_none() {
-        if unframed == Unframed::Refuse {
+        if unframed_bodies == UnframedBodies::Refuse {
             return Err(malformed("tells neither Content-Length nor chunks"));
         }
         framing = Some(BodyDecoder::UntilClose { closed: false });
--- a/crates/net/src/pool/socket.rs
+++ b/crates/net/src/pool/socket.rs
@@ -16,16 +16,16 @@
 const SHORTEST: Duration = Duration::from_secs(1);
 
 /// Opens a connection that resets when it is closed, as [`reset_on_close`]
-/// says. With `silence` it is watched as [`watch`] says.
+/// says. With `dead_peer_timeout` it is watched as [`watch`] says.
 pub(super) async fn connect(
     address: SocketAddr,
-    silence: Option<Duration>,
+    dead_peer_timeout: Option<Duration>,
 ) -> io::Result<TcpStream> {
     // async-std lends no descriptor to set options on; this stream does.
     let stream = Async::<StdStream>::connect(address).await?;
     reset_on_close(stream.get_ref())?;
-    if let Some(silence) = silence {
-        watch(stream.get_ref(), silence)?;
+    if let Some(dead_peer_timeout) = dead_peer_timeout {
+        watch(stream.get_ref(), dead_peer_timeout)?;
     }
     Ok(TcpStream::from(stream.into_inner()?))
 }
@@ -47,15 +47,15 @@
     Ok(())
 }
 
-/// Breaks `stream` when its peer has been silent for about `silence`, whether
+/// Breaks `stream` when its peer has been silent for about `dead_peer_timeout`, whether
 /// bytes of ours wait for their receipt or nothing is sent at all.
-fn watch(stream: &StdStream, silence: Duration) -> io::Result<()> {
-    let interval = (silence / (PROBES + 1)).max(SHORTEST);
+fn watch(stream: &StdStream, dead_peer_timeout: Duration) -> io::Result<()> {
+    let interval = (dead_peer_timeout / (PROBES + 1)).max(SHORTEST);
     sockopt::set_socket_keepalive(stream, true)?;
     sockopt::set_tcp_keepidle(stream, interval)?;
     sockopt::set_tcp_keepintvl(stream, interval)?;
     sockopt::set_tcp_keepcnt(stream, PROBES)?;
-    let millis = u32::try_from(silence.as_millis()).unwrap_or(u32::MAX);
+    let millis = u32::try_from(dead_peer_timeout.as_millis()).unwrap_or(u32::MAX);
     sockopt::set_tcp_user_timeout(stream, millis)?;
     Ok(())
 }
--- a/crates/net/src/server/ahead.rs
+++ b/crates/net/src/server/ahead.rs
@@ -95,19 +95,19 @@
     /// A request begins with none before it.
     pub(super) fn begin_at<H>(&mut self, head: &RequestHead, service: &Service<H>)
     where
-        H: Handler<Answering = F>,
+        H: Handler<ResponseFuture = F>,
     {
         self.search = HeadSearch::default();
         self.without_place = 1;
-        self.open = service.limits.requests_ahead > 0
+        self.open = service.limits.max_pipelined_requests > 0
             && !head.closes
-            && service.handler.runs_beside(&head.request);
+            && service.handler.may_run_concurrently(&head.request);
     }
 
     /// Begins the next request if it may run now; `false` if not.
     pub(super) fn begin_next<H>(&mut self, caller: &mut Caller, service: &Service<H>) -> bool
     where
-        H: Handler<Answering = F>,
+        H: Handler<ResponseFuture = F>,
     {
         let Caller::Listening(wire) = caller else {
             return false;
@@ -118,14 +118,18 @@
         let Some(read) = self.read_next(wire, &service.limits) else {
             return false;
         };
-        let beside =
-            |head: &RequestHead| head.body.is_none() && service.handler.runs_beside(&head.request);
+        let beside = |head: &RequestHead| {
+            head.body.is_none() && service.handler.may_run_concurrently(&head.request)
+        };
         match read.head {
             Ok(head) if beside(&head) => {
-                let behind = self.unanswered();
+                let unanswered_before = self.unanswered();
                 self.open = !head.closes;
                 let asked = Asked::of(&head);
-                self.push(asked, service.answer(head.request, read.at, behind));
+                self.push(
+                    asked,
+                    service.handle(head.request, read.at, unanswered_before),
+                );
                 true
             }
             head => {
@@ -142,8 +146,8 @@
     fn has_room(&self, limits: &ServerLimits) -> bool {
         self.open
             && self.parked.is_none()
-            && self.unanswered() <= limits.requests_ahead
-            && self.held < limits.answers_ahead_bytes
+            && self.unanswered() <= limits.max_pipelined_requests
+            && self.held < limits.max_pipelined_response_bytes
     }
 
     /// Takes the next head if it is here whole. One that is too large is left
--- a/crates/net/src/server/answering.rs
+++ b/crates/net/src/server/answering.rs
@@ -22,8 +22,8 @@
 use super::respond::ResponseBytes;
 use super::service::Service;
 use crate::Instant;
+use crate::error_response;
 use crate::head;
-use crate::refusal;
 use crate::transmit::{Outgoing, SendFault};
 use crate::wire::Wire;
 
@@ -51,7 +51,7 @@
 /// read does not begin.
 fn poll_behind<H: Handler>(
     caller: &mut Caller,
-    ahead: &mut Ahead<H::Answering>,
+    ahead: &mut Ahead<H::ResponseFuture>,
     service: &mut Service<H>,
     context: &mut Context<'_>,
 ) -> Poll<()> {
@@ -124,7 +124,7 @@
         read_at: Instant,
         caller: &mut Caller,
     ) -> Result<Response, Interruption> {
-        let mut running = pin!(self.service.answer(request, read_at, 0));
+        let mut running = pin!(self.service.handle(request, read_at, 0));
         let (ahead, service, cut) = (&mut self.ahead, &mut self.service, &mut self.cut);
         poll_fn(|context| {
             if caller.poll_hang_up(context).is_ready() {
@@ -227,7 +227,7 @@
         caller: &mut Caller,
     ) -> Result<(), Interruption> {
         let detail = "the answer was cut short before any of it was passed on";
-        let mut response = refusal::unknown(UnknownReason::BadAnswer, detail);
+        let mut response = error_response::unknown(UnknownReason::BadAnswer, detail);
         if self.ahead.len() == 0 {
             response.insert_header(CONNECTION, "close");
         }
--- a/crates/net/src/server/attach.rs
+++ b/crates/net/src/server/attach.rs
@@ -21,7 +21,7 @@
 ) -> (Request, Caller) {
     let mut request = head.request;
     let Some(decoder) = head.body else {
-        request.take_body_only();
+        request.take_body_keeping_headers();
         return (request, Caller::Listening(wire));
     };
     let length = request
@@ -37,6 +37,6 @@
         let _ = sender.send(returned);
     });
     let reader = BodyReader::new(wire, decoder, limits.max_body_bytes, pace, give_back);
-    request.replace_body_only(Body::from_reader(reader, length));
+    request.replace_body_keeping_headers(Body::from_reader(reader, length));
     (request, Caller::Sending(receiver))
 }
--- a/crates/net/src/server/connection.rs
+++ b/crates/net/src/server/connection.rs
@@ -21,8 +21,8 @@
 use super::respond::ResponseBytes;
 use super::service::Service;
 use crate::Instant;
+use crate::error_response;
 use crate::head::{self, HeadError};
-use crate::refusal;
 use crate::stop::Stopped;
 use crate::timer;
 use crate::transmit::Outgoing;
@@ -30,7 +30,8 @@
 
 /// Answers a connection above the limit, as far as the kernel takes it now.
 pub(super) fn refuse_at_once(stream: &TcpStream) {
-    let mut response = refusal::not_run(NotRunReason::Overloaded, "too many connections are open");
+    let mut response =
+        error_response::not_run(NotRunReason::Overloaded, "too many connections are open");
     response.insert_header(CONNECTION, "close");
     response.insert_header("retry-after", "1");
     let mut outgoing = Outgoing::new(ResponseBytes::new(response, Method::Get));
@@ -44,7 +45,7 @@
     pub(super) stream: TcpStream,
     pub(super) stopped: Stopped,
     pub(super) cut: Stopped,
-    pub(super) ahead: Ahead<H::Answering>,
+    pub(super) ahead: Ahead<H::ResponseFuture>,
     pub(super) service: Service<H>,
 }
 
@@ -104,7 +105,7 @@
                 }
                 if !stop_seen && Pin::new(&mut self.stopped).poll(context).is_ready() {
                     stop_seen = true;
-                    idle = timer::sleep(self.service.limits.stop_idle);
+                    idle = timer::sleep(self.service.limits.stop_idle_timeout);
                 }
                 let over = Pin::new(&mut idle).poll(context).is_ready()
                     || Pin::new(&mut self.cut).poll(context).is_ready();
--- a/crates/net/src/server/handler.rs
+++ b/crates/net/src/server/handler.rs
@@ -10,15 +10,15 @@
 /// one at a time on each connection.
 pub trait Handler: Clone + Send + 'static {
     /// The work on one request.
-    type Answering: Future<Output = Response> + Send + 'static;
+    type ResponseFuture: Future<Output = Response> + Send + 'static;
 
     /// Begins to answer a request.
-    fn answer(&self, request: Request, connection: ConnectionInfo) -> Self::Answering;
+    fn handle(&self, request: Request, connection: ConnectionInfo) -> Self::ResponseFuture;
 
     /// Whether the request may run beside others of its connection that also
     /// may, by its head alone: it changes nothing, so that the order in which
     /// they run does not matter.
-    fn runs_beside(&self, _request: &Request) -> bool {
+    fn may_run_concurrently(&self, _request: &Request) -> bool {
         false
     }
 }
@@ -28,34 +28,34 @@
     H: Fn(Request, ConnectionInfo) -> F + Clone + Send + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
-    type Answering = F;
+    type ResponseFuture = F;
 
-    fn answer(&self, request: Request, connection: ConnectionInfo) -> F {
+    fn handle(&self, request: Request, connection: ConnectionInfo) -> F {
         self(request, connection)
     }
 }
 
 /// A handler with a rule which requests may run side by side.
 #[derive(Clone, Debug)]
-pub struct SideBySide<H, R> {
+pub struct ConcurrentHandler<H, R> {
     /// Answers each request.
     pub handler: H,
-    /// Says of a head whether it [runs beside](Handler::runs_beside) others.
-    pub rule: R,
+    /// Says of a head whether it [runs beside](Handler::may_run_concurrently) others.
+    pub may_run_concurrently: R,
 }
 
-impl<H, R> Handler for SideBySide<H, R>
+impl<H, R> Handler for ConcurrentHandler<H, R>
 where
     H: Handler,
     R: Fn(&Request) -> bool + Clone + Send + 'static,
 {
-    type Answering = H::Answering;
+    type ResponseFuture = H::ResponseFuture;
 
-    fn answer(&self, request: Request, connection: ConnectionInfo) -> Self::Answering {
-        self.handler.answer(request, connection)
+    fn handle(&self, request: Request, connection: ConnectionInfo) -> Self::ResponseFuture {
+        self.handler.handle(request, connection)
     }
 
-    fn runs_beside(&self, request: &Request) -> bool {
-        (self.rule)(request)
+    fn may_run_concurrently(&self, request: &Request) -> bool {
+        (self.may_run_concurrently)(request)
     }
 }
--- a/crates/net/src/server/interruption.rs
+++ b/crates/net/src/server/interruption.rs
@@ -18,7 +18,7 @@
         match self {
             Interruption::HungUp => Count::HungUp,
             Interruption::Truncated | Interruption::Unsent => Count::Truncated,
-            Interruption::Cut => Count::Cut,
+            Interruption::Cut => Count::Aborted,
         }
     }
 
@@ -26,8 +26,8 @@
     pub(super) fn count_behind(self) -> Count {
         match self {
             Interruption::HungUp => Count::HungUp,
-            Interruption::Truncated | Interruption::Unsent => Count::BrokenOff,
-            Interruption::Cut => Count::Cut,
+            Interruption::Truncated | Interruption::Unsent => Count::Abandoned,
+            Interruption::Cut => Count::Aborted,
         }
     }
 }
--- a/crates/net/src/server/mod.rs
+++ b/crates/net/src/server/mod.rs
@@ -33,7 +33,7 @@
 use report::Tracker;
 use service::Service;
 
-pub use handler::{Handler, SideBySide};
+pub use handler::{ConcurrentHandler, Handler};
 pub use limits::ServerLimits;
 pub use report::{ConnectionInfo, ServeReport};
 
@@ -57,7 +57,7 @@
 /// A planned stop cuts off nothing: connections that wait to be accepted are
 /// still taken, running requests are answered with `Connection: close`, and
 /// connections without a request stay open for the time of
-/// [`ServerLimits::stop_idle`], for requests already on their way.
+/// [`ServerLimits::stop_idle_timeout`], for requests already on their way.
 pub async fn serve<H: Handler>(
     listener: TcpListener,
     limits: ServerLimits,
@@ -129,7 +129,7 @@
             peer,
             local,
             read_at: Instant::now(),
-            behind: 0,
+            unanswered_before: 0,
         };
         let service = Service {
             handler: self.handler.clone(),
--- a/crates/net/src/server/report.rs
+++ b/crates/net/src/server/report.rs
@@ -17,7 +17,7 @@
     /// When the end of its head came.
     pub read_at: Instant,
     /// Requests of its connection that were not answered when it was begun.
-    pub behind: usize,
+    pub unanswered_before: usize,
 }
 
 /// What a server did until it stopped.
@@ -37,9 +37,9 @@
     pub truncated: u64,
     /// Requests that got no answer because one before them on their
     /// connection was cut short.
-    pub broken_off: u64,
+    pub abandoned: u64,
     /// Requests cut off when the drain timeout passed.
-    pub cut: u64,
+    pub aborted: u64,
 }
 
 /// Which event to count.
@@ -49,8 +49,8 @@
     RefusedRequest,
     HungUp,
     Truncated,
-    BrokenOff,
-    Cut,
+    Abandoned,
+    Aborted,
 }
 
 #[derive(Debug, Default)]
@@ -61,8 +61,8 @@
     refused_requests: AtomicU64,
     hung_up: AtomicU64,
     truncated: AtomicU64,
-    broken_off: AtomicU64,
-    cut: AtomicU64,
+    abandoned: AtomicU64,
+    aborted: AtomicU64,
 }
 
 #[derive(Debug, Default)]
@@ -134,8 +134,8 @@
             refused_requests: read(&counters.refused_requests),
             hung_up: read(&counters.hung_up),
             truncated: read(&counters.truncated),
-            broken_off: read(&counters.broken_off),
-            cut: read(&counters.cut),
+            abandoned: read(&counters.abandoned),
+            aborted: read(&counters.aborted),
         }
     }
 }
@@ -154,8 +154,8 @@
             Count::RefusedRequest => &counters.refused_requests,
             Count::HungUp => &counters.hung_up,
             Count::Truncated => &counters.truncated,
-            Count::BrokenOff => &counters.broken_off,
-            Count::Cut => &counters.cut,
+            Count::Abandoned => &counters.abandoned,
+            Count::Aborted => &counters.aborted,
         };
         counter.fetch_add(requests as u64, Ordering::Relaxed);
     }
--- a/crates/net/src/server/request.rs
+++ b/crates/net/src/server/request.rs
@@ -6,9 +6,9 @@
 use threadledge_types::NotRunReason;
 
 use crate::Instant;
+use crate::error_response;
 use crate::framing::BodyDecoder;
 use crate::head::{self, HeadBytes};
-use crate::refusal;
 use crate::wire::Wire;
 
 /// Why the server refuses a request itself.
@@ -30,7 +30,7 @@
             RequestFault::Malformed(detail) => (NotRunReason::Malformed, detail.as_str()),
             RequestFault::Unsupported(detail) => (NotRunReason::Malformed, *detail),
         };
-        let mut response = refusal::not_run(reason, detail);
+        let mut response = error_response::not_run(reason, detail);
         match self {
             RequestFault::HeadTooLarge => {
                 response.set_status(StatusCode::RequestHeaderFieldsTooLarge);
--- a/crates/net/src/server/service.rs
+++ b/crates/net/src/server/service.rs
@@ -21,13 +21,18 @@
 
 impl<H: Handler> Service<H> {
     /// Begins to answer a request that came at `read_at` behind others.
-    pub(super) fn answer(&self, request: Request, read_at: Instant, behind: usize) -> H::Answering {
+    pub(super) fn handle(
+        &self,
+        request: Request,
+        read_at: Instant,
+        unanswered_before: usize,
+    ) -> H::ResponseFuture {
         self.guard.count(Count::Request, 1);
         let connection = ConnectionInfo {
             read_at,
-            behind,
+            unanswered_before,
             ..self.info
         };
-        self.handler.answer(request, connection)
+        self.handler.handle(request, connection)
     }
 }
--- a/crates/net/tests/client.rs
+++ b/crates/net/tests/client.rs
@@ -12,7 +12,7 @@
 use http_types::{Request, Response};
 use serde::{Deserialize, Serialize};
 use support::{SAFETY, TestServer, peer_with_script, quick_limits, within};
-use threadledge_net::{ClientError, ConnectionInfo, HttpClient, LargePace, PoolSettings, timer};
+use threadledge_net::{BodyTimeouts, ClientError, ConnectionInfo, HttpClient, PoolSettings, timer};
 
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Number {
@@ -104,7 +104,7 @@
 
     let conflict = "HTTP/1.1 409 Conflict\r\ncontent-length: 4\r\n\r\nwhy?";
     let error = call(peer_with_script(vec![conflict.into()]).await, SAFETY).await;
-    assert_eq!(error.answered_status(), Some((409, &b"why?"[..])));
+    assert_eq!(error.error_response(), Some((409, &b"why?"[..])));
 
     let no_json = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{]";
     let error = call(peer_with_script(vec![no_json.into()]).await, SAFETY).await;
@@ -126,13 +126,13 @@
         stream.write_all(b"34").await.unwrap();
     });
     let head_time = Duration::from_secs(1);
-    let pace = LargePace {
-        pause: SAFETY,
-        longest: SAFETY,
+    let pace = BodyTimeouts {
+        idle: SAFETY,
+        total: SAFETY,
     };
     let request = http::Request::get("/").body(Vec::new()).unwrap();
     let client = HttpClient::default();
-    let answer = client.send_for_large(address, request, head_time, pace);
+    let answer = client.send_with_body_timeouts(address, request, head_time, pace);
     let late = async {
         timer::sleep(head_time).await;
         go_on.send(()).await.unwrap();
@@ -153,13 +153,15 @@
         // Ends when the client leaves, in order or not.
         let _ = stream.read_to_end(&mut rest).await;
     });
-    let pace = LargePace {
-        pause: Duration::from_millis(20),
-        longest: SAFETY,
+    let pace = BodyTimeouts {
+        idle: Duration::from_millis(20),
+        total: SAFETY,
     };
     let request = http::Request::get("/").body(Vec::new()).unwrap();
     let client = HttpClient::default();
-    let answer = client.send_for_large(address, request, SAFETY, pace).await;
+    let answer = client
+        .send_with_body_timeouts(address, request, SAFETY, pace)
+        .await;
     let given_up = matches!(answer, Err(ClientError::Timeout { sent: true, .. }));
     assert!(given_up, "{answer:?}");
     peer.await;
@@ -176,7 +178,7 @@
     let got: Result<u64, _> = client.get_json(peer, "/", SAFETY).await;
     assert!(matches!(
         got,
-        Err(ClientError::AnswerTooLarge { limit: 4, .. })
+        Err(ClientError::ResponseTooLarge { limit: 4, .. })
     ));
 }
 
@@ -245,6 +247,6 @@
     let Either::Right((Err(error), _)) = ended else {
         panic!("the second is not made");
     };
-    assert!(error.is_own_limit(), "{error}");
+    assert!(error.is_pool_exhausted(), "{error}");
     assert!(!error.may_have_been_received());
 }
--- a/crates/net/tests/pool.rs
+++ b/crates/net/tests/pool.rs
@@ -253,7 +253,7 @@
 async fn a_deadline_in_the_past_means_that_nothing_was_sent() {
     let (address, accepted) = peer(OK, false).await;
     let pool = pool();
-    let connection = pool.connection(address, soon()).await.unwrap();
+    let connection = pool.checkout(address, soon()).await.unwrap();
     let past = Instant::now();
     let error = connection.exchange(get(address), past).await.unwrap_err();
     assert_eq!(error.stage, Stage::NothingSent);
@@ -279,13 +279,13 @@
     let (address, _accepted) = peer(OK, false).await;
     let pool = pool();
     pool.set_connection_limit(address, 2);
-    let first = pool.connection(address, soon()).await.unwrap();
-    let second = pool.connection(address, soon()).await.unwrap();
-    let error = pool.connection(address, soon()).await.unwrap_err();
+    let first = pool.checkout(address, soon()).await.unwrap();
+    let second = pool.checkout(address, soon()).await.unwrap();
+    let error = pool.checkout(address, soon()).await.unwrap_err();
     assert!(matches!(error.fault, ExchangeFault::NoConnectionFree));
     assert!(!error.stage.may_have_been_received());
     drop(first);
-    let third = pool.connection(address, soon()).await.unwrap();
+    let third = pool.checkout(address, soon()).await.unwrap();
     pool.set_connection_limit(address, 1);
     drop(third);
     drop(second);
@@ -300,7 +300,7 @@
         idle_timeout: Duration::from_millis(10),
         ..PoolSettings::default()
     });
-    drop(pool.connection(address, soon()).await.unwrap());
+    drop(pool.checkout(address, soon()).await.unwrap());
     let (mut stream, _) = within(listener.accept()).await.unwrap();
     assert_eq!(within(stream.read(&mut [0; 1])).await.unwrap(), 0);
 }
@@ -338,6 +338,6 @@
     pool.set_connection_limit(address, 1);
     let response = exchange(&pool, address).await.unwrap();
     read_body(response).await.unwrap();
-    pool.forget(address);
+    pool.remove_address(address);
     assert_eq!(pool.open_connections(address), (0, 0));
 }
--- a/crates/net/tests/pool_doubts.rs
+++ b/crates/net/tests/pool_doubts.rs
@@ -67,12 +67,12 @@
 }
 
 /// A pool with connections at rest.
-async fn rested(address: SocketAddr, doubt_after: Option<Duration>) -> Pool {
+async fn rested(address: SocketAddr, suspect_idle_after: Option<Duration>) -> Pool {
     let pool = Pool::new(PoolSettings {
-        doubt_after,
+        suspect_idle_after,
         ..PoolSettings::default()
     });
-    let opening = (0..AT_REST).map(|_| pool.connection(address, soon()));
+    let opening = (0..AT_REST).map(|_| pool.checkout(address, soon()));
     let open = within(join_all(opening)).await;
     assert!(open.iter().all(Result::is_ok));
     drop(open);
@@ -128,9 +128,9 @@
 async fn a_new_connection_without_an_answer_casts_no_doubt_on_old_ones() {
     let address = peer().await;
     let pool = rested(address, Some(DOUBT_AFTER)).await;
-    let opening = (0..AT_REST).map(|_| pool.connection(address, soon()));
+    let opening = (0..AT_REST).map(|_| pool.checkout(address, soon()));
     let old = within(join_all(opening)).await;
-    let new = within(pool.connection(address, soon())).await.unwrap();
+    let new = within(pool.checkout(address, soon())).await.unwrap();
     drop(old);
     let request = get(address, "/silent");
     let sent = within(new.exchange(request, Instant::now() + LONG)).await;
--- a/crates/net/tests/server_pipelined.rs
+++ b/crates/net/tests/server_pipelined.rs
@@ -11,7 +11,7 @@
 use http_types::{Body, Request, Response};
 use parking_lot::Mutex;
 use support::{RawCaller, TestServer, quick_limits, within};
-use threadledge_net::{ConnectionInfo, Handler, Instant, ServerLimits, SideBySide};
+use threadledge_net::{ConcurrentHandler, ConnectionInfo, Handler, Instant, ServerLimits};
 
 /// What a request is answered with.
 enum Answer {
@@ -103,7 +103,7 @@
         };
         Box::pin(run) as BoxFuture<'static, Response>
     };
-    let rule = move |request: &Request| {
+    let may_run_concurrently = move |request: &Request| {
         let path = request.url().path();
         let _ = asked_sender.try_send(path.to_owned());
         path.starts_with("/safe")
@@ -114,7 +114,13 @@
         asked,
         gates,
     };
-    (stage, SideBySide { handler, rule })
+    (
+        stage,
+        ConcurrentHandler {
+            handler,
+            may_run_concurrently,
+        },
+    )
 }
 
 impl Stage {
@@ -164,11 +170,14 @@
     let paths: Vec<String> = (0..8).map(|number| format!("/safe/{number}")).collect();
     let paths: Vec<&str> = paths.iter().map(String::as_str).collect();
     caller.send(get(paths[0])).await;
-    assert_eq!(stage.begins().await.1.behind, 0);
+    assert_eq!(stage.begins().await.1.unanswered_before, 0);
     caller.send(gets(&paths[1..])).await;
     for (before, sent) in paths.iter().enumerate().skip(1) {
         let (path, connection) = stage.begins().await;
-        assert_eq!((path.as_str(), connection.behind), (*sent, before));
+        assert_eq!(
+            (path.as_str(), connection.unanswered_before),
+            (*sent, before)
+        );
     }
     for path in paths.iter().rev() {
         stage.answer(path, Answer::Path);
@@ -230,7 +239,7 @@
 async fn no_more_run_than_allowed() {
     let (stage, handler) = stage();
     let limits = ServerLimits {
-        requests_ahead: 2,
+        max_pipelined_requests: 2,
         ..quick_limits()
     };
     let server = TestServer::start(limits, handler).await;
@@ -257,7 +266,7 @@
 async fn answers_that_wait_for_their_turn_hold_back_further_requests() {
     let (stage, handler) = stage();
     let limits = ServerLimits {
-        answers_ahead_bytes: 100,
+        max_pipelined_response_bytes: 100,
         ..quick_limits()
     };
     let server = TestServer::start(limits, handler).await;
@@ -272,7 +281,10 @@
     assert_eq!(next_path(&mut caller).await.len(), 100);
     let (path, connection) = stage.begins().await;
     // It began when nothing was held any more.
-    assert_eq!((path.as_str(), connection.behind), ("/safe/3", 0));
+    assert_eq!(
+        (path.as_str(), connection.unanswered_before),
+        ("/safe/3", 0)
+    );
     stage.answer("/safe/3", Answer::Path);
     assert_eq!(next_path(&mut caller).await, "/safe/3");
     server.finish().await;
@@ -315,7 +327,7 @@
     assert_eq!(caller.rest().await, b"");
     let report = server.finish().await;
     stage.none_begins();
-    assert_eq!((report.requests, report.cut), (3, 0));
+    assert_eq!((report.requests, report.aborted), (3, 0));
 }
 
 #[async_std::test]
@@ -408,7 +420,7 @@
         "bytes of another answer"
     );
     let report = server.finish().await;
-    assert_eq!((report.truncated, report.broken_off), (1, 1));
+    assert_eq!((report.truncated, report.abandoned), (1, 1));
 }
 
 #[async_std::test]
@@ -423,7 +435,7 @@
     assert_eq!(caller.response().await.expect("an answer").status, 502);
     assert_eq!(next_path(&mut caller).await, "/safe/2");
     let report = server.finish().await;
-    assert_eq!((report.truncated, report.broken_off), (1, 0));
+    assert_eq!((report.truncated, report.abandoned), (1, 0));
 }
 
 #[async_std::test]
--- a/crates/net/tests/server_refusals.rs
+++ b/crates/net/tests/server_refusals.rs
@@ -7,7 +7,7 @@
 
 use support::{RawCaller, TestServer, echo, quick_limits};
 use threadledge_net::ServerLimits;
-use threadledge_net::refusal::OutcomeBody;
+use threadledge_net::error_response::OutcomeBody;
 
 struct BadRequest {
     bytes: Vec<u8>,
--- a/crates/net/tests/server_stop.rs
+++ b/crates/net/tests/server_stop.rs
@@ -64,7 +64,7 @@
     drop(caller);
     within(gate.dropped.recv()).await.unwrap();
     let report = server.finish().await;
-    assert_eq!((report.requests, report.hung_up, report.cut), (1, 1, 0));
+    assert_eq!((report.requests, report.hung_up, report.aborted), (1, 1, 0));
 }
 
 #[async_std::test]
@@ -109,7 +109,7 @@
         assert_eq!(response.header("connection"), Some("close"));
     }
     let report = server.finish().await;
-    assert_eq!((report.requests, report.cut), (11, 0));
+    assert_eq!((report.requests, report.aborted), (11, 0));
 }
 
 #[async_std::test]
@@ -123,7 +123,7 @@
     server.stop.stop();
     gate.release.send(()).await.unwrap();
     assert_eq!(caller.response().await.unwrap().status, 200);
-    assert_eq!(server.finish().await.cut, 0);
+    assert_eq!(server.finish().await.aborted, 0);
 }
 
 #[async_std::test]
@@ -136,7 +136,7 @@
     assert_eq!(caller.response().await.unwrap().status, 200);
     let report = server.finish().await;
     assert_eq!(caller.rest().await, b"");
-    assert_eq!((report.connections, report.cut), (1, 0));
+    assert_eq!((report.connections, report.aborted), (1, 0));
 }
 
 #[async_std::test]
@@ -151,7 +151,7 @@
     caller.send(GET).await;
     within(gate.started.recv()).await.unwrap();
     let report = server.finish().await;
-    assert_eq!((report.requests, report.cut), (1, 1));
+    assert_eq!((report.requests, report.aborted), (1, 1));
     assert_eq!(caller.rest().await, b"");
     within(gate.dropped.recv()).await.unwrap();
 }
--- a/crates/net/tests/support/mod.rs
+++ b/crates/net/tests/support/mod.rs
@@ -54,7 +54,7 @@
 /// Short waits, so that tests of them end soon.
 pub fn quick_limits() -> ServerLimits {
     ServerLimits {
-        stop_idle: Duration::from_millis(20),
+        stop_idle_timeout: Duration::from_millis(20),
         ..ServerLimits::default()
     }
 }
--- a/crates/net/tests/suspension.rs
+++ b/crates/net/tests/suspension.rs
@@ -44,7 +44,7 @@
     let address = listener.local_addr().expect("bound");
     let pool = Pool::new(PoolSettings::default());
     let deadline = Instant::now() + SUSPENDED / 2;
-    let connection = pool.connection(address, deadline).await.expect("opened");
+    let connection = pool.checkout(address, deadline).await.expect("opened");
     simulate_suspension(SUSPENDED);
     let error = within(connection.exchange(get(address), deadline)).await;
     let error = error.expect_err("too late");
@@ -60,9 +60,9 @@
         idle_timeout: SUSPENDED / 2,
         ..PoolSettings::default()
     });
-    drop(pool.connection(address, soon()).await.expect("opened"));
+    drop(pool.checkout(address, soon()).await.expect("opened"));
     simulate_suspension(SUSPENDED);
-    drop(pool.connection(address, soon()).await.expect("opened"));
+    drop(pool.checkout(address, soon()).await.expect("opened"));
     for _ in 0..2 {
         let accepted = async_std::future::timeout(SAFETY, listener.accept()).await;
         accepted
--- a/crates/object-api/src/backoff.rs
+++ b/crates/object-api/src/backoff.rs
@@ -9,16 +9,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackoffSettings {
     /// First wait before it is spread.
-    pub first: Duration,
+    pub initial: Duration,
     /// Longest wait.
-    pub longest: Duration,
+    pub max: Duration,
 }
 
 impl Default for BackoffSettings {
     fn default() -> Self {
         BackoffSettings {
-            first: Duration::from_millis(200),
-            longest: Duration::from_secs(10),
+            initial: Duration::from_millis(200),
+            max: Duration::from_secs(10),
         }
     }
 }
@@ -36,22 +36,22 @@
     /// Starts with the first wait; equal seeds give equal waits.
     pub fn new(settings: BackoffSettings, seed: u64) -> Self {
         Backoff {
-            next: settings.first,
+            next: settings.initial,
             settings,
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
     /// The wait before the next attempt.
-    pub fn next_wait(&mut self) -> Duration {
-        let base = self.next.min(self.settings.longest);
-        self.next = base.saturating_mul(2).min(self.settings.longest);
+    pub fn next_delay(&mut self) -> Duration {
+        let base = self.next.min(self.settings.max);
+        self.next = base.saturating_mul(2).min(self.settings.max);
         let share = self.random.random_range(0.5..=1.0);
         base.mul_f64(share)
     }
 
     /// Begins anew after a success.
     pub fn reset(&mut self) {
-        self.next = self.settings.first;
+        self.next = self.settings.initial;
     }
 }
--- a/crates/object-api/src/client.rs
+++ b/crates/object-api/src/client.rs
@@ -24,7 +24,7 @@
 
 /// Every object of a scope at one version of the store.
 #[derive(Clone, Debug)]
-pub struct Listed<K> {
+pub struct ObjectList<K> {
     /// The objects, in the store's order.
     pub items: Vec<StoredObject<K>>,
     /// Version of the store that the list shows.
@@ -67,7 +67,7 @@
     ///
     /// [`PlatformErrorKind::Gone`] if the store compacted the version between
     /// two pages: list again.
-    pub async fn list<K: ApiObject>(&self, scope: &Scope) -> Result<Listed<K>, PlatformError> {
+    pub async fn list<K: ApiObject>(&self, scope: &Scope) -> Result<ObjectList<K>, PlatformError> {
         let request = Request::new(scope.path::<K>());
         let mut items = Vec::new();
         let mut token: Option<String> = None;
@@ -90,7 +90,7 @@
             if token.is_none() {
                 let resource_version = parse_version(&page.metadata.resource_version)
                     .map_err(|text| bad_answer(&operation, text))?;
-                return Ok(Listed {
+                return Ok(ObjectList {
                     items,
                     resource_version,
                 });
@@ -115,7 +115,7 @@
         let request = Request::new(scope.path::<K>());
         let request = build(request.watch(&params, &from_version.to_string()))?;
         let response = self.transport.open(request).await?;
-        let most = self.transport.settings().max_answer_bytes;
+        let most = self.transport.settings().max_response_bytes;
         Ok(EventStream::new(response, most))
     }
 
--- a/crates/object-api/src/lib.rs
+++ b/crates/object-api/src/lib.rs
@@ -23,7 +23,7 @@
 pub mod watcher;
 pub mod write;
 
-pub use client::{Listed, ObjectClient};
+pub use client::{ObjectClient, ObjectList};
 pub use error::{PlatformError, PlatformErrorKind, WriteEffect};
 pub use machines::MachineListClient;
 pub use resource::{ApiObject, ObjectKey, Scope, StoredObject};
--- a/crates/object-api/src/resolve.rs
+++ b/crates/object-api/src/resolve.rs
@@ -44,9 +44,9 @@
     NotYetApplied,
     /// Somebody else changed the object. The write may have taken effect
     /// before that and is no longer in force.
-    Overtaken,
+    Superseded,
     /// The object is gone or was created again.
-    Vanished,
+    Gone,
     /// The store shows an older state than the one the write was based on.
     OlderStore,
 }
@@ -56,8 +56,8 @@
     match (condition, found) {
         (Condition::NameIsFree, None) => Resolution::NotYetApplied,
         (Condition::NameIsFree, Some(found)) if found.content_matches => Resolution::Applied,
-        (Condition::NameIsFree, Some(_)) => Resolution::Overtaken,
-        (Condition::HasVersion { .. }, None) => Resolution::Vanished,
+        (Condition::NameIsFree, Some(_)) => Resolution::Superseded,
+        (Condition::HasVersion { .. }, None) => Resolution::Gone,
         (Condition::HasVersion { uid, version }, Some(found)) => {
             resolve_version(uid.as_deref(), *version, found)
         }
@@ -68,13 +68,13 @@
     if found.version < version {
         Resolution::OlderStore
     } else if uid.is_some_and(|uid| uid != found.uid) {
-        Resolution::Vanished
+        Resolution::Gone
     } else if found.version == version {
         Resolution::NotYetApplied
     } else if found.content_matches {
         Resolution::Applied
     } else {
-        Resolution::Overtaken
+        Resolution::Superseded
     }
 }
 
@@ -96,10 +96,10 @@
     Applied,
     /// The condition did not hold; the write had no effect.
     Conflict,
-    /// See [`Resolution::Overtaken`].
-    Overtaken,
-    /// See [`Resolution::Vanished`].
-    Vanished,
+    /// See [`Resolution::Superseded`].
+    Superseded,
+    /// See [`Resolution::Gone`].
+    Gone,
     /// The last error stands. Whether the write had an effect is known only
     /// if no answer was lost.
     Failed {
@@ -166,8 +166,8 @@
         match resolve(&self.condition, found) {
             Resolution::Applied => Step::Finish(Finish::Applied),
             Resolution::NotYetApplied => self.attempt(Step::Send),
-            Resolution::Overtaken => Step::Finish(Finish::Overtaken),
-            Resolution::Vanished => Step::Finish(Finish::Vanished),
+            Resolution::Superseded => Step::Finish(Finish::Superseded),
+            Resolution::Gone => Step::Finish(Finish::Gone),
             Resolution::OlderStore => self.attempt(Step::ReadBack),
         }
     }
--- a/crates/object-api/src/tracker.rs
+++ b/crates/object-api/src/tracker.rs
@@ -11,7 +11,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::client::Listed;
+use crate::client::ObjectList;
 use crate::resource::{ObjectKey, StoredObject};
 use crate::watch::Event;
 
@@ -49,7 +49,7 @@
     VersionReused(u64),
     /// The store shows an object that was deleted.
     #[error("the store shows a deleted object of version {0}; delete it again")]
-    Resurrected(u64),
+    Undeleted(u64),
     /// The store lost the object when it went back.
     #[error("the store lost the object when it was restored; create it again, then delete it")]
     Lost,
@@ -57,7 +57,7 @@
 
 /// What a list gives.
 #[derive(Clone, Debug)]
-pub enum ListVerdict<K> {
+pub enum ListOutcome<K> {
     /// The list is older than what was seen; nothing of it is used.
     Older {
         /// Highest version seen.
@@ -78,13 +78,13 @@
 
 /// What a watch event gives.
 #[derive(Clone, Debug)]
-pub enum EventVerdict<K> {
+pub enum EventOutcome<K> {
     /// Deliver this.
     Change(Change<K>),
     /// Everything up to this version was delivered.
     Confirmed(u64),
     /// The event was delivered before.
-    Repeated,
+    Duplicate,
     /// The event is older than what was seen; list again.
     Older {
         /// Highest version seen.
@@ -129,7 +129,7 @@
 
     /// Knows what an earlier watcher delivered, so that a new one after a
     /// failover does not trust a store that went back meanwhile.
-    pub fn with_known(known: impl IntoIterator<Item = (ObjectKey, u64)>) -> Self {
+    pub fn with_delivered(known: impl IntoIterator<Item = (ObjectKey, u64)>) -> Self {
         let mut tracker = ObjectTracker::default();
         for (key, version) in known {
             tracker.seen = tracker.seen.max(version);
@@ -144,15 +144,15 @@
     }
 
     /// Highest version seen.
-    pub fn seen(&self) -> u64 {
+    pub fn highest_seen(&self) -> u64 {
         self.seen
     }
 
     /// Judges a list of the whole scope.
-    pub fn on_list<K>(&mut self, listed: Listed<K>) -> ListVerdict<K> {
+    pub fn on_list<K>(&mut self, listed: ObjectList<K>) -> ListOutcome<K> {
         if listed.resource_version < self.seen {
             self.rewound = true;
-            return ListVerdict::Older {
+            return ListOutcome::Older {
                 seen: self.seen,
                 listed: listed.resource_version,
             };
@@ -173,7 +173,7 @@
         let removed = self.settle_absent(&present, &mut withheld);
         self.seen = listed.resource_version;
         self.synced = Some(listed.resource_version);
-        ListVerdict::Current {
+        ListOutcome::Current {
             objects,
             removed,
             withheld,
@@ -181,44 +181,44 @@
     }
 
     /// Judges an event of a watch that began at the version of the last list.
-    pub fn on_event<K>(&mut self, event: Event<K>) -> EventVerdict<K> {
+    pub fn on_event<K>(&mut self, event: Event<K>) -> EventOutcome<K> {
         match event {
             Event::Added(object) | Event::Modified(object) => self.on_change(object),
             Event::Deleted(object) => self.on_deletion(&object),
             Event::Bookmark(version) if version < self.seen => self.older(version),
             Event::Bookmark(version) => {
                 self.advance(version);
-                EventVerdict::Confirmed(version)
+                EventOutcome::Confirmed(version)
             }
-            Event::Gone => EventVerdict::Relist,
+            Event::Gone => EventOutcome::Relist,
         }
     }
 
-    fn on_change<K>(&mut self, object: StoredObject<K>) -> EventVerdict<K> {
+    fn on_change<K>(&mut self, object: StoredObject<K>) -> EventOutcome<K> {
         let repeated = Delivered::of(&object);
         if self.delivered.get(&object.key) == Some(&repeated) {
-            return EventVerdict::Repeated;
+            return EventOutcome::Duplicate;
         }
         if object.resource_version <= self.seen {
             return self.older(object.resource_version);
         }
         self.advance(object.resource_version);
         self.remember(&object);
-        EventVerdict::Change(Change::Applied(object))
+        EventOutcome::Change(Change::Applied(object))
     }
 
-    fn on_deletion<K>(&mut self, object: &StoredObject<K>) -> EventVerdict<K> {
+    fn on_deletion<K>(&mut self, object: &StoredObject<K>) -> EventOutcome<K> {
         if object.resource_version <= self.seen {
             return self.older(object.resource_version);
         }
         self.advance(object.resource_version);
         self.forget(&object.key);
-        EventVerdict::Change(Change::Removed(object.key.clone()))
+        EventOutcome::Change(Change::Removed(object.key.clone()))
     }
 
-    fn older<K>(&mut self, shown: u64) -> EventVerdict<K> {
+    fn older<K>(&mut self, shown: u64) -> EventOutcome<K> {
         self.rewound = true;
-        EventVerdict::Older {
+        EventOutcome::Older {
             seen: self.seen,
             shown,
         }
@@ -246,7 +246,7 @@
             // Every object up to the synced version was known, so one that is
             // not known was deleted.
             None if self.synced.is_some_and(|synced| shown <= synced) => {
-                Some(WithheldReason::Resurrected(shown))
+                Some(WithheldReason::Undeleted(shown))
             }
             None => None,
         }
--- a/crates/object-api/src/transport.rs
+++ b/crates/object-api/src/transport.rs
@@ -24,9 +24,9 @@
     pub connect_timeout: Duration,
     /// Longest time from the request to the whole answer; for a watch, to
     /// the head of the answer.
-    pub answer_timeout: Duration,
+    pub response_timeout: Duration,
     /// Largest answer, and largest line of a watch, in bytes.
-    pub max_answer_bytes: usize,
+    pub max_response_bytes: usize,
     /// Token sent as `Authorization: Bearer`, if any.
     pub token: Option<String>,
 }
@@ -35,8 +35,8 @@
     fn default() -> Self {
         TransportSettings {
             connect_timeout: Duration::from_secs(2),
-            answer_timeout: Duration::from_secs(10),
-            max_answer_bytes: 16 << 20,
+            response_timeout: Duration::from_secs(10),
+            max_response_bytes: 16 << 20,
             token: None,
         }
     }
@@ -88,7 +88,7 @@
     ) -> Result<Vec<u8>, PlatformError> {
         let operation = Operation::of(&request);
         let request = self.convert(&operation, request)?;
-        let deadline = Instant::now() + self.settings.answer_timeout;
+        let deadline = Instant::now() + self.settings.response_timeout;
         let exchanged = self.pool.exchange(self.address, request, deadline).await;
         let response = exchanged.map_err(|error| self.failure(&operation, error))?;
         if response.status().is_success() {
@@ -107,7 +107,7 @@
     pub async fn open(&self, request: http::Request<Vec<u8>>) -> Result<Response, PlatformError> {
         let operation = Operation::of(&request);
         let request = self.convert(&operation, request)?;
-        let deadline = Instant::now() + self.settings.answer_timeout;
+        let deadline = Instant::now() + self.settings.response_timeout;
         let exchanging = self.pool.exchange_stream(self.address, request, deadline);
         let response = exchanging
             .await
@@ -116,7 +116,7 @@
             return Ok(response);
         }
         let refusal = timer::timeout_at(deadline, self.refusal(&operation, response)).await;
-        let late = PlatformErrorKind::TimedOut(self.settings.answer_timeout);
+        let late = PlatformErrorKind::TimedOut(self.settings.response_timeout);
         Err(refusal.unwrap_or_else(|_| operation.lost(late)))
     }
 
@@ -150,7 +150,7 @@
         }
         let kind = match error.fault {
             ExchangeFault::DeadlinePassed => {
-                PlatformErrorKind::TimedOut(self.settings.answer_timeout)
+                PlatformErrorKind::TimedOut(self.settings.response_timeout)
             }
             ExchangeFault::Malformed(text) => PlatformErrorKind::BadAnswer(text),
             fault => PlatformErrorKind::ConnectionLost(fault.to_string()),
@@ -163,7 +163,7 @@
         operation: &Operation,
         response: Response,
     ) -> Result<Vec<u8>, PlatformError> {
-        let most = self.settings.max_answer_bytes;
+        let most = self.settings.max_response_bytes;
         let mut body = Vec::new();
         // One byte more than allowed tells a body at the limit from one over it.
         let mut limited = response.take(most as u64 + 1);
@@ -176,8 +176,8 @@
     }
 
     fn body_failure(&self, error: &std::io::Error) -> PlatformErrorKind {
-        match BodyFault::of(error) {
-            Some(BodyFault::TooSlow) => PlatformErrorKind::TimedOut(self.settings.answer_timeout),
+        match BodyFault::from_io_error(error) {
+            Some(BodyFault::TooSlow) => PlatformErrorKind::TimedOut(self.settings.response_timeout),
             _ => PlatformErrorKind::ConnectionLost(error.to_string()),
         }
     }
--- a/crates/object-api/src/watcher.rs
+++ b/crates/object-api/src/watcher.rs
@@ -10,7 +10,7 @@
 use crate::client::ObjectClient;
 use crate::error::{PlatformError, PlatformErrorKind};
 use crate::resource::{ApiObject, ObjectKey, Scope, StoredObject};
-use crate::tracker::{Change, EventVerdict, ListVerdict, ObjectTracker, Withheld};
+use crate::tracker::{Change, EventOutcome, ListOutcome, ObjectTracker, Withheld};
 use crate::watch::EventStream;
 
 /// What a watcher tells.
@@ -61,7 +61,7 @@
     pub min_request_interval: Duration,
     /// Longest time without event or bookmark before the connection is given
     /// up as dead.
-    pub max_silence: Duration,
+    pub idle_timeout: Duration,
     /// Seed of the spread of the waits; differs between routers.
     pub seed: u64,
 }
@@ -72,7 +72,7 @@
             scope: Scope::All,
             backoff: BackoffSettings::default(),
             min_request_interval: Duration::from_millis(200),
-            max_silence: Duration::from_secs(90),
+            idle_timeout: Duration::from_secs(90),
             seed: 0,
         }
     }
@@ -150,11 +150,11 @@
         };
         let resource_version = listed.resource_version;
         match self.tracker.on_list(listed) {
-            ListVerdict::Older { seen, listed } => {
+            ListOutcome::Older { seen, listed } => {
                 self.older_store(seen, listed).await?;
                 Ok(false)
             }
-            ListVerdict::Current {
+            ListOutcome::Current {
                 objects,
                 removed,
                 withheld,
@@ -174,7 +174,7 @@
 
     async fn watch(&mut self) -> Result<WatchEnd, Closed> {
         self.pace().await;
-        let from = self.tracker.seen();
+        let from = self.tracker.highest_seen();
         match self.client.watch(&self.settings.scope, from).await {
             Ok(stream) => self.follow(stream).await,
             Err(error) => self.watch_failed(error).await,
@@ -183,28 +183,28 @@
 
     async fn follow(&mut self, mut stream: EventStream<K>) -> Result<WatchEnd, Closed> {
         loop {
-            let event = match timeout(self.settings.max_silence, stream.next()).await {
+            let event = match timeout(self.settings.idle_timeout, stream.next()).await {
                 Ok(None) => return Ok(WatchEnd::Ended),
                 Ok(Some(Ok(event))) => event,
                 Ok(Some(Err(error))) => return self.watch_failed(error).await,
                 Err(_) => {
-                    let kind = PlatformErrorKind::TimedOut(self.settings.max_silence);
+                    let kind = PlatformErrorKind::TimedOut(self.settings.idle_timeout);
                     let error = PlatformError::without_effect("watch", kind);
                     return self.watch_failed(error).await;
                 }
             };
             self.backoff.reset();
             match self.tracker.on_event(event) {
-                EventVerdict::Change(change) => self.send(WatchUpdate::Change(change)).await?,
-                EventVerdict::Confirmed(version) => {
+                EventOutcome::Change(change) => self.send(WatchUpdate::Change(change)).await?,
+                EventOutcome::Confirmed(version) => {
                     self.send(WatchUpdate::Confirmed(version)).await?;
                 }
-                EventVerdict::Repeated => {}
-                EventVerdict::Older { seen, shown } => {
+                EventOutcome::Duplicate => {}
+                EventOutcome::Older { seen, shown } => {
                     self.older_store(seen, shown).await?;
                     return Ok(WatchEnd::Relist);
                 }
-                EventVerdict::Relist => return Ok(WatchEnd::Relist),
+                EventOutcome::Relist => return Ok(WatchEnd::Relist),
             }
         }
     }
@@ -225,7 +225,7 @@
 
     async fn interrupted(&mut self, error: PlatformError) -> Result<(), Closed> {
         let asked = error.retry_after().unwrap_or(Duration::ZERO);
-        let retry_in = self.backoff.next_wait().max(asked);
+        let retry_in = self.backoff.next_delay().max(asked);
         self.send(WatchUpdate::Interrupted { error, retry_in })
             .await?;
         sleep(retry_in).await;
@@ -234,7 +234,7 @@
 
     async fn older_store(&mut self, seen: u64, shown: u64) -> Result<(), Closed> {
         self.send(WatchUpdate::OlderStore { seen, shown }).await?;
-        sleep(self.backoff.next_wait()).await;
+        sleep(self.backoff.next_delay()).await;
         Ok(())
     }
 
--- a/crates/object-api/src/write.rs
+++ b/crates/object-api/src/write.rs
@@ -30,9 +30,9 @@
     Conflict,
     /// Somebody changed the object after the condition held; the write may
     /// have been in force in between. The object as it is now.
-    Overtaken(StoredObject<K>),
+    Superseded(StoredObject<K>),
     /// The object is gone or was created again.
-    Vanished,
+    Gone,
 }
 
 /// Bounds of one resolved write.
@@ -150,16 +150,16 @@
             return;
         };
         let asked = error.retry_after().unwrap_or(Duration::ZERO);
-        let wait = self.backoff.next_wait().max(asked);
+        let wait = self.backoff.next_delay().max(asked);
         async_std::task::sleep(wait).await;
     }
 
     fn finish(self, finish: Finish) -> Result<WriteOutcome<K>, PlatformError> {
         match (finish, self.object) {
             (Finish::Applied, Some(object)) => Ok(WriteOutcome::Applied(object)),
-            (Finish::Overtaken, Some(object)) => Ok(WriteOutcome::Overtaken(object)),
+            (Finish::Superseded, Some(object)) => Ok(WriteOutcome::Superseded(object)),
             (Finish::Conflict, _) => Ok(WriteOutcome::Conflict),
-            (Finish::Vanished, _) => Ok(WriteOutcome::Vanished),
+            (Finish::Gone, _) => Ok(WriteOutcome::Gone),
             _ => Err(final_error(self.error, self.resolver.answer_lost())),
         }
     }
--- a/crates/object-api/tests/backoff.rs
+++ b/crates/object-api/tests/backoff.rs
@@ -6,11 +6,11 @@
 
 fn waits(seed: u64) -> Vec<Duration> {
     let settings = BackoffSettings {
-        first: Duration::from_millis(100),
-        longest: Duration::from_millis(800),
+        initial: Duration::from_millis(100),
+        max: Duration::from_millis(800),
     };
     let mut backoff = Backoff::new(settings, seed);
-    (0..8).map(|_| backoff.next_wait()).collect()
+    (0..8).map(|_| backoff.next_delay()).collect()
 }
 
 #[test]
@@ -33,10 +33,10 @@
 #[test]
 fn success_begins_anew() {
     let mut backoff = Backoff::new(BackoffSettings::default(), 1);
-    let first = BackoffSettings::default().first;
+    let first = BackoffSettings::default().initial;
     for _ in 0..5 {
-        backoff.next_wait();
+        backoff.next_delay();
     }
     backoff.reset();
-    assert!(backoff.next_wait() <= first);
+    assert!(backoff.next_delay() <= first);
 }
--- a/crates/object-api/tests/resolve.rs
+++ b/crates/object-api/tests/resolve.rs
@@ -42,11 +42,11 @@
         (Some(found("a", 10, false)), Resolution::NotYetApplied),
         (Some(found("a", 10, true)), Resolution::NotYetApplied),
         (Some(found("a", 11, true)), Resolution::Applied),
-        (Some(found("a", 11, false)), Resolution::Overtaken),
-        (Some(found("b", 12, true)), Resolution::Vanished),
+        (Some(found("a", 11, false)), Resolution::Superseded),
+        (Some(found("b", 12, true)), Resolution::Gone),
         (Some(found("a", 9, true)), Resolution::OlderStore),
         (Some(found("b", 9, true)), Resolution::OlderStore),
-        (None, Resolution::Vanished),
+        (None, Resolution::Gone),
     ];
     for (read, expected) in cases {
         assert_eq!(resolve(&replace(), read.as_ref()), expected, "{read:?}");
@@ -62,7 +62,7 @@
     let applied = found("a", 11, true);
     assert_eq!(resolve(&condition, Some(&applied)), Resolution::Applied);
     let changed = found("b", 11, false);
-    assert_eq!(resolve(&condition, Some(&changed)), Resolution::Overtaken);
+    assert_eq!(resolve(&condition, Some(&changed)), Resolution::Superseded);
     let unchanged = found("a", 10, false);
     assert_eq!(
         resolve(&condition, Some(&unchanged)),
@@ -77,7 +77,7 @@
     let ours = found("a", 3, true);
     assert_eq!(resolve(&create, Some(&ours)), Resolution::Applied);
     let others = found("a", 3, false);
-    assert_eq!(resolve(&create, Some(&others)), Resolution::Overtaken);
+    assert_eq!(resolve(&create, Some(&others)), Resolution::Superseded);
 }
 
 #[test]
@@ -117,7 +117,7 @@
     resolver.on_write(Err(&lost()));
     let changed = found("a", 12, false);
     let step = resolver.on_read(Ok(Some(&changed)));
-    assert_eq!(step, Step::Finish(Finish::Overtaken));
+    assert_eq!(step, Step::Finish(Finish::Superseded));
 }
 
 #[test]
--- a/crates/object-api/tests/tracker.rs
+++ b/crates/object-api/tests/tracker.rs
@@ -1,8 +1,8 @@
 //! A store that went back in time changes nothing by itself.
 
-use threadledge_object_api::tracker::{EventVerdict, ListVerdict};
+use threadledge_object_api::tracker::{EventOutcome, ListOutcome};
 use threadledge_object_api::{
-    Change, Event, Listed, ObjectKey, ObjectTracker, StoredObject, Withheld, WithheldReason,
+    Change, Event, ObjectKey, ObjectList, ObjectTracker, StoredObject, Withheld, WithheldReason,
 };
 use threadledge_types::objects::BackEndObject;
 use threadledge_types::validation::{ObjectReference, Problem, ProblemKind};
@@ -28,16 +28,16 @@
     }
 }
 
-fn list(resource_version: u64, items: Vec<Object>) -> Listed<BackEndObject> {
-    Listed {
+fn list(resource_version: u64, items: Vec<Object>) -> ObjectList<BackEndObject> {
+    ObjectList {
         items,
         resource_version,
     }
 }
 
 /// What a current list gave: names, removed names, withheld.
-fn current(verdict: ListVerdict<BackEndObject>) -> (Vec<String>, Vec<String>, Vec<Withheld>) {
-    let ListVerdict::Current {
+fn current(verdict: ListOutcome<BackEndObject>) -> (Vec<String>, Vec<String>, Vec<Withheld>) {
+    let ListOutcome::Current {
         objects,
         removed,
         withheld,
@@ -75,8 +75,8 @@
 fn older_list_is_reported_and_not_used() {
     let mut tracker = tracker();
     let verdict = tracker.on_list(list(6, vec![object("a", "1", 5)]));
-    assert!(matches!(verdict, ListVerdict::Older { seen: 9, listed: 6 }));
-    assert_eq!(tracker.seen(), 9);
+    assert!(matches!(verdict, ListOutcome::Older { seen: 9, listed: 6 }));
+    assert_eq!(tracker.highest_seen(), 9);
 }
 
 #[test]
@@ -122,7 +122,7 @@
     assert_eq!(withheld, [older]);
     let edited = Event::Modified(object("a", "1", 1_001));
     let verdict = tracker.on_event(edited);
-    assert!(matches!(verdict, EventVerdict::Change(Change::Applied(_))));
+    assert!(matches!(verdict, EventOutcome::Change(Change::Applied(_))));
 }
 
 #[test]
@@ -147,7 +147,7 @@
     let restored = vec![object("a", "1", 5), object("b", "2", 8)];
     let (objects, _, withheld) = current(tracker.on_list(list(1_000, restored)));
     assert_eq!(objects, names(&["a"]));
-    let reason = WithheldReason::Resurrected(8);
+    let reason = WithheldReason::Undeleted(8);
     let again = Withheld {
         key: key("b"),
         reason,
@@ -168,32 +168,32 @@
 fn events_are_delivered_once_and_in_order() {
     let mut tracker = tracker();
     let change = tracker.on_event(Event::Modified(object("a", "1", 10)));
-    assert!(matches!(change, EventVerdict::Change(Change::Applied(_))));
+    assert!(matches!(change, EventOutcome::Change(Change::Applied(_))));
     let repeated = tracker.on_event(Event::Modified(object("a", "1", 10)));
-    assert!(matches!(repeated, EventVerdict::Repeated));
+    assert!(matches!(repeated, EventOutcome::Duplicate));
     let older = tracker.on_event(Event::Modified(object("a", "1", 7)));
-    assert!(matches!(older, EventVerdict::Older { seen: 10, shown: 7 }));
+    assert!(matches!(older, EventOutcome::Older { seen: 10, shown: 7 }));
     let removed = tracker.on_event(Event::Deleted(object("a", "1", 11)));
-    assert!(matches!(removed, EventVerdict::Change(Change::Removed(_))));
+    assert!(matches!(removed, EventOutcome::Change(Change::Removed(_))));
     let confirmed = tracker.on_event::<BackEndObject>(Event::Bookmark(20));
-    assert!(matches!(confirmed, EventVerdict::Confirmed(20)));
+    assert!(matches!(confirmed, EventOutcome::Confirmed(20)));
     let older = tracker.on_event::<BackEndObject>(Event::Bookmark(19));
     assert!(matches!(
         older,
-        EventVerdict::Older {
+        EventOutcome::Older {
             seen: 20,
             shown: 19
         }
     ));
     let gone = tracker.on_event::<BackEndObject>(Event::Gone);
-    assert!(matches!(gone, EventVerdict::Relist));
+    assert!(matches!(gone, EventOutcome::Relist));
 }
 
 #[test]
 fn new_watcher_with_known_versions_trusts_no_older_store() {
-    let mut tracker = ObjectTracker::with_known([(key("a"), 5), (key("b"), 8)]);
+    let mut tracker = ObjectTracker::with_delivered([(key("a"), 5), (key("b"), 8)]);
     let verdict = tracker.on_list(list(7, vec![object("a", "1", 5)]));
-    assert!(matches!(verdict, ListVerdict::Older { seen: 8, listed: 7 }));
+    assert!(matches!(verdict, ListOutcome::Older { seen: 8, listed: 7 }));
     // Objects that were refused earlier are unknown to it, yet not deleted.
     let items = vec![
         object("a", "1", 5),
@@ -208,7 +208,7 @@
 
 #[test]
 fn new_watcher_reports_what_was_deleted_while_none_ran() {
-    let mut tracker = ObjectTracker::with_known([(key("a"), 5), (key("b"), 8)]);
+    let mut tracker = ObjectTracker::with_delivered([(key("a"), 5), (key("b"), 8)]);
     let (_, removed, _) = current(tracker.on_list(list(20, vec![object("a", "1", 5)])));
     assert_eq!(removed, names(&["b"]));
 }
--- a/crates/router/src/control_shell/configuration/updates.rs
+++ b/crates/router/src/control_shell/configuration/updates.rs
@@ -19,7 +19,7 @@
         let same_kind = K::reference(&key) == known.object;
         same_kind.then_some((key, known.resource_version))
     });
-    ObjectTracker::with_known(of_kind)
+    ObjectTracker::with_delivered(of_kind)
 }
 
 /// Feeds a watcher's updates to the core, in order.
--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -85,7 +85,7 @@
         let deadline = self.dispatch.clock().instant(attempt.deadline);
         let connection = self
             .pool
-            .connection_within(attempt.address, attempt.connection_limit, deadline)
+            .checkout_with_limit(attempt.address, attempt.connection_limit, deadline)
             .await;
         let connection = match connection {
             Ok(connection) => connection,
@@ -132,14 +132,14 @@
         }
         if let Some(reason) = head.not_run {
             self.usage.back_end_answered(attempt, response.len());
-            read_over(response.take_body_only());
+            read_over(response.take_body_keeping_headers());
             let load = head.load;
             return Ended::without_answer(AttemptEnd::NotRun { reason, load });
         }
         if response.status().is_success() && !head.stamped {
             return Ended::failed(Fault::BadAnswer);
         }
-        let body = response.take_body_only();
+        let body = response.take_body_keeping_headers();
         headers::strip(&mut response);
         let body = match self
             .read_body(outbound.replay.method(), &response, body)
@@ -149,7 +149,7 @@
             Err(_) => return Ended::failed(Fault::BadAnswer),
         };
         self.usage.back_end_answered(attempt, body.len());
-        response.replace_body_only(body);
+        response.replace_body_keeping_headers(body);
         Ended {
             end: AttemptEnd::Answered {
                 failed: status >= FAILED_FROM,
--- a/crates/router/src/gateway/disconnects.rs
+++ b/crates/router/src/gateway/disconnects.rs
@@ -104,11 +104,11 @@
         }
         self.reached(Stage::Answering);
         let tracked = TrackedBody {
-            body: response.take_body_only(),
+            body: response.take_body_keeping_headers(),
             remaining: length,
             tracker: self,
         };
-        response.replace_body_only(Body::from_reader(tracked, length));
+        response.replace_body_keeping_headers(Body::from_reader(tracked, length));
     }
 }
 
--- a/crates/router/src/gateway/peers.rs
+++ b/crates/router/src/gateway/peers.rs
@@ -15,7 +15,7 @@
 use threadledge_limits::settings::QUOTA_REQUEST_TIMEOUT;
 use threadledge_limits::{QuotaRequest, QuotaResponse};
 use threadledge_net::{
-    HttpClient, Instant, LargePace, PoolSettings, ServeReport, ServerLimits, StopSignal, serve,
+    BodyTimeouts, HttpClient, Instant, PoolSettings, ServeReport, ServerLimits, StopSignal, serve,
 };
 use threadledge_suspects::SuspectUpdate;
 use threadledge_types::deployment::ServiceName;
@@ -112,7 +112,7 @@
                 connections_per_address: 2,
                 connect_timeout: PEER_TIMEOUT,
                 max_body_bytes: MAX_MESSAGE_BYTES,
-                doubt_after: Some(PEER_SUSPECT_AFTER),
+                suspect_idle_after: Some(PEER_SUSPECT_AFTER),
                 ..PoolSettings::default()
             }),
             own_address,
@@ -161,13 +161,13 @@
         poll: &FollowPoll,
         silence: Duration,
     ) -> Option<FollowAnswer> {
-        let pace = LargePace {
-            pause: silence,
-            longest: MAX_POLL_TRANSFER,
+        let pace = BodyTimeouts {
+            idle: silence,
+            total: MAX_POLL_TRANSFER,
         };
-        let polled = self
-            .client
-            .post_json_for_large(relay, FOLLOW_PATH, poll, silence, pace);
+        let polled =
+            self.client
+                .post_json_with_body_timeouts(relay, FOLLOW_PATH, poll, silence, pace);
         polled.await.ok()
     }
 
--- a/crates/router/src/gateway/publisher.rs
+++ b/crates/router/src/gateway/publisher.rs
@@ -182,7 +182,7 @@
             InUse::Changed { changed, gone } => dispatcher.update_back_ends(now, changed, gone),
         });
         for address in unused {
-            self.pool.forget(address);
+            self.pool.remove_address(address);
         }
         self.readiness.listed();
         self.send(Event::BackEndsChanged);
--- a/crates/router/src/gateway/requests.rs
+++ b/crates/router/src/gateway/requests.rs
@@ -88,7 +88,7 @@
     ) -> Response {
         let from = connection.peer.ip();
         let started = connection.read_at;
-        if connection.behind > 0 {
+        if connection.unanswered_before > 0 {
             self.metrics.pipelined();
         }
         let method = request.method();
--- a/crates/router/src/gateway/run.rs
+++ b/crates/router/src/gateway/run.rs
@@ -15,8 +15,8 @@
 use threadledge_coordination::NodeIdentity;
 use threadledge_dispatch::Dispatcher;
 use threadledge_net::{
-    ConnectionInfo, Instant, Pool, PoolSettings, ServerLimits, SideBySide, StopSignal, Unframed,
-    serve, timer,
+    ConcurrentHandler, ConnectionInfo, Instant, Pool, PoolSettings, ServerLimits, StopSignal,
+    UnframedBodies, serve, timer,
 };
 use threadledge_ports::Ports;
 use threadledge_types::deployment::ServiceName;
@@ -184,8 +184,8 @@
         let pool = Pool::new(PoolSettings {
             connect_timeout: CONNECT_TIMEOUT,
             idle_timeout: BACK_END_IDLE_TIMEOUT,
-            unframed: Unframed::EndAtClose,
-            doubt_after: Some(BACK_END_SUSPECT_AFTER),
+            unframed_bodies: UnframedBodies::ReadUntilClose,
+            suspect_idle_after: Some(BACK_END_SUSPECT_AFTER),
             ..PoolSettings::default()
         });
         let heartbeat = seconds(settings.platform.heartbeat_s);
@@ -323,8 +323,11 @@
             let tracker = disconnects.track();
             handling.clone().handle(request, connection, tracker)
         };
-        let rule = move |request: &Request| requests.run_beside(request);
-        let handler = SideBySide { handler, rule };
+        let may_run_concurrently = move |request: &Request| requests.run_beside(request);
+        let handler = ConcurrentHandler {
+            handler,
+            may_run_concurrently,
+        };
         let limits = self.server_limits();
         let served = task::spawn(serve(
             listeners.callers,
@@ -340,8 +343,8 @@
         let served_report = served.await;
         let resigning = resigned.stopped();
         let _ = timer::timeout_at(stop_requested + RESIGN_TIMEOUT, resigning).await;
-        if served_report.cut > 0 {
-            emit!(EventId::StopCutShort, cut = served_report.cut);
+        if served_report.aborted > 0 {
+            emit!(EventId::StopCutShort, cut = served_report.aborted);
         } else {
             emit!(EventId::StopFinished, requests = served_report.requests);
         }
--- a/crates/router/src/planned_stop.rs
+++ b/crates/router/src/planned_stop.rs
@@ -94,12 +94,12 @@
 
 /// Writes the last event of the process.
 pub fn report_stop(report: &ServeReport) {
-    if report.cut == 0 {
+    if report.aborted == 0 {
         emit!(EventId::StopFinished, requests = report.requests);
     } else {
         emit!(
             EventId::StopCutShort,
-            cut = report.cut,
+            cut = report.aborted,
             requests = report.requests
         );
     }
--- a/crates/router/src/proxy/answer.rs
+++ b/crates/router/src/proxy/answer.rs
@@ -66,10 +66,10 @@
         return Said::Failed(AttemptFailure::BadAnswer);
     }
     if let Some(refusal) = refusal_of(&response) {
-        read_over(response.take_body_only());
+        read_over(response.take_body_keeping_headers());
         return Said::Refused(refusal);
     }
-    let body = response.take_body_only();
+    let body = response.take_body_keeping_headers();
     headers::strip(&mut response);
     let bodiless = method == Method::Head
         || matches!(
@@ -132,7 +132,7 @@
 }
 
 pub(crate) fn failure(error: &io::Error) -> AttemptFailure {
-    match BodyFault::of(error) {
+    match BodyFault::from_io_error(error) {
         Some(BodyFault::TooSlow) | None => AttemptFailure::ConnectionLost,
         Some(_) => AttemptFailure::BadAnswer,
     }
--- a/crates/router/src/proxy/attempt.rs
+++ b/crates/router/src/proxy/attempt.rs
@@ -47,7 +47,7 @@
         let limit = attempt.connection_limit as usize;
         let connection = self
             .pool
-            .connection_within(attempt.address, limit, deadline)
+            .checkout_with_limit(attempt.address, limit, deadline)
             .await;
         let connection = match connection {
             Ok(connection) => connection,
--- a/crates/router/src/proxy/delivery.rs
+++ b/crates/router/src/proxy/delivery.rs
@@ -150,7 +150,7 @@
 }
 
 fn failure(error: &io::Error) -> AttemptFailure {
-    match BodyFault::of(error) {
+    match BodyFault::from_io_error(error) {
         Some(BodyFault::Truncated | BodyFault::Malformed(_) | BodyFault::TooLarge) => {
             AttemptFailure::BadAnswer
         }
--- a/crates/router/src/proxy/drive.rs
+++ b/crates/router/src/proxy/drive.rs
@@ -10,7 +10,7 @@
 use http_types::{Body, Response};
 use threadledge_net::Instant;
 use threadledge_net::message::Message;
-use threadledge_net::{refusal, timer};
+use threadledge_net::{error_response, timer};
 use threadledge_routing::{
     Attempt, AttemptEvent, AttemptNumber, ExchangeId, Finish, Matched, Step,
 };
@@ -277,7 +277,7 @@
 }
 
 fn answered(mut response: Response, body: Body) -> Response {
-    response.replace_body_only(body);
+    response.replace_body_keeping_headers(body);
     response.insert_header(OUTCOME_HEADER, Outcome::Answered.as_str());
     response
 }
@@ -290,9 +290,9 @@
 ) -> Response {
     let detail = format!("after {attempts} attempts");
     let mut response = match outcome {
-        Outcome::NotRun(reason) => refusal::not_run(reason, &detail),
-        Outcome::Unknown(reason) => refusal::unknown(reason, &detail),
-        Outcome::Answered => refusal::unknown(UnknownReason::BadAnswer, &detail),
+        Outcome::NotRun(reason) => error_response::not_run(reason, &detail),
+        Outcome::Unknown(reason) => error_response::unknown(reason, &detail),
+        Outcome::Answered => error_response::unknown(UnknownReason::BadAnswer, &detail),
     };
     if let Some(wait) = retry_after {
         let seconds = wait.as_millis().div_ceil(1_000).max(1);
--- a/crates/router/src/proxy/inbound.rs
+++ b/crates/router/src/proxy/inbound.rs
@@ -60,7 +60,7 @@
                 digest,
             });
         }
-        let body = request.take_body_only();
+        let body = request.take_body_keeping_headers();
         let (body, digest) = read_ahead(body, max_buffered, budget)
             .await
             .map_err(refused)?;
@@ -144,7 +144,7 @@
 }
 
 fn refused(error: io::Error) -> (NotRunReason, String) {
-    let reason = match BodyFault::of(&error) {
+    let reason = match BodyFault::from_io_error(&error) {
         Some(BodyFault::TooLarge) => NotRunReason::TooLarge,
         Some(BodyFault::TooSlow) => NotRunReason::TooSlow,
         Some(BodyFault::Truncated | BodyFault::Malformed(_)) | None => NotRunReason::Malformed,
--- a/crates/router/src/proxy/kept.rs
+++ b/crates/router/src/proxy/kept.rs
@@ -160,7 +160,9 @@
                 self.bytes.extend_from_slice(&came[..count]);
                 source.consume(count);
             }
-            Poll::Ready(Err(error)) => self.source = Source::Failed(BodyFault::of(&error)),
+            Poll::Ready(Err(error)) => {
+                self.source = Source::Failed(BodyFault::from_io_error(&error))
+            }
         }
         self.wake_all();
         Poll::Ready(Found::Kept)
--- a/crates/router/src/proxy/mod.rs
+++ b/crates/router/src/proxy/mod.rs
@@ -27,7 +27,7 @@
 use async_std::net::TcpListener;
 use async_std::task::JoinHandle;
 use http_types::{Request, Response};
-use threadledge_net::{Instant, Pool, ServeReport, StopSignal, refusal, serve};
+use threadledge_net::{Instant, Pool, ServeReport, StopSignal, error_response, serve};
 use threadledge_routing::dispatcher::Dispatcher;
 use threadledge_routing::table::ApplyError;
 use threadledge_routing::{Counters, LoadSnapshot, Notice};
@@ -171,7 +171,7 @@
             shared
                 .observer
                 .observe(&Observation::refused(reason, started));
-            return refusal::not_run(reason, &detail);
+            return error_response::not_run(reason, &detail);
         }
     };
     match shared.dispatch.begin(&inbound) {
--- a/crates/router/src/proxy/replay.rs
+++ b/crates/router/src/proxy/replay.rs
@@ -56,13 +56,13 @@
         match &self.body {
             ReplayBody::Whole(held) if held.bytes().is_empty() => {}
             ReplayBody::Whole(held) => {
-                request.replace_body_only(Body::from_bytes(held.bytes().to_vec()));
+                request.replace_body_keeping_headers(Body::from_bytes(held.bytes().to_vec()));
             }
             ReplayBody::Kept(kept) => {
-                request.replace_body_only(kept.body()?);
+                request.replace_body_keeping_headers(kept.body()?);
             }
             ReplayBody::Once(body) => {
-                request.replace_body_only(body.lock().take()?);
+                request.replace_body_keeping_headers(body.lock().take()?);
             }
         }
         Some(request)
--- a/crates/router/src/settings/validate.rs
+++ b/crates/router/src/settings/validate.rs
@@ -16,7 +16,7 @@
 /// Clocks that differ more than this are broken.
 const LARGEST_DRIFT_PERCENT: u64 = 50;
 /// Largest head that the HTTP library reads, in bytes.
-pub(super) const LARGEST_HEAD_BYTES: usize = threadledge_net::LARGEST_HEAD;
+pub(super) const LARGEST_HEAD_BYTES: usize = threadledge_net::MAX_HEAD_BYTES;
 /// Smallest head that an ordinary request fits in, in bytes.
 const SMALLEST_HEAD_BYTES: usize = 512;
 
--- a/crates/router/tests/proxy/passing_on.rs
+++ b/crates/router/tests/proxy/passing_on.rs
@@ -2,7 +2,7 @@
 
 use threadledge::proxy::ProxySettings;
 use threadledge::settings::Limits;
-use threadledge_net::LARGEST_HEAD;
+use threadledge_net::MAX_HEAD_BYTES;
 use threadledge_types::Outcome;
 
 use crate::back_end::{BackEnd, Behavior, header};
@@ -151,7 +151,7 @@
 #[async_std::test]
 async fn the_largest_head_that_settings_allow_passes_and_one_byte_more_is_not_run() {
     let limits = Limits::default();
-    assert_eq!(limits.max_head_bytes, LARGEST_HEAD);
+    assert_eq!(limits.max_head_bytes, MAX_HEAD_BYTES);
     let settings = ProxySettings::with_seed(7).with_limits(&limits);
     let world = World::start_with(BackEnd::start().await, settings).await;
     let mut caller = world.caller().await;
--- a/crates/router/tests/proxy/stopping.rs
+++ b/crates/router/tests/proxy/stopping.rs
@@ -19,5 +19,5 @@
     assert_eq!(answer.outcome(), "answered");
     assert_eq!(answer.header("connection"), Some("close"));
     let report = within(world.proxy.served).await;
-    assert_eq!((report.requests, report.cut), (1, 0));
+    assert_eq!((report.requests, report.aborted), (1, 0));
 }
--- a/crates/router/tests/proxy/world.rs
+++ b/crates/router/tests/proxy/world.rs
@@ -62,7 +62,7 @@
         let observations = Arc::new(Mutex::new(Vec::new()));
         let seen = observations.clone();
         let observer = Observer::new(move |observation| seen.lock().push(observation.clone()));
-        settings.server.stop_idle = Duration::from_millis(20);
+        settings.server.stop_idle_timeout = Duration::from_millis(20);
         let proxy = ProxyHandle::start(settings, Clock::start(), listener, stop.clone(), observer);
         let handle = proxy.handle.clone();
         handle.apply(&records(back_end.address)).unwrap();
