--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -9,9 +9,9 @@
 use futures::io::{AsyncBufRead, AsyncRead};
 
 use crate::Instant;
-use crate::framing::{BodyDecoder, Piece};
+use crate::buffered_stream::BufferedStream;
+use crate::framing::{BodyDecoder, DecodeStep};
 use crate::timer::{self, Sleep};
-use crate::wire::Wire;
 
 /// Bytes a second that a sender must keep up, beyond the time it has anyway.
 pub const MIN_BODY_BYTES_PER_SECOND: u32 = 1024;
@@ -52,7 +52,7 @@
 
 /// The time a body may take.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Pace {
+pub(crate) enum BodyDeadline {
     /// As long as the peer likes.
     Unbounded,
     /// Until a point in time.
@@ -63,12 +63,12 @@
     Rate { start: Instant, base: Duration },
 }
 
-impl Pace {
+impl BodyDeadline {
     fn deadline(&self, received: u64) -> Option<Instant> {
         match *self {
-            Pace::Unbounded => None,
-            Pace::Until(deadline) => Some(deadline),
-            Pace::Rate { start, base } => {
+            BodyDeadline::Unbounded => None,
+            BodyDeadline::Until(deadline) => Some(deadline),
+            BodyDeadline::Rate { start, base } => {
                 let millis = received * 1_000 / u64::from(MIN_BODY_BYTES_PER_SECOND);
                 Some(start + base + Duration::from_millis(millis))
             }
@@ -78,17 +78,17 @@
 
 /// In which state a body let go of its connection.
 #[derive(Debug)]
-pub(crate) enum Returned {
+pub(crate) enum ReleasedConnection {
     /// The body was read to its end; the next bytes belong to what follows.
-    Clean(Wire),
+    Clean(BufferedStream),
     /// The body was dropped before its end.
-    Unfinished(Wire),
+    Unfinished(BufferedStream),
     /// Reading failed.
     Broken(BodyFault),
 }
 
 /// Called once, when the body lets go of its connection.
-pub(crate) type GiveBack = Box<dyn FnOnce(Returned) + Send + Sync>;
+pub(crate) type ReleaseCallback = Box<dyn FnOnce(ReleasedConnection) + Send + Sync>;
 
 /// Reads one body from a connection.
 pub(crate) struct BodyReader {
@@ -96,33 +96,33 @@
     decoder: BodyDecoder,
     received: u64,
     max_bytes: u64,
-    pace: Pace,
+    body_deadline: BodyDeadline,
     sleep: Option<Sleep>,
-    give_back: Option<GiveBack>,
+    on_release: Option<ReleaseCallback>,
 }
 
 enum ReaderState {
-    Reading(Wire),
+    Reading(BufferedStream),
     Ended,
     Failed(BodyFault),
 }
 
 impl BodyReader {
     pub(crate) fn new(
-        wire: Wire,
+        buffered: BufferedStream,
         decoder: BodyDecoder,
         max_bytes: u64,
-        pace: Pace,
-        give_back: GiveBack,
+        body_deadline: BodyDeadline,
+        on_release: ReleaseCallback,
     ) -> Self {
         let mut reader = BodyReader {
-            state: ReaderState::Reading(wire),
+            state: ReaderState::Reading(buffered),
             decoder,
             received: 0,
             max_bytes,
-            pace,
+            body_deadline,
             sleep: None,
-            give_back: Some(give_back),
+            on_release: Some(on_release),
         };
         reader.end_if_complete();
         reader
@@ -131,30 +131,30 @@
     /// Finds how many unread bytes are data; 0 at the end.
     fn poll_available(&mut self, context: &mut Context<'_>) -> Poll<Result<usize, BodyFault>> {
         loop {
-            let wire = match &mut self.state {
-                ReaderState::Reading(wire) => wire,
+            let buffered = match &mut self.state {
+                ReaderState::Reading(buffered) => buffered,
                 ReaderState::Ended => return Poll::Ready(Ok(0)),
                 ReaderState::Failed(fault) => return Poll::Ready(Err(*fault)),
             };
-            match self.decoder.next(wire.unread()) {
+            match self.decoder.next(buffered.unread()) {
                 Err(fault) => return Poll::Ready(Err(fault)),
-                Ok(Piece::Data(count)) => return Poll::Ready(Ok(count)),
-                Ok(Piece::Skip(count)) => wire.consume(count),
-                Ok(Piece::End) => self.end_if_complete(),
-                Ok(Piece::More) => match wire.poll_fill(context) {
+                Ok(DecodeStep::Data(count)) => return Poll::Ready(Ok(count)),
+                Ok(DecodeStep::Framing(count)) => buffered.consume(count),
+                Ok(DecodeStep::End) => self.end_if_complete(),
+                Ok(DecodeStep::NeedMore) => match buffered.poll_fill(context) {
                     Poll::Ready(Ok(0)) if self.decoder.peer_closed() => {}
                     Poll::Ready(Ok(0) | Err(_)) => {
                         return Poll::Ready(Err(BodyFault::Truncated));
                     }
                     Poll::Ready(Ok(_)) => {}
-                    Poll::Pending => return self.poll_pace(context).map(Err),
+                    Poll::Pending => return self.poll_deadline(context).map(Err),
                 },
             }
         }
     }
 
-    fn poll_pace(&mut self, context: &mut Context<'_>) -> Poll<BodyFault> {
-        let Some(deadline) = self.pace.deadline(self.received) else {
+    fn poll_deadline(&mut self, context: &mut Context<'_>) -> Poll<BodyFault> {
+        let Some(deadline) = self.body_deadline.deadline(self.received) else {
             return Poll::Pending;
         };
         let sleep = match &mut self.sleep {
@@ -164,11 +164,11 @@
         Pin::new(sleep).poll(context).map(|()| BodyFault::TooSlow)
     }
 
-    fn take_data(&mut self, count: usize) {
-        let ReaderState::Reading(wire) = &mut self.state else {
+    fn consume_data(&mut self, count: usize) {
+        let ReaderState::Reading(buffered) = &mut self.state else {
             return;
         };
-        wire.consume(count);
+        buffered.consume(count);
         self.decoder.consume(count);
         self.received += count as u64;
         self.end_if_complete();
@@ -180,28 +180,30 @@
         if !self.decoder.is_at_end() || !matches!(self.state, ReaderState::Reading(_)) {
             return;
         }
-        if let ReaderState::Reading(wire) = std::mem::replace(&mut self.state, ReaderState::Ended) {
-            self.let_go(Returned::Clean(wire));
+        if let ReaderState::Reading(buffered) =
+            std::mem::replace(&mut self.state, ReaderState::Ended)
+        {
+            self.release(ReleasedConnection::Clean(buffered));
         }
     }
 
     /// Remembers the failure, so that a later read cannot take it for the end.
     fn fail(&mut self, fault: BodyFault) -> io::Error {
         self.state = ReaderState::Failed(fault);
-        self.let_go(Returned::Broken(fault));
+        self.release(ReleasedConnection::Broken(fault));
         fault.into_error()
     }
 
-    fn let_go(&mut self, returned: Returned) {
+    fn release(&mut self, released: ReleasedConnection) {
         self.sleep = None;
-        if let Some(give_back) = self.give_back.take() {
-            give_back(returned);
+        if let Some(on_release) = self.on_release.take() {
+            on_release(released);
         }
     }
 
     fn unread(&self, count: usize) -> &[u8] {
         match &self.state {
-            ReaderState::Reading(wire) => &wire.unread()[..count],
+            ReaderState::Reading(buffered) => &buffered.unread()[..count],
             ReaderState::Ended | ReaderState::Failed(_) => &[],
         }
     }
@@ -226,7 +228,7 @@
     }
 
     fn consume(self: Pin<&mut Self>, amount: usize) {
-        self.get_mut().take_data(amount);
+        self.get_mut().consume_data(amount);
     }
 }
 
@@ -246,8 +248,10 @@
 
 impl Drop for BodyReader {
     fn drop(&mut self) {
-        if let ReaderState::Reading(wire) = std::mem::replace(&mut self.state, ReaderState::Ended) {
-            self.let_go(Returned::Unfinished(wire));
+        if let ReaderState::Reading(buffered) =
+            std::mem::replace(&mut self.state, ReaderState::Ended)
+        {
+            self.release(ReleasedConnection::Unfinished(buffered));
         }
     }
 }
--- a/crates/net/src/wire.rs
+++ b/crates/net/src/buffered_stream.rs
@@ -18,25 +18,25 @@
 /// Size of a new buffer. Most heads fit.
 const INITIAL_BUFFER: usize = 2 * 1024;
 /// Size to which a buffer grows while reads fill it.
-const LARGEST_READ: usize = 64 * 1024;
+const MAX_GROWN_BUFFER: usize = 64 * 1024;
 /// Least free space before a read.
-const LEAST_ROOM: usize = 1024;
+const MIN_FREE_SPACE: usize = 1024;
 
 /// Bytes that came within this time count as having come with the first of
 /// them, so that a caller that sends byte by byte costs little memory.
-const SAME_ARRIVAL: Duration = Duration::from_millis(10);
+const ARRIVAL_RESOLUTION: Duration = Duration::from_millis(10);
 const CRLF: &[u8] = b"\r\n";
 
 /// One TCP connection and its unread bytes.
 #[derive(Debug)]
-pub(crate) struct Wire {
+pub(crate) struct BufferedStream {
     stream: TcpStream,
     buffer: Vec<u8>,
     start: usize,
     end: usize,
     last_read_filled: bool,
     /// Bytes used so far.
-    used: u64,
+    consumed: u64,
     /// When bytes came that were read before their turn.
     arrivals: VecDeque<Arrival>,
 }
@@ -49,15 +49,15 @@
     at: Instant,
 }
 
-impl Wire {
+impl BufferedStream {
     pub(crate) fn new(stream: TcpStream) -> Self {
-        Wire {
+        BufferedStream {
             stream,
             buffer: Vec::new(),
             start: 0,
             end: 0,
             last_read_filled: false,
-            used: 0,
+            consumed: 0,
             arrivals: VecDeque::new(),
         }
     }
@@ -76,7 +76,7 @@
     pub(crate) fn consume(&mut self, count: usize) {
         debug_assert!(count <= self.end - self.start);
         self.start += count;
-        self.used += count as u64;
+        self.consumed += count as u64;
         if self.start == self.end {
             self.start = 0;
             self.end = 0;
@@ -85,7 +85,7 @@
 
     /// Reads more bytes; 0 means that the peer sends no more.
     pub(crate) fn poll_fill(&mut self, context: &mut Context<'_>) -> Poll<io::Result<usize>> {
-        self.make_room();
+        self.ensure_free_space();
         let room = &mut self.buffer[self.end..];
         let size = room.len();
         let read = Pin::new(&mut self.stream).poll_read(context, room);
@@ -104,18 +104,18 @@
     }
 
     /// Notes when the bytes read last came.
-    pub(crate) fn note_arrival(&mut self) {
+    pub(crate) fn record_arrival(&mut self) {
         let at = Instant::now();
-        let last = self.used + self.unread().len() as u64;
+        let last = self.consumed + self.unread().len() as u64;
         match self.arrivals.back_mut() {
-            Some(arrival) if at - arrival.at < SAME_ARRIVAL => arrival.last = last,
+            Some(arrival) if at - arrival.at < ARRIVAL_RESOLUTION => arrival.last = last,
             _ => self.arrivals.push_back(Arrival { last, at }),
         }
     }
 
     /// When the byte used last came, if it was read before its turn.
-    pub(crate) fn arrival(&mut self) -> Option<Instant> {
-        while self.arrivals.front()?.last < self.used {
+    pub(crate) fn arrival_time(&mut self) -> Option<Instant> {
+        while self.arrivals.front()?.last < self.consumed {
             self.arrivals.pop_front();
         }
         self.arrivals.front().map(|arrival| arrival.at)
@@ -129,15 +129,15 @@
         }
     }
 
-    fn make_room(&mut self) {
-        if self.start > 0 && self.buffer.len() - self.end < LEAST_ROOM {
+    fn ensure_free_space(&mut self) {
+        if self.start > 0 && self.buffer.len() - self.end < MIN_FREE_SPACE {
             self.buffer.copy_within(self.start..self.end, 0);
             self.end -= self.start;
             self.start = 0;
         }
-        let cramped = self.buffer.len() - self.end < LEAST_ROOM;
-        let busy = self.last_read_filled && self.buffer.len() < LARGEST_READ;
-        if cramped || busy {
+        let too_small = self.buffer.len() - self.end < MIN_FREE_SPACE;
+        let last_read_was_limited = self.last_read_filled && self.buffer.len() < MAX_GROWN_BUFFER;
+        if too_small || last_read_was_limited {
             let size = (self.buffer.len() * 2).max(INITIAL_BUFFER);
             self.buffer.resize(size, 0);
         }
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -94,12 +94,12 @@
         to: SocketAddr,
         request: http::Request<Vec<u8>>,
         timeout: Duration,
-        pace: BodyTimeouts,
+        body_timeouts: BodyTimeouts,
     ) -> Result<http::Response<Vec<u8>>, ClientError> {
         let request =
             convert::request_to_http_types(request, &to.to_string()).map_err(RequestError::from)?;
         let (response, body) = self
-            .call_with_body_timeouts(to, request, timeout, pace)
+            .call_with_body_timeouts(to, request, timeout, body_timeouts)
             .await?;
         Ok(convert::response_to_http(&response, body).map_err(RequestError::from)?)
     }
@@ -112,11 +112,11 @@
         path: &str,
         body: &T,
         timeout: Duration,
-        pace: BodyTimeouts,
+        body_timeouts: BodyTimeouts,
     ) -> Result<R, ClientError> {
         let request = request(Method::Post, to, path, Some(json(body)?))?;
         let answer = self
-            .call_with_body_timeouts(to, request, timeout, pace)
+            .call_with_body_timeouts(to, request, timeout, body_timeouts)
             .await?;
         read_json(to, answer)
     }
@@ -159,13 +159,13 @@
         to: SocketAddr,
         request: Request,
         timeout: Duration,
-        pace: BodyTimeouts,
+        body_timeouts: BodyTimeouts,
     ) -> Result<(Response, Vec<u8>), ClientError> {
         let head_deadline = Instant::now() + timeout;
         let sent = self.pool.exchange_stream(to, request, head_deadline).await;
         let mut response = sent.map_err(ClientError::from_exchange)?;
         let body = response.take_body();
-        let body = self.read_large(to, body, pace).await?;
+        let body = self.read_large(to, body, body_timeouts).await?;
         Ok((response, body))
     }
 
@@ -187,14 +187,14 @@
         &self,
         from: SocketAddr,
         mut body: Body,
-        pace: BodyTimeouts,
+        body_timeouts: BodyTimeouts,
     ) -> Result<Vec<u8>, ClientError> {
         let limit = self.max_body_bytes();
-        let longest = Instant::now() + pace.total;
+        let longest = Instant::now() + body_timeouts.total;
         let mut bytes = Vec::new();
         let mut part = vec![0; PART_BYTES];
         loop {
-            let deadline = longest.min(Instant::now() + pace.idle);
+            let deadline = longest.min(Instant::now() + body_timeouts.idle);
             let read = match timer::timeout_at(deadline, body.read(&mut part)).await {
                 Err(timer::Elapsed) => return Err(ClientError::late(from)),
                 Ok(Err(error)) => return Err(ClientError::from_body(from, error)),
--- a/crates/net/src/framing.rs
+++ b/crates/net/src/framing.rs
@@ -14,13 +14,13 @@
 
 /// What the next unread bytes of a connection are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Piece {
+pub(crate) enum DecodeStep {
     /// The first bytes, this many and at least one, are data of the body.
     Data(usize),
     /// The first bytes, this many, belong to the framing.
-    Skip(usize),
+    Framing(usize),
     /// More bytes are needed to tell.
-    More,
+    NeedMore,
     /// The body ended.
     End,
 }
@@ -31,7 +31,7 @@
     /// The head told the length.
     Length {
         /// Bytes still to come.
-        left: u64,
+        remaining: u64,
     },
     /// The body comes in chunks.
     Chunked(ChunkDecoder),
@@ -49,19 +49,23 @@
 
     /// Whether the head announced more bytes than `limit`.
     pub(crate) fn announces_more_than(&self, limit: u64) -> bool {
-        matches!(self, BodyDecoder::Length { left } if *left > limit)
+        matches!(self, BodyDecoder::Length { remaining } if *remaining > limit)
     }
 
     /// Says what the first of `unread` is.
-    pub(crate) fn next(&mut self, unread: &[u8]) -> Result<Piece, BodyFault> {
+    pub(crate) fn next(&mut self, unread: &[u8]) -> Result<DecodeStep, BodyFault> {
         match self {
-            BodyDecoder::Length { left: 0 } => Ok(Piece::End),
-            BodyDecoder::Length { .. } if unread.is_empty() => Ok(Piece::More),
-            BodyDecoder::Length { left } => Ok(Piece::Data(at_most(*left, unread.len()))),
+            BodyDecoder::Length { remaining: 0 } => Ok(DecodeStep::End),
+            BodyDecoder::Length { .. } if unread.is_empty() => Ok(DecodeStep::NeedMore),
+            BodyDecoder::Length { remaining } => {
+                Ok(DecodeStep::Data(min_len(*remaining, unread.len())))
+            }
             BodyDecoder::Chunked(decoder) => decoder.next(unread),
-            BodyDecoder::UntilClose { .. } if !unread.is_empty() => Ok(Piece::Data(unread.len())),
-            BodyDecoder::UntilClose { closed: true } => Ok(Piece::End),
-            BodyDecoder::UntilClose { closed: false } => Ok(Piece::More),
+            BodyDecoder::UntilClose { .. } if !unread.is_empty() => {
+                Ok(DecodeStep::Data(unread.len()))
+            }
+            BodyDecoder::UntilClose { closed: true } => Ok(DecodeStep::End),
+            BodyDecoder::UntilClose { closed: false } => Ok(DecodeStep::NeedMore),
         }
     }
 
@@ -80,7 +84,7 @@
     pub(crate) fn consume(&mut self, count: usize) {
         let count = count as u64;
         match self {
-            BodyDecoder::Length { left } => *left -= count,
+            BodyDecoder::Length { remaining } => *remaining -= count,
             BodyDecoder::Chunked(decoder) => decoder.consume(count),
             BodyDecoder::UntilClose { .. } => {}
         }
@@ -89,15 +93,15 @@
     /// Whether the end is known without reading further.
     pub(crate) fn is_at_end(&self) -> bool {
         match self {
-            BodyDecoder::Length { left } => *left == 0,
+            BodyDecoder::Length { remaining } => *remaining == 0,
             BodyDecoder::Chunked(decoder) => decoder.state == ChunkState::End,
             BodyDecoder::UntilClose { closed } => *closed,
         }
     }
 }
 
-fn at_most(left: u64, available: usize) -> usize {
-    usize::try_from(left).map_or(available, |left| left.min(available))
+fn min_len(remaining: u64, available: usize) -> usize {
+    usize::try_from(remaining).map_or(available, |remaining| remaining.min(available))
 }
 
 /// Decoder of a chunked body. Trailers are read over.
@@ -112,8 +116,8 @@
     Size { value: u64, digits: usize },
     Extension { size: u64 },
     SizeLineFeed { size: u64 },
-    Data { left: u64 },
-    DataReturn,
+    Data { remaining: u64 },
+    DataCarriageReturn,
     DataLineFeed,
     TrailerStart,
     Trailer,
@@ -132,56 +136,56 @@
 }
 
 impl ChunkDecoder {
-    fn next(&mut self, unread: &[u8]) -> Result<Piece, BodyFault> {
+    fn next(&mut self, unread: &[u8]) -> Result<DecodeStep, BodyFault> {
         let mut used = 0;
         loop {
             match self.state {
-                ChunkState::End if used == 0 => return Ok(Piece::End),
-                ChunkState::End => return Ok(Piece::Skip(used)),
-                ChunkState::Data { left } if used == 0 && !unread.is_empty() => {
-                    return Ok(Piece::Data(at_most(left, unread.len())));
+                ChunkState::End if used == 0 => return Ok(DecodeStep::End),
+                ChunkState::End => return Ok(DecodeStep::Framing(used)),
+                ChunkState::Data { remaining } if used == 0 && !unread.is_empty() => {
+                    return Ok(DecodeStep::Data(min_len(remaining, unread.len())));
                 }
-                ChunkState::Data { .. } if used > 0 => return Ok(Piece::Skip(used)),
+                ChunkState::Data { .. } if used > 0 => return Ok(DecodeStep::Framing(used)),
                 _ => {}
             }
             let Some(byte) = unread.get(used) else {
                 return Ok(if used == 0 {
-                    Piece::More
+                    DecodeStep::NeedMore
                 } else {
-                    Piece::Skip(used)
+                    DecodeStep::Framing(used)
                 });
             };
-            self.state = self.after(*byte)?;
+            self.state = self.next_state(*byte)?;
             used += 1;
         }
     }
 
     fn consume(&mut self, count: u64) {
-        if let ChunkState::Data { left } = self.state {
-            self.state = match left - count {
-                0 => ChunkState::DataReturn,
-                left => ChunkState::Data { left },
+        if let ChunkState::Data { remaining } = self.state {
+            self.state = match remaining - count {
+                0 => ChunkState::DataCarriageReturn,
+                remaining => ChunkState::Data { remaining },
             };
         }
     }
 
     /// The state after one byte of framing.
-    fn after(&mut self, byte: u8) -> Result<ChunkState, BodyFault> {
+    fn next_state(&mut self, byte: u8) -> Result<ChunkState, BodyFault> {
         self.control_bytes += 1;
         if self.control_bytes > MAX_CONTROL_BYTES {
             return Err(BodyFault::Malformed("chunk header or trailers too long"));
         }
         let next = match self.state {
-            ChunkState::Size { value, digits } => return after_size(value, digits, byte),
+            ChunkState::Size { value, digits } => return next_size_state(value, digits, byte),
             ChunkState::Extension { size } if byte == b'\r' => ChunkState::SizeLineFeed { size },
-            ChunkState::Extension { .. } if is_text(byte) => self.state,
+            ChunkState::Extension { .. } if is_printable_or_tab(byte) => self.state,
             ChunkState::SizeLineFeed { size } if byte == b'\n' => self.start_chunk(size),
-            ChunkState::DataReturn if byte == b'\r' => ChunkState::DataLineFeed,
+            ChunkState::DataCarriageReturn if byte == b'\r' => ChunkState::DataLineFeed,
             ChunkState::DataLineFeed if byte == b'\n' => ChunkState::default(),
             ChunkState::TrailerStart if byte == b'\r' => ChunkState::LastLineFeed,
-            ChunkState::TrailerStart if is_text(byte) => ChunkState::Trailer,
+            ChunkState::TrailerStart if is_printable_or_tab(byte) => ChunkState::Trailer,
             ChunkState::Trailer if byte == b'\r' => ChunkState::TrailerLineFeed,
-            ChunkState::Trailer if is_text(byte) => ChunkState::Trailer,
+            ChunkState::Trailer if is_printable_or_tab(byte) => ChunkState::Trailer,
             ChunkState::TrailerLineFeed if byte == b'\n' => ChunkState::TrailerStart,
             ChunkState::LastLineFeed if byte == b'\n' => ChunkState::End,
             _ => return Err(BodyFault::Malformed("unexpected byte in chunk framing")),
@@ -194,11 +198,11 @@
             return ChunkState::TrailerStart;
         }
         self.control_bytes = 0;
-        ChunkState::Data { left: size }
+        ChunkState::Data { remaining: size }
     }
 }
 
-fn after_size(value: u64, digits: usize, byte: u8) -> Result<ChunkState, BodyFault> {
+fn next_size_state(value: u64, digits: usize, byte: u8) -> Result<ChunkState, BodyFault> {
     let digit = match byte {
         b'0'..=b'9' => byte - b'0',
         b'a'..=b'f' => byte - b'a' + 10,
@@ -216,6 +220,6 @@
     })
 }
 
-fn is_text(byte: u8) -> bool {
+fn is_printable_or_tab(byte: u8) -> bool {
     byte == b'\t' || (b' '..=b'~').contains(&byte)
 }
--- a/crates/net/src/head.rs
+++ b/crates/net/src/head.rs
@@ -9,8 +9,8 @@
 use http_types::Headers;
 use http_types::headers::{CONTENT_LENGTH, TRANSFER_ENCODING};
 
+use crate::buffered_stream::BufferedStream;
 use crate::framing::BodyDecoder;
-use crate::wire::Wire;
 
 /// Largest head that async-h1 takes.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024 - 1;
@@ -42,22 +42,24 @@
     /// the wait is dropped.
     pub(crate) fn poll(
         &mut self,
-        wire: &mut Wire,
+        buffered: &mut BufferedStream,
         max_bytes: usize,
         context: &mut Context<'_>,
     ) -> Poll<Result<usize, HeadError>> {
         let max_bytes = max_bytes.min(MAX_HEAD_BYTES);
         loop {
-            match self.find_end(wire.unread()) {
+            match self.find_end(buffered.unread()) {
                 Some(length) if length <= max_bytes => return Poll::Ready(Ok(length)),
                 Some(_) => return Poll::Ready(Err(HeadError::TooLarge)),
-                None if wire.unread().len() >= max_bytes => {
+                None if buffered.unread().len() >= max_bytes => {
                     return Poll::Ready(Err(HeadError::TooLarge));
                 }
                 None => {}
             }
-            match std::task::ready!(wire.poll_fill(context)) {
-                Ok(0) if wire.unread().is_empty() => return Poll::Ready(Err(HeadError::Closed)),
+            match std::task::ready!(buffered.poll_fill(context)) {
+                Ok(0) if buffered.unread().is_empty() => {
+                    return Poll::Ready(Err(HeadError::Closed));
+                }
                 Ok(0) => return Poll::Ready(Err(HeadError::Truncated)),
                 Ok(_) => {}
                 Err(error) => return Poll::Ready(Err(HeadError::Io(error))),
@@ -78,9 +80,12 @@
 }
 
 /// Reads until the head is there whole, as [`HeadSearch::poll`] does.
-pub(crate) async fn read_head(wire: &mut Wire, max_bytes: usize) -> Result<usize, HeadError> {
+pub(crate) async fn read_head(
+    buffered: &mut BufferedStream,
+    max_bytes: usize,
+) -> Result<usize, HeadError> {
     let mut search = HeadSearch::default();
-    poll_fn(|context| search.poll(wire, max_bytes, context)).await
+    poll_fn(|context| search.poll(buffered, max_bytes, context)).await
 }
 
 /// Refuses bytes on which async-h1 panics or on which parsers differ: values
@@ -112,9 +117,9 @@
         (None, None) => Ok(None),
         (Some(values), None) => {
             let mut values = values.iter();
-            let left = values.next().and_then(|value| digits(value.as_str()));
-            match (left, values.next()) {
-                (Some(left), None) => Ok(Some(BodyDecoder::Length { left })),
+            let remaining = values.next().and_then(|value| parse_length(value.as_str()));
+            match (remaining, values.next()) {
+                (Some(remaining), None) => Ok(Some(BodyDecoder::Length { remaining })),
                 (_, Some(_)) => Err("more than one Content-Length"),
                 (None, None) => Err("Content-Length is not a number"),
             }
@@ -132,7 +137,7 @@
     }
 }
 
-fn digits(text: &str) -> Option<u64> {
+fn parse_length(text: &str) -> Option<u64> {
     let plain = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     // A length must also be one that a body in memory could have.
     let value = if plain { text.parse().ok() } else { None };
@@ -150,7 +155,7 @@
 }
 
 /// Whether a `Connection` header names `option`.
-pub(crate) fn connection_has(headers: &Headers, option: &str) -> bool {
+pub(crate) fn connection_header_has(headers: &Headers, option: &str) -> bool {
     headers
         .get(http_types::headers::CONNECTION)
         .is_some_and(|values| {
@@ -166,14 +171,14 @@
 #[derive(Clone, Debug)]
 pub(crate) struct HeadBytes {
     bytes: Vec<u8>,
-    used: usize,
+    position: usize,
 }
 
 impl HeadBytes {
     pub(crate) fn new(head: &[u8]) -> Self {
         HeadBytes {
             bytes: head.to_vec(),
-            used: 0,
+            position: 0,
         }
     }
 }
@@ -184,10 +189,10 @@
         _context: &mut Context<'_>,
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        let rest = &self.bytes[self.used..];
+        let rest = &self.bytes[self.position..];
         let count = rest.len().min(buffer.len());
         buffer[..count].copy_from_slice(&rest[..count]);
-        self.used += count;
+        self.position += count;
         Poll::Ready(Ok(count))
     }
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -5,6 +5,7 @@
 //! cancellation when a caller hangs up, planned stops and connection pools.
 
 mod body;
+mod buffered_stream;
 pub mod client;
 mod client_error;
 pub mod convert;
@@ -14,12 +15,11 @@
 pub mod instant;
 mod json_lines;
 pub mod message;
+mod message_writer;
 pub mod pool;
 pub mod server;
 pub mod stop;
 pub mod timer;
-mod transmit;
-mod wire;
 
 pub use body::{BodyFault, MIN_BODY_BYTES_PER_SECOND};
 pub use client::{BodyTimeouts, ClientError, HttpClient};
--- a/crates/net/src/transmit.rs
+++ b/crates/net/src/message_writer.rs
@@ -52,37 +52,37 @@
 
 /// One message on its way out.
 #[derive(Debug)]
-pub(crate) struct Outgoing<E> {
+pub(crate) struct MessageWriter<E> {
     encoder: E,
     buffer: Vec<u8>,
     written: usize,
     ended: bool,
-    total: u64,
+    bytes_sent: u64,
 }
 
-impl<E: AsyncRead + Unpin> Outgoing<E> {
+impl<E: AsyncRead + Unpin> MessageWriter<E> {
     pub(crate) fn new(encoder: E) -> Self {
-        Outgoing {
+        MessageWriter {
             encoder,
             buffer: Vec::new(),
             written: 0,
             ended: false,
-            total: 0,
+            bytes_sent: 0,
         }
     }
 
     /// Whether the kernel took any byte, so that it may reach the peer.
     pub(crate) fn any_written(&self) -> bool {
-        self.total > 0
+        self.bytes_sent > 0
     }
 
     /// Bytes that the kernel took.
-    pub(crate) fn total(&self) -> u64 {
-        self.total
+    pub(crate) fn bytes_sent(&self) -> u64 {
+        self.bytes_sent
     }
 
     /// Whether bytes wait for the kernel to take them.
-    pub(crate) fn waits_for_stream(&self) -> bool {
+    pub(crate) fn is_blocked(&self) -> bool {
         self.written < self.buffer.len()
     }
 
@@ -99,7 +99,7 @@
                 }
                 self.buffer.clear();
                 self.written = 0;
-                ready!(self.poll_gather(context)).map_err(SendFault::Source)?;
+                ready!(self.poll_fill_buffer(context)).map_err(SendFault::Source)?;
                 continue;
             }
             ready!(self.poll_write(stream, context)).map_err(SendFault::Stream)?;
@@ -116,13 +116,13 @@
         if count == 0 {
             return Poll::Ready(Err(io::ErrorKind::WriteZero.into()));
         }
-        self.total += count as u64;
+        self.bytes_sent += count as u64;
         self.written += count;
         Poll::Ready(Ok(()))
     }
 
     /// Reads from the encoder what is there, waiting only if nothing is.
-    fn poll_gather(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+    fn poll_fill_buffer(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let mut scratch = Scratch::take();
         while self.buffer.len() < WRITE_SIZE {
             let start = self.buffer.len();
--- a/crates/net/src/pool/address.rs
+++ b/crates/net/src/pool/address_table.rs
@@ -9,35 +9,35 @@
 
 use super::socket;
 use crate::Instant;
-use crate::wire::Wire;
+use crate::buffered_stream::BufferedStream;
 
 /// All addresses of one pool.
 #[derive(Debug)]
-pub(super) struct Addresses {
+pub(super) struct AddressTable {
     default_limit: usize,
     /// How long nothing may be heard on a connection before those that are at
     /// rest since before are doubted as well.
     suspect_idle_after: Option<Duration>,
-    by_address: Mutex<HashMap<SocketAddr, Address>>,
-    sweeping: Mutex<bool>,
+    by_address: Mutex<HashMap<SocketAddr, AddressEntry>>,
+    sweep_running: Mutex<bool>,
 }
 
 #[derive(Debug, Default)]
-struct Address {
+struct AddressEntry {
     limit: Option<usize>,
     in_use: usize,
     /// The last one used is at the end, and taken first.
-    idle: Vec<Idle>,
+    idle: Vec<IdleConnection>,
     /// When exchanges began on connections that had been at rest, and of which
     /// nothing has been heard yet.
-    unheard: Vec<Instant>,
+    awaiting_response: Vec<Instant>,
     /// Connections at rest since before may be as silent as one that was.
-    doubted: Option<Instant>,
+    suspect_until: Option<Instant>,
 }
 
 #[derive(Debug)]
-struct Idle {
-    wire: Wire,
+struct IdleConnection {
+    buffered: BufferedStream,
     since: Instant,
 }
 
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub(super) enum Reservation {
     /// A connection that was idle.
-    Idle(Slot, Wire),
+    Idle(Slot, BufferedStream),
     /// Room for a new one.
     New(Slot),
     /// No room.
@@ -55,7 +55,7 @@
 /// The right to one connection in use; dropping it ends the use.
 #[derive(Debug)]
 pub(super) struct Slot {
-    addresses: Weak<Addresses>,
+    addresses: Weak<AddressTable>,
     address: SocketAddr,
 }
 
@@ -63,20 +63,20 @@
 /// been heard. Dropping it after a long while casts doubt on connections at
 /// rest since before it began.
 #[derive(Debug)]
-pub(super) struct Unheard {
-    addresses: Weak<Addresses>,
+pub(super) struct ReuseWatch {
+    addresses: Weak<AddressTable>,
     address: SocketAddr,
     since: Instant,
-    heard: bool,
+    active: bool,
 }
 
-impl Addresses {
+impl AddressTable {
     pub(super) fn new(default_limit: usize, suspect_idle_after: Option<Duration>) -> Self {
-        Addresses {
+        AddressTable {
             default_limit,
             suspect_idle_after,
             by_address: Mutex::default(),
-            sweeping: Mutex::new(false),
+            sweep_running: Mutex::new(false),
         }
     }
 
@@ -96,11 +96,11 @@
             remove_if_unused(&mut by_address, address);
             closed
         };
-        closed.into_iter().for_each(Idle::close);
+        closed.into_iter().for_each(IdleConnection::close);
     }
 
     /// Connections in use and idle.
-    pub(super) fn open(&self, address: SocketAddr) -> (usize, usize) {
+    pub(super) fn open_connections(&self, address: SocketAddr) -> (usize, usize) {
         let by_address = self.by_address.lock();
         by_address
             .get(&address)
@@ -115,44 +115,49 @@
     ) -> Reservation {
         let mut by_address = self.by_address.lock();
         let entry = by_address.entry(address).or_default();
-        let doubted = entry.take_doubted(self.suspect_idle_after);
+        let suspect = entry.take_suspect(self.suspect_idle_after);
         entry.limit = limit.or(entry.limit);
         let limit = entry.limit.unwrap_or(self.default_limit);
-        let fresh = |idle: &Idle| expired_before.is_none_or(|before| idle.since > before);
+        let is_fresh =
+            |idle: &IdleConnection| expired_before.is_none_or(|before| idle.since > before);
         let idle = entry.idle.pop();
         if idle.is_none() && entry.in_use >= limit {
             return Reservation::Full;
         }
         entry.in_use += 1;
         drop(by_address);
-        drop(doubted);
+        drop(suspect);
         let slot = Slot {
             addresses: Arc::downgrade(self),
             address,
         };
         match idle {
-            Some(idle) if fresh(&idle) => Reservation::Idle(slot, idle.wire),
+            Some(idle) if is_fresh(&idle) => Reservation::Idle(slot, idle.buffered),
             Some(_) | None => Reservation::New(slot),
         }
     }
 
     /// An exchange begins on a connection that was at rest.
-    pub(super) fn begin_unheard(self: &Arc<Self>, address: SocketAddr) -> Unheard {
+    pub(super) fn watch_reuse(self: &Arc<Self>, address: SocketAddr) -> ReuseWatch {
         let since = Instant::now();
         let mut by_address = self.by_address.lock();
-        by_address.entry(address).or_default().unheard.push(since);
-        Unheard {
+        by_address
+            .entry(address)
+            .or_default()
+            .awaiting_response
+            .push(since);
+        ReuseWatch {
             addresses: Arc::downgrade(self),
             address,
             since,
-            heard: false,
+            active: false,
         }
     }
 
     /// Keeps a connection for reuse. Says whether somebody must now begin to
     /// watch for connections that nobody uses.
-    pub(super) fn give_back(&self, slot: Slot, mut wire: Wire) -> bool {
-        wire.shrink();
+    pub(super) fn check_in(&self, slot: Slot, mut buffered: BufferedStream) -> bool {
+        buffered.shrink();
         {
             let mut by_address = self.by_address.lock();
             let entry = by_address.entry(slot.address).or_default();
@@ -160,94 +165,106 @@
             // The limit may have been lowered meanwhile.
             if entry.in_use + entry.idle.len() <= limit {
                 let since = Instant::now();
-                entry.idle.push(Idle { wire, since });
+                entry.idle.push(IdleConnection { buffered, since });
             }
         }
         drop(slot);
-        let mut sweeping = self.sweeping.lock();
-        !std::mem::replace(&mut *sweeping, true)
+        let mut sweep_running = self.sweep_running.lock();
+        !std::mem::replace(&mut *sweep_running, true)
     }
 
     /// Closes connections idle since before a time. Says whether no idle one
     /// is left, and with it no reason to come again.
     pub(super) fn close_expired(&self, before: Option<Instant>) -> bool {
-        let mut sweeping = self.sweeping.lock();
+        let mut sweep_running = self.sweep_running.lock();
         let mut closed = Vec::new();
         let mut left = 0;
         {
             let mut by_address = self.by_address.lock();
             for entry in by_address.values_mut() {
-                let expired = |idle: &Idle| before.is_some_and(|before| idle.since <= before);
+                let expired =
+                    |idle: &IdleConnection| before.is_some_and(|before| idle.since <= before);
                 let count = entry.idle.iter().take_while(|idle| expired(idle)).count();
                 closed.extend(entry.idle.drain(..count));
                 left += entry.idle.len();
             }
             by_address.retain(|_, entry| !entry.is_unused());
         }
-        closed.into_iter().for_each(Idle::close);
-        *sweeping = left > 0;
+        closed.into_iter().for_each(IdleConnection::close);
+        *sweep_running = left > 0;
         left == 0
     }
 }
 
-impl Idle {
+impl IdleConnection {
     /// Nothing waits to be sent, and the peer need not take it for a failure.
     fn close(self) {
-        if let Err(error) = socket::close_in_order(self.wire.stream()) {
+        if let Err(error) = socket::close_gracefully(self.buffered.stream()) {
             tracing::debug!(%error, "an idle connection ends with a reset");
         }
     }
 }
 
-impl Address {
+impl AddressEntry {
     fn is_unused(&self) -> bool {
-        self.in_use == 0 && self.idle.is_empty() && self.limit.is_none() && self.unheard.is_empty()
+        self.in_use == 0
+            && self.idle.is_empty()
+            && self.limit.is_none()
+            && self.awaiting_response.is_empty()
     }
 
     /// Takes out the connections at rest that are doubted, to be closed.
-    fn take_doubted(&mut self, suspect_idle_after: Option<Duration>) -> Vec<Idle> {
+    fn take_suspect(&mut self, suspect_idle_after: Option<Duration>) -> Vec<IdleConnection> {
         let silent_since = suspect_idle_after.and_then(|after| Instant::now().checked_sub(after));
-        let silent = self.unheard.iter().copied();
+        let silent = self.awaiting_response.iter().copied();
         let silent = silent.filter(|since| silent_since.is_some_and(|before| *since <= before));
-        let doubted = silent.chain(self.doubted).max();
-        let doubts = |idle: &Idle| doubted.is_some_and(|doubted| idle.since <= doubted);
-        let count = self.idle.iter().take_while(|idle| doubts(idle)).count();
+        let suspect_until = silent.chain(self.suspect_until).max();
+        let is_suspect = |idle: &IdleConnection| {
+            suspect_until.is_some_and(|suspect_until| idle.since <= suspect_until)
+        };
+        let count = self.idle.iter().take_while(|idle| is_suspect(idle)).count();
         self.idle.drain(..count).collect()
     }
 }
 
-impl Unheard {
+impl ReuseWatch {
     /// Something was heard, were it the connection's end.
-    pub(super) fn heard(mut self) {
-        self.heard = true;
+    pub(super) fn activity_seen(mut self) {
+        self.active = true;
     }
 }
 
-impl Drop for Unheard {
+impl Drop for ReuseWatch {
     fn drop(&mut self) {
         let Some(addresses) = self.addresses.upgrade() else {
             return;
         };
         let silent = addresses
             .suspect_idle_after
-            .is_some_and(|after| !self.heard && self.since.elapsed() >= after);
+            .is_some_and(|after| !self.active && self.since.elapsed() >= after);
         let mut by_address = addresses.by_address.lock();
         let Some(entry) = by_address.get_mut(&self.address) else {
             return;
         };
-        let begun = entry.unheard.iter().position(|since| *since == self.since);
-        if let Some(begun) = begun {
-            entry.unheard.swap_remove(begun);
+        let position = entry
+            .awaiting_response
+            .iter()
+            .position(|since| *since == self.since);
+        if let Some(position) = position {
+            entry.awaiting_response.swap_remove(position);
         }
         if silent {
-            entry.doubted = entry.doubted.max(Some(self.since));
+            entry.suspect_until = entry.suspect_until.max(Some(self.since));
         }
         remove_if_unused(&mut by_address, self.address);
     }
 }
 
-fn remove_if_unused(by_address: &mut HashMap<SocketAddr, Address>, address: SocketAddr) {
-    if by_address.get(&address).is_some_and(Address::is_unused) {
+fn remove_if_unused(by_address: &mut HashMap<SocketAddr, AddressEntry>, address: SocketAddr) {
+    if by_address
+        .get(&address)
+        .is_some_and(AddressEntry::is_unused)
+    {
         by_address.remove(&address);
     }
 }
--- a/crates/net/src/pool/connection.rs
+++ b/crates/net/src/pool/connection.rs
@@ -5,13 +5,13 @@
 use http_types::{Request, Response};
 
 use super::Pool;
-use super::address::Slot;
+use super::address_table::Slot;
 use super::error::{ExchangeError, ExchangeFault, Stage};
 use super::exchange::Exchange;
 use crate::Instant;
-use crate::body::Pace;
+use crate::body::BodyDeadline;
+use crate::buffered_stream::BufferedStream;
 use crate::timer;
-use crate::wire::Wire;
 
 /// A connection on which nothing has been sent yet. Dropping it gives it back
 /// to the pool.
@@ -20,23 +20,23 @@
     pool: Pool,
     address: SocketAddr,
     /// It was at rest before.
-    rested: bool,
-    unused: Option<(Slot, Wire)>,
+    reused: bool,
+    unused: Option<(Slot, BufferedStream)>,
 }
 
 impl PooledConnection {
     pub(super) fn new(
         pool: Pool,
         address: SocketAddr,
-        rested: bool,
+        reused: bool,
         slot: Slot,
-        wire: Wire,
+        buffered: BufferedStream,
     ) -> Self {
         PooledConnection {
             pool,
             address,
-            rested,
-            unused: Some((slot, wire)),
+            reused,
+            unused: Some((slot, buffered)),
         }
     }
 
@@ -52,15 +52,15 @@
         request: Request,
         deadline: Instant,
     ) -> Result<Response, ExchangeError> {
-        self.exchange_paced(request, deadline, Pace::Until(deadline))
+        self.exchange_with_body_deadline(request, deadline, BodyDeadline::Until(deadline))
             .await
     }
 
-    pub(super) async fn exchange_paced(
+    pub(super) async fn exchange_with_body_deadline(
         mut self,
         request: Request,
         deadline: Instant,
-        pace: Pace,
+        body_deadline: BodyDeadline,
     ) -> Result<Response, ExchangeError> {
         let address = self.address;
         let failed = |stage, fault| ExchangeError {
@@ -71,19 +71,19 @@
         if Instant::now() >= deadline {
             return Err(failed(Stage::NothingSent, ExchangeFault::DeadlinePassed));
         }
-        let Some((slot, wire)) = self.unused.take() else {
+        let Some((slot, buffered)) = self.unused.take() else {
             let closed = std::io::Error::from(std::io::ErrorKind::NotConnected);
             return Err(failed(Stage::NothingSent, closed.into()));
         };
         let addresses = &self.pool.addresses;
-        let unheard = self.rested.then(|| addresses.begin_unheard(address));
-        let mut exchange = Exchange::new(request, wire, &self.pool.settings);
+        let reuse = self.reused.then(|| addresses.watch_reuse(address));
+        let mut exchange = Exchange::new(request, buffered, &self.pool.settings);
         // Until the response is whole, the slot stays with this future or
         // with the body: dropping either frees it and closes the connection.
         let ended = timer::timeout_at(deadline, exchange.run()).await;
         let silent = ended.is_err() && exchange.stage() <= Stage::Sent;
-        if let Some(unheard) = unheard.filter(|_| !silent) {
-            unheard.heard();
+        if let Some(reuse) = reuse.filter(|_| !silent) {
+            reuse.activity_seen();
         }
         let head = match ended {
             Err(timer::Elapsed) => {
@@ -93,19 +93,19 @@
             Ok(Ok(head)) => head,
         };
         let pool = self.pool.clone();
-        let give_back = move |wire| {
-            if let Some(wire) = wire {
-                pool.keep(slot, wire);
+        let on_release = move |buffered| {
+            if let Some(buffered) = buffered {
+                pool.check_in(slot, buffered);
             }
         };
-        Ok(exchange.into_response(head, pace, give_back))
+        Ok(exchange.into_response(head, body_deadline, on_release))
     }
 }
 
 impl Drop for PooledConnection {
     fn drop(&mut self) {
-        if let Some((slot, wire)) = self.unused.take() {
-            self.pool.keep(slot, wire);
+        if let Some((slot, buffered)) = self.unused.take() {
+            self.pool.check_in(slot, buffered);
         }
     }
 }
--- a/crates/net/src/pool/exchange.rs
+++ b/crates/net/src/pool/exchange.rs
@@ -10,42 +10,42 @@
 use super::error::{ExchangeFault, Stage};
 use super::response::{self, ResponseHead};
 use super::{PoolSettings, UnframedBodies};
-use crate::body::{BodyReader, Pace, Returned};
+use crate::body::{BodyDeadline, BodyReader, ReleasedConnection};
+use crate::buffered_stream::BufferedStream;
 use crate::head::{HeadError, HeadSearch};
 use crate::message::Message;
-use crate::transmit::{Outgoing, SendFault};
-use crate::wire::Wire;
+use crate::message_writer::{MessageWriter, SendFault};
 
 /// Interim responses accepted before the final one.
 const MAX_INTERIM: usize = 8;
 
 /// Gives an idle connection back if the peer neither closed it nor sent
 /// anything: bytes that nobody asked for belong to an exchange that is over.
-pub(super) fn still_clean(mut wire: Wire) -> Option<Wire> {
+pub(super) fn verify_idle(mut buffered: BufferedStream) -> Option<BufferedStream> {
     let mut context = Context::from_waker(noop_waker_ref());
-    let silent = wire.unread().is_empty() && wire.poll_fill(&mut context).is_pending();
-    silent.then_some(wire)
+    let silent = buffered.unread().is_empty() && buffered.poll_fill(&mut context).is_pending();
+    silent.then_some(buffered)
 }
 
 pub(super) struct Exchange {
     method: Method,
-    outgoing: Outgoing<Encoder>,
+    writer: MessageWriter<Encoder>,
     whole_request_sent: bool,
     send_fault: Option<SendFault>,
-    wire: Wire,
+    buffered: BufferedStream,
     max_head_bytes: usize,
     unframed_bodies: UnframedBodies,
     stage: Stage,
 }
 
 impl Exchange {
-    pub(super) fn new(request: Request, wire: Wire, settings: &PoolSettings) -> Self {
+    pub(super) fn new(request: Request, buffered: BufferedStream, settings: &PoolSettings) -> Self {
         Exchange {
             method: request.method(),
-            outgoing: Outgoing::new(Encoder::new(request)),
+            writer: MessageWriter::new(Encoder::new(request)),
             whole_request_sent: false,
             send_fault: None,
-            wire,
+            buffered,
             max_head_bytes: settings.max_head_bytes,
             unframed_bodies: settings.unframed_bodies,
             stage: Stage::NothingSent,
@@ -63,9 +63,9 @@
         for _ in 0..=MAX_INTERIM {
             let mut search = HeadSearch::default();
             let length = poll_fn(|context| self.poll_head(&mut search, context)).await?;
-            let head = self.wire.unread();
+            let head = self.buffered.unread();
             let head = response::parse(&head[..length], self.method, self.unframed_bodies)?;
-            self.wire.consume(length);
+            self.buffered.consume(length);
             if !head.is_interim() {
                 return Ok(head);
             }
@@ -85,8 +85,8 @@
         if self.stage == Stage::NothingSent {
             return Poll::Pending;
         }
-        let found = search.poll(&mut self.wire, self.max_head_bytes, context);
-        if !self.wire.unread().is_empty() {
+        let found = search.poll(&mut self.buffered, self.max_head_bytes, context);
+        if !self.buffered.unread().is_empty() {
             self.stage = Stage::ResponseHead;
         }
         match std::task::ready!(found) {
@@ -102,8 +102,8 @@
         if self.whole_request_sent || self.send_fault.is_some() {
             return Poll::Pending;
         }
-        let sent = self.outgoing.poll_send(self.wire.stream(), context);
-        if self.outgoing.any_written() {
+        let sent = self.writer.poll_send(self.buffered.stream(), context);
+        if self.writer.any_written() {
             self.stage = self.stage.max(Stage::Sent);
         }
         match std::task::ready!(sent) {
@@ -137,8 +137,8 @@
     pub(super) fn into_response(
         self,
         head: ResponseHead,
-        pace: Pace,
-        give_back: impl FnOnce(Option<Wire>) + Send + Sync + 'static,
+        body_deadline: BodyDeadline,
+        on_release: impl FnOnce(Option<BufferedStream>) + Send + Sync + 'static,
     ) -> Response {
         let ResponseHead {
             mut response,
@@ -147,19 +147,27 @@
             closes,
         } = head;
         let reusable = self.whole_request_sent && !closes;
-        let finish = move |returned| match returned {
-            Returned::Clean(wire) if reusable && wire.unread().is_empty() => {
-                give_back(Some(wire));
+        let finish = move |released| match released {
+            ReleasedConnection::Clean(buffered) if reusable && buffered.unread().is_empty() => {
+                on_release(Some(buffered));
             }
-            Returned::Clean(_) | Returned::Unfinished(_) | Returned::Broken(_) => give_back(None),
+            ReleasedConnection::Clean(_)
+            | ReleasedConnection::Unfinished(_)
+            | ReleasedConnection::Broken(_) => on_release(None),
         };
         match body {
             Some(decoder) => {
-                let reader = BodyReader::new(self.wire, decoder, u64::MAX, pace, Box::new(finish));
+                let reader = BodyReader::new(
+                    self.buffered,
+                    decoder,
+                    u64::MAX,
+                    body_deadline,
+                    Box::new(finish),
+                );
                 response.replace_body_keeping_headers(Body::from_reader(reader, length));
             }
             None => {
-                finish(Returned::Clean(self.wire));
+                finish(ReleasedConnection::Clean(self.buffered));
                 let empty = futures::io::empty();
                 response.replace_body_keeping_headers(Body::from_reader(empty, length));
             }
--- a/crates/net/src/pool/mod.rs
+++ b/crates/net/src/pool/mod.rs
@@ -6,7 +6,7 @@
 //! so that a late answer can never reach another caller, and nothing that has
 //! not left yet leaves later.
 
-mod address;
+mod address_table;
 mod connection;
 mod error;
 mod exchange;
@@ -20,11 +20,11 @@
 use http_types::{Request, Response};
 
 use crate::Instant;
-use crate::body::Pace;
+use crate::body::BodyDeadline;
+use crate::buffered_stream::BufferedStream;
 use crate::head::MAX_HEAD_BYTES;
 use crate::timer;
-use crate::wire::Wire;
-use address::{Addresses, Reservation, Slot};
+use address_table::{AddressTable, Reservation, Slot};
 
 pub use connection::PooledConnection;
 pub use error::{ExchangeError, ExchangeFault, Stage};
@@ -87,14 +87,14 @@
 #[derive(Clone, Debug)]
 pub struct Pool {
     settings: Arc<PoolSettings>,
-    addresses: Arc<Addresses>,
+    addresses: Arc<AddressTable>,
 }
 
 impl Pool {
     /// An empty pool.
     pub fn new(settings: PoolSettings) -> Self {
         Pool {
-            addresses: Arc::new(Addresses::new(
+            addresses: Arc::new(AddressTable::new(
                 settings.connections_per_address,
                 settings.suspect_idle_after,
             )),
@@ -119,7 +119,7 @@
 
     /// Connections open to an address: those in use and those idle.
     pub fn open_connections(&self, address: SocketAddr) -> (usize, usize) {
-        self.addresses.open(address)
+        self.addresses.open_connections(address)
     }
 
     /// Sends one request and returns the head of its response, with a body
@@ -137,7 +137,7 @@
         request: Request,
         deadline: Instant,
     ) -> Result<Response, ExchangeError> {
-        self.exchange_paced(address, request, deadline, Pace::Until(deadline))
+        self.exchange_with_body_deadline(address, request, deadline, BodyDeadline::Until(deadline))
             .await
     }
 
@@ -149,19 +149,21 @@
         request: Request,
         head_deadline: Instant,
     ) -> Result<Response, ExchangeError> {
-        self.exchange_paced(address, request, head_deadline, Pace::Unbounded)
+        self.exchange_with_body_deadline(address, request, head_deadline, BodyDeadline::Unbounded)
             .await
     }
 
-    async fn exchange_paced(
+    async fn exchange_with_body_deadline(
         &self,
         address: SocketAddr,
         request: Request,
         deadline: Instant,
-        pace: Pace,
+        body_deadline: BodyDeadline,
     ) -> Result<Response, ExchangeError> {
         let connection = self.checkout(address, deadline).await?;
-        connection.exchange_paced(request, deadline, pace).await
+        connection
+            .exchange_with_body_deadline(request, deadline, body_deadline)
+            .await
     }
 
     /// Gets a connection without sending anything: an idle one that is still
@@ -191,28 +193,28 @@
         limit: Option<usize>,
         deadline: Instant,
     ) -> Result<PooledConnection, ExchangeError> {
-        let (rested, slot, wire) = match self.check_out(address, limit)? {
-            (slot, Some(wire)) => (true, slot, wire),
+        let (reused, slot, buffered) = match self.reserve_connection(address, limit)? {
+            (slot, Some(buffered)) => (true, slot, buffered),
             (slot, None) => (false, slot, self.connect(address, deadline).await?),
         };
         let pool = self.clone();
-        Ok(PooledConnection::new(pool, address, rested, slot, wire))
+        Ok(PooledConnection::new(pool, address, reused, slot, buffered))
     }
 
     /// Takes an idle connection that is still good, or room for a new one.
-    fn check_out(
+    fn reserve_connection(
         &self,
         address: SocketAddr,
         limit: Option<usize>,
-    ) -> Result<(Slot, Option<Wire>), ExchangeError> {
+    ) -> Result<(Slot, Option<BufferedStream>), ExchangeError> {
         loop {
             let expired_before = Instant::now().checked_sub(self.settings.idle_timeout);
             match self.addresses.reserve(address, limit, expired_before) {
-                Reservation::Idle(slot, wire) => {
+                Reservation::Idle(slot, buffered) => {
                     // The connection may have been closed, or something sent
                     // on it, while nobody listened.
-                    if let Some(wire) = exchange::still_clean(wire) {
-                        return Ok((slot, Some(wire)));
+                    if let Some(buffered) = exchange::verify_idle(buffered) {
+                        return Ok((slot, Some(buffered)));
                     }
                 }
                 Reservation::New(slot) => return Ok((slot, None)),
@@ -227,7 +229,11 @@
         }
     }
 
-    async fn connect(&self, address: SocketAddr, deadline: Instant) -> Result<Wire, ExchangeError> {
+    async fn connect(
+        &self,
+        address: SocketAddr,
+        deadline: Instant,
+    ) -> Result<BufferedStream, ExchangeError> {
         let failed = |fault| ExchangeError {
             address,
             stage: Stage::ConnectFailed,
@@ -249,12 +255,12 @@
         stream
             .set_nodelay(true)
             .map_err(|error| failed(error.into()))?;
-        Ok(Wire::new(stream))
+        Ok(BufferedStream::new(stream))
     }
 
     /// Keeps a connection for reuse.
-    fn keep(&self, slot: Slot, wire: Wire) {
-        if self.addresses.give_back(slot, wire) {
+    fn check_in(&self, slot: Slot, buffered: BufferedStream) {
+        if self.addresses.check_in(slot, buffered) {
             let addresses = Arc::downgrade(&self.addresses);
             let idle_timeout = self.settings.idle_timeout;
             async_std::task::spawn(close_expired(addresses, idle_timeout));
@@ -263,7 +269,7 @@
 }
 
 /// Closes connections that nobody used in time, until none is idle.
-async fn close_expired(addresses: Weak<Addresses>, idle_timeout: Duration) {
+async fn close_expired(addresses: Weak<AddressTable>, idle_timeout: Duration) {
     loop {
         timer::sleep(idle_timeout).await;
         let Some(addresses) = addresses.upgrade() else {
--- a/crates/net/src/pool/response.rs
+++ b/crates/net/src/pool/response.rs
@@ -41,7 +41,7 @@
         .now_or_never()
         .ok_or_else(|| malformed("the head is incomplete"))?
         .map_err(|error| ExchangeFault::Malformed(error.to_string()))?;
-    remove_made_up_date(&mut response);
+    remove_generated_date(&mut response);
     if !head::has_header(head, "content-type") {
         response.remove_header(CONTENT_TYPE);
     }
@@ -51,11 +51,11 @@
     }
     let mut framing = head::framing(response.as_ref()).map_err(malformed)?;
     let length = match &framing {
-        Some(BodyDecoder::Length { left }) => usize::try_from(*left).ok(),
+        Some(BodyDecoder::Length { remaining }) => usize::try_from(*remaining).ok(),
         _ => None,
     };
     let bodiless = method == Method::Head || has_no_body(status);
-    let mut closes = head::connection_has(response.as_ref(), "close");
+    let mut closes = head::connection_header_has(response.as_ref(), "close");
     if !bodiless && framing.is_none() {
         if unframed_bodies == UnframedBodies::Refuse {
             return Err(malformed("tells neither Content-Length nor chunks"));
@@ -79,11 +79,11 @@
 
 /// async-h1 adds a `Date` with a line break in its value to a response that
 /// has none. Passed on, it would end the head early.
-fn remove_made_up_date(response: &mut Response) {
-    let made_up = response
+fn remove_generated_date(response: &mut Response) {
+    let generated = response
         .header(DATE)
         .is_some_and(|values| values.last().as_str().contains('\r'));
-    if made_up {
+    if generated {
         response.remove_header(DATE);
     }
 }
--- a/crates/net/src/pool/socket.rs
+++ b/crates/net/src/pool/socket.rs
@@ -11,9 +11,9 @@
 use rustix::net::sockopt;
 
 /// Probes without an answer before a connection counts as broken.
-const PROBES: u32 = 2;
+const KEEPALIVE_PROBES: u32 = 2;
 /// Shortest time that the kernel takes for probes.
-const SHORTEST: Duration = Duration::from_secs(1);
+const MIN_KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Opens a connection that resets when it is closed, as [`reset_on_close`]
 /// says. With `dead_peer_timeout` it is watched as [`watch`] says.
@@ -25,7 +25,7 @@
     let stream = Async::<StdStream>::connect(address).await?;
     reset_on_close(stream.get_ref())?;
     if let Some(dead_peer_timeout) = dead_peer_timeout {
-        watch(stream.get_ref(), dead_peer_timeout)?;
+        enable_keepalive(stream.get_ref(), dead_peer_timeout)?;
     }
     Ok(TcpStream::from(stream.into_inner()?))
 }
@@ -42,19 +42,19 @@
 }
 
 /// Undoes [`reset_on_close`]: the peer sees an orderly end.
-pub(super) fn close_in_order(stream: &TcpStream) -> io::Result<()> {
+pub(super) fn close_gracefully(stream: &TcpStream) -> io::Result<()> {
     sockopt::set_socket_linger(stream, None)?;
     Ok(())
 }
 
 /// Breaks `stream` when its peer has been silent for about `dead_peer_timeout`, whether
 /// bytes of ours wait for their receipt or nothing is sent at all.
-fn watch(stream: &StdStream, dead_peer_timeout: Duration) -> io::Result<()> {
-    let interval = (dead_peer_timeout / (PROBES + 1)).max(SHORTEST);
+fn enable_keepalive(stream: &StdStream, dead_peer_timeout: Duration) -> io::Result<()> {
+    let interval = (dead_peer_timeout / (KEEPALIVE_PROBES + 1)).max(MIN_KEEPALIVE_INTERVAL);
     sockopt::set_socket_keepalive(stream, true)?;
     sockopt::set_tcp_keepidle(stream, interval)?;
     sockopt::set_tcp_keepintvl(stream, interval)?;
-    sockopt::set_tcp_keepcnt(stream, PROBES)?;
+    sockopt::set_tcp_keepcnt(stream, KEEPALIVE_PROBES)?;
     let millis = u32::try_from(dead_peer_timeout.as_millis()).unwrap_or(u32::MAX);
     sockopt::set_tcp_user_timeout(stream, millis)?;
     Ok(())
--- a/crates/net/src/server/closing.rs
+++ b/crates/net/src/server/closing.rs
@@ -8,32 +8,32 @@
 
 use async_std::net::TcpStream;
 
+use crate::buffered_stream::BufferedStream;
 use crate::stop::Stopped;
 use crate::timer;
-use crate::wire::Wire;
 
 /// Longest wait for a caller to take a last answer and close.
-const LINGER_TIME: Duration = Duration::from_secs(1);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Bytes read and dropped during that wait: above the largest body that callers
 /// are known to send (360 KB), of which an early answer leaves the rest unread.
-const LINGER_BYTES: usize = 512 * 1024;
+const MAX_LINGER_BYTES: usize = 512 * 1024;
 
 /// Closes without losing the last answer: a close with bytes unread would
 /// reset the connection, and the answer with it.
-pub(super) async fn linger(stream: &TcpStream, mut wire: Wire, cut: &mut Stopped) {
+pub(super) async fn linger(stream: &TcpStream, mut buffered: BufferedStream, abort: &mut Stopped) {
     if stream.shutdown(Shutdown::Write).is_err() {
         return;
     }
-    let mut sleep = timer::sleep(LINGER_TIME);
-    let mut dropped = 0;
+    let mut sleep = timer::sleep(LINGER_TIMEOUT);
+    let mut discarded = 0;
     poll_fn(|context| {
         loop {
-            dropped += wire.unread().len();
-            wire.consume(wire.unread().len());
-            if dropped > LINGER_BYTES {
+            discarded += buffered.unread().len();
+            buffered.consume(buffered.unread().len());
+            if discarded > MAX_LINGER_BYTES {
                 return Poll::Ready(());
             }
-            match wire.poll_fill(context) {
+            match buffered.poll_fill(context) {
                 Poll::Ready(Ok(0) | Err(_)) => return Poll::Ready(()),
                 Poll::Ready(Ok(_)) => {}
                 Poll::Pending => break,
@@ -42,34 +42,34 @@
         if Pin::new(&mut sleep).poll(context).is_ready() {
             return Poll::Ready(());
         }
-        Pin::new(&mut *cut).poll(context)
+        Pin::new(&mut *abort).poll(context)
     })
     .await;
 }
 
 /// Notices a caller that takes nothing of its answer for too long.
-pub(super) struct WriteProgress {
-    allowed: Duration,
-    total: u64,
+pub(super) struct WriteStallTimer {
+    timeout: Duration,
+    bytes_sent: u64,
     sleep: Option<timer::Sleep>,
 }
 
-impl WriteProgress {
-    pub(super) fn new(allowed: Duration) -> Self {
-        WriteProgress {
-            allowed,
-            total: 0,
+impl WriteStallTimer {
+    pub(super) fn new(timeout: Duration) -> Self {
+        WriteStallTimer {
+            timeout,
+            bytes_sent: 0,
             sleep: None,
         }
     }
 
-    pub(super) fn poll(&mut self, total: u64, context: &mut Context<'_>) -> Poll<()> {
-        if total != self.total {
-            self.total = total;
+    pub(super) fn poll(&mut self, bytes_sent: u64, context: &mut Context<'_>) -> Poll<()> {
+        if bytes_sent != self.bytes_sent {
+            self.bytes_sent = bytes_sent;
             self.sleep = None;
         }
-        let allowed = self.allowed;
-        let sleep = self.sleep.get_or_insert_with(|| timer::sleep(allowed));
+        let timeout = self.timeout;
+        let sleep = self.sleep.get_or_insert_with(|| timer::sleep(timeout));
         Pin::new(sleep).poll(context)
     }
 }
--- a/crates/net/src/server/connection.rs
+++ b/crates/net/src/server/connection.rs
@@ -11,31 +11,31 @@
 use http_types::headers::CONNECTION;
 use threadledge_types::NotRunReason;
 
-use super::ahead::Ahead;
-use super::answering::Delivery;
-use super::caller::Caller;
 use super::closing::linger;
+use super::exchange::ResponseWrite;
 use super::handler::Handler;
-use super::report::Count;
+use super::inbound::Inbound;
+use super::pipeline::Pipeline;
+use super::report::CounterKind;
 use super::request::{self, ReadRequest, RequestFault};
-use super::respond::ResponseBytes;
+use super::response_encoder::ResponseEncoder;
 use super::service::Service;
 use crate::Instant;
+use crate::buffered_stream::BufferedStream;
 use crate::error_response;
 use crate::head::{self, HeadError};
+use crate::message_writer::MessageWriter;
 use crate::stop::Stopped;
 use crate::timer;
-use crate::transmit::Outgoing;
-use crate::wire::Wire;
 
 /// Answers a connection above the limit, as far as the kernel takes it now.
-pub(super) fn refuse_at_once(stream: &TcpStream) {
+pub(super) fn reject_connection(stream: &TcpStream) {
     let mut response =
         error_response::not_run(NotRunReason::Overloaded, "too many connections are open");
     response.insert_header(CONNECTION, "close");
     response.insert_header("retry-after", "1");
-    let mut outgoing = Outgoing::new(ResponseBytes::new(response, Method::Get));
-    let sent = poll_fn(|context| outgoing.poll_send(stream, context)).now_or_never();
+    let mut writer = MessageWriter::new(ResponseEncoder::new(response, Method::Get));
+    let sent = poll_fn(|context| writer.poll_send(stream, context)).now_or_never();
     if sent.is_some() {
         let _ = stream.shutdown(Shutdown::Write);
     }
@@ -44,8 +44,8 @@
 pub(super) struct Connection<H: Handler> {
     pub(super) stream: TcpStream,
     pub(super) stopped: Stopped,
-    pub(super) cut: Stopped,
-    pub(super) ahead: Ahead<H::ResponseFuture>,
+    pub(super) abort: Stopped,
+    pub(super) pipeline: Pipeline<H::ResponseFuture>,
     pub(super) service: Service<H>,
 }
 
@@ -54,22 +54,22 @@
         Connection {
             stream,
             stopped: service.stop.stopped(),
-            cut: service.guard.cut(),
-            ahead: Ahead::new(),
+            abort: service.guard.abort_signal(),
+            pipeline: Pipeline::new(),
             service,
         }
     }
 
     pub(super) async fn run(mut self) {
-        let mut wire = Wire::new(self.stream.clone());
-        while let Some(read) = self.next_request(&mut wire).await {
+        let mut buffered = BufferedStream::new(self.stream.clone());
+        while let Some(read) = self.next_request(&mut buffered).await {
             match read.head {
-                Ok(head) => match self.answer(wire, head, read.at).await {
-                    Some(next) => wire = next,
+                Ok(head) => match self.serve_request(buffered, head, read.read_at).await {
+                    Some(next) => buffered = next,
                     None => return,
                 },
                 Err(fault) => {
-                    self.refuse(wire, &fault).await;
+                    self.refuse(buffered, &fault).await;
                     return;
                 }
             }
@@ -77,28 +77,28 @@
     }
 
     /// The next request; `None` when none will come.
-    async fn next_request(&mut self, wire: &mut Wire) -> Option<ReadRequest> {
-        if let Some(parked) = self.ahead.take_parked() {
-            return Some(parked);
+    async fn next_request(&mut self, buffered: &mut BufferedStream) -> Option<ReadRequest> {
+        if let Some(deferred) = self.pipeline.take_deferred() {
+            return Some(deferred);
         }
-        if !self.wait_for_request(wire).await {
+        if !self.wait_for_request(buffered).await {
             return None;
         }
-        self.read_request(wire).await
+        self.read_request(buffered).await
     }
 
     /// Waits for the first byte of a request; `false` when none will come.
-    async fn wait_for_request(&mut self, wire: &mut Wire) -> bool {
-        wire.shrink();
+    async fn wait_for_request(&mut self, buffered: &mut BufferedStream) -> bool {
+        buffered.shrink();
         let mut idle = timer::sleep(self.service.limits.idle_timeout);
         let mut stop_seen = false;
         poll_fn(|context| {
             loop {
-                wire.skip_blank_lines();
-                if !wire.unread().is_empty() {
+                buffered.skip_blank_lines();
+                if !buffered.unread().is_empty() {
                     return Poll::Ready(true);
                 }
-                match wire.poll_fill(context) {
+                match buffered.poll_fill(context) {
                     Poll::Ready(Ok(0) | Err(_)) => return Poll::Ready(false),
                     Poll::Ready(Ok(_)) => continue,
                     Poll::Pending => {}
@@ -108,7 +108,7 @@
                     idle = timer::sleep(self.service.limits.stop_idle_timeout);
                 }
                 let over = Pin::new(&mut idle).poll(context).is_ready()
-                    || Pin::new(&mut self.cut).poll(context).is_ready();
+                    || Pin::new(&mut self.abort).poll(context).is_ready();
                 return if over {
                     Poll::Ready(false)
                 } else {
@@ -120,32 +120,34 @@
     }
 
     /// Reads a head; `None` when the caller is gone.
-    async fn read_request(&mut self, wire: &mut Wire) -> Option<ReadRequest> {
+    async fn read_request(&mut self, buffered: &mut BufferedStream) -> Option<ReadRequest> {
         let limits = &self.service.limits;
-        let read = head::read_head(wire, limits.max_head_bytes);
+        let read = head::read_head(buffered, limits.max_head_bytes);
         let fault = match timer::timeout(limits.head_timeout, read).await {
-            Ok(Ok(length)) => return Some(request::take(wire, length, limits.max_body_bytes)),
+            Ok(Ok(length)) => {
+                return Some(request::take_head(buffered, length, limits.max_body_bytes));
+            }
             Err(_) => RequestFault::TooSlow,
             Ok(Err(HeadError::TooLarge)) => RequestFault::HeadTooLarge,
             Ok(Err(HeadError::Closed | HeadError::Truncated | HeadError::Io(_))) => return None,
         };
         Some(ReadRequest {
             head: Err(fault),
-            at: Instant::now(),
+            read_at: Instant::now(),
         })
     }
 
     /// Refuses a request that could not be read.
-    async fn refuse(&mut self, wire: Wire, fault: &RequestFault) {
-        self.service.guard.count(Count::RefusedRequest, 1);
+    async fn refuse(&mut self, buffered: BufferedStream, fault: &RequestFault) {
+        self.service.guard.count(CounterKind::RefusedRequest, 1);
         tracing::debug!(peer = %self.service.info.peer, ?fault, "refused a request");
         let mut response = fault.response();
         response.insert_header(CONNECTION, "close");
-        let mut caller = Caller::Unfinished(wire);
-        let delivery = Delivery::new(response, Method::Get, &self.service.limits);
-        let sent = self.send(delivery, &mut caller).await;
-        if let (Ok(()), Caller::Unfinished(wire)) = (sent, caller) {
-            linger(&self.stream, wire, &mut self.cut).await;
+        let mut inbound = Inbound::BodyUnread(buffered);
+        let write = ResponseWrite::new(response, Method::Get, &self.service.limits);
+        let sent = self.send(write, &mut inbound).await;
+        if let (Ok(()), Inbound::BodyUnread(buffered)) = (sent, inbound) {
+            linger(&self.stream, buffered, &mut self.abort).await;
         }
     }
 }
--- a/crates/net/src/server/interruption.rs
+++ b/crates/net/src/server/interruption.rs
@@ -1,6 +1,6 @@
 //! What ends requests before their answers have left whole.
 
-use super::report::Count;
+use super::report::CounterKind;
 
 /// What ended a request before its answer had left whole.
 #[derive(Clone, Copy, Debug)]
@@ -10,24 +10,24 @@
     Truncated,
     /// The answer's body failed before any of the answer had left.
     Unsent,
-    Cut,
+    Aborted,
 }
 
 impl Interruption {
-    pub(super) fn count(self) -> Count {
+    pub(super) fn count(self) -> CounterKind {
         match self {
-            Interruption::HungUp => Count::HungUp,
-            Interruption::Truncated | Interruption::Unsent => Count::Truncated,
-            Interruption::Cut => Count::Aborted,
+            Interruption::HungUp => CounterKind::HungUp,
+            Interruption::Truncated | Interruption::Unsent => CounterKind::Truncated,
+            Interruption::Aborted => CounterKind::Aborted,
         }
     }
 
     /// As what the requests behind the interrupted one count.
-    pub(super) fn count_behind(self) -> Count {
+    pub(super) fn count_queued(self) -> CounterKind {
         match self {
-            Interruption::HungUp => Count::HungUp,
-            Interruption::Truncated | Interruption::Unsent => Count::Abandoned,
-            Interruption::Cut => Count::Aborted,
+            Interruption::HungUp => CounterKind::HungUp,
+            Interruption::Truncated | Interruption::Unsent => CounterKind::Abandoned,
+            Interruption::Aborted => CounterKind::Aborted,
         }
     }
 }
--- a/crates/net/src/server/limits.rs
+++ b/crates/net/src/server/limits.rs
@@ -6,10 +6,10 @@
 
 /// Requests of one connection that may run behind the one being answered:
 /// with it sixteen, twice what callers of one page send at once.
-const REQUESTS_AHEAD: usize = 15;
+const MAX_PIPELINED_REQUESTS: usize = 15;
 /// Bytes of answers of one connection that may wait for their turn: four of
 /// the largest that handlers hold whole.
-const ANSWERS_AHEAD_BYTES: u64 = 256 * 1024;
+const MAX_PIPELINED_RESPONSE_BYTES: u64 = 256 * 1024;
 
 /// Bounds on what callers may cost the server.
 #[derive(Clone, Debug)]
@@ -49,8 +49,8 @@
         ServerLimits {
             max_head_bytes: MAX_HEAD_BYTES,
             max_body_bytes: 16 * 1024 * 1024,
-            max_pipelined_requests: REQUESTS_AHEAD,
-            max_pipelined_response_bytes: ANSWERS_AHEAD_BYTES,
+            max_pipelined_requests: MAX_PIPELINED_REQUESTS,
+            max_pipelined_response_bytes: MAX_PIPELINED_RESPONSE_BYTES,
             max_connections: 4_096,
             head_timeout: Duration::from_secs(5),
             idle_timeout: Duration::from_secs(60),
--- a/crates/net/src/server/mod.rs
+++ b/crates/net/src/server/mod.rs
@@ -2,18 +2,18 @@
 //! at a time, or side by side where the handler says so; answers leave in the
 //! order of their requests.
 
-mod ahead;
-mod answering;
-mod attach;
-mod caller;
 mod closing;
 mod connection;
+mod exchange;
 mod handler;
+mod inbound;
 mod interruption;
 mod limits;
+mod pipeline;
 mod report;
 mod request;
-mod respond;
+mod request_body;
+mod response_encoder;
 mod service;
 
 use std::future::{Future, poll_fn};
@@ -30,7 +30,7 @@
 use crate::stop::StopSignal;
 use crate::timer;
 use connection::Connection;
-use report::Tracker;
+use report::ConnectionTracker;
 use service::Service;
 
 pub use handler::{ConcurrentHandler, Handler};
@@ -67,11 +67,11 @@
     let mut server = Server {
         limits: Arc::new(limits),
         stop,
-        tracker: Tracker::new(),
+        tracker: ConnectionTracker::new(),
         handler,
     };
     server.accept_until_stopped(&listener).await;
-    server.accept_waiting(&listener);
+    server.accept_backlog(&listener);
     drop(listener);
     server.drain().await
 }
@@ -79,7 +79,7 @@
 struct Server<H> {
     limits: Arc<ServerLimits>,
     stop: StopSignal,
-    tracker: Tracker,
+    tracker: ConnectionTracker,
     handler: H,
 }
 
@@ -108,7 +108,7 @@
 
     /// Takes the connections that the kernel has completed already: closing
     /// the listener would reset them, with requests that they carry.
-    fn accept_waiting(&self, listener: &TcpListener) {
+    fn accept_backlog(&self, listener: &TcpListener) {
         while let Some(Ok((stream, peer))) = listener.accept().now_or_never() {
             self.start(stream, peer);
         }
@@ -119,7 +119,7 @@
             return;
         };
         let Some(guard) = self.tracker.open(self.limits.max_connections) else {
-            connection::refuse_at_once(&stream);
+            connection::reject_connection(&stream);
             return;
         };
         if stream.set_nodelay(true).is_err() {
@@ -142,13 +142,13 @@
     }
 
     async fn drain(mut self) -> ServeReport {
-        self.tracker.let_go();
+        self.tracker.release_server_guard();
         let drained = self.tracker.all_closed();
         if timer::timeout(self.limits.drain_timeout, drained)
             .await
             .is_err()
         {
-            self.tracker.cut();
+            self.tracker.abort_all();
             self.tracker.all_closed().await;
         }
         self.tracker.report()
--- a/crates/net/src/server/ahead.rs
+++ b/crates/net/src/server/pipeline.rs
@@ -8,25 +8,25 @@
 use futures::stream::{FuturesUnordered, Stream};
 use http_types::{Method, Response};
 
-use super::caller::Caller;
 use super::handler::Handler;
+use super::inbound::Inbound;
 use super::limits::ServerLimits;
 use super::request::{self, ReadRequest, RequestHead};
 use super::service::Service;
+use crate::buffered_stream::BufferedStream;
 use crate::head::HeadSearch;
-use crate::wire::Wire;
 
 /// What an answer has to know of its request.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Asked {
+pub(super) struct RequestSummary {
     pub(super) method: Method,
     /// The caller closes the connection after this request.
     pub(super) closes: bool,
 }
 
-impl Asked {
+impl RequestSummary {
     pub(super) fn of(head: &RequestHead) -> Self {
-        Asked {
+        RequestSummary {
             method: head.request.method(),
             closes: head.closes,
         }
@@ -35,143 +35,147 @@
 
 /// A request that was begun, until its answer's turn has come.
 #[derive(Debug)]
-struct Place {
-    asked: Asked,
+struct PipelineEntry {
+    summary: RequestSummary,
     response: Option<Response>,
 }
 
 /// The work on one request, with its number on the connection.
-struct Numbered<F> {
+struct NumberedResponse<F> {
     number: u64,
-    answering: Pin<Box<F>>,
+    response: Pin<Box<F>>,
 }
 
-impl<F: Future<Output = Response>> Future for Numbered<F> {
+impl<F: Future<Output = Response>> Future for NumberedResponse<F> {
     type Output = (u64, Response);
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Self::Output> {
         let number = self.number;
-        let answering = self.answering.as_mut();
-        answering.poll(context).map(|response| (number, response))
+        let response = self.response.as_mut();
+        response.poll(context).map(|response| (number, response))
     }
 }
 
 /// Requests begun before their turn, in their order. It costs nothing while
 /// the caller waits for each answer.
-pub(super) struct Ahead<F> {
-    running: Option<FuturesUnordered<Numbered<F>>>,
-    places: VecDeque<Place>,
+pub(super) struct Pipeline<F> {
+    running: Option<FuturesUnordered<NumberedResponse<F>>>,
+    entries: VecDeque<PipelineEntry>,
     /// Number of the first place.
-    first: u64,
+    first_number: u64,
     /// Requests not answered that have no place: the one that began with none
     /// before it, or the one whose answer is leaving.
-    without_place: usize,
+    outside_queue: usize,
     /// Bytes of the bodies of answers that wait for their turn.
-    held: u64,
+    buffered_bytes: u64,
     /// Further requests may be begun.
-    open: bool,
+    accepts_more: bool,
     /// The connection closes after the last answer.
     closing: bool,
     search: HeadSearch,
     /// The next request, which waits for all before it.
-    parked: Option<ReadRequest>,
+    deferred: Option<ReadRequest>,
 }
 
-impl<F: Future<Output = Response>> Ahead<F> {
+impl<F: Future<Output = Response>> Pipeline<F> {
     pub(super) fn new() -> Self {
-        Ahead {
+        Pipeline {
             running: None,
-            places: VecDeque::new(),
-            first: 0,
-            without_place: 0,
-            held: 0,
-            open: false,
+            entries: VecDeque::new(),
+            first_number: 0,
+            outside_queue: 0,
+            buffered_bytes: 0,
+            accepts_more: false,
             closing: false,
             search: HeadSearch::default(),
-            parked: None,
+            deferred: None,
         }
     }
 
     /// A request begins with none before it.
-    pub(super) fn begin_at<H>(&mut self, head: &RequestHead, service: &Service<H>)
+    pub(super) fn start_first<H>(&mut self, head: &RequestHead, service: &Service<H>)
     where
         H: Handler<ResponseFuture = F>,
     {
         self.search = HeadSearch::default();
-        self.without_place = 1;
-        self.open = service.limits.max_pipelined_requests > 0
+        self.outside_queue = 1;
+        self.accepts_more = service.limits.max_pipelined_requests > 0
             && !head.closes
             && service.handler.may_run_concurrently(&head.request);
     }
 
     /// Begins the next request if it may run now; `false` if not.
-    pub(super) fn begin_next<H>(&mut self, caller: &mut Caller, service: &Service<H>) -> bool
+    pub(super) fn start_next<H>(&mut self, inbound: &mut Inbound, service: &Service<H>) -> bool
     where
         H: Handler<ResponseFuture = F>,
     {
-        let Caller::Listening(wire) = caller else {
+        let Inbound::RequestRead(buffered) = inbound else {
             return false;
         };
         if !self.has_room(&service.limits) || service.stop.is_stopped() {
             return false;
         }
-        let Some(read) = self.read_next(wire, &service.limits) else {
+        let Some(read) = self.read_next(buffered, &service.limits) else {
             return false;
         };
-        let beside = |head: &RequestHead| {
+        let is_concurrent = |head: &RequestHead| {
             head.body.is_none() && service.handler.may_run_concurrently(&head.request)
         };
         match read.head {
-            Ok(head) if beside(&head) => {
+            Ok(head) if is_concurrent(&head) => {
                 let unanswered_before = self.unanswered();
-                self.open = !head.closes;
-                let asked = Asked::of(&head);
+                self.accepts_more = !head.closes;
+                let summary = RequestSummary::of(&head);
                 self.push(
-                    asked,
-                    service.handle(head.request, read.at, unanswered_before),
+                    summary,
+                    service.handle(head.request, read.read_at, unanswered_before),
                 );
                 true
             }
             head => {
-                self.parked = Some(ReadRequest { head, ..read });
+                self.deferred = Some(ReadRequest { head, ..read });
                 false
             }
         }
     }
 
     fn unanswered(&self) -> usize {
-        self.places.len() + self.without_place
+        self.entries.len() + self.outside_queue
     }
 
     fn has_room(&self, limits: &ServerLimits) -> bool {
-        self.open
-            && self.parked.is_none()
+        self.accepts_more
+            && self.deferred.is_none()
             && self.unanswered() <= limits.max_pipelined_requests
-            && self.held < limits.max_pipelined_response_bytes
+            && self.buffered_bytes < limits.max_pipelined_response_bytes
     }
 
     /// Takes the next head if it is here whole. One that is too large is left
     /// for its turn, in which it is refused.
-    fn read_next(&mut self, wire: &mut Wire, limits: &ServerLimits) -> Option<ReadRequest> {
-        wire.skip_blank_lines();
-        let length = self.search.find_end(wire.unread())?;
+    fn read_next(
+        &mut self,
+        buffered: &mut BufferedStream,
+        limits: &ServerLimits,
+    ) -> Option<ReadRequest> {
+        buffered.skip_blank_lines();
+        let length = self.search.find_end(buffered.unread())?;
         if length > limits.max_head_bytes {
             return None;
         }
         self.search = HeadSearch::default();
-        Some(request::take(wire, length, limits.max_body_bytes))
+        Some(request::take_head(buffered, length, limits.max_body_bytes))
     }
 
-    fn push(&mut self, asked: Asked, answering: F) {
-        let number = self.first + self.places.len() as u64;
-        self.places.push_back(Place {
-            asked,
+    fn push(&mut self, summary: RequestSummary, response: F) {
+        let number = self.first_number + self.entries.len() as u64;
+        self.entries.push_back(PipelineEntry {
+            summary,
             response: None,
         });
         let running = self.running.get_or_insert_with(FuturesUnordered::new);
-        running.push(Numbered {
+        running.push(NumberedResponse {
             number,
-            answering: Box::pin(answering),
+            response: Box::pin(response),
         });
     }
 
@@ -183,40 +187,40 @@
         while let Poll::Ready(Some(done)) = Pin::new(&mut *running).poll_next(context) {
             let (number, response) = done;
             // All numbers from the first on have a place.
-            let Some(place) = self.places.get_mut((number - self.first) as usize) else {
+            let Some(entry) = self.entries.get_mut((number - self.first_number) as usize) else {
                 continue;
             };
-            self.held += held_bytes(&response);
-            place.response = Some(response);
+            self.buffered_bytes += buffered_len(&response);
+            entry.response = Some(response);
         }
     }
 
     /// The answer before the first place has left.
-    pub(super) fn next_turn(&mut self) {
-        self.without_place = 0;
+    pub(super) fn finish_current(&mut self) {
+        self.outside_queue = 0;
     }
 
     /// The answer whose turn it is, once it is there.
-    pub(super) fn take_first(&mut self) -> Option<(Asked, Response)> {
-        let response = self.places.front_mut()?.response.take()?;
-        let place = self.places.pop_front()?;
-        self.first += 1;
-        self.without_place = 1;
-        self.held -= held_bytes(&response);
-        if self.places.is_empty() {
+    pub(super) fn take_next_response(&mut self) -> Option<(RequestSummary, Response)> {
+        let response = self.entries.front_mut()?.response.take()?;
+        let entry = self.entries.pop_front()?;
+        self.first_number += 1;
+        self.outside_queue = 1;
+        self.buffered_bytes -= buffered_len(&response);
+        if self.entries.is_empty() {
             self.running = None;
         }
-        Some((place.asked, response))
+        Some((entry.summary, response))
     }
 
     /// The request that waited for all before it.
-    pub(super) fn take_parked(&mut self) -> Option<ReadRequest> {
-        self.parked.take()
+    pub(super) fn take_deferred(&mut self) -> Option<ReadRequest> {
+        self.deferred.take()
     }
 
     /// Begins no further request: the connection closes after those begun.
     pub(super) fn close(&mut self) {
-        self.open = false;
+        self.accepts_more = false;
         self.closing = true;
     }
 
@@ -226,11 +230,11 @@
 
     /// Requests begun whose answers have not had their turn.
     pub(super) fn len(&self) -> usize {
-        self.places.len()
+        self.entries.len()
     }
 }
 
 /// A body of unknown length is not read before its turn and holds nothing.
-fn held_bytes(response: &Response) -> u64 {
+fn buffered_len(response: &Response) -> u64 {
     response.len().unwrap_or(0) as u64
 }
--- a/crates/net/src/server/report.rs
+++ b/crates/net/src/server/report.rs
@@ -44,7 +44,7 @@
 
 /// Which event to count.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Count {
+pub(super) enum CounterKind {
     Request,
     RefusedRequest,
     HungUp,
@@ -71,26 +71,26 @@
     /// Open connections, and one for the server itself until it drains.
     open: AtomicUsize,
     all_closed: StopSignal,
-    cut: StopSignal,
+    abort: StopSignal,
 }
 
 /// Counts connections and requests, and tells when all are gone.
 #[derive(Debug)]
-pub(super) struct Tracker {
+pub(super) struct ConnectionTracker {
     shared: Arc<Shared>,
-    own: Option<ConnectionGuard>,
+    server_guard: Option<ConnectionGuard>,
 }
 
-impl Tracker {
+impl ConnectionTracker {
     pub(super) fn new() -> Self {
         let shared = Arc::new(Shared::default());
         shared.open.store(1, Ordering::Relaxed);
-        let own = ConnectionGuard {
+        let server_guard = ConnectionGuard {
             shared: shared.clone(),
         };
-        Tracker {
+        ConnectionTracker {
             shared,
-            own: Some(own),
+            server_guard: Some(server_guard),
         }
     }
 
@@ -114,14 +114,14 @@
     }
 
     /// Tells every connection to end now.
-    pub(super) fn cut(&self) {
-        self.shared.cut.stop();
+    pub(super) fn abort_all(&self) {
+        self.shared.abort.stop();
     }
 
     /// Lets the server's own share go, so that the last connection to close
     /// is noticed.
-    pub(super) fn let_go(&mut self) {
-        self.own = None;
+    pub(super) fn release_server_guard(&mut self) {
+        self.server_guard = None;
     }
 
     pub(super) fn report(&self) -> ServeReport {
@@ -147,22 +147,22 @@
 }
 
 impl ConnectionGuard {
-    pub(super) fn count(&self, count: Count, requests: usize) {
+    pub(super) fn count(&self, count: CounterKind, requests: usize) {
         let counters = &self.shared.counters;
         let counter = match count {
-            Count::Request => &counters.requests,
-            Count::RefusedRequest => &counters.refused_requests,
-            Count::HungUp => &counters.hung_up,
-            Count::Truncated => &counters.truncated,
-            Count::Abandoned => &counters.abandoned,
-            Count::Aborted => &counters.aborted,
+            CounterKind::Request => &counters.requests,
+            CounterKind::RefusedRequest => &counters.refused_requests,
+            CounterKind::HungUp => &counters.hung_up,
+            CounterKind::Truncated => &counters.truncated,
+            CounterKind::Abandoned => &counters.abandoned,
+            CounterKind::Aborted => &counters.aborted,
         };
         counter.fetch_add(requests as u64, Ordering::Relaxed);
     }
 
     /// Resolves when the drain timeout has passed.
-    pub(super) fn cut(&self) -> Stopped {
-        self.shared.cut.stopped()
+    pub(super) fn abort_signal(&self) -> Stopped {
+        self.shared.abort.stopped()
     }
 }
 
--- a/crates/net/src/server/request.rs
+++ b/crates/net/src/server/request.rs
@@ -6,10 +6,10 @@
 use threadledge_types::NotRunReason;
 
 use crate::Instant;
+use crate::buffered_stream::BufferedStream;
 use crate::error_response;
 use crate::framing::BodyDecoder;
 use crate::head::{self, HeadBytes};
-use crate::wire::Wire;
 
 /// Why the server refuses a request itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -60,15 +60,19 @@
     pub(super) head: Result<RequestHead, RequestFault>,
     /// When the end of the head came. Its deadline counts from here, also if
     /// it waits for those before it.
-    pub(super) at: Instant,
+    pub(super) read_at: Instant,
 }
 
 /// Takes a whole head of `length` bytes.
-pub(super) fn take(wire: &mut Wire, length: usize, max_body_bytes: u64) -> ReadRequest {
-    let head = parse(&wire.unread()[..length], max_body_bytes);
-    wire.consume(length);
-    let at = wire.arrival().unwrap_or_else(Instant::now);
-    ReadRequest { head, at }
+pub(super) fn take_head(
+    buffered: &mut BufferedStream,
+    length: usize,
+    max_body_bytes: u64,
+) -> ReadRequest {
+    let head = parse(&buffered.unread()[..length], max_body_bytes);
+    buffered.consume(length);
+    let read_at = buffered.arrival_time().unwrap_or_else(Instant::now);
+    ReadRequest { head, read_at }
 }
 
 /// Parses a whole head. Not async, so that the large buffers of async-h1 stay
@@ -98,7 +102,7 @@
         .header(EXPECT)
         .is_some_and(|value| value.as_str().eq_ignore_ascii_case("100-continue"));
     Ok(RequestHead {
-        closes: head::connection_has(request.as_ref(), "close"),
+        closes: head::connection_header_has(request.as_ref(), "close"),
         body: body.filter(|body| !body.is_at_end()),
         expects_continue,
         request,
--- a/crates/net/src/server/respond.rs
+++ b/crates/net/src/server/response_encoder.rs
@@ -12,14 +12,14 @@
 /// Yields the bytes of one response and fails when its body is shorter than
 /// the head announced, so that a truncated answer never looks whole.
 #[derive(Debug)]
-pub(super) struct ResponseBytes {
+pub(super) struct ResponseEncoder {
     encoder: Encoder,
-    head_left: bool,
-    strip_length: bool,
-    body_left: Option<u64>,
+    head_pending: bool,
+    strips_framing: bool,
+    body_remaining: Option<u64>,
 }
 
-impl ResponseBytes {
+impl ResponseEncoder {
     pub(super) fn new(mut response: Response, method: Method) -> Self {
         // The body alone decides the framing; a second one beside it would
         // let two readers see two answers.
@@ -31,44 +31,44 @@
         // async-h1 leaves out the body only in answers to HEAD; 204 and 304
         // have none either.
         let method = if bodiless { Method::Head } else { method };
-        ResponseBytes {
+        ResponseEncoder {
             encoder: Encoder::new(response, method),
-            head_left: true,
-            strip_length: forbids_length(status),
-            body_left: if bodiless { None } else { length },
+            head_pending: true,
+            strips_framing: forbids_length(status),
+            body_remaining: if bodiless { None } else { length },
         }
     }
 
     fn finish_head(&mut self, head: &mut [u8]) -> usize {
-        self.head_left = false;
-        if self.strip_length {
+        self.head_pending = false;
+        if self.strips_framing {
             return remove_framing(head);
         }
         head.len()
     }
 
     fn count_body(&mut self, count: usize) -> io::Result<usize> {
-        let Some(left) = &mut self.body_left else {
+        let Some(remaining) = &mut self.body_remaining else {
             return Ok(count);
         };
-        if count == 0 && *left > 0 {
+        if count == 0 && *remaining > 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        *left = left.saturating_sub(count as u64);
+        *remaining = remaining.saturating_sub(count as u64);
         Ok(count)
     }
 }
 
 /// The encoder yields the whole head in the first read when there is room,
 /// and then the body. A head for which there is no room is refused.
-impl AsyncRead for ResponseBytes {
+impl AsyncRead for ResponseEncoder {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         let count = ready!(Pin::new(&mut self.encoder).poll_read(context, buffer))?;
-        if !self.head_left {
+        if !self.head_pending {
             return Poll::Ready(self.count_body(count));
         }
         let read = &mut buffer[..count];
--- a/crates/net/src/server/service.rs
+++ b/crates/net/src/server/service.rs
@@ -6,7 +6,7 @@
 
 use super::handler::Handler;
 use super::limits::ServerLimits;
-use super::report::{ConnectionGuard, ConnectionInfo, Count};
+use super::report::{ConnectionGuard, ConnectionInfo, CounterKind};
 use crate::Instant;
 use crate::stop::StopSignal;
 
@@ -27,7 +27,7 @@
         read_at: Instant,
         unanswered_before: usize,
     ) -> H::ResponseFuture {
-        self.guard.count(Count::Request, 1);
+        self.guard.count(CounterKind::Request, 1);
         let connection = ConnectionInfo {
             read_at,
             unanswered_before,
--- a/crates/net/src/timer.rs
+++ b/crates/net/src/timer.rs
@@ -20,7 +20,7 @@
 /// The driver looks again after this long at the latest. Its own timer stands
 /// still while the machine is suspended: what became due meanwhile is found
 /// when the next timer starts, and so soon after the end at the latest.
-const LONGEST_WAIT: Duration = Duration::from_millis(500);
+const MAX_DRIVER_SLEEP: Duration = Duration::from_millis(500);
 
 /// The time allowed passed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -81,7 +81,9 @@
         }
         let waker = context.waker();
         match &self.registration {
-            Some((key, known)) if !known.will_wake(waker) => queue().put(*key, waker),
+            Some((key, registered)) if !registered.will_wake(waker) => {
+                queue().set_waker(*key, waker)
+            }
             Some((key, _)) if queue().contains(*key) => return Poll::Pending,
             _ => {
                 let key = queue().insert(self.deadline, waker);
@@ -89,8 +91,8 @@
                 return Poll::Pending;
             }
         }
-        if let Some((_, known)) = &mut self.registration {
-            known.clone_from(waker);
+        if let Some((_, registered)) = &mut self.registration {
+            registered.clone_from(waker);
         }
         Poll::Pending
     }
@@ -138,18 +140,22 @@
     fn insert(&self, deadline: Instant, waker: &Waker) -> TimerKey {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let key = TimerKey { deadline, number };
-        self.put(key, waker);
+        self.set_waker(key, waker);
         key
     }
 
-    fn put(&self, key: TimerKey, waker: &Waker) {
+    fn set_waker(&self, key: TimerKey, waker: &Waker) {
         let mut state = self.state.lock();
         state.waiting.insert(key, waker.clone());
         // Overdue: the machine was suspended while the driver slept.
-        let disturb = state
+        let wake_driver = state
             .driver_wakes
             .is_some_and(|at| key.deadline < at || at < Instant::now());
-        let driver = if disturb { state.driver.take() } else { None };
+        let driver = if wake_driver {
+            state.driver.take()
+        } else {
+            None
+        };
         drop(state);
         if let Some(driver) = driver {
             driver.wake();
@@ -182,7 +188,7 @@
     fn park_driver(&self, waker: &Waker) -> Instant {
         let mut state = self.state.lock();
         let earliest = state.waiting.keys().next().map(|key| key.deadline);
-        let latest = Instant::now() + LONGEST_WAIT;
+        let latest = Instant::now() + MAX_DRIVER_SLEEP;
         let wakes = earliest.map_or(latest, |earliest| earliest.min(latest));
         state.driver_wakes = Some(wakes);
         state.driver = Some(waker.clone());
--- a/crates/object-api/src/client.rs
+++ b/crates/object-api/src/client.rs
@@ -80,7 +80,7 @@
             let page: Page = read_json(&operation, &body)?;
             for value in &page.items {
                 let item =
-                    StoredObject::read(value).map_err(|text| bad_answer(&operation, text))?;
+                    StoredObject::read(value).map_err(|text| bad_response(&operation, text))?;
                 items.push(item);
             }
             token = page
@@ -89,7 +89,7 @@
                 .filter(|token| !token.is_empty());
             if token.is_none() {
                 let resource_version = parse_version(&page.metadata.resource_version)
-                    .map_err(|text| bad_answer(&operation, text))?;
+                    .map_err(|text| bad_response(&operation, text))?;
                 return Ok(ObjectList {
                     items,
                     resource_version,
@@ -115,8 +115,8 @@
         let request = Request::new(scope.path::<K>());
         let request = build(request.watch(&params, &from_version.to_string()))?;
         let response = self.transport.open(request).await?;
-        let most = self.transport.settings().max_response_bytes;
-        Ok(EventStream::new(response, most))
+        let max_line_bytes = self.transport.settings().max_response_bytes;
+        Ok(EventStream::new(response, max_line_bytes))
     }
 
     /// Reads one object.
@@ -195,7 +195,7 @@
         let operation = Operation::of(&request);
         let body = self.transport.exchange(request).await?;
         let value: Value = read_json(&operation, &body)?;
-        StoredObject::read(&value).map_err(|text| bad_answer(&operation, text))
+        StoredObject::read(&value).map_err(|text| bad_response(&operation, text))
     }
 }
 
@@ -224,10 +224,10 @@
     operation: &Operation,
     body: &[u8],
 ) -> Result<T, PlatformError> {
-    serde_json::from_slice(body).map_err(|error| bad_answer(operation, error.to_string()))
+    serde_json::from_slice(body).map_err(|error| bad_response(operation, error.to_string()))
 }
 
 /// An answer that cannot be understood tells nothing of a write's effect.
-fn bad_answer(operation: &Operation, text: String) -> PlatformError {
-    operation.lost(PlatformErrorKind::BadAnswer(text))
+fn bad_response(operation: &Operation, text: String) -> PlatformError {
+    operation.unknown_effect(PlatformErrorKind::BadAnswer(text))
 }
--- a/crates/object-api/src/resolve.rs
+++ b/crates/object-api/src/resolve.rs
@@ -113,7 +113,7 @@
 pub struct WriteResolver {
     condition: Condition,
     attempts_left: u32,
-    answer_lost: bool,
+    response_lost: bool,
 }
 
 impl WriteResolver {
@@ -123,13 +123,13 @@
         WriteResolver {
             condition,
             attempts_left: max_attempts,
-            answer_lost: false,
+            response_lost: false,
         }
     }
 
     /// Whether an answer was lost, so that the write may have taken effect.
-    pub fn answer_lost(&self) -> bool {
-        self.answer_lost
+    pub fn response_lost(&self) -> bool {
+        self.response_lost
     }
 
     /// After the write was answered, or not.
@@ -139,14 +139,14 @@
             Err(error) => error,
         };
         if error.is_ambiguous() {
-            self.answer_lost = true;
+            self.response_lost = true;
             return self.attempt(Step::ReadBack);
         }
         let condition_failed = matches!(
             error.kind,
             PlatformErrorKind::Conflict | PlatformErrorKind::AlreadyExists
         );
-        match (condition_failed, self.answer_lost) {
+        match (condition_failed, self.response_lost) {
             // The earlier send whose answer was lost may itself be what
             // changed the object.
             (true, true) => self.attempt(Step::ReadBack),
@@ -184,7 +184,7 @@
 
     fn fail(&self) -> Step {
         Step::Finish(Finish::Failed {
-            ambiguous: self.answer_lost,
+            ambiguous: self.response_lost,
         })
     }
 }
--- a/crates/object-api/src/resource.rs
+++ b/crates/object-api/src/resource.rs
@@ -127,13 +127,13 @@
     /// text says how. An operator cannot cause that.
     pub fn read(value: &Value) -> Result<Self, String> {
         let metadata = value.get("metadata").unwrap_or(&Value::Null);
-        let identity =
-            Identity::deserialize(metadata).map_err(|error| format!("metadata: {error}"))?;
+        let store_metadata =
+            StoreMetadata::deserialize(metadata).map_err(|error| format!("metadata: {error}"))?;
         Ok(StoredObject {
-            key: ObjectKey::new(identity.namespace, identity.name),
-            uid: identity.uid,
-            resource_version: parse_version(&identity.resource_version)?,
-            generation: identity.generation,
+            key: ObjectKey::new(store_metadata.namespace, store_metadata.name),
+            uid: store_metadata.uid,
+            resource_version: parse_version(&store_metadata.resource_version)?,
+            generation: store_metadata.generation,
             content: parse_object(K::KIND, value),
         })
     }
@@ -143,7 +143,7 @@
 /// operator's and is read with the content.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Identity {
+struct StoreMetadata {
     name: String,
     #[serde(default)]
     namespace: String,
--- a/crates/object-api/src/tracker.rs
+++ b/crates/object-api/src/tracker.rs
@@ -112,9 +112,9 @@
     /// Highest version seen.
     seen: u64,
     /// Version at which every object of the store was known.
-    synced: Option<u64>,
+    complete_up_to: Option<u64>,
     /// Something older was seen since the last current list.
-    rewound: bool,
+    went_back: bool,
     /// Objects that the store lost when it went back.
     lost: BTreeSet<ObjectKey>,
     /// Older versions that were reported already.
@@ -151,7 +151,7 @@
     /// Judges a list of the whole scope.
     pub fn on_list<K>(&mut self, listed: ObjectList<K>) -> ListOutcome<K> {
         if listed.resource_version < self.seen {
-            self.rewound = true;
+            self.went_back = true;
             return ListOutcome::Older {
                 seen: self.seen,
                 listed: listed.resource_version,
@@ -162,7 +162,7 @@
         let mut present = BTreeSet::new();
         for object in listed.items {
             present.insert(object.key.clone());
-            match self.doubt(&object) {
+            match self.withhold_reason(&object) {
                 Some(reason) => withheld.push(self.withhold(object, reason)),
                 None => {
                     self.remember(&object);
@@ -170,9 +170,9 @@
                 }
             }
         }
-        let removed = self.settle_absent(&present, &mut withheld);
+        let removed = self.classify_absent(&present, &mut withheld);
         self.seen = listed.resource_version;
-        self.synced = Some(listed.resource_version);
+        self.complete_up_to = Some(listed.resource_version);
         ListOutcome::Current {
             objects,
             removed,
@@ -185,7 +185,7 @@
         match event {
             Event::Added(object) | Event::Modified(object) => self.on_change(object),
             Event::Deleted(object) => self.on_deletion(&object),
-            Event::Bookmark(version) if version < self.seen => self.older(version),
+            Event::Bookmark(version) if version < self.seen => self.report_older(version),
             Event::Bookmark(version) => {
                 self.advance(version);
                 EventOutcome::Confirmed(version)
@@ -200,7 +200,7 @@
             return EventOutcome::Duplicate;
         }
         if object.resource_version <= self.seen {
-            return self.older(object.resource_version);
+            return self.report_older(object.resource_version);
         }
         self.advance(object.resource_version);
         self.remember(&object);
@@ -209,15 +209,15 @@
 
     fn on_deletion<K>(&mut self, object: &StoredObject<K>) -> EventOutcome<K> {
         if object.resource_version <= self.seen {
-            return self.older(object.resource_version);
+            return self.report_older(object.resource_version);
         }
         self.advance(object.resource_version);
         self.forget(&object.key);
         EventOutcome::Change(Change::Removed(object.key.clone()))
     }
 
-    fn older<K>(&mut self, shown: u64) -> EventOutcome<K> {
-        self.rewound = true;
+    fn report_older<K>(&mut self, shown: u64) -> EventOutcome<K> {
+        self.went_back = true;
         EventOutcome::Older {
             seen: self.seen,
             shown,
@@ -227,25 +227,28 @@
     /// After a full list, events keep the whole store known.
     fn advance(&mut self, version: u64) {
         self.seen = version;
-        if self.synced.is_some() {
-            self.synced = Some(version);
+        if self.complete_up_to.is_some() {
+            self.complete_up_to = Some(version);
         }
     }
 
-    fn doubt<K>(&self, object: &StoredObject<K>) -> Option<WithheldReason> {
+    fn withhold_reason<K>(&self, object: &StoredObject<K>) -> Option<WithheldReason> {
         let shown = object.resource_version;
         match self.delivered.get(&object.key) {
             Some(delivered) if shown < delivered.version => Some(WithheldReason::Older {
                 delivered: delivered.version,
                 shown,
             }),
-            Some(delivered) if delivered.is_other_life(object) => {
+            Some(delivered) if delivered.has_other_uid(object) => {
                 Some(WithheldReason::VersionReused(shown))
             }
             Some(_) => None,
             // Every object up to the synced version was known, so one that is
             // not known was deleted.
-            None if self.synced.is_some_and(|synced| shown <= synced) => {
+            None if self
+                .complete_up_to
+                .is_some_and(|complete_up_to| shown <= complete_up_to) =>
+            {
                 Some(WithheldReason::Undeleted(shown))
             }
             None => None,
@@ -256,7 +259,7 @@
         let shown = object.resource_version;
         let reported = self.older_reported.insert(object.key.clone(), shown);
         if reported != Some(shown) {
-            self.rewound = true;
+            self.went_back = true;
         }
         Withheld {
             key: object.key,
@@ -266,14 +269,14 @@
 
     /// Objects that are delivered but not listed were deleted, unless the
     /// store went back since the last current list: then it lost them.
-    fn settle_absent(
+    fn classify_absent(
         &mut self,
         present: &BTreeSet<ObjectKey>,
         withheld: &mut Vec<Withheld>,
     ) -> Vec<ObjectKey> {
         let is_absent = |key: &&ObjectKey| !present.contains(*key);
         let absent: Vec<ObjectKey> = self.delivered.keys().filter(is_absent).cloned().collect();
-        if std::mem::take(&mut self.rewound) {
+        if std::mem::take(&mut self.went_back) {
             self.lost.extend(absent.iter().cloned());
         }
         let (lost, removed): (Vec<_>, Vec<_>) =
@@ -295,7 +298,7 @@
         let fewer_changes = |earlier: Delivered| {
             earlier.uid == object.uid && earlier.generation > object.generation
         };
-        self.rewound |= earlier.is_some_and(fewer_changes);
+        self.went_back |= earlier.is_some_and(fewer_changes);
         self.lost.remove(&object.key);
         self.older_reported.remove(&object.key);
     }
@@ -318,7 +321,7 @@
 
     /// Same version, other identity. What an earlier watcher delivered is
     /// known without identity and fits any.
-    fn is_other_life<K>(&self, object: &StoredObject<K>) -> bool {
+    fn has_other_uid<K>(&self, object: &StoredObject<K>) -> bool {
         let same_version = self.version == object.resource_version;
         same_version && !self.uid.is_empty() && self.uid != object.uid
     }
--- a/crates/object-api/src/transport.rs
+++ b/crates/object-api/src/transport.rs
@@ -90,11 +90,11 @@
         let request = self.convert(&operation, request)?;
         let deadline = Instant::now() + self.settings.response_timeout;
         let exchanged = self.pool.exchange(self.address, request, deadline).await;
-        let response = exchanged.map_err(|error| self.failure(&operation, error))?;
+        let response = exchanged.map_err(|error| self.exchange_error(&operation, error))?;
         if response.status().is_success() {
             self.read_body(&operation, response).await
         } else {
-            Err(self.refusal(&operation, response).await)
+            Err(self.error_from_response(&operation, response).await)
         }
     }
 
@@ -111,13 +111,14 @@
         let exchanging = self.pool.exchange_stream(self.address, request, deadline);
         let response = exchanging
             .await
-            .map_err(|error| self.failure(&operation, error))?;
+            .map_err(|error| self.exchange_error(&operation, error))?;
         if response.status().is_success() {
             return Ok(response);
         }
-        let refusal = timer::timeout_at(deadline, self.refusal(&operation, response)).await;
-        let late = PlatformErrorKind::TimedOut(self.settings.response_timeout);
-        Err(refusal.unwrap_or_else(|_| operation.lost(late)))
+        let error =
+            timer::timeout_at(deadline, self.error_from_response(&operation, response)).await;
+        let timed_out = PlatformErrorKind::TimedOut(self.settings.response_timeout);
+        Err(error.unwrap_or_else(|_| operation.unknown_effect(timed_out)))
     }
 
     fn convert(
@@ -143,7 +144,7 @@
 
     /// A failed exchange. It certainly had no effect only if no byte of the
     /// request can have left.
-    fn failure(&self, operation: &Operation, error: ExchangeError) -> PlatformError {
+    fn exchange_error(&self, operation: &Operation, error: ExchangeError) -> PlatformError {
         if !error.stage.may_have_been_received() {
             let kind = PlatformErrorKind::Unreachable(error.fault.to_string());
             return PlatformError::without_effect(&operation.name, kind);
@@ -155,7 +156,7 @@
             ExchangeFault::Malformed(text) => PlatformErrorKind::BadAnswer(text),
             fault => PlatformErrorKind::ConnectionLost(fault.to_string()),
         };
-        operation.lost(kind)
+        operation.unknown_effect(kind)
     }
 
     async fn read_body(
@@ -163,19 +164,19 @@
         operation: &Operation,
         response: Response,
     ) -> Result<Vec<u8>, PlatformError> {
-        let most = self.settings.max_response_bytes;
+        let limit = self.settings.max_response_bytes;
         let mut body = Vec::new();
         // One byte more than allowed tells a body at the limit from one over it.
-        let mut limited = response.take(most as u64 + 1);
+        let mut limited = response.take(limit as u64 + 1);
         let read = limited.read_to_end(&mut body).await;
-        read.map_err(|error| operation.lost(self.body_failure(&error)))?;
-        if body.len() > most {
-            return Err(operation.lost(PlatformErrorKind::TooLarge(most)));
+        read.map_err(|error| operation.unknown_effect(self.body_error(&error)))?;
+        if body.len() > limit {
+            return Err(operation.unknown_effect(PlatformErrorKind::TooLarge(limit)));
         }
         Ok(body)
     }
 
-    fn body_failure(&self, error: &std::io::Error) -> PlatformErrorKind {
+    fn body_error(&self, error: &std::io::Error) -> PlatformErrorKind {
         match BodyFault::from_io_error(error) {
             Some(BodyFault::TooSlow) => PlatformErrorKind::TimedOut(self.settings.response_timeout),
             _ => PlatformErrorKind::ConnectionLost(error.to_string()),
@@ -183,7 +184,11 @@
     }
 
     /// Turns an unsuccessful answer into an error.
-    async fn refusal(&self, operation: &Operation, response: Response) -> PlatformError {
+    async fn error_from_response(
+        &self,
+        operation: &Operation,
+        response: Response,
+    ) -> PlatformError {
         let code = u16::from(response.status());
         let wait = retry_after(&response);
         let body = self
@@ -191,10 +196,10 @@
             .await
             .unwrap_or_default();
         let status: Status = serde_json::from_slice(&body).unwrap_or_default();
-        let kind = kind_of(code, wait, &status);
+        let kind = error_kind(code, wait, &status);
         match kind {
             // A server that failed may have failed after it wrote.
-            PlatformErrorKind::ServerFailure { .. } => operation.lost(kind),
+            PlatformErrorKind::ServerFailure { .. } => operation.unknown_effect(kind),
             _ => PlatformError::without_effect(&operation.name, kind),
         }
     }
@@ -215,7 +220,7 @@
     }
 
     /// A failure after which a write may have taken effect.
-    pub(crate) fn lost(&self, kind: PlatformErrorKind) -> PlatformError {
+    pub(crate) fn unknown_effect(&self, kind: PlatformErrorKind) -> PlatformError {
         let effect = if self.writes {
             WriteEffect::Ambiguous
         } else {
@@ -239,7 +244,7 @@
 }
 
 /// Kind of a refusal by its HTTP status and reason.
-pub(crate) fn kind_of(code: u16, wait: Duration, status: &Status) -> PlatformErrorKind {
+pub(crate) fn error_kind(code: u16, wait: Duration, status: &Status) -> PlatformErrorKind {
     let message = status.message.clone();
     match code {
         401 => PlatformErrorKind::Unauthorized,
--- a/crates/object-api/src/watch.rs
+++ b/crates/object-api/src/watch.rs
@@ -10,7 +10,7 @@
 
 use crate::error::{PlatformError, PlatformErrorKind};
 use crate::resource::{ApiObject, StoredObject, parse_version};
-use crate::transport::kind_of;
+use crate::transport::error_kind;
 
 const OPERATION: &str = "watch";
 
@@ -38,7 +38,7 @@
 }
 
 #[derive(Deserialize)]
-struct Line {
+struct WatchLine {
     #[serde(rename = "type")]
     event_type: String,
     object: Value,
@@ -77,10 +77,9 @@
     /// before a dropped call.
     async fn read_line(&mut self) -> Result<bool, PlatformError> {
         loop {
-            let available =
-                self.response.fill_buf().await.map_err(|error| {
-                    failure(PlatformErrorKind::ConnectionLost(error.to_string()))
-                })?;
+            let available = self.response.fill_buf().await.map_err(|error| {
+                watch_error(PlatformErrorKind::ConnectionLost(error.to_string()))
+            })?;
             if available.is_empty() {
                 return self.end_of_stream();
             }
@@ -89,7 +88,9 @@
             self.line.extend_from_slice(&available[..taken]);
             self.response.consume_unpin(taken);
             if self.line.len() > self.max_line_bytes {
-                return Err(failure(PlatformErrorKind::TooLarge(self.max_line_bytes)));
+                return Err(watch_error(PlatformErrorKind::TooLarge(
+                    self.max_line_bytes,
+                )));
             }
             if end.is_some() {
                 return Ok(true);
@@ -102,36 +103,37 @@
             return Ok(false);
         }
         let text = "the watch ended within an event".to_owned();
-        Err(failure(PlatformErrorKind::ConnectionLost(text)))
+        Err(watch_error(PlatformErrorKind::ConnectionLost(text)))
     }
 }
 
 fn read_event<K: ApiObject>(line: &[u8]) -> Result<Event<K>, PlatformError> {
-    let bad_answer = |text: String| failure(PlatformErrorKind::BadAnswer(text));
-    let line: Line = serde_json::from_slice(line).map_err(|error| bad_answer(error.to_string()))?;
-    let object = || StoredObject::read(&line.object).map_err(bad_answer);
+    let bad_response = |text: String| watch_error(PlatformErrorKind::BadAnswer(text));
+    let line: WatchLine =
+        serde_json::from_slice(line).map_err(|error| bad_response(error.to_string()))?;
+    let object = || StoredObject::read(&line.object).map_err(bad_response);
     match line.event_type.as_str() {
         "ADDED" => Ok(Event::Added(object()?)),
         "MODIFIED" => Ok(Event::Modified(object()?)),
         "DELETED" => Ok(Event::Deleted(object()?)),
         "BOOKMARK" => {
             let version = line.object["metadata"]["resourceVersion"].as_str();
-            let version = parse_version(version.unwrap_or_default()).map_err(bad_answer)?;
+            let version = parse_version(version.unwrap_or_default()).map_err(bad_response)?;
             Ok(Event::Bookmark(version))
         }
         "ERROR" => read_error(line.object),
-        other => Err(bad_answer(format!("event type '{other}'"))),
+        other => Err(bad_response(format!("event type '{other}'"))),
     }
 }
 
 fn read_error<K>(object: Value) -> Result<Event<K>, PlatformError> {
     let status: Status = serde_json::from_value(object).unwrap_or_default();
-    match kind_of(status.code, crate::transport::DEFAULT_RETRY_AFTER, &status) {
+    match error_kind(status.code, crate::transport::DEFAULT_RETRY_AFTER, &status) {
         PlatformErrorKind::Gone => Ok(Event::Gone),
-        kind => Err(failure(kind)),
+        kind => Err(watch_error(kind)),
     }
 }
 
-fn failure(kind: PlatformErrorKind) -> PlatformError {
+fn watch_error(kind: PlatformErrorKind) -> PlatformError {
     PlatformError::without_effect(OPERATION, kind)
 }
--- a/crates/object-api/src/watcher.rs
+++ b/crates/object-api/src/watcher.rs
@@ -89,7 +89,7 @@
 }
 
 /// Nobody listens any more.
-struct Closed;
+struct ReceiverClosed;
 
 /// Why one watch connection ended.
 enum WatchEnd {
@@ -126,7 +126,7 @@
     }
 
     /// One list, then watches from its version until it takes another list.
-    async fn list_and_watch(&mut self) -> Result<(), Closed> {
+    async fn list_and_watch(&mut self) -> Result<(), ReceiverClosed> {
         if !self.list().await? {
             return Ok(());
         }
@@ -139,19 +139,19 @@
     }
 
     /// Lists; tells whether a watch may follow.
-    async fn list(&mut self) -> Result<bool, Closed> {
-        self.pace().await;
+    async fn list(&mut self) -> Result<bool, ReceiverClosed> {
+        self.enforce_min_interval().await;
         let listed = match self.client.list(&self.settings.scope).await {
             Ok(listed) => listed,
             Err(error) => {
-                self.interrupted(error).await?;
+                self.report_and_back_off(error).await?;
                 return Ok(false);
             }
         };
         let resource_version = listed.resource_version;
         match self.tracker.on_list(listed) {
             ListOutcome::Older { seen, listed } => {
-                self.older_store(seen, listed).await?;
+                self.report_older_store(seen, listed).await?;
                 Ok(false)
             }
             ListOutcome::Current {
@@ -172,16 +172,19 @@
         }
     }
 
-    async fn watch(&mut self) -> Result<WatchEnd, Closed> {
-        self.pace().await;
+    async fn watch(&mut self) -> Result<WatchEnd, ReceiverClosed> {
+        self.enforce_min_interval().await;
         let from = self.tracker.highest_seen();
         match self.client.watch(&self.settings.scope, from).await {
-            Ok(stream) => self.follow(stream).await,
+            Ok(stream) => self.read_events(stream).await,
             Err(error) => self.watch_failed(error).await,
         }
     }
 
-    async fn follow(&mut self, mut stream: EventStream<K>) -> Result<WatchEnd, Closed> {
+    async fn read_events(
+        &mut self,
+        mut stream: EventStream<K>,
+    ) -> Result<WatchEnd, ReceiverClosed> {
         loop {
             let event = match timeout(self.settings.idle_timeout, stream.next()).await {
                 Ok(None) => return Ok(WatchEnd::Ended),
@@ -201,7 +204,7 @@
                 }
                 EventOutcome::Duplicate => {}
                 EventOutcome::Older { seen, shown } => {
-                    self.older_store(seen, shown).await?;
+                    self.report_older_store(seen, shown).await?;
                     return Ok(WatchEnd::Relist);
                 }
                 EventOutcome::Relist => return Ok(WatchEnd::Relist),
@@ -209,10 +212,10 @@
         }
     }
 
-    async fn watch_failed(&mut self, error: PlatformError) -> Result<WatchEnd, Closed> {
+    async fn watch_failed(&mut self, error: PlatformError) -> Result<WatchEnd, ReceiverClosed> {
         let resumable = error.kind.is_transient();
         if error.kind != PlatformErrorKind::Gone {
-            self.interrupted(error).await?;
+            self.report_and_back_off(error).await?;
         }
         // Anything but a passing failure takes a list to find out where the
         // store stands.
@@ -223,23 +226,23 @@
         })
     }
 
-    async fn interrupted(&mut self, error: PlatformError) -> Result<(), Closed> {
-        let asked = error.retry_after().unwrap_or(Duration::ZERO);
-        let retry_in = self.backoff.next_delay().max(asked);
+    async fn report_and_back_off(&mut self, error: PlatformError) -> Result<(), ReceiverClosed> {
+        let requested = error.retry_after().unwrap_or(Duration::ZERO);
+        let retry_in = self.backoff.next_delay().max(requested);
         self.send(WatchUpdate::Interrupted { error, retry_in })
             .await?;
         sleep(retry_in).await;
         Ok(())
     }
 
-    async fn older_store(&mut self, seen: u64, shown: u64) -> Result<(), Closed> {
+    async fn report_older_store(&mut self, seen: u64, shown: u64) -> Result<(), ReceiverClosed> {
         self.send(WatchUpdate::OlderStore { seen, shown }).await?;
         sleep(self.backoff.next_delay()).await;
         Ok(())
     }
 
     /// Keeps the shortest time between two requests.
-    async fn pace(&mut self) {
+    async fn enforce_min_interval(&mut self) {
         let interval = self.settings.min_request_interval;
         if let Some(last) = self.last_request {
             sleep(interval.saturating_sub(last.elapsed())).await;
@@ -247,7 +250,7 @@
         self.last_request = Some(Instant::now());
     }
 
-    async fn send(&self, update: WatchUpdate<K>) -> Result<(), Closed> {
-        self.updates.send(update).await.map_err(|_| Closed)
+    async fn send(&self, update: WatchUpdate<K>) -> Result<(), ReceiverClosed> {
+        self.updates.send(update).await.map_err(|_| ReceiverClosed)
     }
 }
--- a/crates/object-api/src/write.rs
+++ b/crates/object-api/src/write.rs
@@ -71,7 +71,7 @@
     let condition = write.condition()?;
     let resolver = WriteResolver::new(condition, settings.max_attempts);
     let backoff = Backoff::new(settings.backoff.clone(), settings.seed);
-    let exchange = Exchange {
+    let executor = WriteExecutor {
         client,
         write,
         resolver,
@@ -79,11 +79,11 @@
         object: None,
         error: None,
     };
-    exchange.run().await
+    executor.run().await
 }
 
 /// One write on its way.
-struct Exchange<'a, K> {
+struct WriteExecutor<'a, K> {
     client: &'a ObjectClient,
     write: &'a Write<K>,
     resolver: WriteResolver,
@@ -92,7 +92,7 @@
     error: Option<PlatformError>,
 }
 
-impl<K: ApiObject> Exchange<'_, K> {
+impl<K: ApiObject> WriteExecutor<'_, K> {
     async fn run(mut self) -> Result<WriteOutcome<K>, PlatformError> {
         let mut step = Step::Send;
         loop {
@@ -149,8 +149,8 @@
         let Some(error) = &self.error else {
             return;
         };
-        let asked = error.retry_after().unwrap_or(Duration::ZERO);
-        let wait = self.backoff.next_delay().max(asked);
+        let requested = error.retry_after().unwrap_or(Duration::ZERO);
+        let wait = self.backoff.next_delay().max(requested);
         async_std::task::sleep(wait).await;
     }
 
@@ -160,17 +160,17 @@
             (Finish::Superseded, Some(object)) => Ok(WriteOutcome::Superseded(object)),
             (Finish::Conflict, _) => Ok(WriteOutcome::Conflict),
             (Finish::Gone, _) => Ok(WriteOutcome::Gone),
-            _ => Err(final_error(self.error, self.resolver.answer_lost())),
+            _ => Err(final_error(self.error, self.resolver.response_lost())),
         }
     }
 }
 
-fn final_error(error: Option<PlatformError>, answer_lost: bool) -> PlatformError {
+fn final_error(error: Option<PlatformError>, response_lost: bool) -> PlatformError {
     let mut error = error.unwrap_or_else(|| {
         let kind = PlatformErrorKind::BadAnswer("the store stays behind".to_owned());
         PlatformError::without_effect("write", kind)
     });
-    if answer_lost {
+    if response_lost {
         error.effect = WriteEffect::Ambiguous;
     }
     error
