--- a/crates/net/examples/pipelined.rs
+++ b/crates/net/examples/pipelined.rs
@@ -1,5 +1,5 @@
-//! How long a caller waits for requests that it sends all at once, with and
-//! without requests that run side by side.
+//! Measures how long a caller waits for requests sent all at once, with and
+//! without concurrent execution.
 //!
 //! ```sh
 //! cargo run --release -p threadledge-net --example pipelined
@@ -15,16 +15,18 @@
     ConcurrentHandler, ConnectionInfo, Instant, ServerLimits, StopSignal, serve, timer,
 };
 
-/// Work of one request.
+/// Time that the handler spends on each request.
 const WORK: Duration = Duration::from_millis(50);
-/// Requests sent at once.
-const AT_ONCE: usize = 8;
+/// Number of requests sent at once.
+const REQUEST_COUNT: usize = 8;
 
 fn main() -> std::io::Result<()> {
     task::block_on(async {
         for max_pipelined_requests in [0, ServerLimits::default().max_pipelined_requests] {
-            let took = measure(max_pipelined_requests).await?;
-            println!("{max_pipelined_requests} ahead: {AT_ONCE} requests of {WORK:?} in {took:?}");
+            let elapsed = measure(max_pipelined_requests).await?;
+            println!(
+                "{max_pipelined_requests} pipelined: {REQUEST_COUNT} requests of {WORK:?} took {elapsed:?}"
+            );
         }
         Ok(())
     })
@@ -48,19 +50,19 @@
     let server = task::spawn(serve(listener, limits, stop.clone(), handler));
     let mut caller = TcpStream::connect(address).await?;
     let start = Instant::now();
-    let requests = "GET / HTTP/1.1\r\nhost: a\r\n\r\n".repeat(AT_ONCE);
+    let requests = "GET / HTTP/1.1\r\nhost: a\r\n\r\n".repeat(REQUEST_COUNT);
     caller.write_all(requests.as_bytes()).await?;
     let mut text = String::new();
     let mut buffer = [0; 4096];
-    while text.matches("\r\n\r\n").count() < AT_ONCE {
+    while text.matches("\r\n\r\n").count() < REQUEST_COUNT {
         let count = caller.read(&mut buffer).await?;
         if count == 0 {
             return Err(std::io::ErrorKind::UnexpectedEof.into());
         }
         text.push_str(&String::from_utf8_lossy(&buffer[..count]));
     }
-    let took = start.elapsed();
+    let elapsed = start.elapsed();
     stop.stop();
     server.await;
-    Ok(took)
+    Ok(elapsed)
 }
--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -1,4 +1,5 @@
-//! Bodies that stream from a connection and give it back at their end.
+//! Streaming message bodies. A body owns its connection while it is read and
+//! releases it at the end.
 
 use std::future::Future;
 use std::io;
@@ -13,29 +14,30 @@
 use crate::framing::{BodyDecoder, DecodeStep};
 use crate::timer::{self, Sleep};
 
-/// Bytes a second that a sender must keep up, beyond the time it has anyway.
+/// Minimum rate, in bytes per second, at which a sender must deliver a body
+/// once its base timeout has passed.
 pub const MIN_BODY_BYTES_PER_SECOND: u32 = 1024;
 
-/// Why a body could not be read to its end. It is the inner error of the
-/// [`io::Error`] that reading gives.
+/// Reason why a body could not be read to its end. It is the inner error of the
+/// [`io::Error`] that a read returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyFault {
-    /// The peer closed or broke the connection before the end.
+    /// The peer closed or reset the connection before the end of the body.
     #[error("the body was cut short; send all that Content-Length or the chunks announce")]
     Truncated,
-    /// The framing is broken.
+    /// The framing violates HTTP/1.1; the text says how.
     #[error("the body is malformed ({0}); frame it as HTTP/1.1 says")]
     Malformed(&'static str),
     /// The body is larger than allowed.
     #[error("the body is larger than allowed; send a smaller one")]
     TooLarge,
-    /// The time for the body passed.
+    /// The body did not arrive within its deadline.
     #[error("the body came too slowly; send it without long pauses")]
     TooSlow,
 }
 
 impl BodyFault {
-    /// The fault inside an error that reading a body gave.
+    /// Extracts the body fault from an I/O error that reading a body returned.
     pub fn from_io_error(error: &io::Error) -> Option<BodyFault> {
         error.get_ref()?.downcast_ref::<BodyFault>().copied()
     }
@@ -50,16 +52,16 @@
     }
 }
 
-/// The time a body may take.
+/// Deadline for receiving a body.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum BodyDeadline {
-    /// As long as the peer likes.
+    /// No deadline.
     Unbounded,
-    /// Until a point in time.
+    /// A fixed point in time.
     Until(Instant),
-    /// `base` from `start`, and one second more for each
-    /// [`MIN_BODY_BYTES_PER_SECOND`] that came: bounds both a long pause and
-    /// a sender that drips.
+    /// `base` after `start`, extended by one second for every
+    /// [`MIN_BODY_BYTES_PER_SECOND`] bytes received. Limits both long pauses
+    /// and senders that trickle bytes.
     Rate { start: Instant, base: Duration },
 }
 
@@ -76,18 +78,18 @@
     }
 }
 
-/// In which state a body let go of its connection.
+/// State in which a body releases its connection.
 #[derive(Debug)]
 pub(crate) enum ReleasedConnection {
-    /// The body was read to its end; the next bytes belong to what follows.
+    /// The body was read to its end; the next bytes belong to the next message.
     Clean(BufferedStream),
     /// The body was dropped before its end.
     Unfinished(BufferedStream),
-    /// Reading failed.
+    /// Reading the body failed.
     Broken(BodyFault),
 }
 
-/// Called once, when the body lets go of its connection.
+/// Called once, when the body releases its connection.
 pub(crate) type ReleaseCallback = Box<dyn FnOnce(ReleasedConnection) + Send + Sync>;
 
 /// Reads one body from a connection.
@@ -101,6 +103,7 @@
     on_release: Option<ReleaseCallback>,
 }
 
+/// State of a [`BodyReader`].
 enum ReaderState {
     Reading(BufferedStream),
     Ended,
@@ -128,7 +131,8 @@
         reader
     }
 
-    /// Finds how many unread bytes are data; 0 at the end.
+    /// Returns the number of unread bytes that are body data, or 0 at the end
+    /// of the body.
     fn poll_available(&mut self, context: &mut Context<'_>) -> Poll<Result<usize, BodyFault>> {
         loop {
             let buffered = match &mut self.state {
@@ -174,8 +178,8 @@
         self.end_if_complete();
     }
 
-    /// Gives the connection back as soon as the end is known: a reader that
-    /// knows the length does not ask once more.
+    /// Releases the connection as soon as the end of the body is known, because
+    /// a reader that knows the length does not read again after the last byte.
     fn end_if_complete(&mut self) {
         if !self.decoder.is_at_end() || !matches!(self.state, ReaderState::Reading(_)) {
             return;
@@ -187,7 +191,8 @@
         }
     }
 
-    /// Remembers the failure, so that a later read cannot take it for the end.
+    /// Stores the failure, so that a later read does not report the end of the
+    /// body.
     fn fail(&mut self, fault: BodyFault) -> io::Error {
         self.state = ReaderState::Failed(fault);
         self.release(ReleasedConnection::Broken(fault));
--- a/crates/net/src/buffered_stream.rs
+++ b/crates/net/src/buffered_stream.rs
@@ -1,8 +1,8 @@
-//! A TCP stream with the bytes read from it but not yet used.
+//! A TCP stream with a buffer of bytes that were read but not consumed.
 //!
-//! async-h1 reads through a buffer that it throws away with whatever it read
-//! too much. Here the bytes stay with the connection, so that a pipelined
-//! request is neither lost nor taken for a body.
+//! async-h1 reads through a buffer that it discards together with any excess
+//! bytes. Here these bytes stay with the connection, so that a pipelined
+//! request is neither lost nor mistaken for a body.
 
 use std::collections::VecDeque;
 use std::io;
@@ -15,36 +15,40 @@
 
 use crate::Instant;
 
-/// Size of a new buffer. Most heads fit.
+/// Size of a new buffer; most heads fit into it.
 const INITIAL_BUFFER: usize = 2 * 1024;
-/// Size to which a buffer grows while reads fill it.
+/// Size up to which the buffer grows while reads fill it.
 const MAX_GROWN_BUFFER: usize = 64 * 1024;
-/// Least free space before a read.
+/// Minimum free space before a read.
 const MIN_FREE_SPACE: usize = 1024;
 
-/// Bytes that came within this time count as having come with the first of
-/// them, so that a caller that sends byte by byte costs little memory.
+/// Bytes that arrive within this time of an earlier arrival share its
+/// timestamp, so that a caller that sends byte by byte uses little memory.
 const ARRIVAL_RESOLUTION: Duration = Duration::from_millis(10);
 const CRLF: &[u8] = b"\r\n";
 
-/// One TCP connection and its unread bytes.
+/// TCP connection with its unread bytes.
 #[derive(Debug)]
 pub(crate) struct BufferedStream {
     stream: TcpStream,
     buffer: Vec<u8>,
+    /// Start of the unread bytes in `buffer`.
     start: usize,
+    /// End of the unread bytes in `buffer`.
     end: usize,
+    /// Whether the last read filled all free space.
     last_read_filled: bool,
-    /// Bytes used so far.
+    /// Total number of bytes consumed.
     consumed: u64,
-    /// When bytes came that were read before their turn.
+    /// Arrival times of bytes that were read ahead, in order.
     arrivals: VecDeque<Arrival>,
 }
 
-/// Bytes read before their turn.
+/// Arrival time of bytes that were read ahead.
 #[derive(Debug)]
 struct Arrival {
-    /// The last of them, counted from the start of the connection.
+    /// Position of the last of these bytes, counted from the start of the
+    /// connection.
     last: u64,
     at: Instant,
 }
@@ -62,17 +66,17 @@
         }
     }
 
-    /// The stream, for writing.
+    /// Returns the stream, for writing.
     pub(crate) fn stream(&self) -> &TcpStream {
         &self.stream
     }
 
-    /// Bytes read and not yet used.
+    /// Returns the bytes that were read but not consumed.
     pub(crate) fn unread(&self) -> &[u8] {
         &self.buffer[self.start..self.end]
     }
 
-    /// Marks the first `count` unread bytes as used.
+    /// Marks the first `count` unread bytes as consumed.
     pub(crate) fn consume(&mut self, count: usize) {
         debug_assert!(count <= self.end - self.start);
         self.start += count;
@@ -96,14 +100,14 @@
         read
     }
 
-    /// Blank lines before a request are allowed and skipped.
+    /// Skips blank lines, which are allowed before a request.
     pub(crate) fn skip_blank_lines(&mut self) {
         while self.unread().starts_with(CRLF) {
             self.consume(CRLF.len());
         }
     }
 
-    /// Notes when the bytes read last came.
+    /// Records the current time as the arrival time of the bytes read last.
     pub(crate) fn record_arrival(&mut self) {
         let at = Instant::now();
         let last = self.consumed + self.unread().len() as u64;
@@ -113,7 +117,8 @@
         }
     }
 
-    /// When the byte used last came, if it was read before its turn.
+    /// Returns the arrival time of the byte consumed last, if it was read
+    /// ahead.
     pub(crate) fn arrival_time(&mut self) -> Option<Instant> {
         while self.arrivals.front()?.last < self.consumed {
             self.arrivals.pop_front();
@@ -121,7 +126,7 @@
         self.arrivals.front().map(|arrival| arrival.at)
     }
 
-    /// Gives the memory of a large buffer back before an idle time.
+    /// Frees a large buffer before the connection becomes idle.
     pub(crate) fn shrink(&mut self) {
         if self.start == self.end && self.buffer.len() > INITIAL_BUFFER {
             self.buffer = Vec::new();
@@ -136,8 +141,8 @@
             self.start = 0;
         }
         let too_small = self.buffer.len() - self.end < MIN_FREE_SPACE;
-        let last_read_was_limited = self.last_read_filled && self.buffer.len() < MAX_GROWN_BUFFER;
-        if too_small || last_read_was_limited {
+        let should_grow = self.last_read_filled && self.buffer.len() < MAX_GROWN_BUFFER;
+        if too_small || should_grow {
             let size = (self.buffer.len() * 2).max(INITIAL_BUFFER);
             self.buffer.resize(size, 0);
         }
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,4 +1,5 @@
-//! HTTP client for control traffic: JSON out, JSON back, whole or by lines.
+//! HTTP client for control traffic. Requests and responses carry JSON, read
+//! either whole or line by line.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,15 +17,15 @@
 
 pub use crate::client_error::{ClientError, RequestError};
 
-/// Bytes read at once of an answer that may be large.
+/// Read buffer size for a potentially large response body.
 const PART_BYTES: usize = 16 * 1024;
 
-/// How long the body of an answer that may be large may take.
+/// Timeouts for the body of a potentially large response.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyTimeouts {
-    /// Longest time in which nothing comes.
+    /// Longest time without receiving a byte.
     pub idle: Duration,
-    /// Longest time for all of it.
+    /// Longest time for the whole body.
     pub total: Duration,
 }
 
@@ -41,14 +42,14 @@
 }
 
 impl HttpClient {
-    /// A client with its own pool.
+    /// Creates a client with its own pool.
     pub fn new(settings: PoolSettings) -> Self {
         HttpClient {
             pool: Pool::new(settings),
         }
     }
 
-    /// Posts `body` as JSON and reads the answer as JSON.
+    /// Posts `body` as JSON and parses the response body as JSON.
     pub async fn post_json<T: Serialize + ?Sized, R: DeserializeOwned>(
         &self,
         to: SocketAddr,
@@ -60,7 +61,7 @@
         self.call_json(to, request, timeout).await
     }
 
-    /// Gets `path` and reads the answer as JSON.
+    /// Gets `path` and parses the response body as JSON.
     pub async fn get_json<R: DeserializeOwned>(
         &self,
         to: SocketAddr,
@@ -71,7 +72,7 @@
         self.call_json(to, request, timeout).await
     }
 
-    /// Sends a request of the `http` crate and reads the answer whole,
+    /// Sends a request of the `http` crate and reads the whole response,
     /// whatever its status.
     pub async fn send(
         &self,
@@ -85,10 +86,10 @@
         Ok(convert::response_to_http(&response, body).map_err(RequestError::from)?)
     }
 
-    /// As [`HttpClient::send`], for answers that may be large: `timeout` bounds
-    /// the time to the answer's head, and `pace` the time for its body. What
-    /// comes slowly over a full link is read on: asked for again from the
-    /// beginning it would fill that link once more.
+    /// Like [`HttpClient::send`], for potentially large responses: `timeout`
+    /// limits the time until the response head, and `body_timeouts` the time
+    /// for the body. A body that arrives slowly over a saturated link is read
+    /// to its end, because requesting it again would saturate the link again.
     pub async fn send_with_body_timeouts(
         &self,
         to: SocketAddr,
@@ -104,7 +105,7 @@
         Ok(convert::response_to_http(&response, body).map_err(RequestError::from)?)
     }
 
-    /// As [`HttpClient::post_json`], for answers that may be large: see
+    /// Like [`HttpClient::post_json`], for potentially large responses: see
     /// [`HttpClient::send_with_body_timeouts`].
     pub async fn post_json_with_body_timeouts<T: Serialize + ?Sized, R: DeserializeOwned>(
         &self,
@@ -115,15 +116,15 @@
         body_timeouts: BodyTimeouts,
     ) -> Result<R, ClientError> {
         let request = request(Method::Post, to, path, Some(json(body)?))?;
-        let answer = self
+        let response = self
             .call_with_body_timeouts(to, request, timeout, body_timeouts)
             .await?;
-        read_json(to, answer)
+        read_json(to, response)
     }
 
-    /// Gets `path` and reads the answer line by line, each line one JSON
-    /// value, for as long as the peer sends. `timeout` bounds the time to the
-    /// answer's head only.
+    /// Gets `path` and reads the response line by line, one JSON value per
+    /// line, for as long as the peer sends. `timeout` limits only the time
+    /// until the response head.
     pub async fn get_json_lines(
         &self,
         to: SocketAddr,
@@ -183,6 +184,8 @@
         Ok((response, body))
     }
 
+    /// Reads a body, limiting both the time without progress and the total
+    /// time.
     async fn read_large(
         &self,
         from: SocketAddr,
@@ -190,13 +193,13 @@
         body_timeouts: BodyTimeouts,
     ) -> Result<Vec<u8>, ClientError> {
         let limit = self.max_body_bytes();
-        let longest = Instant::now() + body_timeouts.total;
+        let total_deadline = Instant::now() + body_timeouts.total;
         let mut bytes = Vec::new();
         let mut part = vec![0; PART_BYTES];
         loop {
-            let deadline = longest.min(Instant::now() + body_timeouts.idle);
+            let deadline = total_deadline.min(Instant::now() + body_timeouts.idle);
             let read = match timer::timeout_at(deadline, body.read(&mut part)).await {
-                Err(timer::Elapsed) => return Err(ClientError::late(from)),
+                Err(timer::Elapsed) => return Err(ClientError::timed_out(from)),
                 Ok(Err(error)) => return Err(ClientError::from_body(from, error)),
                 Ok(Ok(read)) => read,
             };
@@ -224,7 +227,7 @@
         let mut bounded = body.take(limit + 1);
         let read = bounded.read_to_end(&mut bytes);
         match timer::timeout_at(deadline, read).await {
-            Err(timer::Elapsed) => Err(ClientError::late(from)),
+            Err(timer::Elapsed) => Err(ClientError::timed_out(from)),
             Ok(Err(error)) => Err(ClientError::from_body(from, error)),
             Ok(Ok(_)) if bytes.len() as u64 > limit => Err(ClientError::ResponseTooLarge {
                 address: from,
--- a/crates/net/src/client_error.rs
+++ b/crates/net/src/client_error.rs
@@ -1,4 +1,4 @@
-//! How calls of the control traffic fail.
+//! Errors of control traffic calls.
 
 use std::net::SocketAddr;
 
@@ -8,77 +8,82 @@
 use crate::convert::ConvertError;
 use crate::pool::{ExchangeError, ExchangeFault, Stage};
 
-/// Why a call failed.
+/// Error of a call.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// No connection, or nothing was sent on it.
-    #[error("could not reach {address} ({source}); see whether it runs and is reachable")]
+    /// No connection could be opened, or nothing was sent on it.
+    #[error("could not connect to {address} ({source}); check that it is running and reachable")]
     Connect {
-        /// The peer.
+        /// Address of the peer.
         address: SocketAddr,
-        /// What failed.
+        /// Cause of the failure.
         source: ExchangeError,
     },
-    /// The exchange broke after some of the request may have been received.
-    #[error("the call broke ({0}); read the state back before sending it again")]
+    /// The exchange failed after the peer may have received part of the
+    /// request.
+    #[error(
+        "the call failed and may have been received ({0}); read the state back before sending it again"
+    )]
     Broken(ExchangeError),
-    /// No complete answer within the time allowed.
-    #[error("no complete answer from {address} in time; allow more time or look for what is slow")]
+    /// No complete response arrived within the timeout.
+    #[error(
+        "no complete response from {address} within the timeout; raise the timeout or find out what is slow"
+    )]
     Timeout {
-        /// The peer.
+        /// Address of the peer.
         address: SocketAddr,
         /// Whether any byte of the request may have reached the peer.
         sent: bool,
     },
-    /// The peer answered with a status other than 2xx.
+    /// The peer responded with a status other than 2xx.
     #[error(
-        "{address} answered with status {code}; its body names the cause: {}",
+        "{address} responded with status {code}; the body names the cause: {}",
         String::from_utf8_lossy(body)
     )]
     Status {
-        /// The peer.
+        /// Address of the peer.
         address: SocketAddr,
-        /// The status.
+        /// Status code.
         code: u16,
-        /// The answer's body.
+        /// Response body.
         body: Vec<u8>,
     },
-    /// The answer's body is not the JSON expected.
+    /// The response body is not the expected JSON.
     #[error(
-        "the answer is not the JSON expected ({0}); see whether both sides run the same version"
+        "the response is not the expected JSON ({0}); check that both sides run the same version"
     )]
     Body(#[source] serde_json::Error),
-    /// The answer is larger than the settings allow.
+    /// The response is larger than the settings allow.
     #[error(
-        "the answer of {address} is larger than {limit} bytes; ask for less or raise the limit"
+        "the response of {address} is larger than {limit} bytes; request less or raise the limit"
     )]
     ResponseTooLarge {
-        /// The peer.
+        /// Address of the peer.
         address: SocketAddr,
-        /// The limit.
+        /// Limit in bytes.
         limit: u64,
     },
-    /// The request cannot be expressed.
+    /// The request could not be built.
     #[error(transparent)]
     Request(#[from] RequestError),
 }
 
-/// The request cannot be expressed; nothing was sent.
+/// The request could not be built; nothing was sent.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
     /// The path is not valid.
     #[error("'{0}' is not a path; write /path?query")]
     Path(String),
-    /// The body cannot be written as JSON.
-    #[error("the body cannot be written as JSON ({0}); mend its type")]
+    /// The body cannot be serialized as JSON.
+    #[error("the body cannot be serialized as JSON ({0}); correct its type")]
     Json(#[from] serde_json::Error),
-    /// The request has a part that async-h1 cannot send.
+    /// The request contains something that async-h1 cannot send.
     #[error(transparent)]
     Convert(#[from] ConvertError),
 }
 
 impl ClientError {
-    /// Whether the peer may have received, and so carried out, the request.
+    /// Whether the peer may have received, and therefore executed, the request.
     pub fn may_have_been_received(&self) -> bool {
         match self {
             ClientError::Connect { .. } | ClientError::Request(_) => false,
@@ -90,8 +95,8 @@
         }
     }
 
-    /// Whether the call was not made because every connection that this
-    /// client may have to the peer is in use.
+    /// Whether the call was not made because all connections that this client
+    /// may have to the peer are in use.
     pub fn is_pool_exhausted(&self) -> bool {
         match self {
             ClientError::Connect { source, .. } => {
@@ -101,7 +106,8 @@
         }
     }
 
-    /// Status and body, if the peer answered with a status other than 2xx.
+    /// Returns status and body if the peer responded with a status other than
+    /// 2xx.
     pub fn error_response(&self) -> Option<(u16, &[u8])> {
         match self {
             ClientError::Status { code, body, .. } => Some((*code, body)),
@@ -126,7 +132,7 @@
 
     pub(crate) fn from_body(address: SocketAddr, error: std::io::Error) -> Self {
         let fault = match BodyFault::from_io_error(&error) {
-            Some(BodyFault::TooSlow) => return ClientError::late(address),
+            Some(BodyFault::TooSlow) => return ClientError::timed_out(address),
             Some(BodyFault::Truncated) => ExchangeFault::Truncated,
             Some(fault) => ExchangeFault::Malformed(fault.to_string()),
             None => ExchangeFault::Io(error),
@@ -138,7 +144,7 @@
         })
     }
 
-    pub(crate) fn late(address: SocketAddr) -> Self {
+    pub(crate) fn timed_out(address: SocketAddr) -> Self {
         ClientError::Timeout {
             address,
             sent: true,
--- a/crates/net/src/convert.rs
+++ b/crates/net/src/convert.rs
@@ -1,12 +1,13 @@
-//! The one place where `http_types` (version 2, used by async-h1) and `http`
-//! (version 1, used by the object API's types) meet.
+//! Conversions between `http_types` (version 2, used by async-h1) and `http`
+//! (version 1, used by the types of the object API). No other module converts
+//! between the two.
 
 use http_types::{Body, Method, Request, Url};
 
-/// A request of the `http` crate could not be expressed for async-h1.
+/// A message could not be converted between the two libraries.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum ConvertError {
-    /// The method is not one that async-h1 knows.
+    /// async-h1 does not support the method.
     #[error("method '{0}' is not supported; use a registered HTTP method")]
     Method(String),
     /// The target is not a path with an optional query.
@@ -20,7 +21,7 @@
     Status(u16),
 }
 
-/// Builds the request that async-h1 writes to `host`.
+/// Builds the request that async-h1 sends to `host`.
 pub fn request_to_http_types(
     request: http::Request<Vec<u8>>,
     host: &str,
@@ -50,7 +51,7 @@
     Ok(converted)
 }
 
-/// Builds the `http` response of a head and a body read whole.
+/// Builds an `http` response from a response head and its complete body.
 pub fn response_to_http(
     response: &http_types::Response,
     body: Vec<u8>,
--- a/crates/net/src/error_response.rs
+++ b/crates/net/src/error_response.rs
@@ -1,40 +1,40 @@
-//! Answers that a router gives itself, without a back end.
+//! Error responses that a router generates itself, without a back end.
 
 use http_types::{Body, Response, StatusCode};
 use serde::{Deserialize, Serialize};
 use threadledge_types::outcome::{OUTCOME_HEADER, REASON_HEADER};
 use threadledge_types::{NotRunReason, Outcome, UnknownReason};
 
-/// What a caller can do about an unknown outcome.
+/// Advice to the caller when the outcome of its request is unknown.
 const UNKNOWN_REMEDY: &str =
     "the request may have been carried out: read the state back before sending it again";
 
-/// Body of such an answer.
+/// JSON body of an error response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeBody {
-    /// The outcome, as in [`OUTCOME_HEADER`].
+    /// Outcome, as in [`OUTCOME_HEADER`].
     pub outcome: String,
-    /// The reason, as in [`REASON_HEADER`].
+    /// Reason, as in [`REASON_HEADER`].
     pub reason: String,
-    /// What happened in this case.
+    /// Description of this particular failure.
     pub detail: String,
-    /// What the caller can do.
+    /// Advice to the caller.
     pub remedy: String,
 }
 
-/// Answers that a request was not run.
+/// Builds the response for a request that was not executed.
 pub fn not_run(reason: NotRunReason, detail: &str) -> Response {
     let outcome = Outcome::NotRun(reason);
-    answer(reason.status(), outcome, detail, reason.remedy())
+    build_response(reason.status(), outcome, detail, reason.remedy())
 }
 
-/// Answers that a request may have been run.
+/// Builds the response for a request that may have been executed.
 pub fn unknown(reason: UnknownReason, detail: &str) -> Response {
     let outcome = Outcome::Unknown(reason);
-    answer(reason.status(), outcome, detail, UNKNOWN_REMEDY)
+    build_response(reason.status(), outcome, detail, UNKNOWN_REMEDY)
 }
 
-fn answer(status: u16, outcome: Outcome, detail: &str, remedy: &str) -> Response {
+fn build_response(status: u16, outcome: Outcome, detail: &str, remedy: &str) -> Response {
     let reason = outcome.reason().unwrap_or_default();
     let body = OutcomeBody {
         outcome: outcome.as_str().to_owned(),
@@ -44,7 +44,8 @@
     };
     let status = StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError);
     let mut response = Response::new(status);
-    // Serializing four strings cannot fail; an empty body is still an answer.
+    // Serializing four strings cannot fail; without a body the response would
+    // still be valid.
     let json = serde_json::to_vec(&body).unwrap_or_default();
     response.set_body(Body::from_bytes(json));
     response.insert_header("content-type", "application/json");
--- a/crates/net/src/framing.rs
+++ b/crates/net/src/framing.rs
@@ -1,43 +1,45 @@
-//! Where a body ends: pure decoders of the two framings of HTTP/1.1.
+//! Decoders for the body framings of HTTP/1.1, without I/O.
 //!
-//! async-h1's own decoders are not used for bodies: the one for a fixed length
-//! takes a body cut short for a whole one, and the one for chunks may wait for
-//! ever for trailers that come in two reads and takes the bytes after them for
-//! part of them.
+//! async-h1's own body decoders are not used: the one for a fixed length treats
+//! a truncated body as complete, and the one for chunks may wait forever for
+//! trailers that arrive in two reads, and reads the bytes that follow the
+//! trailers as part of them.
 
 use crate::body::BodyFault;
 
-/// Longest line of a chunk's size with extensions, and of all trailers.
+/// Maximum length of a chunk size line with its extensions, and of all trailers
+/// together.
 const MAX_CONTROL_BYTES: usize = 8 * 1024;
-/// Digits of the largest chunk size accepted, 2^60 - 1.
+/// Maximum number of hexadecimal digits in a chunk size; the largest size
+/// accepted is 2^60 - 1.
 const MAX_SIZE_DIGITS: usize = 15;
 
-/// What the next unread bytes of a connection are.
+/// Classification of the next unread bytes of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DecodeStep {
-    /// The first bytes, this many and at least one, are data of the body.
+    /// The first bytes are body data: this many, at least one.
     Data(usize),
-    /// The first bytes, this many, belong to the framing.
+    /// The first bytes, this many, are framing.
     Framing(usize),
-    /// More bytes are needed to tell.
+    /// More bytes are needed to decide.
     NeedMore,
-    /// The body ended.
+    /// The body has ended.
     End,
 }
 
 /// Decoder of one body.
 #[derive(Debug)]
 pub(crate) enum BodyDecoder {
-    /// The head told the length.
+    /// The head announced the length.
     Length {
-        /// Bytes still to come.
+        /// Bytes not received yet.
         remaining: u64,
     },
-    /// The body comes in chunks.
+    /// Chunked transfer coding.
     Chunked(ChunkDecoder),
-    /// The body ends with the connection.
+    /// The body ends when the peer closes the connection.
     UntilClose {
-        /// The peer has closed.
+        /// Whether the peer has closed the connection.
         closed: bool,
     },
 }
@@ -52,7 +54,7 @@
         matches!(self, BodyDecoder::Length { remaining } if *remaining > limit)
     }
 
-    /// Says what the first of `unread` is.
+    /// Classifies the first bytes of `unread`.
     pub(crate) fn next(&mut self, unread: &[u8]) -> Result<DecodeStep, BodyFault> {
         match self {
             BodyDecoder::Length { remaining: 0 } => Ok(DecodeStep::End),
@@ -69,7 +71,8 @@
         }
     }
 
-    /// The peer closed its side in order. Says whether that ends the body.
+    /// Records that the peer closed its sending side gracefully. Returns
+    /// whether that ends the body.
     pub(crate) fn peer_closed(&mut self) -> bool {
         match self {
             BodyDecoder::UntilClose { closed } => {
@@ -80,7 +83,7 @@
         }
     }
 
-    /// Notes that `count` bytes of data were used.
+    /// Records that `count` bytes of body data were consumed.
     pub(crate) fn consume(&mut self, count: usize) {
         let count = count as u64;
         match self {
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Whether the end is known without reading further.
+    /// Whether the end of the body is known without reading more.
     pub(crate) fn is_at_end(&self) -> bool {
         match self {
             BodyDecoder::Length { remaining } => *remaining == 0,
@@ -104,13 +107,14 @@
     usize::try_from(remaining).map_or(available, |remaining| remaining.min(available))
 }
 
-/// Decoder of a chunked body. Trailers are read over.
+/// Decoder of a chunked body. Trailers are skipped.
 #[derive(Debug, Default)]
 pub(crate) struct ChunkDecoder {
     state: ChunkState,
     control_bytes: usize,
 }
 
+/// Position within the chunked framing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ChunkState {
     Size { value: u64, digits: usize },
@@ -169,7 +173,7 @@
         }
     }
 
-    /// The state after one byte of framing.
+    /// Returns the state after one byte of framing.
     fn next_state(&mut self, byte: u8) -> Result<ChunkState, BodyFault> {
         self.control_bytes += 1;
         if self.control_bytes > MAX_CONTROL_BYTES {
--- a/crates/net/src/head.rs
+++ b/crates/net/src/head.rs
@@ -1,4 +1,4 @@
-//! Reads heads whole and checks what async-h1 leaves unchecked.
+//! Reads complete message heads and performs the checks that async-h1 omits.
 
 use std::future::poll_fn;
 use std::io;
@@ -12,17 +12,17 @@
 use crate::buffered_stream::BufferedStream;
 use crate::framing::BodyDecoder;
 
-/// Largest head that async-h1 takes.
+/// Largest head, in bytes, that async-h1 accepts.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024 - 1;
 
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
 
-/// Why no head could be read.
+/// Reason why no head could be read.
 #[derive(Debug)]
 pub(crate) enum HeadError {
-    /// The peer closed before the first byte.
+    /// The peer closed the connection before the first byte.
     Closed,
-    /// The peer closed after some of the head.
+    /// The peer closed the connection within the head.
     Truncated,
     /// The head is larger than allowed.
     TooLarge,
@@ -30,16 +30,16 @@
     Io(io::Error),
 }
 
-/// Progress of looking for the end of a head.
+/// Incremental search for the end of a head.
 #[derive(Debug, Default)]
 pub(crate) struct HeadSearch {
     searched: usize,
 }
 
 impl HeadSearch {
-    /// Reads until the head is there whole and returns its length with the
-    /// blank line. The head stays unread in `wire`, and nothing is lost when
-    /// the wait is dropped.
+    /// Reads until the whole head has arrived and returns its length, including
+    /// the blank line. The head stays unread in `buffered`, and dropping the
+    /// wait loses no bytes.
     pub(crate) fn poll(
         &mut self,
         buffered: &mut BufferedStream,
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Length of the head with its blank line, if its end is there. Bytes that
-    /// were searched are not searched again.
+    /// Returns the length of the head, including its blank line, if its end has
+    /// arrived. Bytes already searched are not searched again.
     pub(crate) fn find_end(&mut self, unread: &[u8]) -> Option<usize> {
         let from = self.searched.saturating_sub(END_OF_HEAD.len() - 1);
         let found = unread[from..]
@@ -79,7 +79,7 @@
     }
 }
 
-/// Reads until the head is there whole, as [`HeadSearch::poll`] does.
+/// Reads until the whole head has arrived, like [`HeadSearch::poll`].
 pub(crate) async fn read_head(
     buffered: &mut BufferedStream,
     max_bytes: usize,
@@ -88,8 +88,9 @@
     poll_fn(|context| search.poll(buffered, max_bytes, context)).await
 }
 
-/// Refuses bytes on which async-h1 panics or on which parsers differ: values
-/// that are not ASCII, control characters, and line ends other than CR LF.
+/// Rejects bytes on which async-h1 panics or which parsers interpret
+/// differently: values that are not ASCII, control characters, and line ends
+/// other than CR LF.
 pub(crate) fn check_bytes(head: &[u8]) -> Result<(), &'static str> {
     let mut previous = 0;
     for &byte in head {
@@ -107,8 +108,9 @@
     Ok(())
 }
 
-/// Reads the framing out of headers strictly: one length of digits only, or
-/// `chunked` alone, never both. `None` when neither stands there.
+/// Parses the body framing from the headers strictly: either one Content-Length
+/// of digits only, or `chunked` as the only transfer coding, never both.
+/// Returns `None` if neither header is present.
 pub(crate) fn framing(headers: &Headers) -> Result<Option<BodyDecoder>, &'static str> {
     let length = headers.get(CONTENT_LENGTH);
     let coding = headers.get(TRANSFER_ENCODING);
@@ -139,13 +141,13 @@
 
 fn parse_length(text: &str) -> Option<u64> {
     let plain = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
-    // A length must also be one that a body in memory could have.
+    // The length must also be one that a body in memory could have.
     let value = if plain { text.parse().ok() } else { None };
     value.filter(|value| *value <= usize::MAX as u64 / 2)
 }
 
-/// Whether a header of this name stands in the bytes of a head. http-types
-/// cannot tell: it adds a content type of its own to every body.
+/// Whether the bytes of a head contain a header of this name. http-types cannot
+/// tell, because it adds a content type of its own to every body.
 pub(crate) fn has_header(head: &[u8], name: &str) -> bool {
     head.split(|byte| *byte == b'\n').any(|line| {
         let found = line.get(..name.len());
@@ -154,7 +156,7 @@
     })
 }
 
-/// Whether a `Connection` header names `option`.
+/// Whether a `Connection` header lists `option`.
 pub(crate) fn connection_header_has(headers: &Headers, option: &str) -> bool {
     headers
         .get(http_types::headers::CONNECTION)
@@ -166,8 +168,7 @@
         })
 }
 
-/// The bytes of one head and nothing else, for async-h1 to parse. Whatever is
-/// written is dropped.
+/// The bytes of exactly one head, for async-h1 to parse. Writes are discarded.
 #[derive(Clone, Debug)]
 pub(crate) struct HeadBytes {
     bytes: Vec<u8>,
--- a/crates/net/src/instant.rs
+++ b/crates/net/src/instant.rs
@@ -1,41 +1,43 @@
-//! Moments on a clock that goes on while the machine is suspended.
+//! Instants of a clock that keeps running while the machine is suspended.
 //!
-//! `std::time::Instant` stands still then: whatever was to end meanwhile would
-//! still seem to have time left, and an order, a lease or a deadline that is
-//! over would be acted on. Everything here and in the gateway that has a
-//! deadline or an age reads this clock.
+//! `std::time::Instant` stops during suspension: anything that should have
+//! expired in the meantime would still seem to have time left, and an expired
+//! order, lease or deadline would be acted on. Everything in this crate and in
+//! the gateway that has a deadline or an age uses this clock.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
 use rustix::time::{ClockId, Timespec, clock_gettime};
 
-/// A moment, as the time since the machine started, suspended time included.
+/// A point in time, stored as the time since boot including time suspended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instant(Duration);
 
 impl Instant {
-    /// The present moment.
+    /// Returns the current time.
     pub fn now() -> Self {
         Instant(since_boot())
     }
 
-    /// Time since then; zero if it lies ahead.
+    /// Time elapsed since this instant; zero if it is in the future.
     pub fn elapsed(&self) -> Duration {
         Instant::now().saturating_duration_since(*self)
     }
 
-    /// Time since `earlier`; zero if that is later than this.
+    /// Time elapsed since `earlier`; zero if `earlier` is later than this
+    /// instant.
     pub fn saturating_duration_since(&self, earlier: Instant) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// The moment so long before; `None` before the machine started.
+    /// Returns the instant `duration` earlier, or `None` if that is before
+    /// boot.
     pub fn checked_sub(&self, duration: Duration) -> Option<Instant> {
         self.0.checked_sub(duration).map(Instant)
     }
 
-    /// Time since the machine started.
+    /// Time since boot.
     pub fn since_boot(&self) -> Duration {
         self.0
     }
@@ -72,13 +74,13 @@
     Duration::new(seconds, nanos) + simulated_suspension()
 }
 
-/// Time for which the machine is taken to have been suspended, in
-/// microseconds. Tests add to it: no test can suspend the machine.
+/// Simulated time suspended, in microseconds. Tests add to it because they
+/// cannot suspend the machine.
 #[cfg(feature = "simulated-suspension")]
 static SUSPENDED: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
 
-/// Lets this clock go on by `duration` while timers of the system stand still,
-/// as they do while a machine is suspended.
+/// Advances this clock by `duration` while the timers of the system stand
+/// still, as they do while a machine is suspended.
 #[cfg(feature = "simulated-suspension")]
 pub fn simulate_suspension(duration: Duration) {
     let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
--- a/crates/net/src/json_lines.rs
+++ b/crates/net/src/json_lines.rs
@@ -1,4 +1,4 @@
-//! An answer read line by line, each line one JSON value.
+//! A response read line by line, one JSON value per line.
 
 use std::future::poll_fn;
 use std::net::SocketAddr;
@@ -13,10 +13,10 @@
 use crate::client::ClientError;
 use crate::timer;
 
-/// Room for one read.
+/// Buffer space reserved for one read.
 const READ_SIZE: usize = 16 * 1024;
 
-/// An answer read line by line, such as a watch.
+/// Response body read line by line, for example that of a watch.
 #[derive(Debug)]
 pub struct JsonLines {
     address: SocketAddr,
@@ -39,16 +39,17 @@
         }
     }
 
-    /// The next line; `None` when the peer ended the answer properly. Waits
-    /// at most `timeout`, after which the wait may be taken up again. Any
-    /// other error ends the answer.
+    /// Returns the next value, or `None` when the peer ended the response
+    /// properly. After waiting for `timeout` it fails with a timeout error, and
+    /// may be called again without losing data. Any other error ends the
+    /// response.
     pub async fn next<R: DeserializeOwned>(
         &mut self,
         timeout: Duration,
     ) -> Result<Option<R>, ClientError> {
         let line = poll_fn(|context| self.poll_line(context));
         let line = match timer::timeout(timeout, line).await {
-            Err(timer::Elapsed) => return Err(ClientError::late(self.address)),
+            Err(timer::Elapsed) => return Err(ClientError::timed_out(self.address)),
             Ok(line) => line?,
         };
         match line {
@@ -97,7 +98,8 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Takes a whole line; at the end of the answer, what is left.
+    /// Removes and returns one complete line or, at the end of the response,
+    /// the remaining bytes.
     fn take_line(&mut self) -> Option<Vec<u8>> {
         let found = self.buffer[self.searched..]
             .iter()
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 servers, clients and connection pools on async-h1.
 //!
-//! async-h1 parses and writes heads; this crate adds what it leaves out:
-//! bounds on sizes and times, strict framing of bodies, safe pipelining,
-//! cancellation when a caller hangs up, planned stops and connection pools.
+//! async-h1 parses and writes message heads. This crate adds limits on sizes
+//! and times, strict body framing, safe pipelining, cancellation when a caller
+//! disconnects, graceful shutdown and connection pools.
 
 mod body;
 mod buffered_stream;
--- a/crates/net/src/message_writer.rs
+++ b/crates/net/src/message_writer.rs
@@ -1,4 +1,4 @@
-//! Sends what an async-h1 encoder yields.
+//! Writes the output of an async-h1 encoder to a connection.
 
 use std::cell::Cell;
 use std::io;
@@ -8,18 +8,21 @@
 use async_std::net::TcpStream;
 use futures::io::{AsyncRead, AsyncWrite};
 
-/// Room for one read from the encoder, and so the largest head sent.
+/// Buffer size for one read from the encoder, which limits the size of a head
+/// that can be sent.
 const READ_SIZE: usize = 16 * 1024;
-/// Bytes gathered before a write; head and small body leave together.
+/// Bytes collected before a write, so that the head and a small body leave
+/// together.
 const WRITE_SIZE: usize = 32 * 1024;
 
 thread_local! {
-    /// Where encoders write to. Most messages are small: a buffer of their
-    /// own for each would cost more than all that is copied out of this one.
+    /// Buffer into which encoders write. Most messages are small, so copying
+    /// their bytes out of this buffer costs less than allocating one per
+    /// message.
     static SCRATCH: Cell<Vec<u8>> = const { Cell::new(Vec::new()) };
 }
 
-/// The thread's scratch buffer, put back when dropped.
+/// Scratch buffer of the thread, returned on drop.
 struct Scratch(Vec<u8>);
 
 impl Scratch {
@@ -40,17 +43,17 @@
     }
 }
 
-/// What stopped a transmission.
+/// Reason why a message could not be sent.
 #[derive(Debug)]
 pub(crate) enum SendFault {
-    /// The message could not be read, for example because the body that is
-    /// passed on was cut short.
+    /// The message could not be read, for example because the forwarded body
+    /// was truncated.
     Source(io::Error),
     /// The connection failed.
     Stream(io::Error),
 }
 
-/// One message on its way out.
+/// One message being sent.
 #[derive(Debug)]
 pub(crate) struct MessageWriter<E> {
     encoder: E,
@@ -71,22 +74,22 @@
         }
     }
 
-    /// Whether the kernel took any byte, so that it may reach the peer.
+    /// Whether the kernel accepted any byte, which may then reach the peer.
     pub(crate) fn any_written(&self) -> bool {
         self.bytes_sent > 0
     }
 
-    /// Bytes that the kernel took.
+    /// Number of bytes that the kernel accepted.
     pub(crate) fn bytes_sent(&self) -> u64 {
         self.bytes_sent
     }
 
-    /// Whether bytes wait for the kernel to take them.
+    /// Whether bytes are waiting for the kernel to accept them.
     pub(crate) fn is_blocked(&self) -> bool {
         self.written < self.buffer.len()
     }
 
-    /// Sends until everything was handed to the kernel.
+    /// Sends until the kernel has accepted the whole message.
     pub(crate) fn poll_send(
         &mut self,
         stream: &TcpStream,
@@ -121,7 +124,8 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Reads from the encoder what is there, waiting only if nothing is.
+    /// Reads the available bytes from the encoder; waits only if there are
+    /// none.
     fn poll_fill_buffer(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let mut scratch = Scratch::take();
         while self.buffer.len() < WRITE_SIZE {
--- a/crates/net/src/pool/address_table.rs
+++ b/crates/net/src/pool/address_table.rs
@@ -1,4 +1,4 @@
-//! Idle connections and counts, by address.
+//! Idle connections and connection counts by address.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,14 +11,16 @@
 use crate::Instant;
 use crate::buffered_stream::BufferedStream;
 
-/// All addresses of one pool.
+/// State of all addresses of one pool.
 #[derive(Debug)]
 pub(super) struct AddressTable {
     default_limit: usize,
-    /// How long nothing may be heard on a connection before those that are at
-    /// rest since before are doubted as well.
+    /// Time without any response on a reused connection after which other
+    /// connections that were idle at the time of its request are suspect as
+    /// well.
     suspect_idle_after: Option<Duration>,
     by_address: Mutex<HashMap<SocketAddr, AddressEntry>>,
+    /// Whether the task that closes expired connections is running.
     sweep_running: Mutex<bool>,
 }
 
@@ -26,12 +28,13 @@
 struct AddressEntry {
     limit: Option<usize>,
     in_use: usize,
-    /// The last one used is at the end, and taken first.
+    /// Idle connections, most recently used last. The last one is taken first.
     idle: Vec<IdleConnection>,
-    /// When exchanges began on connections that had been at rest, and of which
-    /// nothing has been heard yet.
+    /// Start times of exchanges on reused connections on which nothing has been
+    /// received yet.
     awaiting_response: Vec<Instant>,
-    /// Connections at rest since before may be as silent as one that was.
+    /// Connections idle since this time or earlier are suspect, because a
+    /// connection that had been idle as long turned out to be dead.
     suspect_until: Option<Instant>,
 }
 
@@ -41,27 +44,27 @@
     since: Instant,
 }
 
-/// What a reservation found.
+/// Result of a reservation.
 #[derive(Debug)]
 pub(super) enum Reservation {
-    /// A connection that was idle.
+    /// An idle connection was available.
     Idle(Slot, BufferedStream),
-    /// Room for a new one.
+    /// A new connection may be opened.
     New(Slot),
-    /// No room.
+    /// The connection limit is reached.
     Full,
 }
 
-/// The right to one connection in use; dropping it ends the use.
+/// Permission to use one connection; dropping it frees the slot.
 #[derive(Debug)]
 pub(super) struct Slot {
     addresses: Weak<AddressTable>,
     address: SocketAddr,
 }
 
-/// An exchange on a connection that had been at rest, of which nothing has
-/// been heard. Dropping it after a long while casts doubt on connections at
-/// rest since before it began.
+/// Tracks an exchange on a reused connection on which nothing has been received
+/// yet. If it is dropped in that state after the configured time, connections
+/// idle since before the exchange began become suspect.
 #[derive(Debug)]
 pub(super) struct ReuseWatch {
     addresses: Weak<AddressTable>,
@@ -99,7 +102,7 @@
         closed.into_iter().for_each(IdleConnection::close);
     }
 
-    /// Connections in use and idle.
+    /// Returns the numbers of connections in use and idle.
     pub(super) fn open_connections(&self, address: SocketAddr) -> (usize, usize) {
         let by_address = self.by_address.lock();
         by_address
@@ -107,6 +110,8 @@
             .map_or((0, 0), |entry| (entry.in_use, entry.idle.len()))
     }
 
+    /// Reserves a slot, with an idle connection if one exists that was used
+    /// after `expired_before`. Closes suspect idle connections first.
     pub(super) fn reserve(
         self: &Arc<Self>,
         address: SocketAddr,
@@ -137,7 +142,7 @@
         }
     }
 
-    /// An exchange begins on a connection that was at rest.
+    /// Starts tracking an exchange on a reused connection.
     pub(super) fn watch_reuse(self: &Arc<Self>, address: SocketAddr) -> ReuseWatch {
         let since = Instant::now();
         let mut by_address = self.by_address.lock();
@@ -154,15 +159,15 @@
         }
     }
 
-    /// Keeps a connection for reuse. Says whether somebody must now begin to
-    /// watch for connections that nobody uses.
+    /// Stores a connection for reuse. Returns whether the caller must start the
+    /// task that closes expired connections.
     pub(super) fn check_in(&self, slot: Slot, mut buffered: BufferedStream) -> bool {
         buffered.shrink();
         {
             let mut by_address = self.by_address.lock();
             let entry = by_address.entry(slot.address).or_default();
             let limit = entry.limit.unwrap_or(self.default_limit);
-            // The limit may have been lowered meanwhile.
+            // The limit may have been lowered in the meantime.
             if entry.in_use + entry.idle.len() <= limit {
                 let since = Instant::now();
                 entry.idle.push(IdleConnection { buffered, since });
@@ -173,8 +178,8 @@
         !std::mem::replace(&mut *sweep_running, true)
     }
 
-    /// Closes connections idle since before a time. Says whether no idle one
-    /// is left, and with it no reason to come again.
+    /// Closes connections that have been idle since `before` or earlier.
+    /// Returns whether no idle connection is left, so that the task can end.
     pub(super) fn close_expired(&self, before: Option<Instant>) -> bool {
         let mut sweep_running = self.sweep_running.lock();
         let mut closed = Vec::new();
@@ -197,10 +202,11 @@
 }
 
 impl IdleConnection {
-    /// Nothing waits to be sent, and the peer need not take it for a failure.
+    /// Closes gracefully: nothing is waiting to be sent, and the peer should
+    /// not see an error.
     fn close(self) {
         if let Err(error) = socket::close_gracefully(self.buffered.stream()) {
-            tracing::debug!(%error, "an idle connection ends with a reset");
+            tracing::debug!(%error, "closing an idle connection resets it");
         }
     }
 }
@@ -213,7 +219,7 @@
             && self.awaiting_response.is_empty()
     }
 
-    /// Takes out the connections at rest that are doubted, to be closed.
+    /// Removes and returns the suspect idle connections, which are then closed.
     fn take_suspect(&mut self, suspect_idle_after: Option<Duration>) -> Vec<IdleConnection> {
         let silent_since = suspect_idle_after.and_then(|after| Instant::now().checked_sub(after));
         let silent = self.awaiting_response.iter().copied();
@@ -228,7 +234,8 @@
 }
 
 impl ReuseWatch {
-    /// Something was heard, were it the connection's end.
+    /// Records that something was received, which includes the end of the
+    /// connection.
     pub(super) fn activity_seen(mut self) {
         self.active = true;
     }
--- a/crates/net/src/pool/connection.rs
+++ b/crates/net/src/pool/connection.rs
@@ -1,4 +1,4 @@
-//! A connection taken from a pool for one exchange.
+//! A connection checked out of a pool for one exchange.
 
 use std::net::SocketAddr;
 
@@ -13,13 +13,13 @@
 use crate::buffered_stream::BufferedStream;
 use crate::timer;
 
-/// A connection on which nothing has been sent yet. Dropping it gives it back
-/// to the pool.
+/// Connection on which nothing has been sent yet. Dropping it returns it to the
+/// pool.
 #[derive(Debug)]
 pub struct PooledConnection {
     pool: Pool,
     address: SocketAddr,
-    /// It was at rest before.
+    /// Whether the connection was idle in the pool before.
     reused: bool,
     unused: Option<(Slot, BufferedStream)>,
 }
@@ -40,13 +40,13 @@
         }
     }
 
-    /// The peer.
+    /// Address of the peer.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends the request and returns the head of its response, as
-    /// [`Pool::exchange`] does.
+    /// Sends the request and returns the response with a streaming body, like
+    /// [`Pool::exchange`].
     pub async fn exchange(
         self,
         request: Request,
@@ -56,6 +56,8 @@
             .await
     }
 
+    /// Like [`PooledConnection::exchange`], with a separate deadline for the
+    /// body.
     pub(super) async fn exchange_with_body_deadline(
         mut self,
         request: Request,
@@ -78,8 +80,8 @@
         let addresses = &self.pool.addresses;
         let reuse = self.reused.then(|| addresses.watch_reuse(address));
         let mut exchange = Exchange::new(request, buffered, &self.pool.settings);
-        // Until the response is whole, the slot stays with this future or
-        // with the body: dropping either frees it and closes the connection.
+        // Until the response is complete, either this future or the body owns
+        // the slot: dropping it frees the slot and closes the connection.
         let ended = timer::timeout_at(deadline, exchange.run()).await;
         let silent = ended.is_err() && exchange.stage() <= Stage::Sent;
         if let Some(reuse) = reuse.filter(|_| !silent) {
--- a/crates/net/src/pool/error.rs
+++ b/crates/net/src/pool/error.rs
@@ -1,51 +1,53 @@
-//! How exchanges fail.
+//! Errors of exchanges.
 
 use std::net::SocketAddr;
 
-/// How far an exchange had come when it failed.
+/// Progress of an exchange at the time it failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stage {
-    /// No connection could be opened: nothing was sent.
+    /// No connection could be opened; nothing was sent.
     ConnectFailed,
-    /// A connection was open, and no byte of the request was handed to it.
+    /// A connection was open, but no byte of the request was written to it.
     NothingSent,
-    /// Some of the request, or all, may have reached the peer: bytes that the
-    /// kernel took count, whatever becomes of them.
+    /// Some or all of the request may have reached the peer: every byte that
+    /// the kernel accepted counts, whatever happens to it afterwards.
     Sent,
-    /// Some of the response's head came.
+    /// Part of the response head was received.
     ResponseHead,
-    /// The head came whole, the body did not.
+    /// The response head was complete, the body was not.
     ResponseBody,
 }
 
 impl Stage {
-    /// Whether any byte of the request may have reached the peer. Only when
-    /// not may a request be called not run.
+    /// Whether any byte of the request may have reached the peer. Only if this
+    /// is false may the request be reported as not run.
     pub const fn may_have_been_received(self) -> bool {
         !matches!(self, Stage::ConnectFailed | Stage::NothingSent)
     }
 }
 
-/// What ended an exchange.
+/// Cause of a failed exchange.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeFault {
     /// The connection failed.
-    #[error("the connection failed ({0}); see whether the peer runs and is reachable")]
+    #[error("the connection failed ({0}); check that the peer is running and reachable")]
     Io(#[from] std::io::Error),
     /// The deadline passed.
-    #[error("the deadline passed; allow more time or look for what is slow")]
+    #[error("the deadline passed; allow more time or find out what is slow")]
     DeadlinePassed,
-    /// Every connection allowed is in use.
-    #[error("every connection is in use; raise the connection limit or send less at once")]
+    /// All allowed connections are in use.
+    #[error(
+        "all connections are in use; raise the connection limit or send fewer requests at once"
+    )]
     NoConnectionFree,
-    /// The body of the request could not be read from where it comes from.
-    #[error("the request's body failed ({0}); see the sender of the request")]
+    /// The request body could not be read from its source.
+    #[error("the request body could not be read ({0}); check the sender of the request")]
     RequestBody(std::io::Error),
-    /// The peer closed before the response was whole.
-    #[error("the peer closed before its answer was whole; see the peer's log")]
+    /// The peer closed the connection before the response was complete.
+    #[error("the peer closed the connection before its response was complete; see the peer's log")]
     Truncated,
-    /// The response breaks HTTP/1.1 or a limit.
-    #[error("the answer is malformed ({0}); mend the peer")]
+    /// The response violates HTTP/1.1 or a limit.
+    #[error("the response is malformed ({0}); correct the peer")]
     Malformed(String),
 }
 
@@ -53,10 +55,10 @@
 #[derive(Debug, thiserror::Error)]
 #[error("exchange with {address} failed at {stage:?}: {fault}")]
 pub struct ExchangeError {
-    /// The peer.
+    /// Address of the peer.
     pub address: SocketAddr,
-    /// How far the exchange had come.
+    /// Progress of the exchange.
     pub stage: Stage,
-    /// What ended it.
+    /// Cause of the failure.
     pub fault: ExchangeFault,
 }
--- a/crates/net/src/pool/exchange.rs
+++ b/crates/net/src/pool/exchange.rs
@@ -16,17 +16,18 @@
 use crate::message::Message;
 use crate::message_writer::{MessageWriter, SendFault};
 
-/// Interim responses accepted before the final one.
+/// Maximum number of interim responses before the final one.
 const MAX_INTERIM: usize = 8;
 
-/// Gives an idle connection back if the peer neither closed it nor sent
-/// anything: bytes that nobody asked for belong to an exchange that is over.
+/// Returns an idle connection if the peer has neither closed it nor sent
+/// anything: unsolicited bytes belong to an earlier exchange.
 pub(super) fn verify_idle(mut buffered: BufferedStream) -> Option<BufferedStream> {
     let mut context = Context::from_waker(noop_waker_ref());
     let silent = buffered.unread().is_empty() && buffered.poll_fill(&mut context).is_pending();
     silent.then_some(buffered)
 }
 
+/// State of one exchange until its response head has been read.
 pub(super) struct Exchange {
     method: Method,
     writer: MessageWriter<Encoder>,
@@ -52,13 +53,13 @@
         }
     }
 
-    /// How far the exchange has come.
+    /// Returns the progress of the exchange.
     pub(super) fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Sends the request and reads the head of the response. A response that
-    /// comes before the request has left whole ends the sending.
+    /// Sends the request and reads the response head. A response that arrives
+    /// before the whole request was sent ends the sending.
     pub(super) async fn run(&mut self) -> Result<ResponseHead, ExchangeFault> {
         for _ in 0..=MAX_INTERIM {
             let mut search = HeadSearch::default();
@@ -74,6 +75,8 @@
         Err(ExchangeFault::Malformed(detail.to_owned()))
     }
 
+    /// Sends more of the request and reads more of the response. Resolves to
+    /// the length of a complete head.
     fn poll_head(
         &mut self,
         search: &mut HeadSearch,
@@ -91,13 +94,13 @@
         }
         match std::task::ready!(found) {
             Ok(length) => Poll::Ready(Ok(length)),
-            Err(error) => Poll::Ready(Err(self.read_fault(error))),
+            Err(error) => Poll::Ready(Err(self.fault_from_head_error(error))),
         }
     }
 
-    /// Sends on. Resolves only with a fault that ends the exchange: when the
-    /// connection fails after some of the request left, an answer may still
-    /// be there to read.
+    /// Continues to send the request. Resolves only with a fault that ends the
+    /// exchange: if the connection fails after part of the request was sent, a
+    /// response may still be readable.
     fn poll_send(&mut self, context: &mut Context<'_>) -> Poll<ExchangeFault> {
         if self.whole_request_sent || self.send_fault.is_some() {
             return Poll::Pending;
@@ -119,7 +122,9 @@
         Poll::Pending
     }
 
-    fn read_fault(&mut self, error: HeadError) -> ExchangeFault {
+    /// Converts an error in reading the head. If sending failed before, a
+    /// closed connection is reported with the send error.
+    fn fault_from_head_error(&mut self, error: HeadError) -> ExchangeFault {
         match error {
             HeadError::TooLarge => {
                 ExchangeFault::Malformed("the head is larger than allowed".to_owned())
@@ -132,8 +137,8 @@
         }
     }
 
-    /// Attaches the body. `give_back` gets the connection if it may be used
-    /// again, and `None` otherwise.
+    /// Attaches the body to the response. `on_release` gets the connection if
+    /// it can be reused, and `None` otherwise.
     pub(super) fn into_response(
         self,
         head: ResponseHead,
--- a/crates/net/src/pool/mod.rs
+++ b/crates/net/src/pool/mod.rs
@@ -1,10 +1,10 @@
 //! Pools of connections to back ends and other routers.
 //!
-//! A connection is used again only after an exchange that ended cleanly: the
-//! request left whole, the response came whole, and nothing came after it.
-//! An exchange that is abandoned, fails or is cut short resets its connection,
-//! so that a late answer can never reach another caller, and nothing that has
-//! not left yet leaves later.
+//! A connection is reused only after a clean exchange: the whole request was
+//! sent, the whole response was received, and no bytes followed it. An exchange
+//! that is dropped, fails or is truncated resets its connection, so that a late
+//! response can never reach another caller and unsent bytes are never sent
+//! later.
 
 mod address_table;
 mod connection;
@@ -29,42 +29,44 @@
 pub use connection::PooledConnection;
 pub use error::{ExchangeError, ExchangeFault, Stage};
 
-/// Limits of a [`Pool`].
+/// Settings of a [`Pool`].
 #[derive(Clone, Debug)]
 pub struct PoolSettings {
-    /// Connections open at once to one address, idle ones included, unless
-    /// [`Pool::set_connection_limit`] says otherwise for it.
+    /// Maximum number of open connections per address, including idle ones,
+    /// unless [`Pool::set_connection_limit`] sets another limit for the
+    /// address.
     pub connections_per_address: usize,
-    /// How long an unused connection is kept.
+    /// Time after which an unused connection is closed.
     pub idle_timeout: Duration,
-    /// Longest time to open a connection.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// Largest head of a response, in bytes; at most [`MAX_HEAD_BYTES`].
+    /// Largest response head, in bytes; at most [`MAX_HEAD_BYTES`].
     pub max_head_bytes: usize,
-    /// Largest body of a response that is read whole, in bytes.
+    /// Largest response body, in bytes, that is read whole.
     pub max_body_bytes: u64,
-    /// What to do with a response that does not tell where its body ends.
+    /// How to treat a response that does not announce where its body ends.
     pub unframed_bodies: UnframedBodies,
-    /// How long a peer that became silent may go unnoticed, also while
-    /// nothing is sent: connections are probed by the kernel. `None` leaves
-    /// that to the kernel's defaults, which are hours.
+    /// Time after which a silent peer is detected, even while nothing is sent:
+    /// the kernel sends keepalive probes. `None` keeps the defaults of the
+    /// kernel, which are hours.
     pub dead_peer_timeout: Option<Duration>,
-    /// How long nothing may be heard of an exchange on a connection that had
-    /// been at rest before others at rest since before it began are closed
-    /// instead of used: where one fell silent, all may have. New connections
-    /// tell nothing about old ones. Longer than what a sound peer holds an
-    /// answer back.
+    /// Time without any response on a reused connection after which the other
+    /// connections that were idle at the time of its request are closed instead
+    /// of reused: if one of them is dead, all may be. Exchanges on new
+    /// connections have no such effect, because they say nothing about old
+    /// connections. Must be longer than a healthy peer delays a response.
     pub suspect_idle_after: Option<Duration>,
 }
 
-/// What to do with a response whose body ends with the connection.
+/// How to treat a response whose body ends when the connection closes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum UnframedBodies {
-    /// Refuse it: its end cannot be told from a cut by a peer that closes in
-    /// order while it fails.
+    /// Refuse the response: its end cannot be distinguished from truncation by
+    /// a peer that closes gracefully while it fails.
     #[default]
     Refuse,
-    /// Take an orderly close for the end, and a reset for a cut.
+    /// Treat a graceful close as the end of the body, and a reset as
+    /// truncation.
     ReadUntilClose,
 }
 
@@ -83,7 +85,7 @@
     }
 }
 
-/// Connections kept for reuse, by address. Clones share them.
+/// Pool of reusable connections by address. Clones share the connections.
 #[derive(Clone, Debug)]
 pub struct Pool {
     settings: Arc<PoolSettings>,
@@ -91,7 +93,7 @@
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(settings: PoolSettings) -> Self {
         Pool {
             addresses: Arc::new(AddressTable::new(
@@ -102,35 +104,36 @@
         }
     }
 
-    /// The pool's settings.
+    /// Returns the settings of the pool.
     pub fn settings(&self) -> &PoolSettings {
         &self.settings
     }
 
-    /// Sets the limit of connections open at once to one address.
+    /// Sets the maximum number of open connections to one address.
     pub fn set_connection_limit(&self, address: SocketAddr, connections: usize) {
         self.addresses.set_limit(address, connections);
     }
 
-    /// Forgets the limit of an address and closes its idle connections.
+    /// Removes the connection limit of an address and closes its idle
+    /// connections.
     pub fn remove_address(&self, address: SocketAddr) {
         self.addresses.remove_address(address);
     }
 
-    /// Connections open to an address: those in use and those idle.
+    /// Returns the numbers of connections to an address that are in use and
+    /// idle.
     pub fn open_connections(&self, address: SocketAddr) -> (usize, usize) {
         self.addresses.open_connections(address)
     }
 
-    /// Sends one request and returns the head of its response, with a body
-    /// that streams from the connection and fails when it comes short.
-    /// Reading the body to its end gives the connection back; dropping it
-    /// earlier, or this future, resets the connection: what the kernel has not
-    /// sent by then is never sent. `deadline` bounds the
-    /// body too.
+    /// Sends one request and returns its response with a body that streams from
+    /// the connection and fails if it is truncated. Reading the body to its end
+    /// returns the connection to the pool. Dropping the body earlier, or
+    /// dropping this future, resets the connection: bytes that the kernel has
+    /// not sent by then are never sent. `deadline` applies to the body as well.
     ///
-    /// A response must tell where its body ends, by `Content-Length` or
-    /// chunks, unless [`PoolSettings::unframed_bodies`] says otherwise.
+    /// A response must announce where its body ends, by `Content-Length` or
+    /// chunked coding, unless [`PoolSettings::unframed_bodies`] says otherwise.
     pub async fn exchange(
         &self,
         address: SocketAddr,
@@ -141,8 +144,7 @@
             .await
     }
 
-    /// As [`Pool::exchange`], with a body that may take as long as the peer
-    /// likes.
+    /// Like [`Pool::exchange`], with no deadline for the body.
     pub async fn exchange_stream(
         &self,
         address: SocketAddr,
@@ -153,6 +155,7 @@
             .await
     }
 
+    /// Like [`Pool::exchange`], with a separate deadline for the body.
     async fn exchange_with_body_deadline(
         &self,
         address: SocketAddr,
@@ -166,8 +169,8 @@
             .await
     }
 
-    /// Gets a connection without sending anything: an idle one that is still
-    /// good, or a new one.
+    /// Checks out a connection without sending anything: a usable idle one or a
+    /// new one.
     pub async fn checkout(
         &self,
         address: SocketAddr,
@@ -176,8 +179,8 @@
         self.checkout_within(address, None, deadline).await
     }
 
-    /// As [`Pool::checkout`], setting the limit of connections to the
-    /// address at the same time.
+    /// Like [`Pool::checkout`], and sets the connection limit of the address at
+    /// the same time.
     pub async fn checkout_with_limit(
         &self,
         address: SocketAddr,
@@ -201,7 +204,7 @@
         Ok(PooledConnection::new(pool, address, reused, slot, buffered))
     }
 
-    /// Takes an idle connection that is still good, or room for a new one.
+    /// Reserves a slot, together with a usable idle connection if there is one.
     fn reserve_connection(
         &self,
         address: SocketAddr,
@@ -211,8 +214,8 @@
             let expired_before = Instant::now().checked_sub(self.settings.idle_timeout);
             match self.addresses.reserve(address, limit, expired_before) {
                 Reservation::Idle(slot, buffered) => {
-                    // The connection may have been closed, or something sent
-                    // on it, while nobody listened.
+                    // The peer may have closed the connection or sent something
+                    // while it was idle.
                     if let Some(buffered) = exchange::verify_idle(buffered) {
                         return Ok((slot, Some(buffered)));
                     }
@@ -247,7 +250,8 @@
             Ok(Err(error)) => return Err(failed(error.into())),
             Ok(Ok(stream)) => stream,
         };
-        // On loopback a socket can meet itself when nobody listens.
+        // On loopback, a socket can connect to itself if nobody listens on the
+        // port.
         if stream.local_addr().ok() == Some(address) {
             let itself = std::io::ErrorKind::ConnectionRefused;
             return Err(failed(std::io::Error::from(itself).into()));
@@ -258,7 +262,7 @@
         Ok(BufferedStream::new(stream))
     }
 
-    /// Keeps a connection for reuse.
+    /// Returns a connection to the pool for reuse.
     fn check_in(&self, slot: Slot, buffered: BufferedStream) {
         if self.addresses.check_in(slot, buffered) {
             let addresses = Arc::downgrade(&self.addresses);
@@ -268,7 +272,7 @@
     }
 }
 
-/// Closes connections that nobody used in time, until none is idle.
+/// Closes connections that stay unused for too long, until none is idle.
 async fn close_expired(addresses: Weak<AddressTable>, idle_timeout: Duration) {
     loop {
         timer::sleep(idle_timeout).await;
--- a/crates/net/src/pool/response.rs
+++ b/crates/net/src/pool/response.rs
@@ -1,4 +1,4 @@
-//! Reads and checks the head of a response.
+//! Parses and checks the head of a response.
 
 use futures::FutureExt;
 use http_types::headers::{CONTENT_TYPE, DATE};
@@ -9,15 +9,15 @@
 use crate::framing::BodyDecoder;
 use crate::head::{self, HeadBytes};
 
-/// A head read and checked.
+/// A parsed and checked response head.
 #[derive(Debug)]
 pub(super) struct ResponseHead {
     pub(super) response: Response,
-    /// How the body is framed; `None` when there is none.
+    /// Body framing; `None` if there is no body.
     pub(super) body: Option<BodyDecoder>,
-    /// Length that the head tells, also of a body that does not follow.
+    /// Length announced by the head, even if no body follows.
     pub(super) length: Option<usize>,
-    /// The peer closes the connection after this response.
+    /// Whether the peer closes the connection after this response.
     pub(super) closes: bool,
 }
 
@@ -28,15 +28,15 @@
     }
 }
 
-/// Parses a whole head. Not async, so that the large buffers of async-h1 stay
-/// out of the futures that are kept.
+/// Parses a complete head. This function is not async, so that the large
+/// buffers of async-h1 do not become part of long-lived futures.
 pub(super) fn parse(
     head: &[u8],
     method: Method,
     unframed_bodies: UnframedBodies,
 ) -> Result<ResponseHead, ExchangeFault> {
     head::check_bytes(head).map_err(malformed)?;
-    // The bytes are all here, so that this never waits.
+    // All bytes are available, so decoding never waits.
     let mut response = async_h1::client::decode(HeadBytes::new(head))
         .now_or_never()
         .ok_or_else(|| malformed("the head is incomplete"))?
@@ -47,7 +47,7 @@
     }
     let status = response.status();
     if status == StatusCode::SwitchingProtocols {
-        return Err(malformed("switches protocols, which was not asked for"));
+        return Err(malformed("switches protocols without being asked to"));
     }
     let mut framing = head::framing(response.as_ref()).map_err(malformed)?;
     let length = match &framing {
@@ -58,7 +58,7 @@
     let mut closes = head::connection_header_has(response.as_ref(), "close");
     if !bodiless && framing.is_none() {
         if unframed_bodies == UnframedBodies::Refuse {
-            return Err(malformed("tells neither Content-Length nor chunks"));
+            return Err(malformed("has neither Content-Length nor chunked coding"));
         }
         framing = Some(BodyDecoder::UntilClose { closed: false });
         closes = true;
@@ -77,8 +77,9 @@
         || status == StatusCode::NotModified
 }
 
-/// async-h1 adds a `Date` with a line break in its value to a response that
-/// has none. Passed on, it would end the head early.
+/// Removes a generated `Date` header. async-h1 adds one with a line break in
+/// its value to a response without a date; forwarded, it would end the head
+/// early.
 fn remove_generated_date(response: &mut Response) {
     let generated = response
         .header(DATE)
--- a/crates/net/src/pool/socket.rs
+++ b/crates/net/src/pool/socket.rs
@@ -1,6 +1,5 @@
-//! Opens connections and sets what the kernel does with them: it withdraws
-//! what has not left when a connection ends, and notices peers that became
-//! silent.
+//! Opens connections and sets their socket options, so that the kernel discards
+//! unsent bytes when a connection is closed and detects silent peers.
 
 use std::io;
 use std::net::{SocketAddr, TcpStream as StdStream};
@@ -10,18 +9,19 @@
 use async_std::net::TcpStream;
 use rustix::net::sockopt;
 
-/// Probes without an answer before a connection counts as broken.
+/// Unanswered keepalive probes after which a connection counts as broken.
 const KEEPALIVE_PROBES: u32 = 2;
-/// Shortest time that the kernel takes for probes.
+/// Shortest keepalive interval that the kernel accepts.
 const MIN_KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Opens a connection that resets when it is closed, as [`reset_on_close`]
-/// says. With `dead_peer_timeout` it is watched as [`watch`] says.
+/// Opens a connection that is reset when it is closed (see [`reset_on_close`]).
+/// With `dead_peer_timeout`, keepalive is enabled (see [`enable_keepalive`]).
 pub(super) async fn connect(
     address: SocketAddr,
     dead_peer_timeout: Option<Duration>,
 ) -> io::Result<TcpStream> {
-    // async-std lends no descriptor to set options on; this stream does.
+    // The async-std stream gives no access to its file descriptor for setting
+    // options; this one does.
     let stream = Async::<StdStream>::connect(address).await?;
     reset_on_close(stream.get_ref())?;
     if let Some(dead_peer_timeout) = dead_peer_timeout {
@@ -30,25 +30,27 @@
     Ok(TcpStream::from(stream.into_inner()?))
 }
 
-/// Makes the kernel throw away what has not left once `stream` is closed,
-/// whoever closes it: an exchange that is given up, or the end of the process.
+/// Makes the kernel discard unsent bytes once `stream` is closed, whether by
+/// dropping an exchange or by the end of the process.
 ///
-/// In an orderly close the kernel goes on sending: an order that was given up
-/// behind a cut arrived up to six seconds later, when its keys had another
-/// owner (7 of 8 days on which one machine was cut off from back ends).
+/// After a graceful close the kernel continues to send: a cancelled order
+/// behind a network partition arrived up to six seconds later, when its keys
+/// had another owner (on 7 of 8 days on which one machine was partitioned from
+/// back ends).
 fn reset_on_close(stream: &StdStream) -> io::Result<()> {
     sockopt::set_socket_linger(stream, Some(Duration::ZERO))?;
     Ok(())
 }
 
-/// Undoes [`reset_on_close`]: the peer sees an orderly end.
+/// Undoes [`reset_on_close`], so that the peer sees a graceful close.
 pub(super) fn close_gracefully(stream: &TcpStream) -> io::Result<()> {
     sockopt::set_socket_linger(stream, None)?;
     Ok(())
 }
 
-/// Breaks `stream` when its peer has been silent for about `dead_peer_timeout`, whether
-/// bytes of ours wait for their receipt or nothing is sent at all.
+/// Makes `stream` fail when its peer has been silent for about
+/// `dead_peer_timeout`, whether sent bytes are unacknowledged or nothing is
+/// sent.
 fn enable_keepalive(stream: &StdStream, dead_peer_timeout: Duration) -> io::Result<()> {
     let interval = (dead_peer_timeout / (KEEPALIVE_PROBES + 1)).max(MIN_KEEPALIVE_INTERVAL);
     sockopt::set_socket_keepalive(stream, true)?;
--- a/crates/net/src/server/closing.rs
+++ b/crates/net/src/server/closing.rs
@@ -1,4 +1,4 @@
-//! Callers that are slow to take their answers or to go.
+//! Handling of callers that are slow to read their responses or to close.
 
 use std::future::{Future, poll_fn};
 use std::net::Shutdown;
@@ -12,14 +12,15 @@
 use crate::stop::Stopped;
 use crate::timer;
 
-/// Longest wait for a caller to take a last answer and close.
+/// Maximum wait for a caller to read its last response and close.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes read and dropped during that wait: above the largest body that callers
-/// are known to send (360 KB), of which an early answer leaves the rest unread.
+/// Maximum number of bytes read and discarded during that wait. Above the
+/// largest body that callers are known to send (360 KB), because an early
+/// response leaves the rest of the body unread.
 const MAX_LINGER_BYTES: usize = 512 * 1024;
 
-/// Closes without losing the last answer: a close with bytes unread would
-/// reset the connection, and the answer with it.
+/// Closes the connection without losing the last response: closing with unread
+/// bytes would reset the connection and discard the response.
 pub(super) async fn linger(stream: &TcpStream, mut buffered: BufferedStream, abort: &mut Stopped) {
     if stream.shutdown(Shutdown::Write).is_err() {
         return;
@@ -47,7 +48,7 @@
     .await;
 }
 
-/// Notices a caller that takes nothing of its answer for too long.
+/// Detects a caller that reads nothing of its response for too long.
 pub(super) struct WriteStallTimer {
     timeout: Duration,
     bytes_sent: u64,
--- a/crates/net/src/server/connection.rs
+++ b/crates/net/src/server/connection.rs
@@ -28,7 +28,8 @@
 use crate::stop::Stopped;
 use crate::timer;
 
-/// Answers a connection above the limit, as far as the kernel takes it now.
+/// Rejects a connection above the limit. Sends only what the kernel accepts
+/// without waiting.
 pub(super) fn reject_connection(stream: &TcpStream) {
     let mut response =
         error_response::not_run(NotRunReason::Overloaded, "too many connections are open");
@@ -41,9 +42,12 @@
     }
 }
 
+/// A connection with its pipeline of started requests.
 pub(super) struct Connection<H: Handler> {
     pub(super) stream: TcpStream,
+    /// Resolves when the server is told to stop.
     pub(super) stopped: Stopped,
+    /// Resolves when the drain timeout has passed.
     pub(super) abort: Stopped,
     pub(super) pipeline: Pipeline<H::ResponseFuture>,
     pub(super) service: Service<H>,
@@ -76,7 +80,7 @@
         }
     }
 
-    /// The next request; `None` when none will come.
+    /// Returns the next request, or `None` if there will be no more.
     async fn next_request(&mut self, buffered: &mut BufferedStream) -> Option<ReadRequest> {
         if let Some(deferred) = self.pipeline.take_deferred() {
             return Some(deferred);
@@ -87,7 +91,8 @@
         self.read_request(buffered).await
     }
 
-    /// Waits for the first byte of a request; `false` when none will come.
+    /// Waits for the first byte of a request; returns `false` if there will be
+    /// none.
     async fn wait_for_request(&mut self, buffered: &mut BufferedStream) -> bool {
         buffered.shrink();
         let mut idle = timer::sleep(self.service.limits.idle_timeout);
@@ -119,7 +124,7 @@
         .await
     }
 
-    /// Reads a head; `None` when the caller is gone.
+    /// Reads a request head; `None` if the caller has closed the connection.
     async fn read_request(&mut self, buffered: &mut BufferedStream) -> Option<ReadRequest> {
         let limits = &self.service.limits;
         let read = head::read_head(buffered, limits.max_head_bytes);
@@ -137,7 +142,7 @@
         })
     }
 
-    /// Refuses a request that could not be read.
+    /// Sends an error response to a request that could not be read.
     async fn refuse(&mut self, buffered: BufferedStream, fault: &RequestFault) {
         self.service.guard.count(CounterKind::RefusedRequest, 1);
         tracing::debug!(peer = %self.service.info.peer, ?fault, "refused a request");
--- a/crates/net/src/server/exchange.rs
+++ b/crates/net/src/server/exchange.rs
@@ -1,4 +1,4 @@
-//! Runs the requests of a connection and sends their answers in order.
+//! Executes the requests of a connection and sends their responses in order.
 
 use std::future::{Future, poll_fn};
 use std::pin::{Pin, pin};
@@ -29,7 +29,7 @@
 
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// One answer on its way.
+/// One response being sent.
 pub(super) struct ResponseWrite {
     writer: MessageWriter<ResponseEncoder>,
     stall_timer: WriteStallTimer,
@@ -44,11 +44,11 @@
     }
 }
 
-/// Begins and runs the requests behind the one whose turn it is. Resolves when
-/// the caller has hung up, as [`Inbound::poll_hang_up`] does, which is asked
-/// first: a handler that could go on after a wait does nothing more for a
-/// caller that left meanwhile, and one for a caller that left before it was
-/// read does not begin.
+/// Starts and polls the pipelined requests behind the current one. Resolves
+/// when the caller has disconnected, as detected by [`Inbound::poll_hang_up`].
+/// That check comes first, so that a waiting handler does no more work for a
+/// caller that has left, and the handler of a caller that left before its
+/// request was read never starts.
 fn poll_pipeline<H: Handler>(
     inbound: &mut Inbound,
     pipeline: &mut Pipeline<H::ResponseFuture>,
@@ -56,7 +56,7 @@
     context: &mut Context<'_>,
 ) -> Poll<()> {
     while pipeline.start_next(inbound, service) {
-        // What was begun made room for more to be read.
+        // Starting a request freed buffer space, so more can be read.
         if inbound.poll_hang_up(context).is_ready() {
             return Poll::Ready(());
         }
@@ -66,8 +66,9 @@
 }
 
 impl<H: Handler> Connection<H> {
-    /// Runs one request and those begun behind it, and sends their answers.
-    /// Returns the connection if it can carry another one.
+    /// Executes one request and those pipelined behind it, and sends their
+    /// responses. Returns the connection if it can be reused for another
+    /// request.
     pub(super) async fn serve_request(
         &mut self,
         buffered: BufferedStream,
@@ -112,6 +113,8 @@
         }
     }
 
+    /// Counts the interrupted request and those behind it. Always returns
+    /// `None`, because the connection cannot be reused.
     fn record_interruption(&self, interruption: Interruption) -> Option<BufferedStream> {
         let guard = &self.service.guard;
         guard.count(interruption.count(), 1);
@@ -119,8 +122,8 @@
         None
     }
 
-    /// Runs the handler of a request with none before it; drops it when the
-    /// caller hangs up.
+    /// Runs the handler of the first request in the pipeline, and drops it when
+    /// the caller disconnects.
     async fn run_handler(
         &mut self,
         request: Request,
@@ -146,7 +149,7 @@
         .await
     }
 
-    /// Waits for the answer whose turn it is.
+    /// Waits for the next response in order.
     async fn next_response(
         &mut self,
         inbound: &mut Inbound,
@@ -169,9 +172,9 @@
         .await
     }
 
-    /// Says `Connection: close` when this is the last answer. While requests
-    /// run behind it, it is not: those are answered first, and no further one
-    /// is begun.
+    /// Adds `Connection: close` if this is the last response, and returns
+    /// whether it is. If requests are running behind it, it is not the last:
+    /// they are answered first, and no further request is started.
     fn decide_close(
         &mut self,
         mut response: Response,
@@ -189,8 +192,8 @@
         if !closes {
             return (response, false);
         }
-        // Also where none is ahead: one that is begun while this answer leaves
-        // would run and get none.
+        // This applies even if the pipeline is empty: a request started while
+        // this response is being sent would run and get no response.
         self.pipeline.close();
         if self.pipeline.len() > 0 {
             response.remove_header(CONNECTION);
@@ -200,7 +203,8 @@
         (response, true)
     }
 
-    /// Sends an answer. One that is lost before any of it left is replaced.
+    /// Sends a response. If it fails before any of it was sent, an error
+    /// response is sent instead.
     async fn send_response(
         &mut self,
         response: Response,
@@ -221,9 +225,9 @@
         sent
     }
 
-    /// Tells the caller that its answer was lost, while there is still time
-    /// for a whole answer. The work behind may have been done. The connection
-    /// ends, unless requests run behind this one.
+    /// Sends an error response in place of one that failed before any of it was
+    /// sent. The request may have been executed. The connection closes
+    /// afterwards, unless requests are running behind this one.
     async fn send_failure(
         &mut self,
         method: Method,
@@ -238,6 +242,7 @@
         self.send(write, inbound).await
     }
 
+    /// Sends a response while the pipelined requests behind it run.
     pub(super) async fn send(
         &mut self,
         write: ResponseWrite,
--- a/crates/net/src/server/handler.rs
+++ b/crates/net/src/server/handler.rs
@@ -1,4 +1,4 @@
-//! What answers requests.
+//! Request handlers.
 
 use std::future::Future;
 
@@ -6,18 +6,18 @@
 
 use super::report::ConnectionInfo;
 
-/// Answers the requests of a server. Closures are handlers whose requests run
+/// Handles the requests of a server. Closures are handlers whose requests run
 /// one at a time on each connection.
 pub trait Handler: Clone + Send + 'static {
-    /// The work on one request.
+    /// Future that resolves to the response.
     type ResponseFuture: Future<Output = Response> + Send + 'static;
 
-    /// Begins to answer a request.
+    /// Starts handling a request.
     fn handle(&self, request: Request, connection: ConnectionInfo) -> Self::ResponseFuture;
 
-    /// Whether the request may run beside others of its connection that also
-    /// may, by its head alone: it changes nothing, so that the order in which
-    /// they run does not matter.
+    /// Whether the request may run concurrently with other such requests of its
+    /// connection. Decided from its head alone: true only if it changes
+    /// nothing, so that the order of execution does not matter.
     fn may_run_concurrently(&self, _request: &Request) -> bool {
         false
     }
@@ -35,12 +35,13 @@
     }
 }
 
-/// A handler with a rule which requests may run side by side.
+/// Handler combined with a predicate that selects the requests that may run
+/// concurrently.
 #[derive(Clone, Debug)]
 pub struct ConcurrentHandler<H, R> {
-    /// Answers each request.
+    /// Handles each request.
     pub handler: H,
-    /// Says of a head whether it [runs beside](Handler::may_run_concurrently) others.
+    /// Implements [`Handler::may_run_concurrently`].
     pub may_run_concurrently: R,
 }
 
--- a/crates/net/src/server/inbound.rs
+++ b/crates/net/src/server/inbound.rs
@@ -1,4 +1,4 @@
-//! Watches whether the caller of a running request is still there.
+//! Detects a caller that disconnects while its request is running.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -9,28 +9,29 @@
 use crate::body::{BodyFault, ReleasedConnection};
 use crate::buffered_stream::BufferedStream;
 
-/// Bytes of further requests that are read ahead while one is running. A
-/// caller that sends more is read no further until its answer has left.
+/// Maximum number of bytes of further requests that are read while one is
+/// running. If a caller sends more, reading stops until its response has been
+/// sent.
 const MAX_READ_AHEAD: usize = 16 * 1024;
 
-/// The receiving side of a connection while its request is running.
+/// Receiving side of a connection while its request is running.
 #[derive(Debug)]
 pub(super) enum Inbound {
-    /// The request has been read whole.
+    /// The request has been read completely.
     RequestRead(BufferedStream),
     /// The handler is reading the body.
     ReadingBody(oneshot::Receiver<ReleasedConnection>),
-    /// The rest of the body is unread, and nobody will read it.
+    /// The rest of the body is unread, and no one will read it.
     BodyUnread(BufferedStream),
-    /// The body was malformed, too large or too slow. The handler decides
-    /// what to answer.
+    /// The body was malformed, too large or too slow. The handler decides on
+    /// the response.
     BodyInvalid,
-    /// The caller is gone.
+    /// The caller has disconnected.
     Closed,
 }
 
 impl Inbound {
-    /// Resolves when the caller has hung up. Bytes that it sent ahead are
+    /// Resolves when the caller has disconnected. Bytes that it sent ahead are
     /// kept.
     pub(super) fn poll_hang_up(&mut self, context: &mut Context<'_>) -> Poll<()> {
         loop {
@@ -54,8 +55,8 @@
         }
     }
 
-    /// Takes the connection for the next request, if the body was read to its
-    /// end.
+    /// Takes the connection back for the next request if the body has been read
+    /// to its end.
     pub(super) fn reclaim_connection(&mut self) {
         if let Inbound::ReadingBody(body) = self {
             match body.try_recv() {
--- a/crates/net/src/server/interruption.rs
+++ b/crates/net/src/server/interruption.rs
@@ -1,19 +1,22 @@
-//! What ends requests before their answers have left whole.
+//! Reasons why a request ends before its whole response was sent.
 
 use super::report::CounterKind;
 
-/// What ended a request before its answer had left whole.
+/// Reason why a request ended before its whole response was sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Interruption {
+    /// The caller disconnected or stopped reading.
     HungUp,
-    /// The answer's body failed after some of the answer had left.
+    /// The response body failed after part of the response was sent.
     Truncated,
-    /// The answer's body failed before any of the answer had left.
+    /// The response body failed before any of the response was sent.
     Unsent,
+    /// The drain timeout passed.
     Aborted,
 }
 
 impl Interruption {
+    /// Returns the counter for the interrupted request itself.
     pub(super) fn count(self) -> CounterKind {
         match self {
             Interruption::HungUp => CounterKind::HungUp,
@@ -22,7 +25,7 @@
         }
     }
 
-    /// As what the requests behind the interrupted one count.
+    /// Returns the counter for the requests behind the interrupted one.
     pub(super) fn count_queued(self) -> CounterKind {
         match self {
             Interruption::HungUp => CounterKind::HungUp,
--- a/crates/net/src/server/limits.rs
+++ b/crates/net/src/server/limits.rs
@@ -1,46 +1,47 @@
-//! Bounds on what callers may cost a server.
+//! Limits on the resources that callers may use.
 
 use std::time::Duration;
 
 use crate::head::MAX_HEAD_BYTES;
 
-/// Requests of one connection that may run behind the one being answered:
-/// with it sixteen, twice what callers of one page send at once.
+/// Requests of one connection that may run behind the current one. With that
+/// one sixteen, twice what a caller sends at once to load a page.
 const MAX_PIPELINED_REQUESTS: usize = 15;
-/// Bytes of answers of one connection that may wait for their turn: four of
-/// the largest that handlers hold whole.
+/// Bytes of completed responses of one connection that may wait for their turn:
+/// four of the largest responses that handlers hold in memory.
 const MAX_PIPELINED_RESPONSE_BYTES: u64 = 256 * 1024;
 
-/// Bounds on what callers may cost the server.
+/// Limits on the resources that callers may use.
 #[derive(Clone, Debug)]
 pub struct ServerLimits {
-    /// Largest head of a request, in bytes; at most [`MAX_HEAD_BYTES`].
+    /// Largest request head, in bytes; at most [`MAX_HEAD_BYTES`].
     pub max_head_bytes: usize,
-    /// Largest body of a request, in bytes.
+    /// Largest request body, in bytes.
     pub max_body_bytes: u64,
-    /// Requests of one connection that may run behind the one being answered,
-    /// where the handler lets them [run beside](super::Handler::may_run_concurrently)
-    /// it. The next ones stay unread.
+    /// Maximum number of requests of one connection that run behind the current
+    /// one, if the handler lets them [run
+    /// concurrently](super::Handler::may_run_concurrently). Further requests
+    /// stay unread.
     pub max_pipelined_requests: usize,
-    /// Bytes of answers of one connection that wait for their turn, beyond
-    /// which no further request is begun.
+    /// Bytes of completed responses of one connection waiting for their turn,
+    /// above which no further request is started.
     pub max_pipelined_response_bytes: u64,
-    /// Connections open at once; further ones are refused.
+    /// Maximum number of open connections; further ones are rejected.
     pub max_connections: usize,
-    /// Longest time from the first byte of a head to its end.
+    /// Maximum time from the first byte of a head to its end.
     pub head_timeout: Duration,
-    /// Longest wait for the next request on an open connection.
+    /// Maximum wait for the next request on an open connection.
     pub idle_timeout: Duration,
-    /// Longest time for a body, extended by one second for each
-    /// [`MIN_BODY_BYTES_PER_SECOND`](crate::MIN_BODY_BYTES_PER_SECOND)
-    /// that came.
+    /// Maximum time for a body, extended by one second for every
+    /// [`MIN_BODY_BYTES_PER_SECOND`](crate::MIN_BODY_BYTES_PER_SECOND) bytes
+    /// received.
     pub body_timeout: Duration,
-    /// Longest wait for a caller to take more of its answer.
+    /// Maximum wait for a caller to read more of its response.
     pub write_timeout: Duration,
-    /// Longest wait after the stop signal for running requests to end.
+    /// Maximum wait after the stop signal for running requests to finish.
     pub drain_timeout: Duration,
-    /// How long connections without a request stay open after the stop
-    /// signal, for requests already on their way.
+    /// Time for which connections without a request stay open after the stop
+    /// signal, for requests already in transit.
     pub stop_idle_timeout: Duration,
 }
 
--- a/crates/net/src/server/mod.rs
+++ b/crates/net/src/server/mod.rs
@@ -1,6 +1,6 @@
-//! HTTP/1.1 server: one task a connection. Requests of one connection run one
-//! at a time, or side by side where the handler says so; answers leave in the
-//! order of their requests.
+//! HTTP/1.1 server with one task per connection. Requests of one connection run
+//! one at a time, or concurrently if the handler allows it; responses are sent
+//! in the order of the requests.
 
 mod closing;
 mod connection;
@@ -37,27 +37,26 @@
 pub use limits::ServerLimits;
 pub use report::{ConnectionInfo, ServeReport};
 
-/// Wait after the kernel refused to accept, for example for want of file
-/// descriptors.
+/// Delay after a failed accept, for example for lack of file descriptors.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
-/// Serves until `stop` is given and everything that runs has been answered,
-/// or the drain timeout has passed.
+/// Serves until `stop` is given and all running requests have been answered, or
+/// the drain timeout has passed.
 ///
-/// The future of `handler` is dropped when the caller hangs up, and is not
-/// polled for one that has. A caller that shuts down its sending side is taken
-/// to have hung up. One that still sends its body, or has sent all of it, is
-/// looked for once the body has been read and the future is polled again.
+/// The future of `handler` is dropped when the caller disconnects, and is not
+/// polled again afterwards. A caller that shuts down its sending side counts as
+/// disconnected. While a caller is sending its body, or has sent all of it, a
+/// disconnect is detected only after the body has been read and the future is
+/// polled again.
 ///
-/// Requests that a caller sends before it has its answers run side by side as
-/// far as the [`Handler`] and the limits let them. A close that an answer or
-/// the stop asks for waits for the requests begun behind it; those that were
-/// not begun are not run.
+/// Pipelined requests run concurrently as far as the [`Handler`] and the limits
+/// allow. If a response or the stop signal requires the connection to close, it
+/// closes after the requests already started; later ones are not run.
 ///
-/// A planned stop cuts off nothing: connections that wait to be accepted are
-/// still taken, running requests are answered with `Connection: close`, and
-/// connections without a request stay open for the time of
-/// [`ServerLimits::stop_idle_timeout`], for requests already on their way.
+/// A graceful stop interrupts nothing: connections waiting to be accepted are
+/// still accepted, running requests are answered with `Connection: close`, and
+/// connections without a request stay open for
+/// [`ServerLimits::stop_idle_timeout`], for requests already in transit.
 pub async fn serve<H: Handler>(
     listener: TcpListener,
     limits: ServerLimits,
@@ -76,6 +75,7 @@
     server.drain().await
 }
 
+/// State of a running server.
 struct Server<H> {
     limits: Arc<ServerLimits>,
     stop: StopSignal,
@@ -99,21 +99,22 @@
                 None => return,
                 Some(Ok((stream, peer))) => self.start(stream, peer),
                 Some(Err(error)) => {
-                    tracing::warn!(%error, "accepting a connection failed");
+                    tracing::warn!(%error, "failed to accept a connection");
                     timer::sleep(ACCEPT_RETRY).await;
                 }
             }
         }
     }
 
-    /// Takes the connections that the kernel has completed already: closing
-    /// the listener would reset them, with requests that they carry.
+    /// Accepts the connections that the kernel has already established: closing
+    /// the listener would reset them, together with the requests they carry.
     fn accept_backlog(&self, listener: &TcpListener) {
         while let Some(Ok((stream, peer))) = listener.accept().now_or_never() {
             self.start(stream, peer);
         }
     }
 
+    /// Starts a task for a new connection, or rejects it if too many are open.
     fn start(&self, stream: TcpStream, peer: SocketAddr) {
         let Ok(local) = stream.local_addr() else {
             return;
@@ -141,6 +142,8 @@
         async_std::task::spawn(Connection::new(stream, service).run());
     }
 
+    /// Waits until all connections are closed, and aborts them after the drain
+    /// timeout.
     async fn drain(mut self) -> ServeReport {
         self.tracker.release_server_guard();
         let drained = self.tracker.all_closed();
--- a/crates/net/src/server/pipeline.rs
+++ b/crates/net/src/server/pipeline.rs
@@ -1,4 +1,4 @@
-//! Requests of one connection that run behind the one being answered.
+//! Pipelined requests that run behind the current request of a connection.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -16,11 +16,11 @@
 use crate::buffered_stream::BufferedStream;
 use crate::head::HeadSearch;
 
-/// What an answer has to know of its request.
+/// Properties of a request that are needed to send its response.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RequestSummary {
     pub(super) method: Method,
-    /// The caller closes the connection after this request.
+    /// Whether the caller closes the connection after this request.
     pub(super) closes: bool,
 }
 
@@ -33,17 +33,18 @@
     }
 }
 
-/// A request that was begun, until its answer's turn has come.
+/// A started request, until it is the turn of its response.
 #[derive(Debug)]
 struct PipelineEntry {
     summary: RequestSummary,
     response: Option<Response>,
 }
 
-/// The work on one request, with its number on the connection.
+/// The handler future of one request, with the number of the request on the
+/// connection.
 struct NumberedResponse<F> {
     number: u64,
-    response: Pin<Box<F>>,
+    future: Pin<Box<F>>,
 }
 
 impl<F: Future<Output = Response>> Future for NumberedResponse<F> {
@@ -51,29 +52,29 @@
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Self::Output> {
         let number = self.number;
-        let response = self.response.as_mut();
-        response.poll(context).map(|response| (number, response))
+        let future = self.future.as_mut();
+        future.poll(context).map(|response| (number, response))
     }
 }
 
-/// Requests begun before their turn, in their order. It costs nothing while
-/// the caller waits for each answer.
+/// Queue of requests started before their turn, in order. It allocates nothing
+/// while the caller waits for each response.
 pub(super) struct Pipeline<F> {
     running: Option<FuturesUnordered<NumberedResponse<F>>>,
     entries: VecDeque<PipelineEntry>,
-    /// Number of the first place.
+    /// Number of the first entry.
     first_number: u64,
-    /// Requests not answered that have no place: the one that began with none
-    /// before it, or the one whose answer is leaving.
+    /// Number of unanswered requests without an entry: 1 while the first
+    /// request is running or a response is being sent, otherwise 0.
     outside_queue: usize,
-    /// Bytes of the bodies of answers that wait for their turn.
+    /// Bytes of the bodies of completed responses that wait for their turn.
     buffered_bytes: u64,
-    /// Further requests may be begun.
+    /// Whether further requests may be started.
     accepts_more: bool,
-    /// The connection closes after the last answer.
+    /// Whether the connection closes after the last response.
     closing: bool,
     search: HeadSearch,
-    /// The next request, which waits for all before it.
+    /// The next request, if it must wait for all requests before it.
     deferred: Option<ReadRequest>,
 }
 
@@ -92,7 +93,7 @@
         }
     }
 
-    /// A request begins with none before it.
+    /// Records that a request starts with none before it.
     pub(super) fn start_first<H>(&mut self, head: &RequestHead, service: &Service<H>)
     where
         H: Handler<ResponseFuture = F>,
@@ -104,7 +105,7 @@
             && service.handler.may_run_concurrently(&head.request);
     }
 
-    /// Begins the next request if it may run now; `false` if not.
+    /// Starts the next request if it may run now; returns whether it did.
     pub(super) fn start_next<H>(&mut self, inbound: &mut Inbound, service: &Service<H>) -> bool
     where
         H: Handler<ResponseFuture = F>,
@@ -150,8 +151,8 @@
             && self.buffered_bytes < limits.max_pipelined_response_bytes
     }
 
-    /// Takes the next head if it is here whole. One that is too large is left
-    /// for its turn, in which it is refused.
+    /// Takes the next head if it has arrived completely. A head that is too
+    /// large stays unread and is refused when it is its turn.
     fn read_next(
         &mut self,
         buffered: &mut BufferedStream,
@@ -166,7 +167,7 @@
         Some(request::take_head(buffered, length, limits.max_body_bytes))
     }
 
-    fn push(&mut self, summary: RequestSummary, response: F) {
+    fn push(&mut self, summary: RequestSummary, future: F) {
         let number = self.first_number + self.entries.len() as u64;
         self.entries.push_back(PipelineEntry {
             summary,
@@ -175,18 +176,18 @@
         let running = self.running.get_or_insert_with(FuturesUnordered::new);
         running.push(NumberedResponse {
             number,
-            response: Box::pin(response),
+            future: Box::pin(future),
         });
     }
 
-    /// Lets the requests go on that can.
+    /// Polls the running requests.
     pub(super) fn poll_running(&mut self, context: &mut Context<'_>) {
         let Some(running) = &mut self.running else {
             return;
         };
         while let Poll::Ready(Some(done)) = Pin::new(&mut *running).poll_next(context) {
             let (number, response) = done;
-            // All numbers from the first on have a place.
+            // Every number from the first one on has an entry.
             let Some(entry) = self.entries.get_mut((number - self.first_number) as usize) else {
                 continue;
             };
@@ -195,12 +196,12 @@
         }
     }
 
-    /// The answer before the first place has left.
+    /// Records that the response before the first entry has been sent.
     pub(super) fn finish_current(&mut self) {
         self.outside_queue = 0;
     }
 
-    /// The answer whose turn it is, once it is there.
+    /// Returns the first response in order, if it is complete.
     pub(super) fn take_next_response(&mut self) -> Option<(RequestSummary, Response)> {
         let response = self.entries.front_mut()?.response.take()?;
         let entry = self.entries.pop_front()?;
@@ -213,12 +214,13 @@
         Some((entry.summary, response))
     }
 
-    /// The request that waited for all before it.
+    /// Takes the request that waited for all requests before it.
     pub(super) fn take_deferred(&mut self) -> Option<ReadRequest> {
         self.deferred.take()
     }
 
-    /// Begins no further request: the connection closes after those begun.
+    /// Starts no further requests; the connection closes after those already
+    /// started.
     pub(super) fn close(&mut self) {
         self.accepts_more = false;
         self.closing = true;
@@ -228,13 +230,15 @@
         self.closing
     }
 
-    /// Requests begun whose answers have not had their turn.
+    /// Number of started requests whose responses are still waiting for their
+    /// turn.
     pub(super) fn len(&self) -> usize {
         self.entries.len()
     }
 }
 
-/// A body of unknown length is not read before its turn and holds nothing.
+/// Body length of a response. A body of unknown length is not read before its
+/// turn and therefore occupies no memory.
 fn buffered_len(response: &Response) -> u64 {
     response.len().unwrap_or(0) as u64
 }
--- a/crates/net/src/server/report.rs
+++ b/crates/net/src/server/report.rs
@@ -1,4 +1,4 @@
-//! Counts of one server, and the end of its connections.
+//! Counters of a server and tracking of its open connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,42 +7,44 @@
 use crate::Instant;
 use crate::stop::{StopSignal, Stopped};
 
-/// Where a request came from, and when.
+/// Origin and arrival of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionInfo {
-    /// The caller's address.
+    /// Address of the caller.
     pub peer: SocketAddr,
-    /// The address it reached.
+    /// Local address that the caller connected to.
     pub local: SocketAddr,
-    /// When the end of its head came.
+    /// Time at which the end of the request head arrived.
     pub read_at: Instant,
-    /// Requests of its connection that were not answered when it was begun.
+    /// Number of earlier requests of the connection that were unanswered when
+    /// this one was started.
     pub unanswered_before: usize,
 }
 
-/// What a server did until it stopped.
+/// Statistics of a server from start to stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServeReport {
     /// Connections accepted.
     pub connections: u64,
-    /// Connections closed at once because too many were open.
+    /// Connections rejected because too many were open.
     pub refused_connections: u64,
-    /// Requests handed to the handler.
+    /// Requests passed to the handler.
     pub requests: u64,
     /// Requests refused by the server itself.
     pub refused_requests: u64,
-    /// Requests whose caller hung up before it had its whole answer.
+    /// Requests whose caller disconnected before its whole response was sent.
     pub hung_up: u64,
-    /// Answers cut short because their body failed after the head was sent.
+    /// Responses whose body failed. Each was truncated or, if none of it had
+    /// been sent, replaced by an error response.
     pub truncated: u64,
-    /// Requests that got no answer because one before them on their
-    /// connection was cut short.
+    /// Requests that got no response because an earlier response on their
+    /// connection was truncated.
     pub abandoned: u64,
-    /// Requests cut off when the drain timeout passed.
+    /// Requests aborted when the drain timeout passed.
     pub aborted: u64,
 }
 
-/// Which event to count.
+/// Selects the counter to increment.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum CounterKind {
     Request,
@@ -68,13 +70,15 @@
 #[derive(Debug, Default)]
 struct Shared {
     counters: Counters,
-    /// Open connections, and one for the server itself until it drains.
+    /// Number of open connections, plus one for the server itself until it
+    /// drains.
     open: AtomicUsize,
     all_closed: StopSignal,
     abort: StopSignal,
 }
 
-/// Counts connections and requests, and tells when all are gone.
+/// Counts connections and requests, and reports when all connections are
+/// closed.
 #[derive(Debug)]
 pub(super) struct ConnectionTracker {
     shared: Arc<Shared>,
@@ -94,7 +98,8 @@
         }
     }
 
-    /// Counts a connection in, or refuses it when `limit` are open.
+    /// Registers a connection, or returns `None` if `limit` connections are
+    /// open.
     pub(super) fn open(&self, limit: usize) -> Option<ConnectionGuard> {
         let counters = &self.shared.counters;
         if self.shared.open.load(Ordering::Relaxed) > limit {
@@ -108,18 +113,19 @@
         })
     }
 
-    /// Resolves when no connection is open. No further one may be opened.
+    /// Returns a future that resolves when all connections are closed. None may
+    /// be opened after that.
     pub(super) fn all_closed(&self) -> Stopped {
         self.shared.all_closed.stopped()
     }
 
-    /// Tells every connection to end now.
+    /// Signals all connections to close now.
     pub(super) fn abort_all(&self) {
         self.shared.abort.stop();
     }
 
-    /// Lets the server's own share go, so that the last connection to close
-    /// is noticed.
+    /// Drops the guard of the server itself, so that closing the last
+    /// connection is noticed.
     pub(super) fn release_server_guard(&mut self) {
         self.server_guard = None;
     }
@@ -140,7 +146,7 @@
     }
 }
 
-/// Held by each connection while it is open.
+/// Guard held by each open connection.
 #[derive(Debug)]
 pub(super) struct ConnectionGuard {
     shared: Arc<Shared>,
@@ -160,7 +166,7 @@
         counter.fetch_add(requests as u64, Ordering::Relaxed);
     }
 
-    /// Resolves when the drain timeout has passed.
+    /// Returns a future that resolves when the drain timeout has passed.
     pub(super) fn abort_signal(&self) -> Stopped {
         self.shared.abort.stopped()
     }
--- a/crates/net/src/server/request.rs
+++ b/crates/net/src/server/request.rs
@@ -1,4 +1,4 @@
-//! Reads and checks the head of a request.
+//! Parses and checks the head of a request.
 
 use futures::FutureExt;
 use http_types::headers::{CONTENT_TYPE, EXPECT, HOST};
@@ -11,7 +11,7 @@
 use crate::framing::BodyDecoder;
 use crate::head::{self, HeadBytes};
 
-/// Why the server refuses a request itself.
+/// Reason why the server itself refuses a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum RequestFault {
     HeadTooLarge,
@@ -22,6 +22,7 @@
 }
 
 impl RequestFault {
+    /// Builds the error response.
     pub(super) fn response(&self) -> Response {
         let (reason, detail) = match self {
             RequestFault::HeadTooLarge => (NotRunReason::TooLarge, "the head is too large"),
@@ -42,28 +43,28 @@
     }
 }
 
-/// A head read and checked.
+/// A parsed and checked request head.
 #[derive(Debug)]
 pub(super) struct RequestHead {
     pub(super) request: Request,
-    /// How the body is framed; `None` when there is none.
+    /// Body framing; `None` if there is no body.
     pub(super) body: Option<BodyDecoder>,
-    /// The caller closes the connection after this request.
+    /// Whether the caller closes the connection after this request.
     pub(super) closes: bool,
-    /// The caller waits for `100 Continue` before it sends the body.
+    /// Whether the caller waits for `100 Continue` before it sends the body.
     pub(super) expects_continue: bool,
 }
 
-/// A request whose head came.
+/// A request whose head has arrived.
 #[derive(Debug)]
 pub(super) struct ReadRequest {
     pub(super) head: Result<RequestHead, RequestFault>,
-    /// When the end of the head came. Its deadline counts from here, also if
-    /// it waits for those before it.
+    /// Time at which the end of the head arrived. The deadline of the request
+    /// counts from this time, even if it waits for earlier requests.
     pub(super) read_at: Instant,
 }
 
-/// Takes a whole head of `length` bytes.
+/// Consumes and parses a complete head of `length` bytes.
 pub(super) fn take_head(
     buffered: &mut BufferedStream,
     length: usize,
@@ -75,11 +76,11 @@
     ReadRequest { head, read_at }
 }
 
-/// Parses a whole head. Not async, so that the large buffers of async-h1 stay
-/// out of the futures that are kept.
+/// Parses a complete head. This function is not async, so that the large
+/// buffers of async-h1 do not become part of long-lived futures.
 fn parse(head: &[u8], max_body_bytes: u64) -> Result<RequestHead, RequestFault> {
     head::check_bytes(head).map_err(malformed)?;
-    // The bytes are all here, so that this never waits.
+    // All bytes are available, so decoding never waits.
     let decoded = async_h1::server::decode(HeadBytes::new(head)).now_or_never();
     let mut request = match decoded.unwrap_or(Ok(None)) {
         Ok(Some((request, _body))) => request,
@@ -89,7 +90,7 @@
     if !head::has_header(head, "content-type") {
         request.remove_header(CONTENT_TYPE);
     }
-    check(&request)?;
+    check_request(&request)?;
     check_target(head, &request)?;
     let body = head::framing(request.as_ref()).map_err(malformed)?;
     if body
@@ -109,7 +110,8 @@
     })
 }
 
-fn check(request: &Request) -> Result<(), RequestFault> {
+/// Checks version, method and Host header.
+fn check_request(request: &Request) -> Result<(), RequestFault> {
     if request.version() != Some(Version::Http1_1) {
         return Err(RequestFault::Unsupported("only HTTP/1.1 is served"));
     }
@@ -130,8 +132,8 @@
     Ok(())
 }
 
-/// A target with a host of its own must name the same as the Host header:
-/// the one decides the route, and the back end may look at the other.
+/// Checks that a target with its own host names the same host as the Host
+/// header: one decides the route, and the back end may use the other.
 fn check_target(head: &[u8], request: &Request) -> Result<(), RequestFault> {
     let mut words = head.split(|byte| *byte == b' ');
     let target = words.nth(1).unwrap_or_default();
--- a/crates/net/src/server/request_body.rs
+++ b/crates/net/src/server/request_body.rs
@@ -1,4 +1,4 @@
-//! Gives a request the body that follows its head on the connection.
+//! Attaches the body that follows a request head on the connection.
 
 use futures::channel::oneshot;
 use http_types::headers::CONTENT_LENGTH;
@@ -12,8 +12,8 @@
 use crate::buffered_stream::BufferedStream;
 use crate::message::Message;
 
-/// Puts the connection into the request's body, which gives it back to the
-/// [`Inbound`] when it ends.
+/// Moves the connection into the body of the request, which returns it to the
+/// [`Inbound`] state when it ends.
 pub(super) fn attach_body(
     buffered: BufferedStream,
     head: RequestHead,
@@ -33,7 +33,7 @@
         base: limits.body_timeout,
     };
     let on_release = Box::new(move |released| {
-        // The connection is closed already when nobody receives this.
+        // If nobody receives this, the connection is already closed.
         let _ = sender.send(released);
     });
     let reader = BodyReader::new(
--- a/crates/net/src/server/response_encoder.rs
+++ b/crates/net/src/server/response_encoder.rs
@@ -1,4 +1,4 @@
-//! Writes responses.
+//! Encodes responses.
 
 use std::io;
 use std::pin::Pin;
@@ -9,8 +9,8 @@
 use http_types::headers::{CONTENT_LENGTH, TRANSFER_ENCODING};
 use http_types::{Method, Response, StatusCode};
 
-/// Yields the bytes of one response and fails when its body is shorter than
-/// the head announced, so that a truncated answer never looks whole.
+/// Yields the bytes of one response and fails if its body is shorter than the
+/// head announced, so that a truncated response never looks complete.
 #[derive(Debug)]
 pub(super) struct ResponseEncoder {
     encoder: Encoder,
@@ -21,15 +21,15 @@
 
 impl ResponseEncoder {
     pub(super) fn new(mut response: Response, method: Method) -> Self {
-        // The body alone decides the framing; a second one beside it would
-        // let two readers see two answers.
+        // Only the body determines the framing: with a second, different one
+        // two readers could see two different responses.
         response.remove_header(CONTENT_LENGTH);
         response.remove_header(TRANSFER_ENCODING);
         let status = response.status();
         let bodiless = has_no_body(status) || method == Method::Head;
         let length = response.len().map(|length| length as u64);
-        // async-h1 leaves out the body only in answers to HEAD; 204 and 304
-        // have none either.
+        // async-h1 omits the body only in responses to HEAD; responses with
+        // status 204 or 304 have none either.
         let method = if bodiless { Method::Head } else { method };
         ResponseEncoder {
             encoder: Encoder::new(response, method),
@@ -39,6 +39,8 @@
         }
     }
 
+    /// Records that the head was read, and removes its framing headers if the
+    /// status forbids them. Returns the length of the head.
     fn finish_head(&mut self, head: &mut [u8]) -> usize {
         self.head_pending = false;
         if self.strips_framing {
@@ -47,7 +49,9 @@
         head.len()
     }
 
-    fn count_body(&mut self, count: usize) -> io::Result<usize> {
+    /// Counts body bytes, and fails if the body ends before its announced
+    /// length.
+    fn check_body_length(&mut self, count: usize) -> io::Result<usize> {
         let Some(remaining) = &mut self.body_remaining else {
             return Ok(count);
         };
@@ -59,8 +63,8 @@
     }
 }
 
-/// The encoder yields the whole head in the first read when there is room,
-/// and then the body. A head for which there is no room is refused.
+/// The encoder yields the whole head in the first read if the buffer is large
+/// enough, and then the body. A head that does not fit is rejected.
 impl AsyncRead for ResponseEncoder {
     fn poll_read(
         mut self: Pin<&mut Self>,
@@ -69,7 +73,7 @@
     ) -> Poll<io::Result<usize>> {
         let count = ready!(Pin::new(&mut self.encoder).poll_read(context, buffer))?;
         if !self.head_pending {
-            return Poll::Ready(self.count_body(count));
+            return Poll::Ready(self.check_body_length(count));
         }
         let read = &mut buffer[..count];
         if read.ends_with(b"\r\n\r\n") {
@@ -90,7 +94,7 @@
     status.is_informational() || status == StatusCode::NoContent
 }
 
-/// Takes the framing headers out of a head; returns its new length.
+/// Removes the framing headers from a head and returns its new length.
 fn remove_framing(head: &mut [u8]) -> usize {
     let mut kept = 0;
     let mut start = 0;
--- a/crates/net/src/server/service.rs
+++ b/crates/net/src/server/service.rs
@@ -1,4 +1,4 @@
-//! What the requests of one connection have in common.
+//! State shared by the requests of one connection.
 
 use std::sync::Arc;
 
@@ -10,7 +10,8 @@
 use crate::Instant;
 use crate::stop::StopSignal;
 
-/// The server as one connection sees it.
+/// Handler, limits and signals of the server, together with the data of one
+/// connection.
 pub(super) struct Service<H> {
     pub(super) handler: H,
     pub(super) info: ConnectionInfo,
@@ -20,7 +21,8 @@
 }
 
 impl<H: Handler> Service<H> {
-    /// Begins to answer a request that came at `read_at` behind others.
+    /// Starts handling a request that arrived at `read_at`, with
+    /// `unanswered_before` earlier requests of the connection unanswered.
     pub(super) fn handle(
         &self,
         request: Request,
--- a/crates/net/src/stop.rs
+++ b/crates/net/src/stop.rs
@@ -1,4 +1,4 @@
-//! A signal that something should stop, given once and seen by all clones.
+//! One-shot stop signal shared by all its clones.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -9,7 +9,8 @@
 
 use parking_lot::Mutex;
 
-/// Clonable signal to stop. All clones share one state; it is never unset.
+/// Stop signal that can be cloned. All clones share one state, and the signal
+/// cannot be withdrawn.
 #[derive(Clone, Debug, Default)]
 pub struct StopSignal {
     shared: Arc<Shared>,
@@ -28,17 +29,17 @@
 }
 
 impl StopSignal {
-    /// A signal that is not yet given.
+    /// Creates a signal that has not been given.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Gives the signal and wakes everyone who waits for it.
+    /// Gives the signal and wakes all waiters.
     pub fn stop(&self) {
         let wakers = {
             let mut waiters = self.shared.waiters.lock();
-            // Set under the lock, so that a waiter either sees the flag or is
-            // in the map taken here.
+            // The flag is set under the lock, so that a waiter either sees it
+            // or is in the map taken here.
             self.shared.stopped.store(true, Ordering::Release);
             std::mem::take(&mut waiters.wakers)
         };
@@ -47,12 +48,12 @@
         }
     }
 
-    /// Whether the signal was given.
+    /// Whether the signal has been given.
     pub fn is_stopped(&self) -> bool {
         self.shared.stopped.load(Ordering::Acquire)
     }
 
-    /// Resolves when the signal is given.
+    /// Returns a future that resolves when the signal is given.
     pub fn stopped(&self) -> Stopped {
         Stopped {
             shared: self.shared.clone(),
@@ -61,10 +62,10 @@
     }
 }
 
-/// Future of [`StopSignal::stopped`].
+/// Future returned by [`StopSignal::stopped`].
 ///
-/// It takes the lock only when it is polled with another waker than before,
-/// so that one kept for the life of a connection costs one atomic load a poll.
+/// It takes the lock only when it is polled with a different waker, so that a
+/// future kept for the lifetime of a connection costs one atomic load per poll.
 #[derive(Debug)]
 pub struct Stopped {
     shared: Arc<Shared>,
--- a/crates/net/src/timer.rs
+++ b/crates/net/src/timer.rs
@@ -1,9 +1,9 @@
 //! Timers that are cheap to start and to drop.
 //!
-//! A timer of async-std wakes the reactor thread with a system call when it is
-//! first polled. Nearly every timeout here is dropped unused, several a
-//! request, so they share one queue whose driver is disturbed only when the
-//! earliest time moves forward.
+//! An async-std timer wakes the reactor thread with a system call on its first
+//! poll. Nearly all timeouts here are dropped before they expire, several per
+//! request. They therefore share one queue, and its driver is woken only when
+//! the earliest deadline moves forward.
 
 use std::collections::BTreeMap;
 use std::future::{Future, poll_fn};
@@ -17,17 +17,18 @@
 
 use crate::Instant;
 
-/// The driver looks again after this long at the latest. Its own timer stands
-/// still while the machine is suspended: what became due meanwhile is found
-/// when the next timer starts, and so soon after the end at the latest.
+/// Longest time that the driver sleeps before it checks the queue again. Its
+/// own timer stands still while the machine is suspended; timers that expired
+/// in the meantime are found when the next timer starts, and at the latest this
+/// long after the suspension.
 const MAX_DRIVER_SLEEP: Duration = Duration::from_millis(500);
 
-/// The time allowed passed first.
+/// The timeout expired first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the time allowed passed; allow more or look for what is slow")]
+#[error("the timeout expired; allow more time or find out what is slow")]
 pub struct Elapsed;
 
-/// Resolves at `deadline`.
+/// Returns a future that resolves at `deadline`.
 pub fn sleep_until(deadline: Instant) -> Sleep {
     Sleep {
         deadline,
@@ -35,12 +36,12 @@
     }
 }
 
-/// Resolves after `duration`.
+/// Returns a future that resolves after `duration`.
 pub fn sleep(duration: Duration) -> Sleep {
     sleep_until(Instant::now() + duration)
 }
 
-/// Runs `future` until it ends or `deadline` comes.
+/// Runs `future` until it completes or `deadline` is reached.
 pub async fn timeout_at<F: Future>(deadline: Instant, future: F) -> Result<F::Output, Elapsed> {
     let mut future = pin!(future);
     let mut sleep = sleep_until(deadline);
@@ -53,12 +54,12 @@
     .await
 }
 
-/// Runs `future` until it ends or `duration` has passed.
+/// Runs `future` until it completes or `duration` has passed.
 pub async fn timeout<F: Future>(duration: Duration, future: F) -> Result<F::Output, Elapsed> {
     timeout_at(Instant::now() + duration, future).await
 }
 
-/// Future of [`sleep_until`].
+/// Future returned by [`sleep_until`].
 #[derive(Debug)]
 pub struct Sleep {
     deadline: Instant,
@@ -66,7 +67,7 @@
 }
 
 impl Sleep {
-    /// When it resolves.
+    /// Time at which the future resolves.
     pub fn deadline(&self) -> Instant {
         self.deadline
     }
@@ -106,26 +107,31 @@
     }
 }
 
+/// Key that orders timers by deadline; the number makes it unique.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     deadline: Instant,
     number: u64,
 }
 
+/// Queue of all pending timers of the process.
 #[derive(Debug, Default)]
 struct TimerQueue {
     next_number: AtomicU64,
     state: Mutex<TimerState>,
 }
 
+/// Pending timers and the state of the driver.
 #[derive(Debug, Default)]
 struct TimerState {
     waiting: BTreeMap<TimerKey, Waker>,
-    /// When the driver will look next; `None` while it is looking.
+    /// Time at which the driver checks the queue next; `None` while it is
+    /// checking.
     driver_wakes: Option<Instant>,
     driver: Option<Waker>,
 }
 
+/// Returns the queue, and starts its driver on first use.
 fn queue() -> &'static TimerQueue {
     static QUEUE: OnceLock<TimerQueue> = OnceLock::new();
     static DRIVER: OnceLock<()> = OnceLock::new();
@@ -144,10 +150,13 @@
         key
     }
 
+    /// Stores the waker of a timer, and wakes the driver if it would otherwise
+    /// check the queue too late.
     fn set_waker(&self, key: TimerKey, waker: &Waker) {
         let mut state = self.state.lock();
         state.waiting.insert(key, waker.clone());
-        // Overdue: the machine was suspended while the driver slept.
+        // The second condition holds after the machine was suspended while the
+        // driver slept.
         let wake_driver = state
             .driver_wakes
             .is_some_and(|at| key.deadline < at || at < Instant::now());
@@ -170,7 +179,7 @@
         self.state.lock().waiting.remove(&key);
     }
 
-    /// Takes the wakers that are due.
+    /// Removes and returns the wakers of all expired timers.
     fn take_due(&self, now: Instant) -> Vec<Waker> {
         let mut state = self.state.lock();
         let mut due = Vec::new();
@@ -184,7 +193,8 @@
         due
     }
 
-    /// Notes when the driver looks next, and by what it is disturbed.
+    /// Records when the driver checks the queue next and the waker that wakes
+    /// it earlier. Returns that time.
     fn park_driver(&self, waker: &Waker) -> Instant {
         let mut state = self.state.lock();
         let earliest = state.waiting.keys().next().map(|key| key.deadline);
@@ -196,6 +206,7 @@
     }
 }
 
+/// Wakes expired timers, forever.
 async fn drive(queue: &'static TimerQueue) {
     loop {
         for waker in queue.take_due(Instant::now()) {
@@ -205,7 +216,7 @@
     }
 }
 
-/// Waits until the earliest timer is due or an earlier one was added.
+/// Waits until the earliest timer expires or an earlier one is added.
 async fn wait_for_next(queue: &'static TimerQueue) {
     let mut pause: Option<Pin<Box<dyn Future<Output = ()> + Send>>> = None;
     let mut parked_until = None;
--- a/crates/net/tests/client.rs
+++ b/crates/net/tests/client.rs
@@ -1,4 +1,4 @@
-//! Calls with JSON bodies, their typed failures and answers by lines.
+//! Calls with JSON bodies, their typed errors, and responses read line by line.
 
 mod support;
 
@@ -35,15 +35,15 @@
 }
 
 #[async_std::test]
-async fn json_goes_out_and_comes_back() {
+async fn json_round_trip() {
     let server = TestServer::start(quick_limits(), add_one).await;
     let client = HttpClient::default();
     for number in 0..20 {
-        let answer: Number = client
+        let response: Number = client
             .post_json(server.address, "/add", &Number { number }, SAFETY)
             .await
             .unwrap();
-        assert_eq!(answer.number, number + 1);
+        assert_eq!(response.number, number + 1);
     }
     assert_eq!(server.finish().await.connections, 1);
 }
@@ -111,70 +111,71 @@
     assert!(matches!(error, ClientError::Body(_)), "{error}");
 }
 
-/// A large answer over a full link comes slowly; to ask for it again would fill
-/// the link once more.
+/// Guards against a head timeout that also limits the body. A large response
+/// over a saturated link arrives slowly; requesting it again would saturate the
+/// link once more.
 #[async_std::test]
-async fn a_large_answer_is_read_on_beyond_the_time_for_its_head() {
+async fn a_large_response_may_take_longer_than_its_head_timeout() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (go_on, may_go_on) = async_std::channel::bounded(1);
+    let (continue_sender, continue_receiver) = async_std::channel::bounded(1);
     async_std::task::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
         let head = b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\n12";
         stream.write_all(head).await.unwrap();
-        may_go_on.recv().await.unwrap();
+        continue_receiver.recv().await.unwrap();
         stream.write_all(b"34").await.unwrap();
     });
-    let head_time = Duration::from_secs(1);
-    let pace = BodyTimeouts {
+    let head_timeout = Duration::from_secs(1);
+    let body_timeouts = BodyTimeouts {
         idle: SAFETY,
         total: SAFETY,
     };
     let request = http::Request::get("/").body(Vec::new()).unwrap();
     let client = HttpClient::default();
-    let answer = client.send_with_body_timeouts(address, request, head_time, pace);
+    let response = client.send_with_body_timeouts(address, request, head_timeout, body_timeouts);
     let late = async {
-        timer::sleep(head_time).await;
-        go_on.send(()).await.unwrap();
+        timer::sleep(head_timeout).await;
+        continue_sender.send(()).await.unwrap();
     };
-    let (answer, ()) = join(answer, late).await;
-    assert_eq!(answer.unwrap().body(), b"1234");
+    let (response, ()) = join(response, late).await;
+    assert_eq!(response.unwrap().body(), b"1234");
 }
 
 #[async_std::test]
-async fn a_large_answer_that_stops_coming_is_given_up() {
-    let answer = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\n12";
+async fn a_stalled_large_response_times_out() {
+    let response = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\n12";
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let peer = async_std::task::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
-        stream.write_all(answer.as_bytes()).await.unwrap();
+        stream.write_all(response.as_bytes()).await.unwrap();
         let mut rest = Vec::new();
-        // Ends when the client leaves, in order or not.
+        // Ends when the client closes the connection, gracefully or not.
         let _ = stream.read_to_end(&mut rest).await;
     });
-    let pace = BodyTimeouts {
+    let body_timeouts = BodyTimeouts {
         idle: Duration::from_millis(20),
         total: SAFETY,
     };
     let request = http::Request::get("/").body(Vec::new()).unwrap();
     let client = HttpClient::default();
-    let answer = client
-        .send_with_body_timeouts(address, request, SAFETY, pace)
+    let response = client
+        .send_with_body_timeouts(address, request, SAFETY, body_timeouts)
         .await;
-    let given_up = matches!(answer, Err(ClientError::Timeout { sent: true, .. }));
-    assert!(given_up, "{answer:?}");
+    let timed_out = matches!(response, Err(ClientError::Timeout { sent: true, .. }));
+    assert!(timed_out, "{response:?}");
     peer.await;
 }
 
 #[async_std::test]
-async fn an_answer_above_the_limit_is_refused() {
+async fn a_response_above_the_limit_is_refused() {
     let client = HttpClient::new(PoolSettings {
         max_body_bytes: 4,
         ..PoolSettings::default()
     });
-    let answer = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\n12345";
-    let peer = peer_with_script(vec![answer.into()]).await;
+    let response = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\n12345";
+    let peer = peer_with_script(vec![response.into()]).await;
     let got: Result<u64, _> = client.get_json(peer, "/", SAFETY).await;
     assert!(matches!(
         got,
@@ -183,16 +184,17 @@
 }
 
 #[async_std::test]
-async fn lines_come_one_by_one_and_an_answer_cut_short_is_an_error() {
+async fn lines_are_read_one_by_one_and_truncation_is_an_error() {
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
     let one = "f\r\n{\"number\":1}\n{\"\r\n";
     let two = "a\r\nnumber\":2}\r\n1\r\n\n\r\n";
-    let whole = format!("{head}{one}{two}0\r\n\r\n");
-    let cut = format!("{head}{one}{two}");
-    let peer = peer_with_script(vec![whole.into(), cut.into()]).await;
-    for ends_well in [true, false] {
-        // A client of its own: the peer closes after each answer, and its close
-        // may come only after a pool would have used the connection again.
+    let complete = format!("{head}{one}{two}0\r\n\r\n");
+    let truncated = format!("{head}{one}{two}");
+    let peer = peer_with_script(vec![complete.into(), truncated.into()]).await;
+    for is_complete in [true, false] {
+        // A separate client for each response: the peer closes after each, and
+        // the close may arrive only after a pool would have reused the
+        // connection.
         let client = HttpClient::default();
         let mut lines = client.get_json_lines(peer, "/", SAFETY).await.unwrap();
         for number in [1, 2] {
@@ -201,15 +203,15 @@
         }
         let end: Result<Option<Number>, _> = lines.next(SAFETY).await;
         match end {
-            Ok(None) => assert!(ends_well),
-            Err(ClientError::Broken(_)) => assert!(!ends_well),
+            Ok(None) => assert!(is_complete),
+            Err(ClientError::Broken(_)) => assert!(!is_complete),
             other => panic!("{other:?}"),
         }
     }
 }
 
 #[async_std::test]
-async fn waiting_for_a_line_may_be_taken_up_again_after_a_timeout() {
+async fn waiting_for_a_line_can_continue_after_a_timeout() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let client = HttpClient::default();
@@ -231,16 +233,17 @@
     assert_eq!(line, Some(Number { number: 7 }));
 }
 
-/// A call that this client does not make says nothing about the peer.
+/// A call that the client did not make because of its own connection limit says
+/// nothing about the peer.
 #[async_std::test]
-async fn call_beyond_the_connections_allowed_is_told_apart() {
+async fn a_call_beyond_the_connection_limit_is_distinguished() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let client = HttpClient::new(PoolSettings {
         connections_per_address: 1,
         ..PoolSettings::default()
     });
-    // Both are polled in this order; nobody ever answers the first.
+    // Both are polled in this order; the first never gets a response.
     let first = pin!(client.get_json::<u32>(address, "/silent", SAFETY));
     let second = pin!(client.get_json::<u32>(address, "/silent", SAFETY));
     let ended = select(first, second).await;
--- a/crates/net/tests/pool.rs
+++ b/crates/net/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Which exchanges fail at which stage, and which connections are used again.
+//! Stages at which exchanges fail, and reuse of connections.
 
 mod support;
 
@@ -35,9 +35,10 @@
     within(pool.exchange(address, get(address), soon())).await
 }
 
-/// Plays `answer` on every request of every connection, closing after each if
-/// `closes`; reports the number of each connection as it is accepted.
-async fn peer(answer: &'static str, closes: bool) -> (SocketAddr, Receiver<usize>) {
+/// Sends `raw_response` for every request of every connection, closing after
+/// each if `closes` is set; reports the number of each connection when it is
+/// accepted.
+async fn peer(raw_response: &'static str, closes: bool) -> (SocketAddr, Receiver<usize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (sender, receiver) = channel::unbounded();
@@ -49,7 +50,7 @@
             async_std::task::spawn(async move {
                 let mut caller = RawCaller::from(stream);
                 while read_request_head(&mut caller).await {
-                    caller.send(answer).await;
+                    caller.send(raw_response).await;
                     if closes {
                         return;
                     }
@@ -63,7 +64,7 @@
 const OK: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
 #[async_std::test]
-async fn a_clean_connection_is_used_again() {
+async fn a_clean_connection_is_reused() {
     let (address, accepted) = peer(OK, false).await;
     let pool = pool();
     for _ in 0..5 {
@@ -75,7 +76,7 @@
 }
 
 #[async_std::test]
-async fn answers_without_a_body_leave_the_connection_clean() {
+async fn responses_without_a_body_leave_the_connection_clean() {
     let script = [
         (
             Method::Head,
@@ -95,17 +96,21 @@
             "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n",
         ),
     ];
-    for (method, answer) in script {
-        let (address, _accepted) = peer(answer, false).await;
+    for (method, raw_response) in script {
+        let (address, _accepted) = peer(raw_response, false).await;
         let pool = pool();
         let response = within(pool.exchange(address, request(address, method), soon())).await;
-        assert_eq!(read_body(response.unwrap()).await.unwrap(), "", "{answer}");
-        assert_eq!(pool.open_connections(address), (0, 1), "{answer}");
+        assert_eq!(
+            read_body(response.unwrap()).await.unwrap(),
+            "",
+            "{raw_response}"
+        );
+        assert_eq!(pool.open_connections(address), (0, 1), "{raw_response}");
     }
 }
 
 #[async_std::test]
-async fn a_connection_that_the_peer_says_it_closes_is_not_kept() {
+async fn a_connection_announced_as_closing_is_not_reused() {
     let (address, _) = peer(
         "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 2\r\n\r\nok",
         false,
@@ -141,7 +146,7 @@
 }
 
 #[async_std::test]
-async fn bytes_after_an_answer_never_become_the_answer_to_another_request() {
+async fn bytes_after_a_response_never_become_the_next_response() {
     let twice = "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\none\
                  HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nstale";
     let (address, accepted) = peer(twice, false).await;
@@ -155,7 +160,7 @@
 }
 
 #[async_std::test]
-async fn an_abandoned_answer_closes_its_connection() {
+async fn a_dropped_response_closes_its_connection() {
     let (address, accepted) = peer(OK, false).await;
     let pool = pool();
     drop(exchange(&pool, address).await.unwrap());
@@ -169,35 +174,41 @@
 }
 
 #[async_std::test]
-async fn an_answer_cut_at_each_byte_is_never_taken_for_whole() {
-    let answers = [
+async fn a_response_truncated_at_any_byte_is_never_complete() {
+    let raw_responses = [
         "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nbody",
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n0\r\nx: y\r\n\r\n",
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nbody",
     ];
-    for answer in answers {
-        let script = (0..=answer.len()).map(|end| answer[..end].into()).collect();
+    for raw_response in raw_responses {
+        let script = (0..=raw_response.len())
+            .map(|end| raw_response[..end].into())
+            .collect();
         let address = peer_with_script(script).await;
         let pool = pool();
-        for end in 0..=answer.len() {
-            let whole = end == answer.len();
+        for end in 0..=raw_response.len() {
+            let is_complete = end == raw_response.len();
             let outcome = match exchange(&pool, address).await {
                 Ok(response) => read_body(response).await.ok(),
                 Err(error) => {
-                    assert!(error.stage.may_have_been_received(), "cut at {end}");
-                    assert_eq!(error.stage == Stage::Sent, end == 0, "cut at {end}");
+                    assert!(error.stage.may_have_been_received(), "truncated at {end}");
+                    assert_eq!(error.stage == Stage::Sent, end == 0, "truncated at {end}");
                     None
                 }
             };
-            assert_eq!(outcome.is_some(), whole, "{answer:?} cut at {end}");
-            assert_eq!(pool.open_connections(address).1, usize::from(whole));
+            assert_eq!(
+                outcome.is_some(),
+                is_complete,
+                "{raw_response:?} truncated at {end}"
+            );
+            assert_eq!(pool.open_connections(address).1, usize::from(is_complete));
         }
     }
 }
 
 #[async_std::test]
-async fn malformed_answers_are_refused_and_their_connections_closed() {
-    let answers = [
+async fn malformed_responses_are_refused_and_their_connections_closed() {
+    let raw_responses = [
         "nonsense\r\n\r\n",
         "HTTP/1.0 200 OK\r\ncontent-length: 2\r\n\r\nok",
         "HTTP/1.1 200 OK\r\n\r\nends with the connection",
@@ -209,12 +220,12 @@
         "HTTP/1.1 200 OK\ncontent-length: 2\n\nok",
         "HTTP/1.1 200 OK\r\nx: \u{e9}\r\ncontent-length: 2\r\n\r\nok",
     ];
-    for answer in answers {
-        let (address, _accepted) = peer(answer, true).await;
+    for raw_response in raw_responses {
+        let (address, _accepted) = peer(raw_response, true).await;
         let pool = pool();
-        let error = exchange(&pool, address).await.expect_err(answer);
-        assert!(error.stage.may_have_been_received(), "{answer}");
-        assert_eq!(pool.open_connections(address), (0, 0), "{answer}");
+        let error = exchange(&pool, address).await.expect_err(raw_response);
+        assert!(error.stage.may_have_been_received(), "{raw_response}");
+        assert_eq!(pool.open_connections(address), (0, 0), "{raw_response}");
     }
 }
 
@@ -232,7 +243,7 @@
 }
 
 #[async_std::test]
-async fn no_date_is_made_up_for_an_answer_without_one() {
+async fn no_date_is_added_to_a_response_without_one() {
     let (address, _accepted) = peer(OK, false).await;
     let response = exchange(&pool(), address).await.unwrap();
     let names: Vec<_> = response.header_names().map(|name| name.as_str()).collect();
@@ -262,7 +273,7 @@
 }
 
 #[async_std::test]
-async fn a_peer_that_never_answers_may_have_received_the_request() {
+async fn a_peer_that_never_responds_may_have_received_the_request() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let pool = pool();
@@ -306,7 +317,7 @@
 }
 
 #[async_std::test]
-async fn an_early_answer_is_taken_although_the_body_has_not_left_whole() {
+async fn an_early_response_is_accepted_before_the_request_body_is_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     async_std::task::spawn(async move {
@@ -317,7 +328,7 @@
             .send("HTTP/1.1 503 Service Unavailable\r\ncontent-length: 2\r\n\r\nno")
             .await;
         caller.stream.shutdown(Shutdown::Write).unwrap();
-        // Reads no further: the request's body cannot leave whole.
+        // Reads no further, so that the request body cannot be sent completely.
         caller
     });
     let pool = pool();
@@ -332,7 +343,7 @@
 }
 
 #[async_std::test]
-async fn forgetting_an_address_closes_its_idle_connections() {
+async fn removing_an_address_closes_its_idle_connections() {
     let (address, _accepted) = peer(OK, false).await;
     let pool = pool();
     pool.set_connection_limit(address, 1);
--- a/crates/net/tests/pool_doubts.rs
+++ b/crates/net/tests/pool_suspect_connections.rs
@@ -1,4 +1,4 @@
-//! Connections at rest while another one to the same address fell silent.
+//! Idle connections while another connection to the same address is silent.
 
 mod support;
 
@@ -13,16 +13,16 @@
 use support::{RawCaller, read_request_head, soon, within};
 use threadledge_net::{ExchangeFault, Instant, Pool, PoolSettings, timer};
 
-/// How long nothing may be heard here.
-const DOUBT_AFTER: Duration = Duration::from_millis(50);
-/// Waited for answers that do not come: long enough to doubt.
-const LONG: Duration = Duration::from_millis(120);
-/// Connections that come to rest.
-const AT_REST: usize = 3;
+/// Value of `suspect_idle_after` in these tests.
+const SUSPECT_AFTER: Duration = Duration::from_millis(50);
+/// Time to wait for responses that never come; longer than [`SUSPECT_AFTER`].
+const RESPONSE_WAIT: Duration = Duration::from_millis(120);
+/// Number of idle connections in the pool.
+const IDLE_CONNECTIONS: usize = 3;
 
 const OK: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
-/// Answers requests for `/`, and none for another path.
+/// Responds to requests for `/` and to no others.
 async fn peer() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -51,7 +51,7 @@
     Request::new(Method::Get, url)
 }
 
-async fn answered(pool: &Pool, address: SocketAddr) {
+async fn expect_response(pool: &Pool, address: SocketAddr) {
     let sent = within(pool.exchange(address, get(address, "/"), soon())).await;
     let mut body = String::new();
     let mut response = sent.unwrap();
@@ -59,92 +59,95 @@
     assert_eq!(body, "ok");
 }
 
-async fn unanswered(pool: &Pool, address: SocketAddr, wait: Duration) {
+async fn expect_timeout(pool: &Pool, address: SocketAddr, wait: Duration) {
     let request = get(address, "/silent");
     let sent = within(pool.exchange(address, request, Instant::now() + wait)).await;
     let fault = sent.unwrap_err().fault;
     assert!(matches!(fault, ExchangeFault::DeadlinePassed), "{fault}");
 }
 
-/// A pool with connections at rest.
-async fn rested(address: SocketAddr, suspect_idle_after: Option<Duration>) -> Pool {
+/// A pool with idle connections.
+async fn pool_with_idle_connections(
+    address: SocketAddr,
+    suspect_idle_after: Option<Duration>,
+) -> Pool {
     let pool = Pool::new(PoolSettings {
         suspect_idle_after,
         ..PoolSettings::default()
     });
-    let opening = (0..AT_REST).map(|_| pool.checkout(address, soon()));
+    let opening = (0..IDLE_CONNECTIONS).map(|_| pool.checkout(address, soon()));
     let open = within(join_all(opening)).await;
     assert!(open.iter().all(Result::is_ok));
     drop(open);
-    assert_eq!(pool.open_connections(address), (0, AT_REST));
+    assert_eq!(pool.open_connections(address), (0, IDLE_CONNECTIONS));
     pool
 }
 
 #[async_std::test]
-async fn one_that_fell_silent_casts_doubt_on_those_at_rest_since_before() {
+async fn a_silent_reused_connection_makes_other_idle_ones_suspect() {
     let address = peer().await;
-    let pool = rested(address, Some(DOUBT_AFTER)).await;
-    unanswered(&pool, address, LONG).await;
-    assert_eq!(pool.open_connections(address), (0, AT_REST - 1));
-    answered(&pool, address).await;
+    let pool = pool_with_idle_connections(address, Some(SUSPECT_AFTER)).await;
+    expect_timeout(&pool, address, RESPONSE_WAIT).await;
+    assert_eq!(pool.open_connections(address), (0, IDLE_CONNECTIONS - 1));
+    expect_response(&pool, address).await;
     assert_eq!(pool.open_connections(address), (0, 1), "a new one");
-    answered(&pool, address).await;
+    expect_response(&pool, address).await;
     assert_eq!(pool.open_connections(address), (0, 1), "used again");
 }
 
 #[async_std::test]
-async fn one_that_is_silent_casts_doubt_before_its_exchange_ends() {
+async fn idle_connections_become_suspect_before_the_silent_exchange_ends() {
     let address = peer().await;
-    let pool = rested(address, Some(DOUBT_AFTER)).await;
+    let pool = pool_with_idle_connections(address, Some(SUSPECT_AFTER)).await;
     let waiting = Box::pin(pool.exchange(address, get(address, "/silent"), soon()));
-    let Err((_, waiting)) = timed(waiting).await else {
-        panic!("there is no answer");
+    let Err((_, waiting)) = run_for_response_wait(waiting).await else {
+        panic!("unexpected response");
     };
-    assert_eq!(pool.open_connections(address), (1, AT_REST - 1));
-    answered(&pool, address).await;
+    assert_eq!(pool.open_connections(address), (1, IDLE_CONNECTIONS - 1));
+    expect_response(&pool, address).await;
     assert_eq!(pool.open_connections(address), (1, 1));
     drop(waiting);
     assert_eq!(pool.open_connections(address), (0, 1));
 }
 
-/// Runs `future` for long enough to doubt.
-async fn timed<F: Future + Unpin>(future: F) -> Result<F::Output, ((), F)> {
-    match select(future, timer::sleep(LONG)).await {
+/// Runs `future` for longer than [`SUSPECT_AFTER`].
+async fn run_for_response_wait<F: Future + Unpin>(future: F) -> Result<F::Output, ((), F)> {
+    match select(future, timer::sleep(RESPONSE_WAIT)).await {
         futures::future::Either::Left((output, _)) => Ok(output),
         futures::future::Either::Right((slept, future)) => Err((slept, future)),
     }
 }
 
 #[async_std::test]
-async fn an_exchange_that_is_given_up_soon_casts_no_doubt() {
+async fn an_exchange_that_ends_early_makes_no_connection_suspect() {
     let address = peer().await;
-    let pool = rested(address, Some(Duration::from_secs(60))).await;
-    unanswered(&pool, address, LONG).await;
-    answered(&pool, address).await;
-    assert_eq!(pool.open_connections(address), (0, AT_REST - 1));
+    let pool = pool_with_idle_connections(address, Some(Duration::from_secs(60))).await;
+    expect_timeout(&pool, address, RESPONSE_WAIT).await;
+    expect_response(&pool, address).await;
+    assert_eq!(pool.open_connections(address), (0, IDLE_CONNECTIONS - 1));
 }
 
 #[async_std::test]
-async fn a_new_connection_without_an_answer_casts_no_doubt_on_old_ones() {
+async fn a_silent_new_connection_makes_no_idle_one_suspect() {
     let address = peer().await;
-    let pool = rested(address, Some(DOUBT_AFTER)).await;
-    let opening = (0..AT_REST).map(|_| pool.checkout(address, soon()));
+    let pool = pool_with_idle_connections(address, Some(SUSPECT_AFTER)).await;
+    let opening = (0..IDLE_CONNECTIONS).map(|_| pool.checkout(address, soon()));
     let old = within(join_all(opening)).await;
     let new = within(pool.checkout(address, soon())).await.unwrap();
     drop(old);
     let request = get(address, "/silent");
-    let sent = within(new.exchange(request, Instant::now() + LONG)).await;
+    let sent = within(new.exchange(request, Instant::now() + RESPONSE_WAIT)).await;
     let fault = sent.unwrap_err().fault;
     assert!(matches!(fault, ExchangeFault::DeadlinePassed), "{fault}");
-    answered(&pool, address).await;
-    assert_eq!(pool.open_connections(address), (0, AT_REST));
+    expect_response(&pool, address).await;
+    assert_eq!(pool.open_connections(address), (0, IDLE_CONNECTIONS));
 }
 
 #[async_std::test]
-async fn a_pool_that_is_told_nothing_doubts_nothing() {
+async fn without_the_setting_no_connection_is_suspect() {
     let address = peer().await;
-    let pool = rested(address, None).await;
-    unanswered(&pool, address, LONG).await;
-    answered(&pool, address).await;
-    assert_eq!(pool.open_connections(address), (0, AT_REST - 1));
+    let pool = pool_with_idle_connections(address, None).await;
+    expect_timeout(&pool, address, RESPONSE_WAIT).await;
+    expect_response(&pool, address).await;
+    assert_eq!(pool.open_connections(address), (0, IDLE_CONNECTIONS - 1));
 }
--- a/crates/net/tests/server_departures.rs
+++ b/crates/net/tests/server_early_disconnects.rs
@@ -1,5 +1,5 @@
-//! Callers that left before their requests were looked at: nothing is done
-//! for them.
+//! Callers that disconnect before their requests are read: no work is done for
+//! them.
 
 mod support;
 
@@ -15,21 +15,23 @@
 use threadledge_net::ConnectionInfo;
 
 const GET: &str = "GET /g HTTP/1.1\r\nhost: a\r\n\r\n";
-/// Callers that leave at once; fewer than a listener holds back.
+/// Number of callers that disconnect at once; below the backlog of a listener.
 const CALLERS: u64 = 100;
 
-/// Callers that have sent a request and left before anybody accepted them.
-async fn callers_that_left(listener: &TcpListener, leave: impl Fn(&RawCaller)) {
+/// Connects callers that send a request and disconnect before they are
+/// accepted.
+async fn connect_and_disconnect(listener: &TcpListener, disconnect: impl Fn(&RawCaller)) {
     let address = listener.local_addr().unwrap();
     for _ in 0..CALLERS {
         let mut caller = RawCaller::connect(address).await;
         caller.send(GET).await;
-        leave(&caller);
+        disconnect(&caller);
     }
 }
 
-/// A server takes these callers and one that stays, and works for that one.
-async fn only_the_one_that_stays_is_served(listener: TcpListener) {
+/// Starts a server with these callers and one that stays connected, and checks
+/// that it works only for that one.
+async fn assert_only_the_connected_caller_is_served(listener: TcpListener) {
     let polls = Arc::new(AtomicU64::new(0));
     let counted = polls.clone();
     let handler = move |_request: Request, _connection: ConnectionInfo| {
@@ -41,10 +43,10 @@
     };
     let address = listener.local_addr().unwrap();
     let server = TestServer::start_on(listener, quick_limits(), handler);
-    let mut stays = RawCaller::connect(address).await;
-    stays.send(GET).await;
-    assert_eq!(stays.response().await.unwrap().status, 200);
-    drop(stays);
+    let mut connected = RawCaller::connect(address).await;
+    connected.send(GET).await;
+    assert_eq!(connected.response().await.unwrap().status, 200);
+    drop(connected);
     let report = server.finish().await;
     assert_eq!(report.requests, CALLERS + 1);
     assert_eq!(polls.load(Ordering::SeqCst), 1);
@@ -52,18 +54,18 @@
 }
 
 #[async_std::test]
-async fn nothing_is_done_for_callers_that_closed_before_they_were_read() {
+async fn no_work_is_done_for_callers_that_closed_before_they_were_read() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    callers_that_left(&listener, |_caller| {}).await;
-    only_the_one_that_stays_is_served(listener).await;
+    connect_and_disconnect(&listener, |_caller| {}).await;
+    assert_only_the_connected_caller_is_served(listener).await;
 }
 
 #[async_std::test]
-async fn nothing_is_done_for_callers_that_shut_down_their_sending_side() {
+async fn no_work_is_done_for_callers_that_shut_down_their_sending_side() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    callers_that_left(&listener, |caller| {
+    connect_and_disconnect(&listener, |caller| {
         caller.stream.shutdown(Shutdown::Write).unwrap();
     })
     .await;
-    only_the_one_that_stays_is_served(listener).await;
+    assert_only_the_connected_caller_is_served(listener).await;
 }
--- a/crates/net/tests/server_exchanges.rs
+++ b/crates/net/tests/server_exchanges.rs
@@ -1,5 +1,5 @@
-//! Requests and answers keep their bounds: none is lost, mixed up or taken
-//! for whole when it is not.
+//! Message framing: no request or response is lost, mixed with another, or
+//! accepted as complete when it is not.
 
 mod support;
 
@@ -16,24 +16,24 @@
 const FIXED: &str = "POST /f HTTP/1.1\r\nhost: a\r\ncontent-length: 5\r\n\r\nabcde";
 
 #[async_std::test]
-async fn a_request_split_at_each_byte_is_read_whole() {
+async fn a_request_split_at_any_byte_is_read_completely() {
     let server = TestServer::start(quick_limits(), echo).await;
     let mut caller = RawCaller::connect(server.address).await;
-    for (request, answer) in [(CHUNKED, "POST /c abcde"), (FIXED, "POST /f abcde")] {
+    for (request, expected) in [(CHUNKED, "POST /c abcde"), (FIXED, "POST /f abcde")] {
         for split in 1..request.len() {
             let (first, second) = request.split_at(split);
             caller.send(first).await;
             async_std::task::yield_now().await;
             caller.send(second).await;
             let response = caller.response().await.unwrap();
-            assert_eq!(response.text(), answer, "split at {split}");
+            assert_eq!(response.text(), expected, "split at {split}");
         }
     }
     server.finish().await;
 }
 
 #[async_std::test]
-async fn a_request_cut_at_each_byte_is_never_answered_as_whole() {
+async fn a_request_truncated_at_any_byte_is_never_answered_as_complete() {
     let server = TestServer::start(quick_limits(), echo).await;
     for request in [CHUNKED, FIXED] {
         for end in 1..request.len() {
@@ -41,29 +41,32 @@
             caller.send(&request[..end]).await;
             caller.stream.shutdown(std::net::Shutdown::Write).unwrap();
             let rest = String::from_utf8(caller.rest().await).unwrap();
-            assert!(!rest.contains("200"), "cut at {end}: {rest}");
+            assert!(!rest.contains("200"), "truncated at {end}: {rest}");
         }
     }
     server.finish().await;
 }
 
 #[async_std::test]
-async fn pipelined_requests_are_answered_each_in_turn() {
+async fn pipelined_requests_are_answered_in_order() {
     let server = TestServer::start(quick_limits(), echo).await;
     let mut caller = RawCaller::connect(server.address).await;
     let get = "\r\nGET /g HTTP/1.1\r\nhost: a\r\n\r\n";
     caller
         .send([CHUNKED, get, FIXED, FIXED, CHUNKED, get].concat())
         .await;
-    let answers = ["POST /c abcde", "GET /g ", "POST /f abcde", "POST /f abcde"];
-    for answer in answers.into_iter().chain(["POST /c abcde", "GET /g "]) {
-        assert_eq!(caller.response().await.unwrap().text(), answer);
+    let expected_texts = ["POST /c abcde", "GET /g ", "POST /f abcde", "POST /f abcde"];
+    for expected in expected_texts
+        .into_iter()
+        .chain(["POST /c abcde", "GET /g "])
+    {
+        assert_eq!(caller.response().await.unwrap().text(), expected);
     }
     assert_eq!(server.finish().await.requests, 6);
 }
 
 #[async_std::test]
-async fn a_request_keeps_its_headers_and_gets_none_made_up() {
+async fn a_request_keeps_its_headers_and_gets_no_others() {
     let handler = |request: Request, _connection: ConnectionInfo| async move {
         let mut names: Vec<_> = request.header_names().map(|name| name.as_str()).collect();
         names.sort_unstable();
@@ -93,8 +96,8 @@
         .collect();
     caller.send(requests).await;
     for number in 0..200 {
-        let answer = caller.response().await.unwrap().text();
-        assert_eq!(answer, format!("GET /{number} "));
+        let text = caller.response().await.unwrap().text();
+        assert_eq!(text, format!("GET /{number} "));
     }
     server.finish().await;
 }
@@ -124,7 +127,7 @@
 }
 
 #[async_std::test]
-async fn answers_without_a_body_send_none_and_keep_the_connection() {
+async fn responses_without_a_body_send_none_and_keep_the_connection() {
     let handler = |request: Request, _connection: ConnectionInfo| async move {
         let status = request.url().path()[1..].parse::<u16>().unwrap();
         let mut response = Response::new(status);
@@ -183,9 +186,9 @@
     fn consume(self: Pin<&mut Self>, _amount: usize) {}
 }
 
-/// Answers `/KIND/END/SIZE`: a body of `SIZE` bytes that was announced nine
-/// bytes longer, or comes in chunks, and ends or fails.
-async fn short_answer(request: Request, _connection: ConnectionInfo) -> Response {
+/// Responds to `/KIND/END/SIZE` with a body of `SIZE` bytes that either was
+/// announced nine bytes longer or is chunked, and that either ends or fails.
+async fn truncated_response(request: Request, _connection: ConnectionInfo) -> Response {
     let words: Vec<&str> = request.url().path().split('/').collect();
     let size: usize = words[3].parse().unwrap();
     let body = ShortBody {
@@ -198,13 +201,13 @@
     response
 }
 
-const SHORT_ANSWERS: [&str; 3] = ["/fixed/ends", "/fixed/fails", "/chunked/fails"];
+const TRUNCATED_RESPONSES: [&str; 3] = ["/fixed/ends", "/fixed/fails", "/chunked/fails"];
 
 #[async_std::test]
-async fn an_answer_cut_short_after_it_began_never_looks_whole_to_the_caller() {
-    let server = TestServer::start(quick_limits(), short_answer).await;
+async fn a_response_truncated_after_it_started_never_looks_complete() {
+    let server = TestServer::start(quick_limits(), truncated_response).await;
     let size = 200_000;
-    for path in SHORT_ANSWERS {
+    for path in TRUNCATED_RESPONSES {
         let mut caller = RawCaller::connect(server.address).await;
         caller
             .send(format!("GET {path}/{size} HTTP/1.1\r\nhost: a\r\n\r\n"))
@@ -222,9 +225,9 @@
 }
 
 #[async_std::test]
-async fn an_answer_cut_short_before_any_of_it_left_becomes_an_unknown_outcome() {
-    let server = TestServer::start(quick_limits(), short_answer).await;
-    for path in SHORT_ANSWERS {
+async fn a_response_that_fails_unsent_becomes_an_unknown_outcome() {
+    let server = TestServer::start(quick_limits(), truncated_response).await;
+    for path in TRUNCATED_RESPONSES {
         let mut caller = RawCaller::connect(server.address).await;
         caller
             .send(format!("GET {path}/5 HTTP/1.1\r\nhost: a\r\n\r\n"))
--- a/crates/net/tests/server_refusals.rs
+++ b/crates/net/tests/server_refusals.rs
@@ -1,5 +1,5 @@
-//! Each kind of bad request gets a typed 4xx or 5xx, closes its connection,
-//! and costs the server nothing lasting.
+//! Each kind of bad request gets a typed 4xx or 5xx response, closes its
+//! connection, and leaves no lasting cost on the server.
 
 mod support;
 
@@ -117,7 +117,7 @@
 }
 
 #[async_std::test]
-async fn each_bad_request_gets_a_typed_refusal_and_the_next_caller_an_answer() {
+async fn each_bad_request_gets_a_typed_error_and_the_next_caller_a_response() {
     let server = TestServer::start(quick_limits(), echo).await;
     let requests = bad_requests();
     let count = requests.len() as u64;
@@ -153,7 +153,7 @@
 }
 
 #[async_std::test]
-async fn a_head_that_stops_half_way_is_refused_as_too_slow() {
+async fn a_stalled_head_is_refused_as_too_slow() {
     let limits = ServerLimits {
         head_timeout: Duration::from_millis(50),
         ..quick_limits()
@@ -168,7 +168,7 @@
 }
 
 #[async_std::test]
-async fn a_body_that_stops_half_way_fails_for_the_handler() {
+async fn a_stalled_body_fails_in_the_handler() {
     let limits = ServerLimits {
         body_timeout: Duration::from_millis(50),
         ..quick_limits()
@@ -190,7 +190,7 @@
 }
 
 #[async_std::test]
-async fn a_chunked_body_above_the_limit_fails_for_the_handler() {
+async fn a_chunked_body_above_the_limit_fails_in_the_handler() {
     let limits = ServerLimits {
         max_body_bytes: 4,
         ..quick_limits()
@@ -208,7 +208,7 @@
 }
 
 #[async_std::test]
-async fn malformed_chunks_fail_for_the_handler() {
+async fn malformed_chunks_fail_in_the_handler() {
     let server = TestServer::start(quick_limits(), echo).await;
     let head = "POST / HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n";
     let bodies = [
--- a/crates/net/tests/server_stop.rs
+++ b/crates/net/tests/server_stop.rs
@@ -1,4 +1,4 @@
-//! Hang-ups cancel work, and planned stops cut nothing off.
+//! Disconnects cancel requests, and graceful stops interrupt none.
 
 mod support;
 
@@ -11,7 +11,7 @@
 
 const GET: &str = "GET / HTTP/1.1\r\nhost: a\r\n\r\n";
 
-/// Tells when it is dropped.
+/// Reports when it is dropped.
 struct Dropped(Sender<()>);
 
 impl Drop for Dropped {
@@ -20,16 +20,16 @@
     }
 }
 
-/// A handler that tells when it starts and when it is dropped, and answers
-/// once it is released.
-struct Gate {
+/// Controls a handler that reports when it starts and when it is dropped, and
+/// responds once it is released.
+struct HandlerController {
     started: Receiver<()>,
     dropped: Receiver<()>,
     release: Sender<()>,
 }
 
-fn gate() -> (
-    Gate,
+fn controlled_handler() -> (
+    HandlerController,
     impl Fn(Request, ConnectionInfo) -> futures::future::BoxFuture<'static, Response> + Clone + Send,
 ) {
     let (started_sender, started) = channel::unbounded();
@@ -46,62 +46,62 @@
         };
         Box::pin(run) as futures::future::BoxFuture<'static, Response>
     };
-    let gate = Gate {
+    let controller = HandlerController {
         started,
         dropped,
         release,
     };
-    (gate, handler)
+    (controller, handler)
 }
 
 #[async_std::test]
-async fn a_caller_that_hangs_up_cancels_its_request() {
-    let (gate, handler) = gate();
+async fn a_disconnect_cancels_the_request() {
+    let (controller, handler) = controlled_handler();
     let server = TestServer::start(quick_limits(), handler).await;
     let mut caller = RawCaller::connect(server.address).await;
     caller.send(GET).await;
-    within(gate.started.recv()).await.unwrap();
+    within(controller.started.recv()).await.unwrap();
     drop(caller);
-    within(gate.dropped.recv()).await.unwrap();
+    within(controller.dropped.recv()).await.unwrap();
     let report = server.finish().await;
     assert_eq!((report.requests, report.hung_up, report.aborted), (1, 1, 0));
 }
 
 #[async_std::test]
-async fn bytes_sent_ahead_do_not_count_as_a_hang_up() {
-    let (gate, handler) = gate();
+async fn bytes_sent_ahead_do_not_count_as_a_disconnect() {
+    let (controller, handler) = controlled_handler();
     let server = TestServer::start(quick_limits(), handler).await;
     let mut caller = RawCaller::connect(server.address).await;
     caller.send(GET).await;
-    within(gate.started.recv()).await.unwrap();
+    within(controller.started.recv()).await.unwrap();
     caller.send(GET).await;
-    gate.release.send(()).await.unwrap();
+    controller.release.send(()).await.unwrap();
     assert_eq!(caller.response().await.unwrap().status, 200);
-    within(gate.started.recv()).await.unwrap();
-    gate.release.send(()).await.unwrap();
+    within(controller.started.recv()).await.unwrap();
+    controller.release.send(()).await.unwrap();
     assert_eq!(caller.response().await.unwrap().status, 200);
     assert_eq!(server.finish().await.hung_up, 0);
 }
 
 #[async_std::test]
-async fn a_planned_stop_answers_what_runs_and_says_that_it_closes() {
-    let (gate, handler) = gate();
+async fn a_graceful_stop_answers_running_requests_and_announces_the_close() {
+    let (controller, handler) = controlled_handler();
     let server = TestServer::start(quick_limits(), handler).await;
     let mut callers = Vec::new();
     for _ in 0..10 {
         let mut caller = RawCaller::connect(server.address).await;
         caller.send(GET).await;
-        within(gate.started.recv()).await.unwrap();
+        within(controller.started.recv()).await.unwrap();
         callers.push(caller);
     }
     let mut half_sent = RawCaller::connect(server.address).await;
     half_sent.send(&GET[..10]).await;
     server.stop.stop();
     half_sent.send(&GET[10..]).await;
-    within(gate.started.recv()).await.unwrap();
+    within(controller.started.recv()).await.unwrap();
     callers.push(half_sent);
     for _ in 0..callers.len() {
-        gate.release.send(()).await.unwrap();
+        controller.release.send(()).await.unwrap();
     }
     for mut caller in callers {
         let response = caller.response().await.unwrap();
@@ -113,26 +113,26 @@
 }
 
 #[async_std::test]
-async fn a_planned_stop_serves_connections_not_yet_accepted() {
-    let (gate, handler) = gate();
+async fn a_graceful_stop_serves_connections_not_yet_accepted() {
+    let (controller, handler) = controlled_handler();
     let server = TestServer::start(quick_limits(), handler).await;
-    // Whether the server has accepted the connection by then is open: either
-    // way the kernel has it, and its request must be answered.
+    // The server may or may not have accepted the connection by then; in either
+    // case the kernel has it, and its request must be answered.
     let mut caller = RawCaller::connect(server.address).await;
     caller.send(GET).await;
     server.stop.stop();
-    gate.release.send(()).await.unwrap();
+    controller.release.send(()).await.unwrap();
     assert_eq!(caller.response().await.unwrap().status, 200);
     assert_eq!(server.finish().await.aborted, 0);
 }
 
 #[async_std::test]
-async fn a_planned_stop_closes_idle_connections() {
-    let (gate, handler) = gate();
+async fn a_graceful_stop_closes_idle_connections() {
+    let (controller, handler) = controlled_handler();
     let server = TestServer::start(quick_limits(), handler).await;
     let mut caller = RawCaller::connect(server.address).await;
     caller.send(GET).await;
-    gate.release.send(()).await.unwrap();
+    controller.release.send(()).await.unwrap();
     assert_eq!(caller.response().await.unwrap().status, 200);
     let report = server.finish().await;
     assert_eq!(caller.rest().await, b"");
@@ -140,8 +140,8 @@
 }
 
 #[async_std::test]
-async fn requests_beyond_the_drain_timeout_are_cut_and_counted() {
-    let (gate, handler) = gate();
+async fn requests_beyond_the_drain_timeout_are_aborted_and_counted() {
+    let (controller, handler) = controlled_handler();
     let limits = ServerLimits {
         drain_timeout: Duration::from_millis(50),
         ..quick_limits()
@@ -149,9 +149,9 @@
     let server = TestServer::start(limits, handler).await;
     let mut caller = RawCaller::connect(server.address).await;
     caller.send(GET).await;
-    within(gate.started.recv()).await.unwrap();
+    within(controller.started.recv()).await.unwrap();
     let report = server.finish().await;
     assert_eq!((report.requests, report.aborted), (1, 1));
     assert_eq!(caller.rest().await, b"");
-    within(gate.dropped.recv()).await.unwrap();
+    within(controller.dropped.recv()).await.unwrap();
 }
--- a/crates/net/tests/support/mod.rs
+++ b/crates/net/tests/support/mod.rs
@@ -13,7 +13,7 @@
     ConnectionInfo, Handler, Instant, ServeReport, ServerLimits, StopSignal, serve, timer,
 };
 
-/// Safety net only: no test depends on how long anything takes.
+/// Safety timeout; no test depends on how long anything takes.
 pub const SAFETY: Duration = Duration::from_secs(20);
 
 /// A server under test.
@@ -29,7 +29,8 @@
         TestServer::start_on(listener, limits, handler)
     }
 
-    /// Starts one whose callers may have come before it.
+    /// Starts a server on a listener to which callers may already have
+    /// connected.
     pub fn start_on<H: Handler>(
         listener: TcpListener,
         limits: ServerLimits,
@@ -51,7 +52,7 @@
     }
 }
 
-/// Short waits, so that tests of them end soon.
+/// Limits with short waits, so that tests end quickly.
 pub fn quick_limits() -> ServerLimits {
     ServerLimits {
         stop_idle_timeout: Duration::from_millis(20),
@@ -59,7 +60,7 @@
     }
 }
 
-/// Answers with the method, target and body of the request.
+/// Responds with the method, target and body of the request.
 pub async fn echo(mut request: Request, _connection: ConnectionInfo) -> Response {
     let mut body = Vec::new();
     if let Err(error) = request.read_to_end(&mut body).await {
@@ -88,13 +89,13 @@
     Instant::now() + SAFETY
 }
 
-/// A caller that writes bytes as it likes.
+/// A caller that sends arbitrary bytes.
 pub struct RawCaller {
     pub stream: TcpStream,
     unread: Vec<u8>,
 }
 
-/// A response read off the wire.
+/// A response as received.
 #[derive(Debug)]
 pub struct RawResponse {
     pub status: u16,
@@ -127,12 +128,13 @@
     }
 
     pub async fn send(&mut self, bytes: impl AsRef<[u8]>) {
-        // The server may have closed already; what counts is its answer.
+        // The server may already have closed the connection; only its response
+        // matters.
         let _ = within(self.stream.write_all(bytes.as_ref())).await;
     }
 
-    /// Reads one response framed by Content-Length; `None` when the peer
-    /// closed first.
+    /// Reads one response framed by Content-Length; `None` if the peer closed
+    /// the connection first.
     pub async fn response(&mut self) -> Option<RawResponse> {
         self.response_to("GET").await
     }
@@ -164,7 +166,7 @@
         Some(response)
     }
 
-    /// Reads until the peer closes.
+    /// Reads until the peer closes the connection.
     pub async fn rest(&mut self) -> Vec<u8> {
         while self.fill().await.is_some() {}
         std::mem::take(&mut self.unread)
@@ -178,13 +180,13 @@
     }
 }
 
-/// Takes one connection after the other and plays a script on each: what it
-/// sends once a whole request head came.
+/// Accepts one connection after another and sends the next entry of `script` on
+/// each, after a complete request head has arrived.
 pub async fn peer_with_script(script: Vec<Vec<u8>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     async_std::task::spawn(async move {
-        for answer in script {
+        for response in script {
             let Ok((stream, _)) = listener.accept().await else {
                 return;
             };
@@ -193,13 +195,14 @@
                 unread: Vec::new(),
             };
             read_request_head(&mut caller).await;
-            caller.send(answer).await;
+            caller.send(response).await;
         }
     });
     address
 }
 
-/// Reads one request head without a body; `false` when the caller closed.
+/// Reads one request head without a body; `false` if the caller closed the
+/// connection.
 pub async fn read_request_head(caller: &mut RawCaller) -> bool {
     loop {
         let found = caller
--- a/crates/net/tests/suspension.rs
+++ b/crates/net/tests/suspension.rs
@@ -1,5 +1,6 @@
-//! A machine that was suspended: its clock went on, the timers of the system
-//! did not. One test after the other, since all share the clock.
+//! Behaviour after a suspension of the machine, during which the clock advances
+//! but the timers of the system do not. The cases run in one test, because all
+//! share the clock.
 
 mod support;
 
@@ -12,14 +13,14 @@
 
 use support::{SAFETY, soon, within};
 
-/// Longer than anything here waits, shorter than a test may take.
+/// Longer than any wait in these tests, and shorter than a test may take.
 const SUSPENDED: Duration = Duration::from_secs(60);
 
 #[async_std::test]
-async fn what_was_due_or_over_meanwhile_is_so_at_once() {
-    timers_that_were_due_fire().await;
-    deadlines_that_passed_send_nothing().await;
-    connections_that_rested_too_long_are_not_used().await;
+async fn timers_and_deadlines_passed_during_suspension_take_effect_at_once() {
+    expired_timers_fire().await;
+    nothing_is_sent_after_the_deadline().await;
+    connections_idle_for_too_long_are_not_reused().await;
 }
 
 fn get(address: std::net::SocketAddr) -> Request {
@@ -27,19 +28,19 @@
     Request::new(Method::Get, url)
 }
 
-/// A timer of a minute fires within moments of the end of a suspension.
-async fn timers_that_were_due_fire() {
+/// A timer of one minute fires promptly after a suspension.
+async fn expired_timers_fire() {
     let sleep = async_std::task::spawn(timer::sleep(SUSPENDED));
     timer::sleep(Duration::from_millis(20)).await;
     simulate_suspension(SUSPENDED);
-    // A timer of the system, which stood still.
+    // This is a timer of the system, which stood still.
     let fired = async_std::future::timeout(SAFETY, sleep).await;
     fired.expect("the timer was due");
 }
 
-/// What was decided before the suspension, with a deadline within it, is not
-/// sent after it.
-async fn deadlines_that_passed_send_nothing() {
+/// A request whose deadline passed during the suspension is not sent
+/// afterwards.
+async fn nothing_is_sent_after_the_deadline() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
     let pool = Pool::new(PoolSettings::default());
@@ -52,8 +53,8 @@
     assert!(!error.stage.may_have_been_received());
 }
 
-/// The peer has closed them long since.
-async fn connections_that_rested_too_long_are_not_used() {
+/// The peer has closed such connections in the meantime.
+async fn connections_idle_for_too_long_are_not_reused() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
     let pool = Pool::new(PoolSettings {
--- a/crates/net/tests/timers.rs
+++ b/crates/net/tests/timers.rs
@@ -1,4 +1,4 @@
-//! Timers and stop signals wake who waits, and nobody else.
+//! Timers and stop signals wake their waiters and no others.
 
 mod support;
 
@@ -14,7 +14,7 @@
 use threadledge_net::{Instant, StopSignal, timer};
 
 #[async_std::test]
-async fn every_timer_ends_and_none_before_its_time() {
+async fn every_timer_fires_and_none_early() {
     let start = Instant::now() + Duration::from_millis(50);
     let (sender, receiver) = channel::unbounded();
     for number in [5_u64, 1, 9, 3, 7, 0, 8, 2, 6, 4] {
@@ -35,7 +35,7 @@
 }
 
 #[async_std::test]
-async fn a_timer_that_starts_later_and_ends_earlier_does_not_wait_for_the_other() {
+async fn an_earlier_timer_started_later_does_not_wait_for_the_other() {
     let mut long = timer::sleep(Duration::from_secs(3_600));
     let mut context = Context::from_waker(Waker::noop());
     assert!(Pin::new(&mut long).poll(&mut context).is_pending());
@@ -52,7 +52,7 @@
 }
 
 #[async_std::test]
-async fn a_timeout_that_is_not_reached_gives_the_result() {
+async fn a_timeout_that_is_not_reached_returns_the_result() {
     let deadline = support::soon();
     assert_eq!(timer::timeout_at(deadline, async { 7 }).await, Ok(7));
     let never = std::future::pending::<()>();
@@ -69,18 +69,18 @@
 }
 
 #[async_std::test]
-async fn a_stop_signal_wakes_each_waiter_once_and_none_that_is_gone() {
+async fn a_stop_signal_wakes_each_waiter_once_and_no_dropped_one() {
     let stop = StopSignal::new();
     let count = Arc::new(Count(AtomicUsize::new(0)));
     let waker = Waker::from(count.clone());
     let mut context = Context::from_waker(&waker);
     let mut waiting = [stop.stopped(), stop.clone().stopped()];
-    let mut gone = stop.stopped();
-    for stopped in waiting.iter_mut().chain([&mut gone]) {
+    let mut dropped = stop.stopped();
+    for stopped in waiting.iter_mut().chain([&mut dropped]) {
         assert!(Pin::new(&mut *stopped).poll(&mut context).is_pending());
         assert!(Pin::new(stopped).poll(&mut context).is_pending());
     }
-    drop(gone);
+    drop(dropped);
     assert!(!stop.is_stopped());
     stop.stop();
     stop.stop();
