--- a/crates/object-api/src/backoff.rs
+++ b/crates/object-api/src/backoff.rs
@@ -1,16 +1,16 @@
-//! Growing waits between attempts, spread by a seed.
+//! Exponential backoff with seeded jitter.
 
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Bounds of the waits.
+/// Bounds of the backoff delays.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackoffSettings {
-    /// First wait before it is spread.
+    /// First delay before jitter.
     pub initial: Duration,
-    /// Longest wait.
+    /// Maximum delay.
     pub max: Duration,
 }
 
@@ -23,8 +23,9 @@
     }
 }
 
-/// Waits that double up to a bound. Each is spread between half of it and all
-/// of it, so that readers that failed together do not come back together.
+/// Delays that double up to a maximum. Jitter places each between half of the
+/// delay and all of it, so that clients that failed together do not retry
+/// together.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     settings: BackoffSettings,
@@ -33,7 +34,8 @@
 }
 
 impl Backoff {
-    /// Starts with the first wait; equal seeds give equal waits.
+    /// Creates a backoff that starts at the initial delay; equal seeds give
+    /// equal delays.
     pub fn new(settings: BackoffSettings, seed: u64) -> Self {
         Backoff {
             next: settings.initial,
@@ -42,7 +44,7 @@
         }
     }
 
-    /// The wait before the next attempt.
+    /// Returns the delay before the next attempt.
     pub fn next_delay(&mut self) -> Duration {
         let base = self.next.min(self.settings.max);
         self.next = base.saturating_mul(2).min(self.settings.max);
@@ -50,7 +52,7 @@
         base.mul_f64(share)
     }
 
-    /// Begins anew after a success.
+    /// Resets the delay to its initial value after a success.
     pub fn reset(&mut self) {
         self.next = self.settings.initial;
     }
--- a/crates/object-api/src/client.rs
+++ b/crates/object-api/src/client.rs
@@ -1,4 +1,4 @@
-//! Lists, reads and writes objects.
+//! Lists, watches, reads and writes objects.
 
 use std::net::SocketAddr;
 
@@ -12,22 +12,22 @@
 use crate::transport::{Operation, Transport, TransportSettings};
 use crate::watch::EventStream;
 
-/// Objects in one page of a list.
+/// Number of objects per page of a list.
 const PAGE_SIZE: u32 = 500;
-/// Pages after which a list is given up: a store that never ends a list must
-/// not hold a reader for ever.
+/// Maximum number of pages of a list: a store that never ends a list must not
+/// occupy a reader forever.
 const MAX_PAGES: usize = 1_000;
 /// Seconds after which the store ends a watch, so that a dead connection is
 /// noticed in bounded time.
 const WATCH_SECONDS: u32 = 290;
 const STATUS: &str = "status";
 
-/// Every object of a scope at one version of the store.
+/// All objects of a scope at one version of the store.
 #[derive(Clone, Debug)]
 pub struct ObjectList<K> {
-    /// The objects, in the store's order.
+    /// The objects, in the order of the store.
     pub items: Vec<StoredObject<K>>,
-    /// Version of the store that the list shows.
+    /// Version of the store at which the list was taken.
     pub resource_version: u64,
 }
 
@@ -37,7 +37,7 @@
     transport: Transport,
 }
 
-/// The part of a list that is read here; items are read one by one.
+/// Fields of a list page that are read here. Each item is parsed separately.
 #[derive(Deserialize)]
 struct Page {
     metadata: PageMetadata,
@@ -54,14 +54,14 @@
 }
 
 impl ObjectClient {
-    /// A client of the object API at `address`.
+    /// Creates a client of the object API at `address`.
     pub fn new(address: SocketAddr, settings: TransportSettings) -> Self {
         ObjectClient {
             transport: Transport::new(address, settings),
         }
     }
 
-    /// Lists every object of a scope, page by page.
+    /// Lists all objects of a scope, page by page.
     ///
     /// # Errors
     ///
@@ -96,7 +96,8 @@
                 });
             }
         }
-        let kind = PlatformErrorKind::BadAnswer(format!("a list of over {MAX_PAGES} pages"));
+        let kind =
+            PlatformErrorKind::BadAnswer(format!("the list has more than {MAX_PAGES} pages"));
         Err(PlatformError::without_effect("list", kind))
     }
 
@@ -104,8 +105,8 @@
     ///
     /// # Errors
     ///
-    /// [`PlatformErrorKind::Gone`] if the store no longer has the version;
-    /// that may also come as an event of the stream.
+    /// [`PlatformErrorKind::Gone`] if the store no longer has the version; this
+    /// may also be reported as an event of the stream.
     pub async fn watch<K: ApiObject>(
         &self,
         scope: &Scope,
@@ -123,13 +124,13 @@
     ///
     /// # Errors
     ///
-    /// [`PlatformErrorKind::NotFound`] if there is none.
+    /// [`PlatformErrorKind::NotFound`] if it does not exist.
     pub async fn get<K: ApiObject>(
         &self,
         key: &ObjectKey,
     ) -> Result<StoredObject<K>, PlatformError> {
         let request = collection::<K>(key).get(&key.name, &GetParams::default());
-        self.object_exchange(build(request)?).await
+        self.exchange_object(build(request)?).await
     }
 
     /// Creates an object.
@@ -141,12 +142,11 @@
         let key = ObjectKey::of(object.metadata());
         let body = write_json(object)?;
         let request = collection::<K>(&key).create(&PostParams::default(), body);
-        self.object_exchange(build(request)?).await
+        self.exchange_object(build(request)?).await
     }
 
-    /// Replaces an object on condition that it still has the version that
-    /// `object` carries; without a version the write is unconditional, which
-    /// routers never use.
+    /// Replaces an object if it still has the version that `object` carries.
+    /// Without a version the write is unconditional, which routers never use.
     ///
     /// # Errors
     ///
@@ -158,10 +158,10 @@
         let key = ObjectKey::of(object.metadata());
         let body = write_json(object)?;
         let request = collection::<K>(&key).replace(&key.name, &PostParams::default(), body);
-        self.object_exchange(build(request)?).await
+        self.exchange_object(build(request)?).await
     }
 
-    /// Replaces the status of an object, on the same condition.
+    /// Replaces the status of an object, under the same condition.
     ///
     /// # Errors
     ///
@@ -174,21 +174,21 @@
         let body = write_json(object)?;
         let params = PostParams::default();
         let request = collection::<K>(&key).replace_subresource(STATUS, &key.name, &params, body);
-        self.object_exchange(build(request)?).await
+        self.exchange_object(build(request)?).await
     }
 
     /// Deletes an object.
     ///
     /// # Errors
     ///
-    /// [`PlatformErrorKind::NotFound`] if there is none.
+    /// [`PlatformErrorKind::NotFound`] if it does not exist.
     pub async fn delete<K: ApiObject>(&self, key: &ObjectKey) -> Result<(), PlatformError> {
         let request = collection::<K>(key).delete(&key.name, &DeleteParams::default());
         self.transport.exchange(build(request)?).await?;
         Ok(())
     }
 
-    async fn object_exchange<K: ApiObject>(
+    async fn exchange_object<K: ApiObject>(
         &self,
         request: http::Request<Vec<u8>>,
     ) -> Result<StoredObject<K>, PlatformError> {
@@ -227,7 +227,8 @@
     serde_json::from_slice(body).map_err(|error| bad_response(operation, error.to_string()))
 }
 
-/// An answer that cannot be understood tells nothing of a write's effect.
+/// Builds the error for an invalid response, which says nothing about the
+/// effect of a write.
 fn bad_response(operation: &Operation, text: String) -> PlatformError {
     operation.unknown_effect(PlatformErrorKind::BadAnswer(text))
 }
--- a/crates/object-api/src/error.rs
+++ b/crates/object-api/src/error.rs
@@ -1,71 +1,73 @@
-//! What can go wrong between a router and the platform.
+//! Errors of requests to the platform.
 
 use std::time::Duration;
 
-/// Whether a write may have taken effect although it failed.
+/// Whether a failed write may have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteEffect {
-    /// Certainly not: the request was never sent, or was refused.
+    /// It had no effect: the request was never sent, or was refused.
     None,
-    /// Perhaps: read the object back before anything else.
+    /// It may have taken effect: read the object back before anything else.
     Ambiguous,
 }
 
-/// A request to the platform failed.
+/// Error of a request to the platform.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{operation}: {kind}")]
 pub struct PlatformError {
-    /// What was asked, for example `PUT /apis/...`.
+    /// The request, for example `PUT /apis/...`.
     pub operation: String,
-    /// Why it failed.
+    /// Cause of the failure.
     pub kind: PlatformErrorKind,
-    /// Whether a write may have taken effect. Always
-    /// [`WriteEffect::None`] for reads.
+    /// Whether a write may have taken effect. Always [`WriteEffect::None`] for
+    /// reads.
     pub effect: WriteEffect,
 }
 
-/// Why a request to the platform failed.
+/// Cause of a failed request to the platform.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlatformErrorKind {
-    /// No connection.
+    /// No connection could be opened.
     #[error("cannot connect ({0}); check the address and that the platform runs")]
     Unreachable(String),
-    /// No whole answer within the time limit.
-    #[error("no whole answer within {0:?}; the platform is slow, retry later")]
+    /// No complete response arrived within the time limit.
+    #[error("no complete response within {0:?}; the platform is slow, retry later")]
     TimedOut(Duration),
-    /// The connection broke before the whole answer arrived.
-    #[error("the connection broke before the whole answer came ({0}); retry")]
+    /// The connection failed before the complete response arrived.
+    #[error("the connection failed before the response was complete ({0}); retry")]
     ConnectionLost(String),
     /// The object has another version than the write expects.
-    #[error("the object has changed since it was read; read it again and decide anew")]
+    #[error(
+        "the object has changed since it was read; read it again and decide based on the new version"
+    )]
     Conflict,
-    /// An object of this name exists.
-    #[error("an object of this name exists; read it and replace it")]
+    /// An object with this name exists.
+    #[error("an object with this name exists; read it and replace it")]
     AlreadyExists,
-    /// There is no such object.
+    /// The object does not exist.
     #[error("there is no such object; create it")]
     NotFound,
-    /// The store no longer has the version asked for.
+    /// The store no longer has the requested version.
     #[error("the store no longer has this version; list again")]
     Gone,
-    /// The store has not reached the version asked for.
+    /// The store has not reached the requested version.
     #[error("the store is behind the version asked for; it may have been restored, list again")]
     StoreBehind,
-    /// Credentials are missing or unknown.
+    /// The credentials are missing or unknown.
     #[error("credentials are missing or unknown; set the platform token")]
     Unauthorized,
-    /// The credentials don't allow this.
+    /// The credentials do not permit the request.
     #[error("not allowed: {0}; use credentials of the namespace's partner")]
     Forbidden(String),
-    /// The platform limits its readers.
-    #[error("the platform limits requests; retry after {0:?}")]
+    /// The platform rate limits its clients.
+    #[error("the platform is rate limiting requests; retry after {0:?}")]
     TooManyRequests(Duration),
-    /// The platform refuses the object.
+    /// The platform refused the object.
     #[error("refused ({status}): {message}; correct the object")]
     Refused {
         /// HTTP status.
         status: u16,
-        /// The platform's message.
+        /// Message from the platform.
         message: String,
     },
     /// The platform failed.
@@ -73,14 +75,14 @@
     ServerFailure {
         /// HTTP status.
         status: u16,
-        /// The platform's message.
+        /// Message from the platform.
         message: String,
     },
-    /// The answer does not follow the conventions.
-    #[error("the answer cannot be understood ({0}); check the platform's version")]
+    /// The response does not follow the API conventions.
+    #[error("the response violates the API conventions ({0}); check the platform's version")]
     BadAnswer(String),
-    /// The answer is larger than allowed.
-    #[error("the answer is larger than {0} bytes; lower the page size")]
+    /// The response is larger than allowed.
+    #[error("the response is larger than {0} bytes; lower the page size")]
     TooLarge(usize),
     /// The object cannot be sent.
     #[error("the request cannot be built ({0}); correct the object")]
@@ -102,7 +104,7 @@
 }
 
 impl PlatformError {
-    /// Builds an error of a request that certainly had no effect.
+    /// Builds the error of a request that had no effect.
     pub fn without_effect(operation: &str, kind: PlatformErrorKind) -> Self {
         PlatformError {
             operation: operation.to_owned(),
@@ -111,12 +113,12 @@
         }
     }
 
-    /// Whether a write may have taken effect although it failed.
+    /// Whether a failed write may have taken effect.
     pub fn is_ambiguous(&self) -> bool {
         self.effect == WriteEffect::Ambiguous
     }
 
-    /// How long the platform asks to wait before the next request.
+    /// Delay that the platform requested before the next request.
     pub fn retry_after(&self) -> Option<Duration> {
         match self.kind {
             PlatformErrorKind::TooManyRequests(wait) => Some(wait),
--- a/crates/object-api/src/lib.rs
+++ b/crates/object-api/src/lib.rs
@@ -1,15 +1,14 @@
 //! Client of the platform's object API and of its machine list.
 //!
 //! The object API follows the conventions of Kubernetes: objects have names
-//! within namespaces, versions, watches and conditional writes. The store
-//! behind it may be down or slow for long, a write may take effect without
-//! its answer arriving, and a restored store may show an older state. Nothing
-//! here hides that: errors say whether a write may have taken effect, and the
-//! watcher says when it withholds an older object.
+//! within namespaces, versions, watches and conditional writes. Its store may
+//! be unavailable or slow for a long time, a write may take effect although its
+//! response is lost, and a restored store may show an older state. This crate
+//! does not hide that: errors say whether a write may have taken effect, and
+//! the watcher reports when it withholds an older object.
 //!
-//! [`resolve`], [`tracker`] and [`backoff`] decide without input or output;
-//! [`client`], [`write`](mod@write), [`watcher`] and [`machines`] carry the
-//! decisions out.
+//! [`resolve`], [`tracker`] and [`backoff`] make decisions without I/O;
+//! [`client`], [`write`](mod@write), [`watcher`] and [`machines`] execute them.
 
 pub mod backoff;
 pub mod client;
--- a/crates/object-api/src/machines.rs
+++ b/crates/object-api/src/machines.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving machines.
+//! The platform's list of running and leaving machines.
 
 use std::net::SocketAddr;
 
@@ -17,19 +17,20 @@
 }
 
 impl MachineListClient {
-    /// A client of the machine list at `address`.
+    /// Creates a client of the machine list at `address`.
     pub fn new(address: SocketAddr, settings: TransportSettings) -> Self {
         MachineListClient {
             transport: Transport::new(address, settings),
         }
     }
 
-    /// Reads the list. It lags: a machine on it may be gone, and one that is
-    /// missing may live. Nobody is declared dead on its word alone.
+    /// Reads the list. It lags behind: a listed machine may be gone, and a
+    /// missing one may be running. The list alone is therefore no proof that a
+    /// machine is dead.
     ///
     /// # Errors
     ///
-    /// The list could not be read; the one read before stays of use.
+    /// The list could not be read; the one read before remains usable.
     pub async fn machines<M: DeserializeOwned>(&self) -> Result<M, PlatformError> {
         let request = http::Request::get(MACHINES_PATH)
             .body(Vec::new())
--- a/crates/object-api/src/resolve.rs
+++ b/crates/object-api/src/resolve.rs
@@ -1,57 +1,58 @@
-//! Decides what to do about a write whose answer never came.
+//! Decides how to continue after a write whose response was lost.
 //!
-//! Such a write is never sent again before the object was read. A write is
+//! Such a write is never sent again before the object has been read. A write is
 //! conditional (on a version, or on the name being free), so once the object
-//! shows that it has not taken effect, sending the *same* write again is safe:
-//! the store lets at most one of the two through.
+//! shows that the write has not taken effect, sending the *same* write again is
+//! safe: the store accepts at most one of the two.
 //!
-//! Keeps the guarantee that an accepted configuration never reverts: a write
-//! is not repeated on top of a later change by somebody else.
+//! This upholds the guarantee that an accepted configuration never reverts: a
+//! write is not repeated on top of a later change by another writer.
 
 use crate::error::{PlatformError, PlatformErrorKind};
 
-/// The condition under which a write takes effect.
+/// Condition under which a write takes effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Condition {
     /// The name is free.
     NameIsFree,
-    /// The object has this version, and this identity if the writer names it.
+    /// The object has this version and, if the writer specifies one, this
+    /// identity.
     HasVersion {
         /// Identity of the object.
         uid: Option<String>,
-        /// Version of the store that last changed it.
+        /// Version of the store that last changed the object.
         version: u64,
     },
 }
 
-/// What a read after the write showed.
+/// Result of reading the object after the write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReadBack {
     /// Identity of the object.
     pub uid: String,
-    /// Version of the store that last changed it.
+    /// Version of the store that last changed the object.
     pub version: u64,
-    /// Whether the part that was written is as the write wanted it.
+    /// Whether the written part of the object has the content of the write.
     pub content_matches: bool,
 }
 
-/// What became of a write, as far as a read can tell.
+/// State of a write, as far as a read can tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resolution {
-    /// The object is as the write wanted it.
+    /// The object has the content of the write.
     Applied,
-    /// The write has not taken effect; it may still be on its way.
+    /// The write has not taken effect; it may still be in transit.
     NotYetApplied,
-    /// Somebody else changed the object. The write may have taken effect
-    /// before that and is no longer in force.
+    /// Another writer changed the object. The write may have taken effect
+    /// before, but is no longer in force.
     Superseded,
-    /// The object is gone or was created again.
+    /// The object was deleted, or deleted and created again.
     Gone,
     /// The store shows an older state than the one the write was based on.
     OlderStore,
 }
 
-/// Compares what was wanted with what was read.
+/// Compares the condition of a write with the object that was read.
 pub fn resolve(condition: &Condition, found: Option<&ReadBack>) -> Resolution {
     match (condition, found) {
         (Condition::NameIsFree, None) => Resolution::NotYetApplied,
@@ -78,21 +79,22 @@
     }
 }
 
-/// What the shell does next.
+/// Next action of the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Send the write under its condition, after a wait if it is not the first.
+    /// Send the write under its condition, after a delay if it is not the first
+    /// attempt.
     Send,
-    /// Read the object, after a wait if the last read failed.
+    /// Read the object, after a delay if the last read failed.
     ReadBack,
     /// Stop.
     Finish(Finish),
 }
 
-/// How a write ended.
+/// Final result of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finish {
-    /// The object is as the write wanted it.
+    /// The object has the content of the write.
     Applied,
     /// The condition did not hold; the write had no effect.
     Conflict,
@@ -100,15 +102,15 @@
     Superseded,
     /// See [`Resolution::Gone`].
     Gone,
-    /// The last error stands. Whether the write had an effect is known only
-    /// if no answer was lost.
+    /// The write failed with the last error. It certainly had no effect only if
+    /// no response was lost.
     Failed {
-        /// The write may have taken effect.
+        /// Whether the write may have taken effect.
         ambiguous: bool,
     },
 }
 
-/// Follows one write to its end.
+/// State machine that follows one write to its final result.
 #[derive(Clone, Debug)]
 pub struct WriteResolver {
     condition: Condition,
@@ -117,8 +119,8 @@
 }
 
 impl WriteResolver {
-    /// A write under `condition` with at most `max_attempts` requests after
-    /// the first, reads included.
+    /// Creates a resolver for a write under `condition`, with at most
+    /// `max_attempts` requests after the first, including reads.
     pub fn new(condition: Condition, max_attempts: u32) -> Self {
         WriteResolver {
             condition,
@@ -127,12 +129,12 @@
         }
     }
 
-    /// Whether an answer was lost, so that the write may have taken effect.
+    /// Whether a response was lost, so that the write may have taken effect.
     pub fn response_lost(&self) -> bool {
         self.response_lost
     }
 
-    /// After the write was answered, or not.
+    /// Handles the result of sending the write.
     pub fn on_write(&mut self, result: Result<(), &PlatformError>) -> Step {
         let error = match result {
             Ok(()) => return Step::Finish(Finish::Applied),
@@ -140,49 +142,50 @@
         };
         if error.is_ambiguous() {
             self.response_lost = true;
-            return self.attempt(Step::ReadBack);
+            return self.use_attempt(Step::ReadBack);
         }
         let condition_failed = matches!(
             error.kind,
             PlatformErrorKind::Conflict | PlatformErrorKind::AlreadyExists
         );
         match (condition_failed, self.response_lost) {
-            // The earlier send whose answer was lost may itself be what
+            // The earlier attempt whose response was lost may itself have
             // changed the object.
-            (true, true) => self.attempt(Step::ReadBack),
+            (true, true) => self.use_attempt(Step::ReadBack),
             (true, false) => Step::Finish(Finish::Conflict),
-            (false, _) if error.kind.is_transient() => self.attempt(Step::Send),
-            (false, true) => self.attempt(Step::ReadBack),
-            (false, false) => self.fail(),
+            (false, _) if error.kind.is_transient() => self.use_attempt(Step::Send),
+            (false, true) => self.use_attempt(Step::ReadBack),
+            (false, false) => self.failed(),
         }
     }
 
-    /// After the object was read: `Ok(None)` if there is none, an error if it
-    /// could not be read.
+    /// Handles the result of reading the object: `Ok(None)` if it does not
+    /// exist, an error if it could not be read.
     pub fn on_read(&mut self, result: Result<Option<&ReadBack>, &PlatformError>) -> Step {
         let Ok(found) = result else {
-            return self.attempt(Step::ReadBack);
+            return self.use_attempt(Step::ReadBack);
         };
         match resolve(&self.condition, found) {
             Resolution::Applied => Step::Finish(Finish::Applied),
-            Resolution::NotYetApplied => self.attempt(Step::Send),
+            Resolution::NotYetApplied => self.use_attempt(Step::Send),
             Resolution::Superseded => Step::Finish(Finish::Superseded),
             Resolution::Gone => Step::Finish(Finish::Gone),
-            Resolution::OlderStore => self.attempt(Step::ReadBack),
+            Resolution::OlderStore => self.use_attempt(Step::ReadBack),
         }
     }
 
-    fn attempt(&mut self, step: Step) -> Step {
+    /// Returns `step` if an attempt is left, otherwise the failure.
+    fn use_attempt(&mut self, step: Step) -> Step {
         match self.attempts_left.checked_sub(1) {
             Some(left) => {
                 self.attempts_left = left;
                 step
             }
-            None => self.fail(),
+            None => self.failed(),
         }
     }
 
-    fn fail(&self) -> Step {
+    fn failed(&self) -> Step {
         Step::Finish(Finish::Failed {
             ambiguous: self.response_lost,
         })
--- a/crates/object-api/src/resource.rs
+++ b/crates/object-api/src/resource.rs
@@ -1,4 +1,4 @@
-//! Kinds of objects, their paths, and objects as the store returns them.
+//! Object kinds, their paths, and objects as returned by the store.
 
 use std::fmt;
 
@@ -20,10 +20,10 @@
     /// Plural name in paths, for example `backends`.
     const PLURAL: &'static str;
 
-    /// The object's metadata.
+    /// Returns the metadata of the object.
     fn metadata(&self) -> &ObjectMeta;
 
-    /// The resource in the library's terms.
+    /// Returns the resource description that `kube_core` uses.
     fn resource() -> ApiResource {
         let kind = GroupVersionKind::gvk(API_GROUP, API_GROUP_VERSION, Self::KIND);
         ApiResource::from_gvk_with_plural(&kind, Self::PLURAL)
@@ -47,10 +47,10 @@
 api_object!(KeyedServiceObject, KEYED_SERVICE_KIND, KEYED_SERVICE_PLURAL);
 api_object!(RouterGroupObject, ROUTER_GROUP_KIND, ROUTER_GROUP_PLURAL);
 
-/// Which namespaces a list or a watch covers.
+/// Namespaces that a list or a watch covers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Scope {
-    /// Every namespace.
+    /// All namespaces.
     #[default]
     All,
     /// One namespace.
@@ -58,18 +58,19 @@
 }
 
 impl Scope {
-    /// Path of the collection of `K` within this scope.
+    /// Returns the path of the collection of `K` within this scope.
     pub fn path<K: ApiObject>(&self) -> String {
         let namespace = match self {
             Scope::All => None,
             Scope::Namespace(namespace) => Some(namespace.as_str()),
         };
-        // Any object of the library gives the path; the resource decides it.
+        // `DynamicObject` stands for any kind; only the resource determines the
+        // path.
         kube_core::DynamicObject::url_path(&K::resource(), namespace)
     }
 }
 
-/// Identity of an object of a known kind.
+/// Namespace and name of an object of a known kind.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ObjectKey {
     /// Namespace.
@@ -79,7 +80,7 @@
 }
 
 impl ObjectKey {
-    /// Builds a key from its parts.
+    /// Creates a key from namespace and name.
     pub fn new(namespace: impl Into<String>, name: impl Into<String>) -> Self {
         ObjectKey {
             namespace: namespace.into(),
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Key of the object that carries `metadata`.
+    /// Returns the key of the object with this `metadata`.
     pub fn of(metadata: &ObjectMeta) -> Self {
         ObjectKey {
             namespace: metadata.namespace.clone().unwrap_or_default(),
@@ -102,29 +103,30 @@
     }
 }
 
-/// An object as the store returned it. Its metadata could be read; its
-/// content may be unreadable, which hides no other object.
+/// An object returned by the store. Its metadata was readable; its content may
+/// be unreadable without affecting other objects.
 #[derive(Clone, Debug)]
 pub struct StoredObject<K> {
-    /// Which object.
+    /// Namespace and name.
     pub key: ObjectKey,
-    /// Identity over time: a name that is created again has another.
+    /// Identity of the object; an object created again under the same name has
+    /// another.
     pub uid: String,
     /// Version of the store that last changed the object.
     pub resource_version: u64,
-    /// Number of changes of its specification.
+    /// Number of changes to the specification of the object.
     pub generation: i64,
-    /// The object, or why it cannot be read.
+    /// The object, or the reason why it cannot be read.
     pub content: Result<K, Box<Problem>>,
 }
 
 impl<K: ApiObject> StoredObject<K> {
-    /// Reads an object out of the store's JSON.
+    /// Parses an object from the JSON of the store.
     ///
     /// # Errors
     ///
-    /// Name, identity or version break the conventions of the object API; the
-    /// text says how. An operator cannot cause that.
+    /// Name, identity or version violate the conventions of the object API; the
+    /// text describes how. An operator cannot cause that.
     pub fn read(value: &Value) -> Result<Self, String> {
         let metadata = value.get("metadata").unwrap_or(&Value::Null);
         let store_metadata =
@@ -139,8 +141,8 @@
     }
 }
 
-/// The metadata that the store itself sets. All other metadata is an
-/// operator's and is read with the content.
+/// Metadata that the store itself sets. All other metadata is set by operators
+/// and parsed with the content.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct StoreMetadata {
@@ -154,8 +156,9 @@
     generation: i64,
 }
 
-/// Reads a version of the store. Versions are compared as numbers, which the
-/// object API allows since Kubernetes 1.35 and every store before it kept.
+/// Parses a version of the store. Versions are compared as numbers, which the
+/// object API allows since Kubernetes 1.35 and which already worked with every
+/// earlier store.
 ///
 /// # Errors
 ///
--- a/crates/object-api/src/tracker.rs
+++ b/crates/object-api/src/tracker.rs
@@ -1,13 +1,14 @@
-//! Tells a change of the store from a store that went back in time.
+//! Distinguishes changes in the store from a store that reverted to an older
+//! state.
 //!
-//! Keeps the guarantee that an accepted configuration never reverts: an
-//! object is delivered only if its version is above the one delivered before,
-//! and a whole list only if it is not older than what was seen. A store that
+//! This upholds the guarantee that an accepted configuration never reverts: an
+//! object is delivered only if its version is higher than the one delivered
+//! before, and a list only if it is not older than what was seen. A store that
 //! was restored from a backup therefore changes nothing by itself.
 //!
-//! The store is expected to count on after a restore (etcd calls it
-//! `--bump-revision`). Until its versions pass those seen, the watcher says
-//! that the store is older and delivers nothing of it.
+//! After a restore the store is expected to continue with higher versions
+//! (`--bump-revision` in etcd). Until its versions exceed those seen, the
+//! watcher reports that the store is older and delivers none of its objects.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,7 +16,7 @@
 use crate::resource::{ObjectKey, StoredObject};
 use crate::watch::Event;
 
-/// One difference to what was delivered before.
+/// One change since the last delivery.
 #[derive(Clone, Debug)]
 pub enum Change<K> {
     /// An object was created or changed.
@@ -24,19 +25,20 @@
     Removed(ObjectKey),
 }
 
-/// An object that the store shows otherwise than it did at a later version.
+/// An object whose state in the store is older than, or contradicts, the state
+/// seen before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Withheld {
-    /// Which object.
+    /// Namespace and name of the object.
     pub key: ObjectKey,
-    /// Why it is not delivered.
+    /// Reason why it is not delivered.
     pub reason: WithheldReason,
 }
 
-/// Why an object is not delivered.
+/// Reason why an object is not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WithheldReason {
-    /// The store shows an older version than was delivered.
+    /// The store shows an older version than the one delivered.
     #[error("the store shows version {shown} after {delivered}; edit the object again")]
     Older {
         /// Version delivered before.
@@ -50,15 +52,15 @@
     /// The store shows an object that was deleted.
     #[error("the store shows a deleted object of version {0}; delete it again")]
     Undeleted(u64),
-    /// The store lost the object when it went back.
+    /// The store lost the object when it reverted to an older state.
     #[error("the store lost the object when it was restored; create it again, then delete it")]
     Lost,
 }
 
-/// What a list gives.
+/// Result of processing a list.
 #[derive(Clone, Debug)]
 pub enum ListOutcome<K> {
-    /// The list is older than what was seen; nothing of it is used.
+    /// The list is older than what was seen; none of it is used.
     Older {
         /// Highest version seen.
         seen: u64,
@@ -67,21 +69,22 @@
     },
     /// The list is current.
     Current {
-        /// Its objects that can be trusted, whether they changed or not.
+        /// Objects of the list that can be trusted, whether they changed or
+        /// not.
         objects: Vec<StoredObject<K>>,
-        /// Objects delivered before that were deleted since.
+        /// Objects delivered before that have been deleted since.
         removed: Vec<ObjectKey>,
-        /// Objects that keep the form delivered before.
+        /// Objects that keep the state delivered before.
         withheld: Vec<Withheld>,
     },
 }
 
-/// What a watch event gives.
+/// Result of processing a watch event.
 #[derive(Clone, Debug)]
 pub enum EventOutcome<K> {
-    /// Deliver this.
+    /// Deliver this change.
     Change(Change<K>),
-    /// Everything up to this version was delivered.
+    /// Everything up to this version has been delivered.
     Confirmed(u64),
     /// The event was delivered before.
     Duplicate,
@@ -92,7 +95,7 @@
         /// Version of the event.
         shown: u64,
     },
-    /// The watch is of no further use; list again.
+    /// The watch can no longer be used; list again.
     Relist,
 }
 
@@ -101,34 +104,36 @@
 struct Delivered {
     uid: String,
     version: u64,
-    /// Number of changes of its specification; 0 if not known.
+    /// Number of changes to the specification; 0 if unknown.
     generation: i64,
 }
 
-/// Remembers which version of each object was delivered.
+/// Tracks the delivered version of each object.
 #[derive(Clone, Debug, Default)]
 pub struct ObjectTracker {
     delivered: BTreeMap<ObjectKey, Delivered>,
     /// Highest version seen.
     seen: u64,
-    /// Version at which every object of the store was known.
+    /// Version up to which all objects of the store are known.
     complete_up_to: Option<u64>,
-    /// Something older was seen since the last current list.
-    went_back: bool,
-    /// Objects that the store lost when it went back.
+    /// Whether anything older was seen since the last current list.
+    reverted: bool,
+    /// Objects that the store lost when it reverted to an older state.
     lost: BTreeSet<ObjectKey>,
-    /// Older versions that were reported already.
+    /// Older versions that were already reported, by object.
     older_reported: BTreeMap<ObjectKey, u64>,
 }
 
 impl ObjectTracker {
-    /// Knows nothing; trusts the first list whatever its version.
+    /// Creates an empty tracker, which trusts the first list whatever its
+    /// version.
     pub fn new() -> Self {
         ObjectTracker::default()
     }
 
-    /// Knows what an earlier watcher delivered, so that a new one after a
-    /// failover does not trust a store that went back meanwhile.
+    /// Creates a tracker with the versions that an earlier watcher delivered,
+    /// so that a new watcher after a failover does not trust a store that
+    /// reverted in the meantime.
     pub fn with_delivered(known: impl IntoIterator<Item = (ObjectKey, u64)>) -> Self {
         let mut tracker = ObjectTracker::default();
         for (key, version) in known {
@@ -143,15 +148,15 @@
         tracker
     }
 
-    /// Highest version seen.
+    /// Returns the highest version seen.
     pub fn highest_seen(&self) -> u64 {
         self.seen
     }
 
-    /// Judges a list of the whole scope.
+    /// Processes a list of the whole scope.
     pub fn on_list<K>(&mut self, listed: ObjectList<K>) -> ListOutcome<K> {
         if listed.resource_version < self.seen {
-            self.went_back = true;
+            self.reverted = true;
             return ListOutcome::Older {
                 seen: self.seen,
                 listed: listed.resource_version,
@@ -180,7 +185,8 @@
         }
     }
 
-    /// Judges an event of a watch that began at the version of the last list.
+    /// Processes an event of a watch that started at the version of the last
+    /// list.
     pub fn on_event<K>(&mut self, event: Event<K>) -> EventOutcome<K> {
         match event {
             Event::Added(object) | Event::Modified(object) => self.on_change(object),
@@ -217,14 +223,14 @@
     }
 
     fn report_older<K>(&mut self, shown: u64) -> EventOutcome<K> {
-        self.went_back = true;
+        self.reverted = true;
         EventOutcome::Older {
             seen: self.seen,
             shown,
         }
     }
 
-    /// After a full list, events keep the whole store known.
+    /// Advances to `version`. After a full list, events keep all objects known.
     fn advance(&mut self, version: u64) {
         self.seen = version;
         if self.complete_up_to.is_some() {
@@ -243,8 +249,8 @@
                 Some(WithheldReason::VersionReused(shown))
             }
             Some(_) => None,
-            // Every object up to the synced version was known, so one that is
-            // not known was deleted.
+            // Every object up to this version was known, so an unknown one was
+            // deleted.
             None if self
                 .complete_up_to
                 .is_some_and(|complete_up_to| shown <= complete_up_to) =>
@@ -255,11 +261,13 @@
         }
     }
 
+    /// Withholds an object. The first time it shows this version, the store
+    /// counts as reverted.
     fn withhold<K>(&mut self, object: StoredObject<K>, reason: WithheldReason) -> Withheld {
         let shown = object.resource_version;
         let reported = self.older_reported.insert(object.key.clone(), shown);
         if reported != Some(shown) {
-            self.went_back = true;
+            self.reverted = true;
         }
         Withheld {
             key: object.key,
@@ -267,8 +275,9 @@
         }
     }
 
-    /// Objects that are delivered but not listed were deleted, unless the
-    /// store went back since the last current list: then it lost them.
+    /// Classifies objects that were delivered but are not listed. They were
+    /// deleted, unless the store reverted since the last current list: then it
+    /// lost them.
     fn classify_absent(
         &mut self,
         present: &BTreeSet<ObjectKey>,
@@ -276,7 +285,7 @@
     ) -> Vec<ObjectKey> {
         let is_absent = |key: &&ObjectKey| !present.contains(*key);
         let absent: Vec<ObjectKey> = self.delivered.keys().filter(is_absent).cloned().collect();
-        if std::mem::take(&mut self.went_back) {
+        if std::mem::take(&mut self.reverted) {
             self.lost.extend(absent.iter().cloned());
         }
         let (lost, removed): (Vec<_>, Vec<_>) =
@@ -291,14 +300,16 @@
         removed
     }
 
+    /// Records the object as delivered.
     fn remember<K>(&mut self, object: &StoredObject<K>) {
         let delivered = Delivered::of(object);
         let earlier = self.delivered.insert(object.key.clone(), delivered);
-        // Edited after the store went back: a newer version of fewer changes.
+        // A newer version with fewer changes was edited after the store
+        // reverted.
         let fewer_changes = |earlier: Delivered| {
             earlier.uid == object.uid && earlier.generation > object.generation
         };
-        self.went_back |= earlier.is_some_and(fewer_changes);
+        self.reverted |= earlier.is_some_and(fewer_changes);
         self.lost.remove(&object.key);
         self.older_reported.remove(&object.key);
     }
@@ -319,8 +330,8 @@
         }
     }
 
-    /// Same version, other identity. What an earlier watcher delivered is
-    /// known without identity and fits any.
+    /// Whether the object has the same version but another identity. Objects
+    /// delivered by an earlier watcher have no recorded identity and match any.
     fn has_other_uid<K>(&self, object: &StoredObject<K>) -> bool {
         let same_version = self.version == object.resource_version;
         same_version && !self.uid.is_empty() && self.uid != object.uid
--- a/crates/object-api/src/transport.rs
+++ b/crates/object-api/src/transport.rs
@@ -1,8 +1,8 @@
-//! One HTTP exchange with the platform.
+//! A single HTTP exchange with the platform.
 //!
-//! Each exchange has its own connection: the platform gets few requests, and
-//! a write on a reused connection that the peer is just closing could not be
-//! told from one that took effect.
+//! Each exchange has its own connection: the platform receives few requests,
+//! and a write on a reused connection that the peer is closing could not be
+//! distinguished from one that took effect.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,15 +17,15 @@
 
 use crate::error::{PlatformError, PlatformErrorKind, WriteEffect};
 
-/// Bounds of one exchange.
+/// Settings of the exchanges.
 #[derive(Clone, Debug)]
 pub struct TransportSettings {
-    /// Longest time to connect.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// Longest time from the request to the whole answer; for a watch, to
-    /// the head of the answer.
+    /// Maximum time from the request to the complete response; for a watch, to
+    /// the response head.
     pub response_timeout: Duration,
-    /// Largest answer, and largest line of a watch, in bytes.
+    /// Largest response, and largest line of a watch, in bytes.
     pub max_response_bytes: usize,
     /// Token sent as `Authorization: Bearer`, if any.
     pub token: Option<String>,
@@ -42,13 +42,13 @@
     }
 }
 
-/// Waits when the platform limits requests without saying how long.
+/// Delay after a rate limit response without `Retry-After`.
 pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Longest wait taken from `Retry-After`.
+/// Longest delay accepted from `Retry-After`.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 const JSON: &str = "application/json";
 
-/// Exchanges with one address.
+/// HTTP transport to one address.
 #[derive(Clone, Debug)]
 pub struct Transport {
     address: SocketAddr,
@@ -57,10 +57,10 @@
 }
 
 impl Transport {
-    /// Exchanges with `address` within the bounds of `settings`.
+    /// Creates a transport to `address` with these settings.
     pub fn new(address: SocketAddr, settings: TransportSettings) -> Self {
         let pool = Pool::new(PoolSettings {
-            // A connection that was never idle is never reused.
+            // With a zero timeout no idle connection is ever reused.
             idle_timeout: Duration::ZERO,
             connect_timeout: settings.connect_timeout,
             ..PoolSettings::default()
@@ -72,16 +72,16 @@
         }
     }
 
-    /// The bounds in force.
+    /// Returns the settings.
     pub fn settings(&self) -> &TransportSettings {
         &self.settings
     }
 
-    /// Sends a request and reads the whole body of a successful answer.
+    /// Sends a request and reads the whole body of a successful response.
     ///
     /// # Errors
     ///
-    /// Any failure, with the effect a write may have had.
+    /// Any failure, with the effect that a write may have had.
     pub async fn exchange(
         &self,
         request: http::Request<Vec<u8>>,
@@ -98,12 +98,12 @@
         }
     }
 
-    /// Sends a request and gives the successful answer with its body unread,
-    /// which may go on without end.
+    /// Sends a request and returns the successful response with its body
+    /// unread, which may be endless.
     ///
     /// # Errors
     ///
-    /// Any failure until the head of the answer.
+    /// Any failure up to the response head.
     pub async fn open(&self, request: http::Request<Vec<u8>>) -> Result<Response, PlatformError> {
         let operation = Operation::of(&request);
         let request = self.convert(&operation, request)?;
@@ -142,8 +142,8 @@
         Ok(request)
     }
 
-    /// A failed exchange. It certainly had no effect only if no byte of the
-    /// request can have left.
+    /// Converts the error of an exchange. The request certainly had no effect
+    /// only if none of its bytes can have been sent.
     fn exchange_error(&self, operation: &Operation, error: ExchangeError) -> PlatformError {
         if !error.stage.may_have_been_received() {
             let kind = PlatformErrorKind::Unreachable(error.fault.to_string());
@@ -166,7 +166,8 @@
     ) -> Result<Vec<u8>, PlatformError> {
         let limit = self.settings.max_response_bytes;
         let mut body = Vec::new();
-        // One byte more than allowed tells a body at the limit from one over it.
+        // Reading one byte more than allowed distinguishes a body at the limit
+        // from one above it.
         let mut limited = response.take(limit as u64 + 1);
         let read = limited.read_to_end(&mut body).await;
         read.map_err(|error| operation.unknown_effect(self.body_error(&error)))?;
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Turns an unsuccessful answer into an error.
+    /// Converts an unsuccessful response into an error.
     async fn error_from_response(
         &self,
         operation: &Operation,
@@ -198,14 +199,14 @@
         let status: Status = serde_json::from_slice(&body).unwrap_or_default();
         let kind = error_kind(code, wait, &status);
         match kind {
-            // A server that failed may have failed after it wrote.
+            // A server error may occur after the write took effect.
             PlatformErrorKind::ServerFailure { .. } => operation.unknown_effect(kind),
             _ => PlatformError::without_effect(&operation.name, kind),
         }
     }
 }
 
-/// Names a request in errors and knows whether it writes.
+/// Name of a request in errors, and whether it writes.
 pub(crate) struct Operation {
     pub(crate) name: String,
     writes: bool,
@@ -219,7 +220,7 @@
         }
     }
 
-    /// A failure after which a write may have taken effect.
+    /// Builds an error after which a write may have taken effect.
     pub(crate) fn unknown_effect(&self, kind: PlatformErrorKind) -> PlatformError {
         let effect = if self.writes {
             WriteEffect::Ambiguous
@@ -243,7 +244,7 @@
     }
 }
 
-/// Kind of a refusal by its HTTP status and reason.
+/// Maps the HTTP status and reason of a refused request to an error kind.
 pub(crate) fn error_kind(code: u16, wait: Duration, status: &Status) -> PlatformErrorKind {
     let message = status.message.clone();
     match code {
@@ -266,5 +267,6 @@
     }
 }
 
-/// Beginning of the object API's message for a version it has not reached.
+/// Start of the message that the object API sends for a version it has not
+/// reached.
 const STORE_BEHIND_MESSAGE: &str = "Too large resource version";
--- a/crates/object-api/src/watch.rs
+++ b/crates/object-api/src/watch.rs
@@ -21,15 +21,15 @@
     Added(StoredObject<K>),
     /// An object was changed.
     Modified(StoredObject<K>),
-    /// An object was deleted; its last state.
+    /// An object was deleted; contains its last state.
     Deleted(StoredObject<K>),
-    /// Nothing up to this version concerns the watch.
+    /// There are no further events of the watch up to this version.
     Bookmark(u64),
     /// The store no longer has the version; list again.
     Gone,
 }
 
-/// Events of one watch connection, in the order of their versions.
+/// Events of one watch connection, ordered by version.
 pub struct EventStream<K> {
     response: Response,
     max_line_bytes: usize,
@@ -54,13 +54,13 @@
         }
     }
 
-    /// The next event, or `None` when the store ended the watch. Dropping the
-    /// future between two events loses nothing.
+    /// Returns the next event, or `None` when the store ended the watch.
+    /// Dropping the future between two events loses nothing.
     ///
     /// # Errors
     ///
-    /// The connection broke, or the store sent an error or a line that does
-    /// not follow the conventions; the stream is then of no further use.
+    /// The connection failed, or the store sent an error or a line that
+    /// violates the API conventions; the stream cannot be used afterwards.
     pub async fn next(&mut self) -> Option<Result<Event<K>, PlatformError>> {
         match self.read_line().await {
             Ok(false) => None,
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Reads up to the next line end into `line`, which keeps what came
-    /// before a dropped call.
+    /// Reads up to the next line end into `line`, which keeps the bytes read by
+    /// a dropped call. Returns whether there is a line.
     async fn read_line(&mut self) -> Result<bool, PlatformError> {
         loop {
             let available = self.response.fill_buf().await.map_err(|error| {
@@ -102,7 +102,7 @@
         if self.line.is_empty() {
             return Ok(false);
         }
-        let text = "the watch ended within an event".to_owned();
+        let text = "the connection ended within an event".to_owned();
         Err(watch_error(PlatformErrorKind::ConnectionLost(text)))
     }
 }
@@ -122,7 +122,7 @@
             Ok(Event::Bookmark(version))
         }
         "ERROR" => read_error(line.object),
-        other => Err(bad_response(format!("event type '{other}'"))),
+        other => Err(bad_response(format!("unknown event type '{other}'"))),
     }
 }
 
--- a/crates/object-api/src/watcher.rs
+++ b/crates/object-api/src/watcher.rs
@@ -1,4 +1,5 @@
-//! Follows a scope of the store: list, watch, and list again.
+//! Watches a scope of the store: lists it, watches for changes, and lists again
+//! when necessary.
 
 use std::time::{Duration, Instant};
 
@@ -13,56 +14,57 @@
 use crate::tracker::{Change, EventOutcome, ListOutcome, ObjectTracker, Withheld};
 use crate::watch::EventStream;
 
-/// What a watcher tells.
+/// Updates that a watcher delivers.
 #[derive(Clone, Debug)]
 pub enum WatchUpdate<K> {
-    /// The whole scope. What is neither in `objects` nor in `withheld` was
-    /// deleted, whoever delivered it before.
+    /// The state of the whole scope. An object in neither `objects` nor
+    /// `withheld` was deleted, no matter which watcher delivered it.
     Snapshot {
-        /// Objects as they are.
+        /// Current objects.
         objects: Vec<StoredObject<K>>,
-        /// Objects this watcher delivered before that are gone.
+        /// Objects that this watcher delivered before and that have been
+        /// deleted.
         removed: Vec<ObjectKey>,
-        /// Objects that keep the form delivered before.
+        /// Objects that keep the state delivered before.
         withheld: Vec<Withheld>,
         /// Version of the store.
         resource_version: u64,
     },
-    /// One difference.
+    /// A single change.
     Change(Change<K>),
-    /// Everything up to this version was delivered.
+    /// Everything up to this version has been delivered.
     Confirmed(u64),
-    /// The store shows an older state than it did before. Nothing of it is
-    /// delivered; what was delivered stays in force.
+    /// The store shows an older state than before. None of it is delivered;
+    /// what was delivered stays in force.
     OlderStore {
         /// Highest version seen.
         seen: u64,
         /// Version shown now.
         shown: u64,
     },
-    /// The store could not be read; the watcher tries again after the wait.
+    /// The store could not be read; the watcher retries after the delay.
     Interrupted {
-        /// Why.
+        /// Cause of the failure.
         error: PlatformError,
-        /// Wait before the next attempt.
+        /// Delay before the next attempt.
         retry_in: Duration,
     },
 }
 
-/// Bounds of a watcher.
+/// Settings of a watcher.
 #[derive(Clone, Debug)]
 pub struct WatcherSettings {
-    /// Namespaces to follow.
+    /// Namespaces to watch.
     pub scope: Scope,
-    /// Waits after failures.
+    /// Delays after failures.
     pub backoff: BackoffSettings,
-    /// Shortest time between two requests of this watcher, so that a store
-    /// that ends every watch at once is not flooded.
+    /// Shortest time between two requests of this watcher, so that a store that
+    /// ends every watch at once is not flooded with requests.
     pub min_request_interval: Duration,
-    /// Longest time without event or bookmark before the connection is given
-    /// up as dead.
+    /// Longest time without an event or bookmark before the connection is
+    /// considered dead.
     pub idle_timeout: Duration,
-    /// Seed of the spread of the waits; differs between routers.
+    /// Seed of the backoff jitter; differs between routers.
     pub seed: u64,
 }
 
@@ -78,7 +80,7 @@
     }
 }
 
-/// Follows a scope until nobody listens.
+/// Watches a scope until the receiver of its updates is dropped.
 pub struct Watcher<K> {
     client: ObjectClient,
     settings: WatcherSettings,
@@ -88,21 +90,21 @@
     last_request: Option<Instant>,
 }
 
-/// Nobody listens any more.
+/// The receiver of the updates was dropped.
 struct ReceiverClosed;
 
-/// Why one watch connection ended.
+/// Reason why a watch connection ended.
 enum WatchEnd {
-    /// The store or the connection ended it; continue at the version reached.
+    /// The store or the connection ended it; continue from the version reached.
     Ended,
     /// List again.
     Relist,
 }
 
 impl<K: ApiObject> Watcher<K> {
-    /// A watcher that delivers to `updates`. A full channel slows the watcher
-    /// down rather than taking memory without bound. `tracker` holds what was
-    /// delivered before, if anything.
+    /// Creates a watcher that sends to `updates`. A full channel slows the
+    /// watcher down, so that memory use stays bounded. `tracker` holds the
+    /// versions delivered before, if any.
     pub fn new(
         client: ObjectClient,
         settings: WatcherSettings,
@@ -120,12 +122,13 @@
         }
     }
 
-    /// Runs until the receiving end of the channel is dropped.
+    /// Runs until the receiver of the channel is dropped.
     pub async fn run(mut self) {
         while self.list_and_watch().await.is_ok() {}
     }
 
-    /// One list, then watches from its version until it takes another list.
+    /// Lists once, then watches from that version until another list is
+    /// necessary.
     async fn list_and_watch(&mut self) -> Result<(), ReceiverClosed> {
         if !self.list().await? {
             return Ok(());
@@ -138,7 +141,7 @@
         }
     }
 
-    /// Lists; tells whether a watch may follow.
+    /// Lists the scope; returns whether a watch may follow.
     async fn list(&mut self) -> Result<bool, ReceiverClosed> {
         self.enforce_min_interval().await;
         let listed = match self.client.list(&self.settings.scope).await {
@@ -181,6 +184,7 @@
         }
     }
 
+    /// Delivers the events of one watch connection until it ends.
     async fn read_events(
         &mut self,
         mut stream: EventStream<K>,
@@ -212,13 +216,14 @@
         }
     }
 
+    /// Reports a failed watch and decides how to continue.
     async fn watch_failed(&mut self, error: PlatformError) -> Result<WatchEnd, ReceiverClosed> {
         let resumable = error.kind.is_transient();
         if error.kind != PlatformErrorKind::Gone {
             self.report_and_back_off(error).await?;
         }
-        // Anything but a passing failure takes a list to find out where the
-        // store stands.
+        // Anything but a transient failure requires a list to find out the
+        // state of the store.
         Ok(if resumable {
             WatchEnd::Ended
         } else {
@@ -241,7 +246,7 @@
         Ok(())
     }
 
-    /// Keeps the shortest time between two requests.
+    /// Waits until the minimum interval since the last request has passed.
     async fn enforce_min_interval(&mut self) {
         let interval = self.settings.min_request_interval;
         if let Some(last) = self.last_request {
--- a/crates/object-api/src/write.rs
+++ b/crates/object-api/src/write.rs
@@ -1,4 +1,4 @@
-//! Conditional writes that survive a lost answer.
+//! Conditional writes that handle lost responses.
 
 use std::time::Duration;
 
@@ -15,34 +15,34 @@
 pub enum Write<K> {
     /// Creates the object if its name is free.
     Create(K),
-    /// Replaces the object if it has the version that this one carries.
+    /// Replaces the object if it still has the version that this one carries.
     Replace(K),
-    /// Replaces the status of the object, on the same condition.
+    /// Replaces the status of the object, under the same condition.
     ReplaceStatus(K),
 }
 
-/// What became of a write that ended without error.
+/// Result of a write that ended without an error.
 #[derive(Clone, Debug)]
 pub enum WriteOutcome<K> {
-    /// The object is as the write wanted it.
+    /// The object has the content of the write.
     Applied(StoredObject<K>),
     /// The condition did not hold; the write had no effect.
     Conflict,
-    /// Somebody changed the object after the condition held; the write may
-    /// have been in force in between. The object as it is now.
+    /// Another writer changed the object after the condition held; the write
+    /// may have been in force in between. Contains the current object.
     Superseded(StoredObject<K>),
-    /// The object is gone or was created again.
+    /// The object was deleted, or deleted and created again.
     Gone,
 }
 
-/// Bounds of one resolved write.
+/// Settings for a write with read-back.
 #[derive(Clone, Debug)]
 pub struct ResolveSettings {
-    /// Most requests after the first, reads included.
+    /// Maximum number of requests after the first, including reads.
     pub max_attempts: u32,
-    /// Waits between them.
+    /// Delays between requests.
     pub backoff: BackoffSettings,
-    /// Seed of the spread of the waits.
+    /// Seed of the backoff jitter.
     pub seed: u64,
 }
 
@@ -56,12 +56,12 @@
     }
 }
 
-/// Writes, and reads back whenever an answer was lost.
+/// Performs a write, and reads the object back whenever a response was lost.
 ///
 /// # Errors
 ///
 /// The last failure. Its effect is [`WriteEffect::Ambiguous`] if a lost
-/// answer could not be resolved: the object has to be read before it is
+/// response could not be resolved: the object has to be read before it is
 /// written again.
 pub async fn write_resolved<K: ApiObject>(
     client: &ObjectClient,
@@ -82,7 +82,7 @@
     executor.run().await
 }
 
-/// One write on its way.
+/// Execution state of one write.
 struct WriteExecutor<'a, K> {
     client: &'a ObjectClient,
     write: &'a Write<K>,
@@ -145,6 +145,8 @@
         }
     }
 
+    /// Waits for the backoff delay, or longer if the platform asked for it,
+    /// after an error.
     async fn wait_after_error(&mut self) {
         let Some(error) = &self.error else {
             return;
@@ -165,9 +167,12 @@
     }
 }
 
+/// Returns the last error, marked as ambiguous if a response was lost.
 fn final_error(error: Option<PlatformError>, response_lost: bool) -> PlatformError {
     let mut error = error.unwrap_or_else(|| {
-        let kind = PlatformErrorKind::BadAnswer("the store stays behind".to_owned());
+        let kind = PlatformErrorKind::BadAnswer(
+            "the store still shows an older version than the write was based on".to_owned(),
+        );
         PlatformError::without_effect("write", kind)
     });
     if response_lost {
@@ -177,19 +182,19 @@
 }
 
 impl<K: ApiObject> Write<K> {
-    /// The object as the write wants it.
+    /// Returns the object to write.
     pub fn object(&self) -> &K {
         match self {
             Write::Create(object) | Write::Replace(object) | Write::ReplaceStatus(object) => object,
         }
     }
 
-    /// Which object is written.
+    /// Returns the key of the object to write.
     pub fn key(&self) -> ObjectKey {
         ObjectKey::of(self.object().metadata())
     }
 
-    /// The condition under which the write takes effect.
+    /// Returns the condition under which the write takes effect.
     fn condition(&self) -> Result<Condition, PlatformError> {
         if let Write::Create(_) = self {
             return Ok(Condition::NameIsFree);
@@ -205,7 +210,7 @@
         Ok(Condition::HasVersion { uid, version })
     }
 
-    /// Compares the part that was written with the object that was read.
+    /// Compares the written part of the object with the object that was read.
     fn compare(&self, found: &StoredObject<K>) -> ReadBack {
         let content_matches = match &found.content {
             Ok(object) => self.written_part(object) == self.written_part(self.object()),
@@ -218,14 +223,16 @@
         }
     }
 
+    /// Returns the part of `object` that this write sets: the status, or the
+    /// specification with labels and annotations.
     fn written_part(&self, object: &K) -> Value {
-        let mut whole = serde_json::to_value(object).unwrap_or_default();
+        let mut value = serde_json::to_value(object).unwrap_or_default();
         if let Write::ReplaceStatus(_) = self {
-            return whole["status"].take();
+            return value["status"].take();
         }
-        let mut metadata = whole["metadata"].take();
+        let mut metadata = value["metadata"].take();
         serde_json::json!({
-            "spec": whole["spec"].take(),
+            "spec": value["spec"].take(),
             "labels": metadata["labels"].take(),
             "annotations": metadata["annotations"].take(),
         })
--- a/crates/object-api/tests/resolve.rs
+++ b/crates/object-api/tests/resolve.rs
@@ -1,4 +1,5 @@
-//! A lost answer is resolved by reading, never by blind repetition.
+//! A lost response is resolved by reading the object, never by blind
+//! repetition.
 
 use std::time::Duration;
 
@@ -22,7 +23,7 @@
     }
 }
 
-fn lost() -> PlatformError {
+fn lost_response() -> PlatformError {
     PlatformError {
         operation: "PUT".to_owned(),
         kind: PlatformErrorKind::TimedOut(Duration::from_secs(1)),
@@ -34,10 +35,10 @@
     PlatformError::without_effect("PUT", kind)
 }
 
-const GIVEN_UP: Step = Step::Finish(Finish::Failed { ambiguous: true });
+const AMBIGUOUS_FAILURE: Step = Step::Finish(Finish::Failed { ambiguous: true });
 
 #[test]
-fn replacement_is_judged_by_identity_version_and_content() {
+fn replacement_is_resolved_by_identity_version_and_content() {
     let cases = [
         (Some(found("a", 10, false)), Resolution::NotYetApplied),
         (Some(found("a", 10, true)), Resolution::NotYetApplied),
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn writer_that_names_no_identity_is_judged_by_version_and_content() {
+fn write_without_uid_is_resolved_by_version_and_content() {
     let condition = Condition::HasVersion {
         uid: None,
         version: 10,
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn creation_is_judged_by_presence_and_content() {
+fn creation_is_resolved_by_presence_and_content() {
     let create = Condition::NameIsFree;
     assert_eq!(resolve(&create, None), Resolution::NotYetApplied);
     let ours = found("a", 3, true);
@@ -81,9 +82,9 @@
 }
 
 #[test]
-fn lost_answer_is_followed_by_a_read_not_by_a_write() {
+fn lost_response_is_followed_by_a_read_not_by_a_write() {
     let mut resolver = WriteResolver::new(replace(), 5);
-    assert_eq!(resolver.on_write(Err(&lost())), Step::ReadBack);
+    assert_eq!(resolver.on_write(Err(&lost_response())), Step::ReadBack);
     let applied = found("a", 11, true);
     let step = resolver.on_read(Ok(Some(&applied)));
     assert_eq!(step, Step::Finish(Finish::Applied));
@@ -92,10 +93,10 @@
 #[test]
 fn write_that_did_not_take_effect_is_sent_again_under_its_condition() {
     let mut resolver = WriteResolver::new(replace(), 5);
-    resolver.on_write(Err(&lost()));
+    resolver.on_write(Err(&lost_response()));
     let unchanged = found("a", 10, false);
     assert_eq!(resolver.on_read(Ok(Some(&unchanged))), Step::Send);
-    // The first send arrived after all, so the second meets its version.
+    // The first request arrived after all, so the second meets a newer version.
     let conflict = without_effect(PlatformErrorKind::Conflict);
     assert_eq!(resolver.on_write(Err(&conflict)), Step::ReadBack);
     let applied = found("a", 11, true);
@@ -104,7 +105,7 @@
 }
 
 #[test]
-fn conflict_without_a_lost_answer_had_no_effect() {
+fn conflict_without_a_lost_response_had_no_effect() {
     let mut resolver = WriteResolver::new(replace(), 5);
     let conflict = without_effect(PlatformErrorKind::Conflict);
     let step = resolver.on_write(Err(&conflict));
@@ -112,9 +113,9 @@
 }
 
 #[test]
-fn later_change_by_somebody_else_is_never_overwritten() {
+fn later_change_by_another_writer_is_never_overwritten() {
     let mut resolver = WriteResolver::new(replace(), 5);
-    resolver.on_write(Err(&lost()));
+    resolver.on_write(Err(&lost_response()));
     let changed = found("a", 12, false);
     let step = resolver.on_read(Ok(Some(&changed)));
     assert_eq!(step, Step::Finish(Finish::Superseded));
@@ -124,14 +125,14 @@
 fn unreadable_object_leaves_the_write_ambiguous() {
     let mut resolver = WriteResolver::new(replace(), 3);
     let down = without_effect(PlatformErrorKind::Unreachable("refused".to_owned()));
-    assert_eq!(resolver.on_write(Err(&lost())), Step::ReadBack);
+    assert_eq!(resolver.on_write(Err(&lost_response())), Step::ReadBack);
     assert_eq!(resolver.on_read(Err(&down)), Step::ReadBack);
     assert_eq!(resolver.on_read(Err(&down)), Step::ReadBack);
-    assert_eq!(resolver.on_read(Err(&down)), GIVEN_UP);
+    assert_eq!(resolver.on_read(Err(&down)), AMBIGUOUS_FAILURE);
 }
 
 #[test]
-fn write_that_was_never_sent_is_certainly_without_effect() {
+fn write_that_was_never_sent_had_no_effect() {
     let mut resolver = WriteResolver::new(replace(), 1);
     let down = without_effect(PlatformErrorKind::Unreachable("refused".to_owned()));
     assert_eq!(resolver.on_write(Err(&down)), Step::Send);
@@ -140,24 +141,24 @@
 }
 
 #[test]
-fn refused_write_after_a_lost_answer_is_read_back() {
+fn refused_write_after_a_lost_response_is_read_back() {
     let mut resolver = WriteResolver::new(replace(), 5);
-    resolver.on_write(Err(&lost()));
+    resolver.on_write(Err(&lost_response()));
     let unchanged = found("a", 10, false);
     resolver.on_read(Ok(Some(&unchanged)));
     let forbidden = without_effect(PlatformErrorKind::Forbidden(String::new()));
     assert_eq!(resolver.on_write(Err(&forbidden)), Step::ReadBack);
 }
 
-/// A store with one object, in which a sent write takes effect now, later or
-/// never, and others write in between.
+/// Model of a store with one object, in which a sent write takes effect now,
+/// later or never, and other writers write in between.
 struct Model {
     version: u64,
     content: u32,
     /// Sent writes that have not arrived; each is conditional on version 10.
-    on_the_way: u32,
-    /// Writes of ours that the store carried out.
-    carried_out: u32,
+    in_transit: u32,
+    /// Number of our writes that took effect.
+    applied_count: u32,
 }
 
 const OURS: u32 = 1;
@@ -169,14 +170,14 @@
         if holds {
             self.version += 1;
             self.content = OURS;
-            self.carried_out += 1;
+            self.applied_count += 1;
         }
         holds
     }
 
     fn interfere(&mut self, choice: u32) {
-        if choice & 1 != 0 && self.on_the_way > 0 {
-            self.on_the_way -= 1;
+        if choice & 1 != 0 && self.in_transit > 0 {
+            self.in_transit -= 1;
             self.arrive();
         }
         if choice & 2 != 0 {
@@ -191,20 +192,20 @@
             0 => resolver.on_write(Err(&without_effect(PlatformErrorKind::Conflict))),
             1 => {
                 self.arrive();
-                resolver.on_write(Err(&lost()))
+                resolver.on_write(Err(&lost_response()))
             }
             2 => {
-                self.on_the_way += 1;
-                resolver.on_write(Err(&lost()))
+                self.in_transit += 1;
+                resolver.on_write(Err(&lost_response()))
             }
-            _ => resolver.on_write(Err(&lost())),
+            _ => resolver.on_write(Err(&lost_response())),
         }
     }
 }
 
-/// Every choice of the model over all schedules of `LENGTH` steps.
+/// Runs the model over all schedules of `LENGTH` steps.
 #[test]
-fn in_every_schedule_a_write_runs_at_most_once_and_its_end_is_true() {
+fn in_every_schedule_a_write_takes_effect_at_most_once_and_its_result_is_true() {
     const LENGTH: u32 = 6;
     const CHOICES: u32 = 8;
     for schedule in 0..CHOICES.pow(LENGTH) {
@@ -212,8 +213,8 @@
         let mut model = Model {
             version: 10,
             content: 0,
-            on_the_way: 0,
-            carried_out: 0,
+            in_transit: 0,
+            applied_count: 0,
         };
         let mut resolver = WriteResolver::new(replace(), LENGTH);
         let mut step = Step::Send;
@@ -231,10 +232,10 @@
                 Step::Finish(finish) => break Some(finish),
             };
         };
-        assert!(model.carried_out <= 1, "schedule {schedule}");
+        assert!(model.applied_count <= 1, "schedule {schedule}");
         match end {
-            Some(Finish::Applied) => assert_eq!(model.carried_out, 1, "schedule {schedule}"),
-            Some(Finish::Conflict) => assert_eq!(model.carried_out, 0, "schedule {schedule}"),
+            Some(Finish::Applied) => assert_eq!(model.applied_count, 1, "schedule {schedule}"),
+            Some(Finish::Conflict) => assert_eq!(model.applied_count, 0, "schedule {schedule}"),
             _ => {}
         }
     }
--- a/crates/object-api/tests/tracker.rs
+++ b/crates/object-api/tests/tracker.rs
@@ -1,4 +1,4 @@
-//! A store that went back in time changes nothing by itself.
+//! A store that reverted to an older state changes nothing by itself.
 
 use threadledge_object_api::tracker::{EventOutcome, ListOutcome};
 use threadledge_object_api::{
@@ -13,7 +13,7 @@
     ObjectKey::new("kauri", name)
 }
 
-/// The tracker looks at identity and version only, so content is left out.
+/// The tracker uses only identity and version, so the content is left out.
 fn object(name: &str, uid: &str, version: u64) -> Object {
     StoredObject {
         key: key(name),
@@ -35,15 +35,15 @@
     }
 }
 
-/// What a current list gave: names, removed names, withheld.
-fn current(verdict: ListOutcome<BackEndObject>) -> (Vec<String>, Vec<String>, Vec<Withheld>) {
+/// Returns the names, removed names and withheld objects of a current list.
+fn current(outcome: ListOutcome<BackEndObject>) -> (Vec<String>, Vec<String>, Vec<Withheld>) {
     let ListOutcome::Current {
         objects,
         removed,
         withheld,
-    } = verdict
+    } = outcome
     else {
-        panic!("the list is older: {verdict:?}");
+        panic!("the list is older: {outcome:?}");
     };
     let objects = objects.into_iter().map(|object| object.key.name).collect();
     let removed = removed.into_iter().map(|key| key.name).collect();
@@ -62,10 +62,10 @@
 }
 
 #[test]
-fn list_gives_all_objects_and_what_is_gone() {
+fn list_returns_all_objects_and_removed_ones() {
     let mut tracker = tracker();
-    let verdict = tracker.on_list(list(12, vec![object("a", "1", 11), object("c", "3", 12)]));
-    let (objects, removed, withheld) = current(verdict);
+    let outcome = tracker.on_list(list(12, vec![object("a", "1", 11), object("c", "3", 12)]));
+    let (objects, removed, withheld) = current(outcome);
     assert_eq!(objects, names(&["a", "c"]));
     assert_eq!(removed, names(&["b"]));
     assert_eq!(withheld, []);
@@ -74,8 +74,8 @@
 #[test]
 fn older_list_is_reported_and_not_used() {
     let mut tracker = tracker();
-    let verdict = tracker.on_list(list(6, vec![object("a", "1", 5)]));
-    assert!(matches!(verdict, ListOutcome::Older { seen: 9, listed: 6 }));
+    let outcome = tracker.on_list(list(6, vec![object("a", "1", 5)]));
+    assert!(matches!(outcome, ListOutcome::Older { seen: 9, listed: 6 }));
     assert_eq!(tracker.highest_seen(), 9);
 }
 
@@ -83,8 +83,8 @@
 fn object_lost_by_a_restored_store_is_withheld_not_removed() {
     let mut tracker = tracker();
     tracker.on_list(list(6, vec![object("a", "1", 5)]));
-    let verdict = tracker.on_list(list(10, vec![object("a", "1", 10)]));
-    let (objects, removed, withheld) = current(verdict);
+    let outcome = tracker.on_list(list(10, vec![object("a", "1", 10)]));
+    let (objects, removed, withheld) = current(outcome);
     assert_eq!(objects, names(&["a"]));
     assert_eq!(removed, names(&[]));
     let lost = Withheld {
@@ -93,15 +93,15 @@
     };
     assert_eq!(withheld, [lost]);
     // A deletion after the restore is a deletion.
-    let verdict = tracker.on_list(list(14, vec![]));
-    let (_, removed, withheld) = current(verdict);
+    let outcome = tracker.on_list(list(14, vec![]));
+    let (_, removed, withheld) = current(outcome);
     assert_eq!(removed, names(&["a"]));
     assert_eq!(withheld.len(), 1);
-    // Created again, it is followed as any other.
-    let verdict = tracker.on_list(list(16, vec![object("b", "9", 15)]));
-    assert_eq!(current(verdict).2, []);
-    let verdict = tracker.on_list(list(18, vec![]));
-    assert_eq!(current(verdict).1, names(&["b"]));
+    // An object created again is tracked like any other.
+    let outcome = tracker.on_list(list(16, vec![object("b", "9", 15)]));
+    assert_eq!(current(outcome).2, []);
+    let outcome = tracker.on_list(list(18, vec![]));
+    assert_eq!(current(outcome).1, names(&["b"]));
 }
 
 #[test]
@@ -121,20 +121,20 @@
     };
     assert_eq!(withheld, [older]);
     let edited = Event::Modified(object("a", "1", 1_001));
-    let verdict = tracker.on_event(edited);
-    assert!(matches!(verdict, EventOutcome::Change(Change::Applied(_))));
+    let outcome = tracker.on_event(edited);
+    assert!(matches!(outcome, EventOutcome::Change(Change::Applied(_))));
 }
 
 #[test]
-fn newer_version_of_fewer_changes_tells_that_the_store_went_back() {
+fn newer_version_with_fewer_changes_reveals_a_reverted_store() {
     let mut tracker = tracker();
     let mut changed = object("a", "1", 10);
     changed.generation = 4;
     tracker.on_event(Event::Modified(changed));
     let mut edited_after_restore = object("a", "1", 1_001);
     edited_after_restore.generation = 2;
-    let verdict = tracker.on_list(list(1_001, vec![edited_after_restore]));
-    let (objects, removed, withheld) = current(verdict);
+    let outcome = tracker.on_list(list(1_001, vec![edited_after_restore]));
+    let (objects, removed, withheld) = current(outcome);
     assert_eq!(objects, names(&["a"]));
     assert_eq!(removed, names(&[]));
     assert_eq!(withheld[0].reason, WithheldReason::Lost);
@@ -190,11 +190,12 @@
 }
 
 #[test]
-fn new_watcher_with_known_versions_trusts_no_older_store() {
+fn new_watcher_with_delivered_versions_trusts_no_older_store() {
     let mut tracker = ObjectTracker::with_delivered([(key("a"), 5), (key("b"), 8)]);
-    let verdict = tracker.on_list(list(7, vec![object("a", "1", 5)]));
-    assert!(matches!(verdict, ListOutcome::Older { seen: 8, listed: 7 }));
-    // Objects that were refused earlier are unknown to it, yet not deleted.
+    let outcome = tracker.on_list(list(7, vec![object("a", "1", 5)]));
+    assert!(matches!(outcome, ListOutcome::Older { seen: 8, listed: 7 }));
+    // Objects that were refused earlier are unknown to the new watcher, but not
+    // deleted.
     let items = vec![
         object("a", "1", 5),
         object("b", "2", 8),
@@ -207,7 +208,7 @@
 }
 
 #[test]
-fn new_watcher_reports_what_was_deleted_while_none_ran() {
+fn new_watcher_reports_objects_deleted_before_it_started() {
     let mut tracker = ObjectTracker::with_delivered([(key("a"), 5), (key("b"), 8)]);
     let (_, removed, _) = current(tracker.on_list(list(20, vec![object("a", "1", 5)])));
     assert_eq!(removed, names(&["b"]));
