--- a/crates/control/src/intake/judgement.rs
+++ b/crates/control/src/intake/judgement.rs
@@ -87,7 +87,7 @@
             resource_version,
         } => {
             let applied = machine.back_end(id);
-            machine.is_leaving(id)
+            machine.is_retiring(id)
                 || applied.is_none_or(|applied| applied.resource_version > *resource_version)
         }
         ObjectChange::DeleteService {
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -241,8 +241,11 @@
                 GrantorOutput::Load { back_end, report } => {
                     self.planner.observe_load(now, &back_end, &report);
                 }
-                GrantorOutput::Answering { back_end, answers } => {
-                    self.planner.set_answering(&back_end, answers);
+                GrantorOutput::Reachability {
+                    back_end,
+                    reachable,
+                } => {
+                    self.planner.set_reachable(&back_end, reachable);
                 }
                 GrantorOutput::Observed(observation) => {
                     let observation = Observation::Session(observation);
@@ -264,7 +267,7 @@
         let machine = member.machine();
         let configured = machine.services().next().is_some();
         let may_assign =
-            configured && self.settled && !machine.recovering() && self.arrived(now, member);
+            configured && self.settled && !machine.is_recovering() && self.arrived(now, member);
         if !may_assign || now < self.next_planning {
             return;
         }
--- a/crates/control/src/service_alerts.rs
+++ b/crates/control/src/service_alerts.rs
@@ -85,7 +85,7 @@
         service: &ServiceRecord,
         is_known: bool,
     ) -> Option<Observation> {
-        let unowned = planner.unowned(&service.id);
+        let unowned = planner.unowned_slices(&service.id);
         if unowned == 0 || !planner.receivers(&service.id).is_empty() {
             return None;
         }
--- a/crates/control/tests/observations.rs
+++ b/crates/control/tests/observations.rs
@@ -75,7 +75,7 @@
         match self.holders.get_mut(&back_end) {
             Some(holder) => {
                 let response = Box::new(holder.handle(self.alone.now, request));
-                let prepared: Vec<_> = holder.preparing().cloned().collect();
+                let prepared: Vec<_> = holder.slices_to_prepare().cloned().collect();
                 for grant in prepared {
                     holder.mark_ready(&grant);
                 }
@@ -108,7 +108,7 @@
     assert_eq!(changes, [(SliceChange::Assigned, slices)].into());
 
     let leaving = BackEndId::new("one", "b");
-    let held = group.holders[&leaving].holdings().len() as u64;
+    let held = group.holders[&leaving].held_grants().len() as u64;
     let holder = group.holders.get_mut(&leaving).expect("started");
     holder.begin_drain();
     group.run(Duration::from_secs(10));
--- a/crates/lab/src/stand_in/back_end/state.rs
+++ b/crates/lab/src/stand_in/back_end/state.rs
@@ -142,7 +142,12 @@
 
     /// Slices to make ready for.
     pub fn preparing(&self) -> Vec<Grant> {
-        self.inner.lock().holder.preparing().cloned().collect()
+        self.inner
+            .lock()
+            .holder
+            .slices_to_prepare()
+            .cloned()
+            .collect()
     }
 
     /// Tells the leader, by the next answer, that a slice is ready.
@@ -172,7 +177,7 @@
 
     /// Whether it is leaving.
     pub fn draining(&self) -> bool {
-        self.inner.lock().holder.draining()
+        self.inner.lock().holder.is_draining()
     }
 
     /// Load as the load endpoint tells it: as old as the settings allow.
@@ -278,7 +283,7 @@
     /// Grants that were taken away count as believed while the leader was
     /// told that they still have requests running.
     fn record_belief(&self, inner: &mut Inner, now: Timestamp, releasing: &[Grant]) {
-        let mut believed: BTreeSet<Grant> = inner.holder.holdings().into_iter().collect();
+        let mut believed: BTreeSet<Grant> = inner.holder.held_grants().into_iter().collect();
         believed.extend(releasing.iter().cloned());
         let lease_end = inner.holder.lease_end();
         if let Some(until) = lease_end.filter(|_| lease_end != inner.lease_end) {
@@ -310,7 +315,7 @@
         if now.since(inner.reported) < self.settings.report_lag() {
             return;
         }
-        let held = inner.holder.holdings();
+        let held = inner.holder.held_grants();
         inner.report = LoadReport {
             running: self.slots.running(),
             queued: self.slots.waiting(),
--- a/crates/ownership/src/command.rs
+++ b/crates/ownership/src/command.rs
@@ -20,7 +20,7 @@
 
 impl LeaderTerm {
     /// Order of the request with number `sequence` of this term.
-    pub fn order(self, sequence: u64) -> LeaseSequence {
+    pub fn lease_sequence(self, sequence: u64) -> LeaseSequence {
         LeaseSequence {
             generation: self.generation,
             term: self.term,
--- a/crates/ownership/src/grantor/exchange.rs
+++ b/crates/ownership/src/grantor/exchange.rs
@@ -15,7 +15,7 @@
         let Some(contact) = self.contacts.get_mut(id) else {
             return;
         };
-        let mut due = contact.send_due(self.last_step, self.settings.retry);
+        let mut due = contact.send_due(self.last_step, self.settings.retry_interval);
         if contact.session.is_some() && contact.lease_bound > self.last_step {
             due = due.min(contact.lease_bound);
         }
@@ -46,7 +46,9 @@
         for id in &due {
             self.check_expiry(now, id, machine);
             let contact = self.contacts.get(id);
-            if contact.is_some_and(|contact| contact.send_due(now, self.settings.retry) <= now) {
+            if contact
+                .is_some_and(|contact| contact.send_due(now, self.settings.retry_interval) <= now)
+            {
                 self.send(now, id, machine);
             }
             self.reschedule(id);
@@ -73,7 +75,7 @@
             group: self.group,
             back_end: id.clone(),
             incarnation: None,
-            order: self.term.order(contact.sequence),
+            order: self.term.lease_sequence(contact.sequence),
             echo: None,
             lease_ms: lease.lease_ms,
             grants: GrantsUpdate::Inquire,
@@ -103,7 +105,9 @@
 
     /// Slices that the back end shall make itself ready to own.
     fn preparations(&self, id: &BackEndId, machine: &StateMachine) -> Vec<Grant> {
-        let records = machine.moves_to(id).filter_map(|key| machine.slice(key));
+        let records = machine
+            .incoming_moves(id)
+            .filter_map(|key| machine.slice(key));
         let grants = records.map(|record| Grant {
             service: record.service,
             slice: record.slice,
@@ -121,19 +125,19 @@
         let waits = contact.session.is_some()
             && (!contact.withheld.is_empty() || prepare.iter().any(unready));
         if waits {
-            self.settings.poll
+            self.settings.poll_interval
         } else {
             self.settings.timing.renewal()
         }
     }
 
     pub(super) fn take_failure(&mut self, now: Timestamp, id: &BackEndId, order: LeaseSequence) {
-        let retry = self.settings.retry;
+        let retry = self.settings.retry_interval;
         let Some(contact) = self.contacts.get_mut(id) else {
             return;
         };
         let sent = contact.outstanding.map(|outstanding| outstanding.sequence);
-        if sent.map(|sequence| self.term.order(sequence)) != Some(order) {
+        if sent.map(|sequence| self.term.lease_sequence(sequence)) != Some(order) {
             return;
         }
         // No proof of anything: the process may live behind a broken network.
@@ -187,7 +191,8 @@
             return false;
         };
         let sequence = response.order.sequence;
-        let own = response.order == self.term.order(sequence) && response.back_end == *from;
+        let own =
+            response.order == self.term.lease_sequence(sequence) && response.back_end == *from;
         let expected = contact.first_sequence.max(contact.answered + 1)..=contact.sequence;
         if !own || !expected.contains(&sequence) {
             return false;
@@ -231,7 +236,7 @@
         response: &LeaseResponse,
         machine: &StateMachine,
     ) {
-        let poll = self.settings.poll;
+        let poll = self.settings.poll_interval;
         let Some(contact) = self.contacts.get_mut(from) else {
             return;
         };
@@ -250,7 +255,7 @@
         if let Some(number) = number {
             self.note_releases(now, from, number, &response.releasing, machine);
         }
-        let moves: Vec<_> = machine.moves_to(from).cloned().collect();
+        let moves: Vec<_> = machine.incoming_moves(from).cloned().collect();
         for key in &moves {
             self.review(now, key, machine);
         }
--- a/crates/ownership/src/grantor/handover.rs
+++ b/crates/ownership/src/grantor/handover.rs
@@ -42,7 +42,7 @@
         let withheld = self.withheld.range(start..).map(|(key, _)| key);
         let withheld = withheld.take_while(|key| key.service == *id);
         let mut keys: BTreeSet<SliceKey> = withheld.cloned().collect();
-        keys.extend(machine.misplaced_of(id).cloned());
+        keys.extend(machine.misplaced_slices_of(id).cloned());
         for key in &keys {
             self.review(now, key, machine);
         }
@@ -208,7 +208,7 @@
         Some(if deleted {
             Duration::ZERO
         } else {
-            self.settings.patience
+            self.settings.handover_timeout
         })
     }
 
--- a/crates/ownership/src/grantor/message.rs
+++ b/crates/ownership/src/grantor/message.rs
@@ -15,23 +15,23 @@
     /// Durations that safety depends on.
     pub timing: Timing,
     /// A request without answer for this long is sent again.
-    pub retry: Duration,
+    pub retry_interval: Duration,
     /// Interval of requests while a release or a preparation is awaited.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// An owner that has to go lets a slice go after this time even if the
     /// next owner is not ready, or if there is none.
-    pub patience: Duration,
+    pub handover_timeout: Duration,
     /// A proposal that was not applied for this long is made again.
-    pub proposal_retry: Duration,
+    pub proposal_timeout: Duration,
 }
 
 impl From<Timing> for GrantorSettings {
     fn from(timing: Timing) -> Self {
         GrantorSettings {
-            retry: timing.renewal() / 2,
-            poll: Duration::from_millis(20),
-            patience: Duration::from_millis(1_000),
-            proposal_retry: timing.renewal(),
+            retry_interval: timing.renewal() / 2,
+            poll_interval: Duration::from_millis(20),
+            handover_timeout: Duration::from_millis(1_000),
+            proposal_timeout: timing.renewal(),
             timing,
         }
     }
@@ -84,11 +84,11 @@
     /// A back end with a session stopped answering, or answers again. It
     /// keeps what it owns until its lease runs out, and should be given
     /// nothing meanwhile.
-    Answering {
+    Reachability {
         /// Which back end.
         back_end: BackEndId,
         /// Whether it answers.
-        answers: bool,
+        reachable: bool,
     },
     /// Something happened that is worth a log line.
     Observed(Observation),
--- a/crates/ownership/src/grantor/mod.rs
+++ b/crates/ownership/src/grantor/mod.rs
@@ -191,7 +191,7 @@
         let contact = self.schedule.first().map(|(at, _)| *at);
         let timer = self.timers.first().map(|(at, _)| *at);
         let term = match self.term_proposed_at {
-            Some(at) if self.awaits_term() => Some(at + self.settings.proposal_retry),
+            Some(at) if self.awaits_term() => Some(at + self.settings.proposal_timeout),
             None if self.awaits_term() => Some(self.last_step),
             _ => None,
         };
@@ -200,7 +200,7 @@
 
     /// When the last lease that the back end can have is over, by the
     /// grantor's clock; for status pages.
-    pub fn lease_bound(&self, back_end: &BackEndId) -> Option<Timestamp> {
+    pub fn lease_expiry_bound(&self, back_end: &BackEndId) -> Option<Timestamp> {
         let contact = self.contacts.get(back_end)?;
         Some(contact.lease_bound)
     }
--- a/crates/ownership/src/grantor/recovery.rs
+++ b/crates/ownership/src/grantor/recovery.rs
@@ -28,7 +28,7 @@
     /// Notes what a process reports to hold while a new founding waits for
     /// earlier leases to run out.
     pub fn note(&mut self, session: &SessionId, held: &[Grant], machine: &StateMachine) {
-        if !machine.recovering() {
+        if !machine.is_recovering() {
             return;
         }
         for grant in held {
--- a/crates/ownership/src/grantor/release.rs
+++ b/crates/ownership/src/grantor/release.rs
@@ -102,7 +102,7 @@
         record: &SliceRecord,
         machine: &StateMachine,
     ) {
-        let retry = self.settings.proposal_retry;
+        let retry = self.settings.proposal_timeout;
         let Some(withheld) = self.withheld.get_mut(key) else {
             return;
         };
--- a/crates/ownership/src/grantor/sessions.rs
+++ b/crates/ownership/src/grantor/sessions.rs
@@ -11,7 +11,7 @@
 
 impl Grantor {
     fn awaited(&self, proposed_at: Option<Timestamp>, now: Timestamp) -> bool {
-        proposed_at.is_some_and(|at| now < at + self.settings.proposal_retry)
+        proposed_at.is_some_and(|at| now < at + self.settings.proposal_timeout)
     }
 
     pub(super) fn awaits_term(&self) -> bool {
@@ -27,7 +27,7 @@
         if !self.begun {
             self.term_proposed_at = Some(now);
             self.propose(Command::BeginTerm(self.term));
-        } else if machine.recovering() && now >= self.first_bound() {
+        } else if machine.is_recovering() && now >= self.first_bound() {
             self.term_proposed_at = Some(now);
             self.propose(Command::EndRecovery(self.term));
         }
@@ -163,7 +163,7 @@
             return;
         };
         let (incarnation, draining) = (reading.incarnation, reading.draining);
-        if !self.begun || machine.recovering() || self.awaited(contact.proposed_at, now) {
+        if !self.begun || machine.is_recovering() || self.awaited(contact.proposed_at, now) {
             return;
         }
         let present = SessionId {
@@ -172,7 +172,7 @@
         };
         match machine.session(id) {
             // A process that is leaving gets no new work.
-            None if !machine.is_leaving(id) && !draining => {
+            None if !machine.is_retiring(id) && !draining => {
                 self.propose_for(now, id, Command::OpenSession(present));
             }
             None => {}
@@ -245,9 +245,9 @@
             return;
         }
         contact.reported_silent = !answers;
-        self.outputs.push(GrantorOutput::Answering {
+        self.outputs.push(GrantorOutput::Reachability {
             back_end: id.clone(),
-            answers,
+            reachable: answers,
         });
     }
 
--- a/crates/ownership/src/holder/mod.rs
+++ b/crates/ownership/src/holder/mod.rs
@@ -65,7 +65,7 @@
     }
 
     /// Whether the lease holds at `now`.
-    pub fn lease_valid(&self, now: Timestamp) -> bool {
+    pub fn has_valid_lease(&self, now: Timestamp) -> bool {
         self.lease_end.is_some_and(|end| now < end)
     }
 
@@ -75,7 +75,7 @@
     }
 
     /// Every grant held, whether or not the lease holds.
-    pub fn holdings(&self) -> Vec<Grant> {
+    pub fn held_grants(&self) -> Vec<Grant> {
         self.holdings.all()
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// Slices that the leader asks to make ready for.
-    pub fn preparing(&self) -> impl Iterator<Item = &Grant> {
+    pub fn slices_to_prepare(&self) -> impl Iterator<Item = &Grant> {
         self.preparing.iter()
     }
 
@@ -108,7 +108,7 @@
     }
 
     /// Whether the process is leaving.
-    pub fn draining(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.draining
     }
 
@@ -159,7 +159,7 @@
     }
 
     fn carry_out(&mut self, now: Timestamp, request: &LeaseRequest) {
-        let lapsed = !self.lease_valid(now);
+        let lapsed = !self.has_valid_lease(now);
         if !self.update(&request.grants) {
             // The leader's idea of the grants is not what is held: a lease on
             // it would mean nothing. The answer tells the version held.
@@ -222,7 +222,7 @@
     /// Work under grants that were taken away may end only while the lease
     /// lasts; once it lapsed, somebody else may own the slice.
     fn note_lapse(&mut self, now: Timestamp) {
-        if !self.lease_valid(now) {
+        if !self.has_valid_lease(now) {
             self.permits.void_releasing();
         }
     }
@@ -240,7 +240,7 @@
         point: Point,
         epoch: Epoch,
     ) -> Result<Permit, Refusal> {
-        self.admit_until(now, service, point, epoch, None)
+        self.admit_with_deadline(now, service, point, epoch, None)
     }
 
     /// Admits a request that may have no effect from `deadline` on. A slice
@@ -250,7 +250,7 @@
     /// # Errors
     ///
     /// As [`Holder::admit`], and [`Refusal::DeadlinePassed`].
-    pub fn admit_until(
+    pub fn admit_with_deadline(
         &mut self,
         now: Timestamp,
         service: &ServiceId,
@@ -262,7 +262,7 @@
         let grant = self.holdings.covering(service, point);
         let grant = grant.filter(|grant| grant.epoch == epoch);
         let grant = grant.ok_or(Refusal::WrongOwner)?.clone();
-        if !self.lease_valid(now) {
+        if !self.has_valid_lease(now) {
             return Err(Refusal::LeaseLapsed);
         }
         if deadline.is_some_and(|deadline| deadline <= now) {
@@ -279,7 +279,7 @@
     /// [`Refusal::LeaseLapsed`], [`Refusal::WrongOwner`] or
     /// [`Refusal::DeadlinePassed`]; the work must then have no effect.
     pub fn may_commit(&self, now: Timestamp, permit: &Permit) -> Result<(), Refusal> {
-        if !self.lease_valid(now) {
+        if !self.has_valid_lease(now) {
             return Err(Refusal::LeaseLapsed);
         }
         self.permits.check(now, permit)
@@ -291,7 +291,7 @@
     }
 
     /// Number of admitted requests that have not finished.
-    pub fn running(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.permits.running()
     }
 }
--- a/crates/ownership/src/machine/read.rs
+++ b/crates/ownership/src/machine/read.rs
@@ -28,7 +28,7 @@
     }
 
     /// Whether leases of an earlier founding may still run.
-    pub fn recovering(&self) -> bool {
+    pub fn is_recovering(&self) -> bool {
         self.recovering
     }
 
@@ -76,7 +76,7 @@
 
     /// Whether the back end was deleted or gets other addresses, and waits
     /// for its session to end.
-    pub fn is_leaving(&self, id: &BackEndId) -> bool {
+    pub fn is_retiring(&self, id: &BackEndId) -> bool {
         let entry = self.back_ends.get(id);
         entry.is_some_and(|entry| entry.successor.is_some())
     }
@@ -150,7 +150,7 @@
     }
 
     /// Slices that are being moved to a back end.
-    pub fn moves_to<'a>(
+    pub fn incoming_moves<'a>(
         &'a self,
         back_end: &BackEndId,
     ) -> impl Iterator<Item = &'a SliceKey> + use<'a> {
@@ -175,7 +175,7 @@
     }
 
     /// Sessions that may be given slices of the service.
-    pub fn candidates<'a>(
+    pub fn eligible_sessions<'a>(
         &'a self,
         service: &ServiceId,
     ) -> impl Iterator<Item = &'a SessionId> + use<'a> {
--- a/crates/ownership/src/machine/selection.rs
+++ b/crates/ownership/src/machine/selection.rs
@@ -52,7 +52,7 @@
     }
 
     /// Slices of the service that the owner shall give up.
-    pub fn misplaced_of<'a>(
+    pub fn misplaced_slices_of<'a>(
         &'a self,
         service: &'a ServiceId,
     ) -> impl Iterator<Item = &'a SliceKey> {
--- a/crates/ownership/src/machine/sessions.rs
+++ b/crates/ownership/src/machine/sessions.rs
@@ -112,7 +112,7 @@
     pub(super) fn end_if_left(&mut self, back_end: &BackEndId, applied: &mut Applied) {
         let owns_nothing = |entry: &SessionEntry| entry.slices.is_empty();
         let idle = self.sessions.get(back_end).is_some_and(owns_nothing);
-        if idle && self.is_leaving(back_end) {
+        if idle && self.is_retiring(back_end) {
             self.end_session(back_end, applied);
         }
     }
--- a/crates/ownership/tests/grantor/bench.rs
+++ b/crates/ownership/tests/grantor/bench.rs
@@ -167,8 +167,8 @@
                 GrantorOutput::Observed(observation) => {
                     self.observed.push((self.now, observation));
                 }
-                GrantorOutput::Answering { answers, .. } => {
-                    self.answering.push((self.now, answers));
+                GrantorOutput::Reachability { reachable, .. } => {
+                    self.answering.push((self.now, reachable));
                 }
                 GrantorOutput::Load { .. } => {}
             }
@@ -193,7 +193,12 @@
 
     fn place(&mut self) {
         let service = service_id("s");
-        let candidates: Vec<_> = self.log.machine.candidates(&service).cloned().collect();
+        let candidates: Vec<_> = self
+            .log
+            .machine
+            .eligible_sessions(&service)
+            .cloned()
+            .collect();
         if candidates.is_empty() {
             return;
         }
@@ -232,7 +237,7 @@
         };
         let response = Box::new(holder.handle(at(self.now), request));
         if self.prepares {
-            for grant in holder.preparing().cloned().collect::<Vec<_>>() {
+            for grant in holder.slices_to_prepare().cloned().collect::<Vec<_>>() {
                 holder.mark_ready(&grant);
             }
         }
@@ -250,7 +255,7 @@
     pub fn servers_of(&self, point: Point) -> Vec<SocketAddr> {
         let service = service_id("s");
         let serving = self.holders.iter().filter(|(_, holder)| {
-            holder.lease_valid(at(self.now)) && holder.held_epoch(&service, point).is_some()
+            holder.has_valid_lease(at(self.now)) && holder.held_epoch(&service, point).is_some()
         });
         serving.map(|(address, _)| *address).collect()
     }
--- a/crates/ownership/tests/grantor/failures.rs
+++ b/crates/ownership/tests/grantor/failures.rs
@@ -57,7 +57,7 @@
 fn a_lease_is_counted_from_the_answer_whose_reading_was_echoed() {
     let mut bench = Bench::settled(1, 1);
     bench.run_until_true(1_000, |bench| !bench.granting(0).is_empty());
-    let bound = bench.grantor.lease_bound(&back_end_id(&name(0)));
+    let bound = bench.grantor.lease_expiry_bound(&back_end_id(&name(0)));
     let holder_end = bench.holder(0).lease_end().expect("a lease");
     let bound = bound.expect("known");
     assert!(bound >= holder_end);
@@ -91,7 +91,7 @@
     bench.run_for(1_000);
     let now = at(bench.now);
     let woken = bench.holder(frozen);
-    assert!(woken.lease_valid(now), "it opened a session again");
+    assert!(woken.has_valid_lease(now), "it opened a session again");
     assert!(
         woken.may_commit(now, &permit).is_err(),
         "old work stays over"
@@ -257,7 +257,7 @@
         group: crate::support::GROUP,
         back_end: id,
         incarnation: Some(Incarnation(1)),
-        order: bench.term.order(1_000),
+        order: bench.term.lease_sequence(1_000),
         echo: None,
         lease_ms: 0,
         grants: GrantsUpdate::Full {
@@ -271,7 +271,7 @@
     assert_eq!(bench.servers_of(KEY).len(), 0);
     bench.new_leader();
     bench.run_for(1_000);
-    assert_eq!(bench.holder(0).holdings().len(), 8);
+    assert_eq!(bench.holder(0).held_grants().len(), 8);
 }
 
 #[test]
--- a/crates/ownership/tests/grantor/handover.rs
+++ b/crates/ownership/tests/grantor/handover.rs
@@ -141,7 +141,7 @@
     let mut bench = Bench::settled(1, 2);
     bench.holder(0).begin_drain();
     bench.run_for(2_000);
-    assert_eq!(bench.holder(0).holdings(), Vec::new());
+    assert_eq!(bench.holder(0).held_grants(), Vec::new());
     let released = |command: &Command| matches!(command, Command::Release { .. });
     assert!(bench.proposed(released).is_some());
     assert_eq!(bench.log.machine.misplaced().len(), 0);
@@ -212,8 +212,8 @@
     };
     bench.commit(&objects(vec![change]));
     bench.run_for(100);
-    assert_eq!(bench.holder(0).holdings(), Vec::new());
-    assert_eq!(bench.holder(1).holdings(), Vec::new());
+    assert_eq!(bench.holder(0).held_grants(), Vec::new());
+    assert_eq!(bench.holder(1).held_grants(), Vec::new());
     assert_eq!(bench.log.machine.slices(&id).count(), 0);
 }
 
@@ -223,7 +223,7 @@
     let from = owner(&bench);
     bench.commit(&put_back_end(back_end(&name(from), 2, from, "green")));
     bench.run_for(2_000);
-    assert_eq!(bench.holder(from).holdings(), Vec::new());
+    assert_eq!(bench.holder(from).held_grants(), Vec::new());
     assert_eq!(bench.servers_of(KEY).len(), 1);
 }
 
--- a/crates/ownership/tests/handover_model.rs
+++ b/crates/ownership/tests/handover_model.rs
@@ -149,7 +149,7 @@
                 }
                 GrantorOutput::Propose(command) => self.proposals.push(command),
                 GrantorOutput::Load { .. }
-                | GrantorOutput::Answering { .. }
+                | GrantorOutput::Reachability { .. }
                 | GrantorOutput::Observed(_) => {}
             }
         }
@@ -161,7 +161,7 @@
                 let now = Timestamp::from_millis(self.now);
                 let response = self.holders[to].handle(now, *request);
                 let holder = &mut self.holders[to];
-                for grant in holder.preparing().cloned().collect::<Vec<_>>() {
+                for grant in holder.slices_to_prepare().cloned().collect::<Vec<_>>() {
                     holder.mark_ready(&grant);
                 }
                 let response = Message::Response(to, Box::new(response));
@@ -196,7 +196,7 @@
         let works = |permit: &Permit| holder.may_commit(now, permit).is_ok();
         let running = number == 0 && self.permit.as_ref().is_some_and(works);
         let held = holder.held_epoch(&service_id("s"), KEY).is_some();
-        running || (held && holder.lease_valid(now))
+        running || (held && holder.has_valid_lease(now))
     }
 
     fn actions(&self) -> Vec<Action> {
--- a/crates/ownership/tests/holder.rs
+++ b/crates/ownership/tests/holder.rs
@@ -67,7 +67,7 @@
             group: GROUP,
             back_end: back_end_id("a"),
             incarnation: Some(Incarnation(5)),
-            order: self.leader.order(self.sequence),
+            order: self.leader.lease_sequence(self.sequence),
             echo: Some(at(echo)),
             lease_ms: LEASE_MS,
             grants,
@@ -135,7 +135,7 @@
 fn an_echo_from_the_future_renews_nothing() {
     let mut pair = Pair::new();
     pair.full(10, 11, 1, vec![grant(0, 9, 3)]);
-    assert!(!pair.holder.lease_valid(at(10)));
+    assert!(!pair.holder.has_valid_lease(at(10)));
 }
 
 #[test]
@@ -158,7 +158,7 @@
         let response = pair.holder.handle(at(2), stale);
         assert!(!response.taken);
         assert_eq!(response.version, Some(version(term(1), 2)));
-        assert_eq!(pair.holder.holdings(), Vec::new());
+        assert_eq!(pair.holder.held_grants(), Vec::new());
     }
 }
 
@@ -167,11 +167,11 @@
     let mut pair = Pair::holding(vec![grant(0, 9, 3)], 0);
     let deposed = pair.request(0, GrantsUpdate::Inquire);
     let mut inquiry = deposed.clone();
-    inquiry.order = term(2).order(1);
+    inquiry.order = term(2).lease_sequence(1);
     assert!(pair.holder.handle(at(1), inquiry).taken);
     let response = pair.holder.handle(at(2), deposed);
     assert!(!response.taken);
-    assert_eq!(response.highest, term(2).order(1));
+    assert_eq!(response.highest, term(2).lease_sequence(1));
 }
 
 #[test]
@@ -185,7 +185,7 @@
         let response = pair.holder.handle(at(1), request.clone());
         assert!(!response.taken);
         assert_eq!(response.incarnation, Incarnation(5));
-        assert_eq!(pair.holder.holdings(), Vec::new());
+        assert_eq!(pair.holder.held_grants(), Vec::new());
     }
 }
 
@@ -210,7 +210,7 @@
     let request = pair.request(1_000, delta);
     let response = pair.holder.handle(at(1_000), request);
     assert_eq!(response.version, Some(version(term(1), 1)));
-    assert_eq!(pair.holder.holdings(), vec![grant(0, 9, 3)]);
+    assert_eq!(pair.holder.held_grants(), vec![grant(0, 9, 3)]);
     assert_eq!(pair.holder.lease_end(), Some(at(2_000)), "not renewed");
 }
 
@@ -244,7 +244,7 @@
     let service = service_id("s");
     let mut admit = |deadline| {
         let holder = &mut pair.holder;
-        holder.admit_until(at(1), &service, Point(1), epoch(3), Some(at(deadline)))
+        holder.admit_with_deadline(at(1), &service, Point(1), epoch(3), Some(at(deadline)))
     };
     assert_eq!(admit(1), Err(Refusal::DeadlinePassed));
     let permit = admit(50).expect("held");
@@ -265,7 +265,7 @@
     let lapsed = pair.holder.handle(at(2_500), inquiry);
     assert_eq!(lapsed.releasing, Vec::new(), "it holds nothing up");
     pair.unchanged(3_000, 2_990, 2);
-    assert!(pair.holder.lease_valid(at(3_001)), "renewed");
+    assert!(pair.holder.has_valid_lease(at(3_001)), "renewed");
     assert_eq!(pair.may_commit(3_001, &permit), Err(Refusal::WrongOwner));
 }
 
@@ -312,7 +312,7 @@
     assert_eq!(pair.admit(1, 7, 3), Err(Refusal::WrongOwner));
     assert!(pair.admit(1, 7, 4).is_ok());
     pair.full(2, 0, 2, vec![grant(5, 14, 4), grant(0, 9, 3)]);
-    assert_eq!(pair.holder.holdings(), vec![grant(5, 14, 4)]);
+    assert_eq!(pair.holder.held_grants(), vec![grant(5, 14, 4)]);
 }
 
 #[test]
--- a/crates/ownership/tests/machine_objects.rs
+++ b/crates/ownership/tests/machine_objects.rs
@@ -235,6 +235,6 @@
     assert_eq!(restored.records(), log.machine.records());
     assert_eq!(restored.misplaced(), log.machine.misplaced());
     assert_eq!(restored.pending_moves(), log.machine.pending_moves());
-    let moves = |machine: &StateMachine| machine.moves_to(&back_end_id("b")).count();
+    let moves = |machine: &StateMachine| machine.incoming_moves(&back_end_id("b")).count();
     assert_eq!((moves(&restored), moves(&log.machine)), (1, 1));
 }
--- a/crates/ownership/tests/machine_ownership.rs
+++ b/crates/ownership/tests/machine_ownership.rs
@@ -194,7 +194,7 @@
     let moving = begin_move(&record, &support::back_end_id("b"));
     let rejected = rejection(&mut log, &moving);
     assert!(matches!(rejected, Rejection::SessionDraining(..)));
-    assert_eq!(log.machine.candidates(&record.service).count(), 0);
+    assert_eq!(log.machine.eligible_sessions(&record.service).count(), 0);
 }
 
 #[test]
--- a/crates/ownership/tests/simulation/chaos.rs
+++ b/crates/ownership/tests/simulation/chaos.rs
@@ -146,7 +146,7 @@
                 .processes
                 .iter_mut()
                 .find(|process| process.address == survivor.address);
-            let Some(slot) = slot.filter(|_| !survivor.holder.draining()) else {
+            let Some(slot) = slot.filter(|_| !survivor.holder.is_draining()) else {
                 continue;
             };
             if world.random.random_bool(0.7) {
@@ -217,7 +217,7 @@
 }
 
 fn any_candidate(world: &mut World) -> Option<BackEndId> {
-    let candidates = world.committed.candidates(&world.service);
+    let candidates = world.committed.eligible_sessions(&world.service);
     let candidates: Vec<BackEndId> = candidates.map(|id| id.back_end.clone()).collect();
     let number = world.random.random_range(0..candidates.len().max(1));
     candidates.into_iter().nth(number)
@@ -349,7 +349,7 @@
     let allowed = world.random.random_range(0..SECOND);
     let deadline = Some(now + Duration::from_micros(allowed));
     let holder = &mut process.holder;
-    if let Ok(permit) = holder.admit_until(now, &world.service, key, epoch, deadline) {
+    if let Ok(permit) = holder.admit_with_deadline(now, &world.service, key, epoch, deadline) {
         process.permits.push(permit);
     }
     if world.random.random_bool(0.6) && !process.permits.is_empty() {
--- a/crates/ownership/tests/simulation/process.rs
+++ b/crates/ownership/tests/simulation/process.rs
@@ -22,7 +22,7 @@
     /// The epoch under which an effect on the key would be allowed now.
     pub fn could_commit(&self, real: u64, service: &ServiceId, point: Point) -> Option<Epoch> {
         let now = self.clock.read(real);
-        if !self.holder.lease_valid(now) {
+        if !self.holder.has_valid_lease(now) {
             return None;
         }
         let held = self.holder.held_epoch(service, point);
--- a/crates/ownership/tests/simulation/world.rs
+++ b/crates/ownership/tests/simulation/world.rs
@@ -364,7 +364,7 @@
                 GrantorOutput::Send { to, request } => self.send(number, to, request),
                 GrantorOutput::Propose(command) => self.append_later(term, command),
                 GrantorOutput::Observed(observation) => self.count(&observation),
-                GrantorOutput::Load { .. } | GrantorOutput::Answering { .. } => {}
+                GrantorOutput::Load { .. } | GrantorOutput::Reachability { .. } => {}
             }
         }
     }
@@ -453,7 +453,12 @@
         let now = process.clock.read(real);
         let from = request.back_end.clone();
         let response = Box::new(process.holder.handle(now, *request));
-        for grant in process.holder.preparing().cloned().collect::<Vec<_>>() {
+        for grant in process
+            .holder
+            .slices_to_prepare()
+            .cloned()
+            .collect::<Vec<_>>()
+        {
             if self.random.random_bool(0.5) {
                 process.holder.mark_ready(&grant);
             }
--- a/crates/placement/src/balance.rs
+++ b/crates/placement/src/balance.rs
@@ -95,7 +95,7 @@
         return false;
     }
     let since = *balance.exceeded_since.get_or_insert(round.now);
-    if round.now.since(since) >= round.settings.sustain {
+    if round.now.since(since) >= round.settings.min_imbalance_time {
         balance.active = true;
         balance.exceeded_since = None;
     }
@@ -106,7 +106,7 @@
 /// moves at once is used up, or nothing helps.
 fn improve(state: &mut ServiceState, mut loads: Loads, round: &mut Round<'_>) {
     let tolerated = state.tolerated_excess();
-    while round.room > 0 && state.moves_in_progress() < round.settings.balancing_moves {
+    while round.room > 0 && state.moves_in_progress() < round.settings.max_balancing_moves {
         let filled = loads.shortfall() <= tolerated;
         let level = 1.0 + tolerated * STOP_PART;
         if loads.ratio() <= level && filled {
@@ -214,7 +214,7 @@
                 continue;
             }
         }
-        if slice.moved_within(round.settings.settle, round.now) {
+        if slice.moved_within(round.settings.move_cooldown, round.now) {
             continue;
         }
         if load / from.slots < usual * LEAST_GAIN {
@@ -254,7 +254,7 @@
         round
             .now
             .since(since)
-            .clamp(LEAST_WINDOW, round.settings.smoothing * 2)
+            .clamp(LEAST_WINDOW, round.settings.smoothing_time * 2)
     }
 
     /// Tolerated excess of the busiest over the mean, relative to it.
--- a/crates/placement/src/evacuate.rs
+++ b/crates/placement/src/evacuate.rs
@@ -73,7 +73,7 @@
     };
     let most = round
         .settings
-        .evacuations_per_back_end
+        .max_evacuations_per_back_end
         .max(holding.count() / EVACUATION_ROUNDS)
         .saturating_sub(holding.outbound_count)
         .min(round.room);
--- a/crates/placement/src/load.rs
+++ b/crates/placement/src/load.rs
@@ -29,7 +29,7 @@
         self.now = self.now.max(now);
         let since = self.reported_at.insert(back_end.clone(), self.now);
         let interval = since.map_or(LONGEST_INTERVAL, |since| self.now.since(since));
-        let factor = smoothing_factor(interval, self.settings.smoothing);
+        let factor = smoothing_factor(interval, self.settings.smoothing_time);
         if factor <= 0.0 {
             return;
         }
--- a/crates/placement/src/merge.rs
+++ b/crates/placement/src/merge.rs
@@ -44,7 +44,7 @@
             merge_piece(state, piece, usual_load, loads, round);
         }
     }
-    Some(round.now + round.settings.merge_after)
+    Some(round.now + round.settings.min_merge_age)
 }
 
 /// Length of a slice when all are equal.
@@ -118,7 +118,7 @@
 }
 
 fn is_quiet(slice: &SliceState, round: &Round<'_>) -> bool {
-    round.now.since(slice.changed_at) >= round.settings.merge_after
+    round.now.since(slice.changed_at) >= round.settings.min_merge_age
 }
 
 fn may_merge(
--- a/crates/placement/src/observe.rs
+++ b/crates/placement/src/observe.rs
@@ -102,7 +102,7 @@
     /// Notes whether a back end answers the leader. One that does not is given
     /// no slices, and loses none for it: whether it is gone shows when its
     /// lease runs out.
-    pub fn set_answering(&mut self, id: &BackEndId, answers: bool) {
+    pub fn set_reachable(&mut self, id: &BackEndId, answers: bool) {
         self.directory.set_answers(id, answers);
         self.refresh_back_end(id);
     }
--- a/crates/placement/src/planner.rs
+++ b/crates/placement/src/planner.rs
@@ -114,7 +114,7 @@
     }
 
     /// Slices of the service that nobody owns.
-    pub fn unowned(&self, service: &ServiceId) -> usize {
+    pub fn unowned_slices(&self, service: &ServiceId) -> usize {
         self.services.get(service).map_or(0, |state| {
             let proposed = state
                 .pending
@@ -156,7 +156,7 @@
     }
 
     /// How much the planner looked at so far.
-    pub fn work(&self) -> WorkCounters {
+    pub fn work_counters(&self) -> WorkCounters {
         self.work
     }
 
--- a/crates/placement/tests/incremental_cost.rs
+++ b/crates/placement/tests/incremental_cost.rs
@@ -31,13 +31,13 @@
 
 /// Work of the plans in the two seconds after `change`.
 fn work_after(model: &mut Model, change: impl FnOnce(&mut Model)) -> WorkCounters {
-    let before = model.planner.work();
+    let before = model.planner.work_counters();
     change(model);
     for _ in 0..4 {
         model.plan(MANY);
         model.now = model.now + common::STEP;
     }
-    let after = model.planner.work();
+    let after = model.planner.work_counters();
     WorkCounters {
         services: after.services - before.services,
         back_ends: after.back_ends - before.back_ends,
@@ -100,11 +100,11 @@
         model.service(&service, 1, PlacementPolicy::default());
     }
     model.plan(MANY);
-    let before = model.planner.work();
+    let before = model.planner.work_counters();
     let report = threadledge_types::session::LoadReport::default();
     model.planner.observe_load(model.now, &back_end(0), &report);
     model.drain(&back_end(0));
-    let after = model.planner.work();
+    let after = model.planner.work_counters();
     assert_eq!(after.services - before.services, 1);
     assert_eq!(after.back_ends - before.back_ends, 1);
 }
--- a/crates/placement/tests/ownership_changes.rs
+++ b/crates/placement/tests/ownership_changes.rs
@@ -84,7 +84,7 @@
     let first = model.plan(MANY);
     assert_eq!(
         first.len(),
-        PlannerSettings::default().evacuations_per_back_end
+        PlannerSettings::default().max_evacuations_per_back_end
     );
     let mut receivers: BTreeMap<BackEndId, usize> = BTreeMap::new();
     for action in &first {
@@ -172,7 +172,7 @@
         model.planner.plan(model.now + timeout / 2, MANY),
         Vec::new()
     );
-    assert_eq!(model.planner.unowned(&gallery()), 4);
+    assert_eq!(model.planner.unowned_slices(&gallery()), 4);
     assert_eq!(model.planner.plan(model.now + timeout, MANY), lost);
 }
 
@@ -237,8 +237,8 @@
     for _ in 0..3 {
         assert_eq!(model.plan(10).len(), 10);
     }
-    assert_eq!(model.planner.unowned(&gallery()), 0);
-    assert_eq!(model.planner.unowned(&large), 10_000 - 20);
+    assert_eq!(model.planner.unowned_slices(&gallery()), 0);
+    assert_eq!(model.planner.unowned_slices(&large), 10_000 - 20);
 }
 
 #[test]
@@ -246,11 +246,11 @@
     let mut model = warm_model(6, PlacementPolicy::default(), spread(600.0));
     let silent = back_end(2);
     let held = model.owned_by(&silent);
-    model.planner.set_answering(&silent, false);
+    model.planner.set_reachable(&silent, false);
     model.lose(&back_end(4));
     model.run(20);
     assert_eq!(model.owned_by(&silent), held);
-    model.planner.set_answering(&silent, true);
+    model.planner.set_reachable(&silent, true);
     model.lose(&back_end(5));
     model.run(20);
     assert!(model.owned_by(&silent).len() > held.len());
--- a/crates/placement/tests/random_schedules.rs
+++ b/crates/placement/tests/random_schedules.rs
@@ -149,7 +149,7 @@
             for service in schedule.model.slices.keys() {
                 let kept = &schedule.model.planner;
                 assert_eq!(kept.receivers(service), fresh.receivers(service));
-                assert_eq!(kept.unowned(service), fresh.unowned(service));
+                assert_eq!(kept.unowned_slices(service), fresh.unowned_slices(service));
                 let (kept, fresh) = (kept.imbalance(service), fresh.imbalance(service));
                 assert_eq!(kept, fresh, "seed {seed}, {service}");
             }
--- a/crates/simulator/src/back_end.rs
+++ b/crates/simulator/src/back_end.rs
@@ -102,7 +102,7 @@
         traffic: &Traffic,
     ) -> LeaseResponse {
         let local = self.local(now);
-        let load = report(&self.holder.holdings(), traffic);
+        let load = report(&self.holder.held_grants(), traffic);
         self.holder.set_load(load);
         self.holder.handle(local, request)
     }
@@ -116,7 +116,7 @@
         point: Point,
         epoch: Option<Epoch>,
     ) -> bool {
-        if !self.holder.lease_valid(self.local(now)) {
+        if !self.holder.has_valid_lease(self.local(now)) {
             return false;
         }
         let held = self.holder.held_epoch(service, point);
@@ -125,8 +125,8 @@
 
     /// Grants that the process may act on now.
     pub fn valid_grants(&self, now: Timestamp) -> Vec<Grant> {
-        if self.holder.lease_valid(self.local(now)) {
-            self.holder.holdings()
+        if self.holder.has_valid_lease(self.local(now)) {
+            self.holder.held_grants()
         } else {
             Vec::new()
         }
--- a/crates/simulator/src/world/deliver.rs
+++ b/crates/simulator/src/world/deliver.rs
@@ -207,7 +207,7 @@
         let before = process.valid_grants(now);
         let response = process.handle(now, request, &self.traffic);
         let incarnation = response.incarnation.0;
-        let preparing: Vec<Grant> = process.holder.preparing().cloned().collect();
+        let preparing: Vec<Grant> = process.holder.slices_to_prepare().cloned().collect();
         for grant in preparing {
             let event = Event::Prepared {
                 back_end: index,
--- a/crates/simulator/tests/random_schedules.rs
+++ b/crates/simulator/tests/random_schedules.rs
@@ -191,7 +191,7 @@
             self.world.isolate_back_end(index, false);
             self.world.thaw_back_end(index);
             let process = self.world.back_end(index).process.as_ref();
-            if process.is_none_or(|process| process.holder.draining()) {
+            if process.is_none_or(|process| process.holder.is_draining()) {
                 self.world.start_back_end(index);
             }
         }
