--- a/crates/ownership/src/command.rs
+++ b/crates/ownership/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the replicated log.
+//! Commands stored in the replicated log.
 
 use serde::{Deserialize, Serialize};
 use threadledge_types::records::{BackEndRecord, ServiceRecord};
@@ -7,19 +7,21 @@
     BackEndId, Epoch, Generation, Point, Revision, ServiceId, SessionId, Slice,
 };
 
-/// One leadership of the group. At most one router leads in a term.
+/// Identifies one term of leadership. At most one router leads in a term.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct LeaderTerm {
-    /// Founding of the group.
+    /// Generation of the group. It increases whenever the group is founded
+    /// anew.
     pub generation: Generation,
-    /// Consensus term within that founding.
+    /// Consensus term within that generation.
     pub term: u64,
 }
 
 impl LeaderTerm {
-    /// Order of the request with number `sequence` of this term.
+    /// Returns the sequence of the lease request numbered `sequence` in this
+    /// term.
     pub fn lease_sequence(self, sequence: u64) -> LeaseSequence {
         LeaseSequence {
             generation: self.generation,
@@ -29,10 +31,11 @@
     }
 }
 
-/// What a grantor knew when it concluded that an owner let a slice go.
+/// State of a slice that a grantor relied on when it concluded that the owner
+/// had released it.
 ///
-/// The command takes effect only if all of it still holds, so that a
-/// conclusion which the log has overtaken changes nothing.
+/// The command takes effect only if all of it still holds, so that a conclusion
+/// overtaken by later log entries changes nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SliceEvidence {
     /// Term of the grantor.
@@ -68,33 +71,34 @@
 
 /// An entry of the group's log.
 ///
-/// Commands that rest on what one leader observed ([`Command::CloseSession`],
-/// [`Command::CompleteMove`], [`Command::Release`]) name its term and are
-/// rejected once a later term began.
+/// Commands based on one leader's observations ([`Command::CloseSession`],
+/// [`Command::CompleteMove`], [`Command::Release`]) carry its term and are
+/// rejected once a later term has begun.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// A leader starts granting. First command of every term.
+    /// A leader starts granting. This is the first command of every term.
     BeginTerm(LeaderTerm),
-    /// Every lease of earlier generations has run out: sessions may open.
+    /// Every lease of earlier generations has expired, so sessions may open.
     EndRecovery(LeaderTerm),
     /// Configuration objects changed.
     ApplyObjects {
         /// The changes, in any order.
         changes: Vec<ObjectChange>,
     },
-    /// A back end process answered and may be given slices.
+    /// A back-end process responded and may receive slices.
     OpenSession(SessionId),
-    /// The process is gone or its last possible lease has run out.
+    /// Ends a session whose process is gone or whose last possible lease has
+    /// expired.
     CloseSession {
         /// Which session.
         session: SessionId,
-        /// Revision at which it opened: a session of the same process that
-        /// opened again later is another one.
+        /// Revision at which the session opened. It distinguishes a session
+        /// from a later one of the same process.
         opened: Revision,
-        /// Term whose leader concluded it.
+        /// Term of the leader that concluded this.
         term: LeaderTerm,
     },
-    /// The back end announced that it is leaving.
+    /// The back end announced that it is shutting down.
     MarkDraining(SessionId),
     /// Gives an unowned slice an owner.
     Assign {
@@ -107,7 +111,7 @@
         /// Epoch of the slice as the proposer saw it.
         expected_epoch: Epoch,
     },
-    /// Starts handing an owned slice over.
+    /// Starts the handover of an owned slice.
     BeginMove {
         /// Which service.
         service: ServiceId,
@@ -118,7 +122,7 @@
         /// Epoch of the slice as the proposer saw it.
         expected_epoch: Epoch,
     },
-    /// Gives up a handover; the owner stays.
+    /// Cancels a handover. The owner keeps the slice.
     CancelMove {
         /// Which service.
         service: ServiceId,
@@ -127,7 +131,7 @@
         /// Epoch of the slice as the proposer saw it.
         expected_epoch: Epoch,
     },
-    /// The owner let go: the next owner takes over.
+    /// Completes a handover after the owner released the slice.
     CompleteMove {
         /// Which service.
         service: ServiceId,
@@ -138,7 +142,7 @@
         /// What the grantor saw.
         evidence: SliceEvidence,
     },
-    /// The owner let go and there is no next owner: the slice is unowned.
+    /// Removes the owner of a slice that it released without a next owner.
     Release {
         /// Which service.
         service: ServiceId,
@@ -147,7 +151,7 @@
         /// What the grantor saw.
         evidence: SliceEvidence,
     },
-    /// Divides a slice. Both parts keep the owner and the epoch.
+    /// Splits a slice. Both parts keep the owner and the epoch.
     Split {
         /// Which service.
         service: ServiceId,
@@ -158,8 +162,9 @@
         /// Epoch of the slice as the proposer saw it.
         expected_epoch: Epoch,
     },
-    /// Joins two neighbouring slices of one owner, or two without owner. The
-    /// epoch stays when both had the same and is new otherwise.
+    /// Merges two adjacent slices that have the same owner or no owner. The
+    /// epoch is kept if both had the same one; otherwise the merged slice gets
+    /// a new epoch.
     Merge {
         /// Which service.
         service: ServiceId,
@@ -172,7 +177,7 @@
         /// Epoch of the upper slice as the proposer saw it.
         expected_second_epoch: Epoch,
     },
-    /// Several commands in one entry, applied in order; one that is rejected
+    /// Applies several commands in order within one entry. A rejected command
     /// does not stop the others.
     Batch(Vec<Command>),
 }
--- a/crates/ownership/src/grantor/exchange.rs
+++ b/crates/ownership/src/grantor/exchange.rs
@@ -1,34 +1,34 @@
-//! Requests to back ends and their answers.
+//! Lease requests to back ends and their responses.
 
 use std::time::Duration;
 
 use threadledge_types::session::{Grant, GrantsUpdate, LeaseRequest, LeaseResponse, LeaseSequence};
 use threadledge_types::{BackEndId, SessionId, Timestamp};
 
-use super::contact::{Outstanding, Reading};
+use super::back_end_state::{ClockReading, InFlightRequest};
 use super::{Grantor, GrantorOutput, Observation};
 use crate::machine::StateMachine;
 
 impl Grantor {
-    /// Puts the contact into the schedule at the time it is due next.
+    /// Schedules the back end at the time at which it is due next.
     pub(super) fn reschedule(&mut self, id: &BackEndId) {
-        let Some(contact) = self.contacts.get_mut(id) else {
+        let Some(state) = self.back_ends.get_mut(id) else {
             return;
         };
-        let mut due = contact.send_due(self.last_step, self.settings.retry_interval);
-        if contact.session.is_some() && contact.lease_bound > self.last_step {
-            due = due.min(contact.lease_bound);
+        let mut due = state.send_due(self.last_step, self.settings.retry_interval);
+        if state.session.is_some() && state.lease_expiry_bound > self.last_step {
+            due = due.min(state.lease_expiry_bound);
         }
-        if contact.scheduled == Some(due) {
+        if state.scheduled_at == Some(due) {
             return;
         }
-        if let Some(former) = contact.scheduled.replace(due) {
+        if let Some(former) = state.scheduled_at.replace(due) {
             self.schedule.remove(&(former, id.clone()));
         }
         self.schedule.insert((due, id.clone()));
     }
 
-    /// Serves every contact that is due.
+    /// Processes every back end that is due.
     pub(super) fn run_schedule(&mut self, now: Timestamp, machine: &StateMachine) {
         let mut due = Vec::new();
         while let Some((at, _)) = self.schedule.first() {
@@ -38,73 +38,72 @@
             let Some((_, id)) = self.schedule.pop_first() else {
                 break;
             };
-            if let Some(contact) = self.contacts.get_mut(&id) {
-                contact.scheduled = None;
+            if let Some(state) = self.back_ends.get_mut(&id) {
+                state.scheduled_at = None;
             }
             due.push(id);
         }
         for id in &due {
-            self.check_expiry(now, id, machine);
-            let contact = self.contacts.get(id);
-            if contact
-                .is_some_and(|contact| contact.send_due(now, self.settings.retry_interval) <= now)
-            {
-                self.send(now, id, machine);
+            self.check_session_expiry(now, id, machine);
+            let state = self.back_ends.get(id);
+            if state.is_some_and(|state| state.send_due(now, self.settings.retry_interval) <= now) {
+                self.send_request(now, id, machine);
             }
             self.reschedule(id);
         }
     }
 
-    fn send(&mut self, now: Timestamp, id: &BackEndId, machine: &StateMachine) {
-        let prepare = self.preparations(id, machine);
-        let interval = self.interval(id, &prepare);
+    fn send_request(&mut self, now: Timestamp, id: &BackEndId, machine: &StateMachine) {
+        let prepare = self.slices_to_prepare(id, machine);
+        let interval = self.request_interval(id, &prepare);
         let lease = &self.settings.timing;
-        let begun = self.begun;
-        let Some(contact) = self.contacts.get_mut(id) else {
+        let term_begun = self.term_begun;
+        let Some(state) = self.back_ends.get_mut(id) else {
             return;
         };
-        contact.sequence += 1;
-        contact.changed = false;
-        contact.next_send = now + interval;
-        contact.unanswered_since.get_or_insert(now);
-        contact.outstanding = Some(Outstanding {
-            sequence: contact.sequence,
+        state.sequence += 1;
+        state.has_changes = false;
+        state.next_send = now + interval;
+        state.unanswered_since.get_or_insert(now);
+        state.in_flight = Some(InFlightRequest {
+            sequence: state.sequence,
             sent_at: now,
         });
         let mut request = LeaseRequest {
             group: self.group,
             back_end: id.clone(),
             incarnation: None,
-            order: self.term.lease_sequence(contact.sequence),
+            order: self.term.lease_sequence(state.sequence),
             echo: None,
             lease_ms: lease.lease_ms,
             grants: GrantsUpdate::Inquire,
             prepare: Vec::new(),
         };
-        let granted = contact.session.as_ref().zip(contact.reading);
-        let closing = contact.closing.is_some();
+        let granted = state.session.as_ref().zip(state.reading);
+        let closing = state.closing.is_some();
         if let Some((session, reading)) = granted
-            && begun
+            && term_begun
             && !closing
             && reading.incarnation == session.id.incarnation
         {
             request.incarnation = Some(reading.incarnation);
             request.echo = Some(reading.holder_time);
-            request.grants = session.holdings.update();
+            request.grants = session.grants.update();
             request.prepare = prepare;
-            // One owner: whatever delays the request, the holder counts from
-            // a reading that it took before `received_at`.
+            // Exclusive ownership: however long the request is delayed, the
+            // holder counts the lease from a reading that it took before
+            // `received_at`.
             let bound = reading.received_at + lease.lease_with_drift();
-            contact.lease_bound = contact.lease_bound.max(bound);
+            state.lease_expiry_bound = state.lease_expiry_bound.max(bound);
         }
         self.outputs.push(GrantorOutput::Send {
-            to: contact.address,
+            to: state.address,
             request: Box::new(request),
         });
     }
 
-    /// Slices that the back end shall make itself ready to own.
-    fn preparations(&self, id: &BackEndId, machine: &StateMachine) -> Vec<Grant> {
+    /// Returns the slices that the back end should prepare to own.
+    fn slices_to_prepare(&self, id: &BackEndId, machine: &StateMachine) -> Vec<Grant> {
         let records = machine
             .incoming_moves(id)
             .filter_map(|key| machine.slice(key));
@@ -116,46 +115,47 @@
         grants.collect()
     }
 
-    /// Time until the next request if nothing changes.
-    fn interval(&self, id: &BackEndId, prepare: &[Grant]) -> Duration {
-        let Some(contact) = self.contacts.get(id) else {
+    /// Returns the time until the next request if nothing changes.
+    fn request_interval(&self, id: &BackEndId, prepare: &[Grant]) -> Duration {
+        let Some(state) = self.back_ends.get(id) else {
             return self.settings.timing.renewal();
         };
-        let unready = |grant: &Grant| !contact.ready.contains(grant);
-        let waits = contact.session.is_some()
-            && (!contact.withheld.is_empty() || prepare.iter().any(unready));
-        if waits {
+        let unready = |grant: &Grant| !state.ready.contains(grant);
+        let awaits_back_end =
+            state.session.is_some() && (!state.withheld.is_empty() || prepare.iter().any(unready));
+        if awaits_back_end {
             self.settings.poll_interval
         } else {
             self.settings.timing.renewal()
         }
     }
 
-    pub(super) fn take_failure(&mut self, now: Timestamp, id: &BackEndId, order: LeaseSequence) {
+    pub(super) fn on_request_failed(&mut self, now: Timestamp, id: &BackEndId, order: LeaseSequence) {
         let retry = self.settings.retry_interval;
-        let Some(contact) = self.contacts.get_mut(id) else {
+        let Some(state) = self.back_ends.get_mut(id) else {
             return;
         };
-        let sent = contact.outstanding.map(|outstanding| outstanding.sequence);
+        let sent = state.in_flight.map(|in_flight| in_flight.sequence);
         if sent.map(|sequence| self.term.lease_sequence(sequence)) != Some(order) {
             return;
         }
-        // No proof of anything: the process may live behind a broken network.
-        contact.outstanding = None;
-        contact.changed = false;
-        contact.next_send = now + retry;
+        // A failed request proves nothing: the process may be running behind a
+        // broken network.
+        state.in_flight = None;
+        state.has_changes = false;
+        state.next_send = now + retry;
         self.reschedule(id);
     }
 
-    pub(super) fn take_response(
+    pub(super) fn on_response(
         &mut self,
         now: Timestamp,
         from: &BackEndId,
         response: LeaseResponse,
         machine: &StateMachine,
     ) {
-        self.refresh_contact(now, from, machine);
-        if !self.note_answer(from, &response) {
+        self.refresh_back_end(now, from, machine);
+        if !self.accept_response(from, &response) {
             return;
         }
         let answering = SessionId {
@@ -164,62 +164,63 @@
         };
         let open = machine.session(from).map(|record| record.id.clone());
         if open.is_some_and(|open| open.incarnation > response.incarnation) {
-            // A process of the past that still answers. It is not the one
-            // whose lease counts, so it says nothing about that one.
+            // An earlier process that still responds. It is not the one whose
+            // lease counts, so its response says nothing about that one.
             self.observe(Observation::StaleProcess(answering));
             self.reschedule(from);
             return;
         }
-        self.note_reading(now, from, &response);
+        self.record_clock_reading(now, from, &response);
         self.outputs.push(GrantorOutput::Load {
             back_end: from.clone(),
             report: response.load.clone(),
         });
         if let Some(held) = &response.held {
-            self.claims.note(&answering, held, machine);
+            self.claims.record(&answering, held, machine);
         }
         self.refresh_session(now, from, machine);
-        self.note_grants(now, from, &response, machine);
-        self.conclude(now, from, machine);
+        self.process_reported_grants(now, from, &response, machine);
+        self.propose_session_change(now, from, machine);
         self.reschedule(from);
     }
 
-    /// Whether the response answers a request of this term to the present
-    /// address, and is later than any before.
-    fn note_answer(&mut self, from: &BackEndId, response: &LeaseResponse) -> bool {
-        let Some(contact) = self.contacts.get_mut(from) else {
+    /// Records the response and returns whether it is to be processed: it
+    /// answers a request of this term to the current address, and a later one
+    /// than any response before.
+    fn accept_response(&mut self, from: &BackEndId, response: &LeaseResponse) -> bool {
+        let Some(state) = self.back_ends.get_mut(from) else {
             return false;
         };
         let sequence = response.order.sequence;
         let own =
             response.order == self.term.lease_sequence(sequence) && response.back_end == *from;
-        let expected = contact.first_sequence.max(contact.answered + 1)..=contact.sequence;
+        let expected = state.first_sequence.max(state.last_answered + 1)..=state.sequence;
         if !own || !expected.contains(&sequence) {
             return false;
         }
-        contact.answered = sequence;
-        let awaited = |outstanding: &Outstanding| outstanding.sequence > sequence;
-        contact.outstanding = contact.outstanding.filter(awaited);
+        state.last_answered = sequence;
+        let awaited = |in_flight: &InFlightRequest| in_flight.sequence > sequence;
+        state.in_flight = state.in_flight.filter(awaited);
         true
     }
 
-    fn note_reading(&mut self, now: Timestamp, from: &BackEndId, response: &LeaseResponse) {
-        let Some(contact) = self.contacts.get_mut(from) else {
+    fn record_clock_reading(&mut self, now: Timestamp, from: &BackEndId, response: &LeaseResponse) {
+        let Some(state) = self.back_ends.get_mut(from) else {
             return;
         };
-        contact.unanswered_since = contact.outstanding.map(|outstanding| outstanding.sent_at);
-        self.report_answering(from, true);
-        let Some(contact) = self.contacts.get_mut(from) else {
+        state.unanswered_since = state.in_flight.map(|in_flight| in_flight.sent_at);
+        self.report_reachability(from, true);
+        let Some(state) = self.back_ends.get_mut(from) else {
             return;
         };
-        let known = contact.reading.filter(|reading| {
+        let known = state.reading.filter(|reading| {
             reading.incarnation == response.incarnation
                 && reading.holder_time >= response.holder_time
         });
         if known.is_some() {
             return;
         }
-        contact.reading = Some(Reading {
+        state.reading = Some(ClockReading {
             incarnation: response.incarnation,
             holder_time: response.holder_time,
             received_at: now,
@@ -227,9 +228,9 @@
         });
     }
 
-    /// Takes note of the grants the holder reports: its version, what it
-    /// still releases, and what it is ready for.
-    fn note_grants(
+    /// Processes the grants that the holder reports: its version, the slices it
+    /// is still releasing, and those it is ready for.
+    fn process_reported_grants(
         &mut self,
         now: Timestamp,
         from: &BackEndId,
@@ -237,27 +238,27 @@
         machine: &StateMachine,
     ) {
         let poll = self.settings.poll_interval;
-        let Some(contact) = self.contacts.get_mut(from) else {
+        let Some(state) = self.back_ends.get_mut(from) else {
             return;
         };
-        contact.ready = response.ready.iter().cloned().collect();
-        let Some(session) = &mut contact.session else {
+        state.ready = response.ready.iter().cloned().collect();
+        let Some(session) = &mut state.session else {
             return;
         };
         if session.id.incarnation != response.incarnation {
             return;
         }
-        let number = session.holdings.own_number(response.version);
-        let present = session.holdings.acknowledge(response.version);
-        if !present && !contact.changed && number.is_none() {
-            contact.next_send = contact.next_send.min(now + poll);
+        let number = session.grants.own_state_number(response.version);
+        let present = session.grants.acknowledge(response.version);
+        if !present && !state.has_changes && number.is_none() {
+            state.next_send = state.next_send.min(now + poll);
         }
         if let Some(number) = number {
-            self.note_releases(now, from, number, &response.releasing, machine);
+            self.record_releases(now, from, number, &response.releasing, machine);
         }
         let moves: Vec<_> = machine.incoming_moves(from).cloned().collect();
         for key in &moves {
-            self.review(now, key, machine);
+            self.reevaluate_slice(now, key, machine);
         }
     }
 }
--- a/crates/ownership/src/grantor/handover.rs
+++ b/crates/ownership/src/grantor/handover.rs
@@ -1,4 +1,5 @@
-//! Which slices are in whose holdings, and when they shall leave them.
+//! Decides which session's grants contain a slice, and when a slice is taken
+//! away for a handover.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,10 +8,11 @@
 use threadledge_types::session::Grant;
 use threadledge_types::{BackEndId, Point, ServiceId, Timestamp};
 
-use super::release::Withheld;
+use super::release::WithheldSlice;
 use super::{Grantor, Observation};
 use crate::machine::StateMachine;
 
+/// Returns the grant of a slice as recorded.
 pub(super) fn grant_of(record: &SliceRecord) -> Grant {
     Grant {
         service: record.service.clone(),
@@ -20,16 +22,21 @@
 }
 
 impl Grantor {
-    /// Looks again at every slice that a back end owns.
-    pub(super) fn review_owned(&mut self, now: Timestamp, id: &BackEndId, machine: &StateMachine) {
+    /// Re-evaluates every slice that a back end owns.
+    pub(super) fn reevaluate_owned(
+        &mut self,
+        now: Timestamp,
+        id: &BackEndId,
+        machine: &StateMachine,
+    ) {
         for key in machine.slices_of_session(id) {
-            self.review(now, key, machine);
+            self.reevaluate_slice(now, key, machine);
         }
     }
 
-    /// Looks again at the slices of a service that leave their owners, or
-    /// shall.
-    pub(super) fn review_leaving(
+    /// Re-evaluates the slices of a service that are leaving their owners, or
+    /// must.
+    pub(super) fn reevaluate_departing(
         &mut self,
         now: Timestamp,
         id: &ServiceId,
@@ -44,110 +51,121 @@
         let mut keys: BTreeSet<SliceKey> = withheld.cloned().collect();
         keys.extend(machine.misplaced_slices_of(id).cloned());
         for key in &keys {
-            self.review(now, key, machine);
+            self.reevaluate_slice(now, key, machine);
         }
     }
 
-    /// Looks at one slice again: who shall hold it, and whether its owner
-    /// shall let it go.
-    pub(super) fn review(&mut self, now: Timestamp, key: &SliceKey, machine: &StateMachine) {
+    /// Re-evaluates one slice: which session should hold it, and whether its
+    /// owner must release it.
+    pub(super) fn reevaluate_slice(
+        &mut self,
+        now: Timestamp,
+        key: &SliceKey,
+        machine: &StateMachine,
+    ) {
         let record = machine.slice(key);
-        let waits = record
+        let must_leave = record
             .as_ref()
             .is_some_and(|record| record.next.is_some() || machine.misplaced().contains(key));
-        if !waits {
-            self.waiting.remove(key);
+        if !must_leave {
+            self.handover_starts.remove(key);
         }
-        self.drop_void(key, waits, machine);
+        self.drop_stale_withheld(key, must_leave, machine);
         let owned = record.filter(|record| record.owner.is_some());
         let Some(record) = owned else {
-            self.place(key, None);
+            self.set_holder(key, None);
             return;
         };
-        self.place(key, self.receiver(key, &record));
-        self.ask_to_prepare(&record);
+        self.set_holder(key, self.intended_holder(key, &record));
+        self.request_preparation(&record);
         if self.withheld.contains_key(key) {
-            self.propose_end(now, key, &record, machine);
-        } else if waits {
-            self.review_waiting(now, key, &record, machine);
+            self.propose_handover_end(now, key, &record, machine);
+        } else if must_leave {
+            self.advance_handover(now, key, &record, machine);
         }
     }
 
-    /// A withheld slice that changed in the log is judged afresh: what was
-    /// proposed about it before cannot take effect any more. One that need not
-    /// leave any more goes back to its owner unless its end was proposed:
-    /// that may take effect at any time.
-    fn drop_void(&mut self, key: &SliceKey, waits: bool, machine: &StateMachine) {
+    /// Drops the withheld state of a slice that changed in the log: proposals
+    /// about it made before cannot take effect any more.
+    ///
+    /// A slice that no longer has to leave goes back to its owner, unless its
+    /// release was already proposed, because that proposal may take effect at
+    /// any time.
+    fn drop_stale_withheld(&mut self, key: &SliceKey, must_leave: bool, machine: &StateMachine) {
         let present = machine.slice_revision(key);
-        let void = |withheld: &Withheld| {
-            let needless = !waits && withheld.proposed_at.is_none();
+        let void = |withheld: &WithheldSlice| {
+            let needless = !must_leave && withheld.proposed_at.is_none();
             needless || Some(withheld.revision) != present
         };
         if !self.withheld.get(key).is_some_and(void) {
             return;
         }
         if let Some(withheld) = self.withheld.remove(key)
-            && let Some(contact) = self.contacts.get_mut(&withheld.owner)
+            && let Some(state) = self.back_ends.get_mut(&withheld.owner)
         {
-            contact.withheld.remove(key);
+            state.withheld.remove(key);
         }
     }
 
-    /// The back end whose holdings shall contain the slice.
-    fn receiver(&self, key: &SliceKey, record: &SliceRecord) -> Option<(BackEndId, Grant)> {
+    /// Returns the back end whose grants should contain the slice, and the
+    /// grant.
+    fn intended_holder(&self, key: &SliceKey, record: &SliceRecord) -> Option<(BackEndId, Grant)> {
         if self.withheld.contains_key(key) {
             return None;
         }
         let owner = record.owner.as_ref()?;
-        let session = self.contacts.get(&owner.back_end)?.session.as_ref()?;
+        let session = self.back_ends.get(&owner.back_end)?.session.as_ref()?;
         let same = session.id == *owner;
         same.then(|| (owner.back_end.clone(), grant_of(record)))
     }
 
-    /// Puts the slice into the wanted holdings and out of any other.
-    fn place(&mut self, key: &SliceKey, wanted: Option<(BackEndId, Grant)>) {
-        let holder = self.placed.get(key).cloned();
+    /// Puts the slice into the grants of the wanted back end and removes it
+    /// from those of any other.
+    fn set_holder(&mut self, key: &SliceKey, wanted: Option<(BackEndId, Grant)>) {
+        let holder = self.granted_to.get(key).cloned();
         let held = holder.and_then(|id| {
-            let session = self.contacts.get(&id)?.session.as_ref()?;
-            let grant = session.holdings.get(key)?.clone();
+            let session = self.back_ends.get(&id)?.session.as_ref()?;
+            let grant = session.grants.get(key)?.clone();
             Some((id, grant))
         });
         if held == wanted {
             return;
         }
         if let Some((id, _)) = held {
-            self.take_out(key, &id);
+            self.remove_grant(key, &id);
         }
         if let Some((id, grant)) = wanted {
-            self.put_in(key, &id, grant);
+            self.add_grant(key, &id, grant);
         }
     }
 
-    pub(super) fn take_out(&mut self, key: &SliceKey, id: &BackEndId) -> u64 {
+    /// Removes the slice from the grants of a back end and returns the number of
+    /// its new state.
+    pub(super) fn remove_grant(&mut self, key: &SliceKey, id: &BackEndId) -> u64 {
         let number = self.next_number();
-        self.placed.remove(key);
-        if let Some(contact) = self.contacts.get_mut(id) {
-            contact.mark_changed();
-            if let Some(session) = &mut contact.session {
-                session.holdings.remove(key, number);
+        self.granted_to.remove(key);
+        if let Some(state) = self.back_ends.get_mut(id) {
+            state.mark_changed();
+            if let Some(session) = &mut state.session {
+                session.grants.remove(key, number);
             }
         }
         self.reschedule(id);
         number
     }
 
-    fn put_in(&mut self, key: &SliceKey, id: &BackEndId, grant: Grant) {
+    fn add_grant(&mut self, key: &SliceKey, id: &BackEndId, grant: Grant) {
         let number = self.next_number();
-        let Some(contact) = self.contacts.get_mut(id) else {
+        let Some(state) = self.back_ends.get_mut(id) else {
             return;
         };
-        contact.mark_changed();
-        let Some(session) = &mut contact.session else {
+        state.mark_changed();
+        let Some(session) = &mut state.session else {
             return;
         };
         let owner = session.id.clone();
-        session.holdings.add(key.clone(), grant.clone(), number);
-        self.placed.insert(key.clone(), id.clone());
+        session.grants.add(key.clone(), grant.clone(), number);
+        self.granted_to.insert(key.clone(), id.clone());
         self.reschedule(id);
         self.observe(Observation::GrantIssued {
             session: owner,
@@ -155,22 +173,24 @@
         });
     }
 
-    /// Tells the next owner at once.
-    fn ask_to_prepare(&mut self, record: &SliceRecord) {
+    /// Asks the next owner to prepare, without waiting for the next renewal.
+    fn request_preparation(&mut self, record: &SliceRecord) {
         let Some(next) = &record.next else {
             return;
         };
-        let Some(contact) = self.contacts.get_mut(next) else {
+        let Some(state) = self.back_ends.get_mut(next) else {
             return;
         };
-        let known = self.waiting.contains_key(&record.key());
-        if !known && !contact.ready.contains(&grant_of(record)) {
-            contact.mark_changed();
+        let known = self.handover_starts.contains_key(&record.key());
+        if !known && !state.ready.contains(&grant_of(record)) {
+            state.mark_changed();
         }
         self.reschedule(next);
     }
 
-    fn review_waiting(
+    /// Takes a slice that must leave away from its owner, once the next owner is
+    /// ready or the handover timeout has passed.
+    fn advance_handover(
         &mut self,
         now: Timestamp,
         key: &SliceKey,
@@ -180,18 +200,18 @@
         let Some(revision) = machine.slice_revision(key) else {
             return;
         };
-        let started = match self.waiting.get(key) {
+        let started = match self.handover_starts.get(key) {
             Some((at_revision, started)) if *at_revision == revision => *started,
             _ => now,
         };
         let start = (revision, started);
-        self.waiting.insert(key.clone(), start);
-        if !self.placed.contains_key(key) {
-            // The owner has not answered in this term yet.
+        self.handover_starts.insert(key.clone(), start);
+        if !self.granted_to.contains_key(key) {
+            // The owner has not responded in this term yet.
             return;
         }
-        let patience = self.patience(record, machine);
-        let due = patience.map(|patience| started + patience);
+        let timeout = self.handover_timeout(record, machine);
+        let due = timeout.map(|timeout| started + timeout);
         if self.next_is_ready(record) || due.is_some_and(|due| now >= due) {
             self.withhold(key, record, revision);
         } else if let Some(due) = due {
@@ -199,8 +219,9 @@
         }
     }
 
-    /// How long to wait for the next owner; `None` waits until it is ready.
-    fn patience(&self, record: &SliceRecord, machine: &StateMachine) -> Option<Duration> {
+    /// Returns how long to wait for the next owner. `None` means until it is
+    /// ready.
+    fn handover_timeout(&self, record: &SliceRecord, machine: &StateMachine) -> Option<Duration> {
         if !machine.misplaced().contains(&record.key()) {
             return None;
         }
@@ -213,18 +234,18 @@
     }
 
     fn next_is_ready(&self, record: &SliceRecord) -> bool {
-        let next = record.next.as_ref().and_then(|id| self.contacts.get(id));
-        next.is_some_and(|contact| contact.ready.contains(&grant_of(record)))
+        let next = record.next.as_ref().and_then(|id| self.back_ends.get(id));
+        next.is_some_and(|state| state.ready.contains(&grant_of(record)))
     }
 
-    /// Looks again at slices whose time has come.
+    /// Re-evaluates the slices whose timers have expired.
     pub(super) fn run_timers(&mut self, now: Timestamp, machine: &StateMachine) {
         while let Some((at, _)) = self.timers.first() {
             if *at > now {
                 return;
             }
             if let Some((_, key)) = self.timers.pop_first() {
-                self.review(now, &key, machine);
+                self.reevaluate_slice(now, &key, machine);
             }
         }
     }
--- a/crates/ownership/src/grantor/message.rs
+++ b/crates/ownership/src/grantor/message.rs
@@ -1,4 +1,4 @@
-//! What goes into a grantor and what comes out of it.
+//! Settings, inputs and outputs of a grantor.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,16 +12,16 @@
 /// Settings of a grantor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GrantorSettings {
-    /// Durations that safety depends on.
+    /// Durations on which safety depends.
     pub timing: Timing,
-    /// A request without answer for this long is sent again.
+    /// Time after which a request is sent again if it failed or got no response.
     pub retry_interval: Duration,
-    /// Interval of requests while a release or a preparation is awaited.
+    /// Interval of requests while a release or a preparation is pending.
     pub poll_interval: Duration,
-    /// An owner that has to go lets a slice go after this time even if the
-    /// next owner is not ready, or if there is none.
+    /// Time after which an owner that must give up a slice releases it even if
+    /// the next owner is not ready, or if there is none.
     pub handover_timeout: Duration,
-    /// A proposal that was not applied for this long is made again.
+    /// Time after which a proposal that was not applied is made again.
     pub proposal_timeout: Duration,
 }
 
@@ -37,41 +37,41 @@
     }
 }
 
-/// What a grantor is told.
+/// Inputs of a grantor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GrantorInput {
     /// Time passed.
     Tick,
-    /// A back end answered. The time of the step must have been read after
-    /// the answer arrived.
+    /// A back end responded. The time passed to the step must have been read
+    /// after the response arrived.
     Response {
         /// The back end the request went to.
         from: BackEndId,
-        /// Its answer.
+        /// Its response.
         response: Box<LeaseResponse>,
     },
-    /// A request got no answer.
+    /// A request got no response.
     Failed {
         /// The back end the request went to.
         back_end: BackEndId,
-        /// Order of the request.
+        /// Sequence of the request.
         order: LeaseSequence,
     },
     /// Entries of the log were applied to the state machine.
     Applied(Vec<RecordChange>),
 }
 
-/// What a grantor wants done.
+/// Outputs of a grantor, to be carried out by its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GrantorOutput {
-    /// Post the request to a back end's control address.
+    /// Send the request to a back end's control address.
     Send {
-        /// Where to.
+        /// The control address.
         to: SocketAddr,
         /// The request.
         request: Box<LeaseRequest>,
     },
-    /// Append the command to the log. It must not be handed to another
+    /// Append the command to the log. It must not be forwarded to another
     /// leader.
     Propose(Command),
     /// A back end reported its load.
@@ -81,56 +81,57 @@
         /// The report.
         report: LoadReport,
     },
-    /// A back end with a session stopped answering, or answers again. It
-    /// keeps what it owns until its lease runs out, and should be given
-    /// nothing meanwhile.
+    /// A back end with a session stopped responding, or responds again. It
+    /// keeps what it owns until its lease expires, and should receive no slices
+    /// meanwhile.
     Reachability {
         /// Which back end.
         back_end: BackEndId,
-        /// Whether it answers.
+        /// Whether it responds.
         reachable: bool,
     },
-    /// Something happened that is worth a log line.
+    /// An event for the log.
     Observed(Observation),
 }
 
-/// Events for logs and metrics.
+/// Events for logs and metrics. Variant and field names appear in log lines.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
-    /// The term began: grants may be sent.
+    /// The term has begun, so grants may be sent.
     TermBegun,
-    /// A back end process answered for the first time in this term.
+    /// A back-end process responded for the first time in this term.
     SessionFound(SessionId),
-    /// A later process of the same back end answered.
+    /// A later process of the same back end responded.
     SessionReplaced {
         /// The session that is over.
         former: SessionId,
-        /// The process that answered.
+        /// The session of the process that responded.
         present: SessionId,
     },
-    /// An earlier process of a back end answered and was ignored.
+    /// An earlier process of a back end responded and was ignored.
     StaleProcess(SessionId),
-    /// The last possible lease of a session ran out.
+    /// The last possible lease of a session expired.
     SessionExpired(SessionId),
-    /// A back end announced that it is leaving.
+    /// A back end announced that it is draining.
     DrainAnnounced(SessionId),
-    /// The holder did not report the grants it was sent; it gets them all.
+    /// The holder did not report the grants it was sent, so it is sent all of
+    /// them.
     GrantsLost(SessionId),
-    /// A slice was put into the holdings of a session.
+    /// A slice was added to the grants of a session.
     GrantIssued {
         /// The session.
         session: SessionId,
         /// The grant.
         grant: Grant,
     },
-    /// A slice was taken out of the holdings of its owner.
+    /// A slice was removed from the grants of its owner.
     GrantWithheld {
         /// The owner.
         session: SessionId,
         /// The grant.
         grant: Grant,
     },
-    /// The owner confirmed that it serves the slice no more.
+    /// The owner confirmed that it no longer serves the slice.
     ReleaseConfirmed {
         /// The owner.
         session: SessionId,
--- a/crates/ownership/src/grantor/mod.rs
+++ b/crates/ownership/src/grantor/mod.rs
@@ -1,17 +1,17 @@
-//! The leader's side of sessions: renews leases, hands out grants, confirms
-//! releases and concludes that a session is over.
+//! The leader's side of sessions: it renews leases, hands out grants, confirms
+//! releases and decides when a session is over.
 //!
-//! Volatile: a new leader starts one from the state machine and learns the
-//! rest by asking. Safety does not rest on what it remembers beyond its own
-//! term.
+//! Its state is volatile: a new leader starts from the state machine and learns
+//! the rest from responses. Safety does not depend on anything remembered
+//! beyond the leader's own term.
 
-mod contact;
+mod back_end_state;
 mod exchange;
 mod handover;
-mod holdings;
 mod message;
 mod recovery;
 mod release;
+mod session_grants;
 mod sessions;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,21 +21,24 @@
 
 use crate::command::{Command, LeaderTerm};
 use crate::machine::StateMachine;
-use contact::Contact;
+use back_end_state::BackEndState;
 pub use message::{GrantorInput, GrantorOutput, GrantorSettings, Observation};
 use recovery::Claims;
-use release::Withheld;
+use release::WithheldSlice;
 
-/// First requests of a term are spread over this part of the renewal
-/// interval, so that a new leader is quick and its back ends are not reached
-/// all at once.
-const FIRST_CONTACT_DIVISOR: u32 = 4;
+/// Divisor of the renewal interval that gives the window over which the first
+/// requests of a term are spread, so that a new leader makes contact quickly
+/// but does not reach all back ends at once.
+const FIRST_REQUEST_DIVISOR: u32 = 4;
 
-/// What the grantor may do.
+/// Leadership of the grantor, which determines what it may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
+enum Leadership {
+    /// Leads and holds the leader lease.
     Leading,
+    /// Leads, but the leader lease is not valid now.
     WithoutLease,
+    /// A later term has begun.
     Deposed,
 }
 
@@ -46,24 +49,25 @@
     group: GroupId,
     term: LeaderTerm,
     elected_at: Timestamp,
-    standing: Standing,
-    /// The machine has applied this term's first command, and with it all
-    /// that earlier leaders left in the log.
-    begun: bool,
-    /// Start of the present stretch of uninterrupted, valid leadership.
+    leadership: Leadership,
+    /// The state machine has applied this term's first command, and with it
+    /// every entry that earlier leaders left in the log.
+    term_begun: bool,
+    /// Start of the current period of uninterrupted leadership with a valid
+    /// leader lease.
     active_since: Option<Timestamp>,
     last_step: Timestamp,
     term_proposed_at: Option<Timestamp>,
-    contacts: BTreeMap<BackEndId, Contact>,
-    /// Contacts by when they are due.
+    back_ends: BTreeMap<BackEndId, BackEndState>,
+    /// Back ends by the time at which they are due.
     schedule: BTreeSet<(Timestamp, BackEndId)>,
-    /// Which back end's holdings contain a slice.
-    placed: BTreeMap<SliceKey, BackEndId>,
-    /// Slices taken out of their owner's holdings.
-    withheld: BTreeMap<SliceKey, Withheld>,
-    /// Since when a slice waits for a handover, and at which revision.
-    waiting: BTreeMap<SliceKey, (Revision, Timestamp)>,
-    /// Slices to look at again, by time.
+    /// Back end whose grants contain a slice.
+    granted_to: BTreeMap<SliceKey, BackEndId>,
+    /// Slices that were removed from their owner's grants.
+    withheld: BTreeMap<SliceKey, WithheldSlice>,
+    /// Revision and time at which the handover of a slice started.
+    handover_starts: BTreeMap<SliceKey, (Revision, Timestamp)>,
+    /// Slices to re-evaluate, by time.
     timers: BTreeSet<(Timestamp, SliceKey)>,
     /// Number of the latest state of any session's grants in this term.
     latest_number: u64,
@@ -89,53 +93,58 @@
             group,
             term,
             elected_at,
-            standing: Standing::Leading,
-            begun: false,
+            leadership: Leadership::Leading,
+            term_begun: false,
             active_since: None,
             last_step: now,
             term_proposed_at: None,
-            contacts: BTreeMap::new(),
+            back_ends: BTreeMap::new(),
             schedule: BTreeSet::new(),
-            placed: BTreeMap::new(),
+            granted_to: BTreeMap::new(),
             withheld: BTreeMap::new(),
-            waiting: BTreeMap::new(),
+            handover_starts: BTreeMap::new(),
             timers: BTreeSet::new(),
             latest_number: 0,
             claims: Claims::default(),
             outputs: Vec::new(),
         };
-        grantor.schedule_first_contacts(now, machine);
+        grantor.schedule_first_requests(now, machine);
         grantor
     }
 
-    fn schedule_first_contacts(&mut self, now: Timestamp, machine: &StateMachine) {
+    fn schedule_first_requests(&mut self, now: Timestamp, machine: &StateMachine) {
         let wanted = machine
             .back_ends()
-            .filter(|record| is_wanted(&record.id, machine));
+            .filter(|record| is_managed(&record.id, machine));
         let wanted: Vec<&BackEndRecord> = wanted.collect();
         let known = u32::try_from(wanted.len().max(1)).unwrap_or(u32::MAX);
-        let window = self.settings.timing.renewal() / FIRST_CONTACT_DIVISOR;
+        let window = self.settings.timing.renewal() / FIRST_REQUEST_DIVISOR;
         let gap = window / known;
         let mut first = now;
         for record in wanted {
-            let contact = Contact::new(record.spec.control_address, first, self.first_bound());
-            self.contacts.insert(record.id.clone(), contact);
+            let state = BackEndState::new(
+                record.spec.control_address,
+                first,
+                self.earlier_leases_bound(),
+            );
+            self.back_ends.insert(record.id.clone(), state);
             self.reschedule(&record.id);
             first = first + gap;
         }
     }
 
-    /// When the last lease that an earlier leader may have given is over: it
-    /// echoed a reading that it had received before this leader was elected.
-    fn first_bound(&self) -> Timestamp {
+    /// Returns when the last lease that an earlier leader may have given
+    /// expires. Such a lease echoed a clock reading received before this leader
+    /// was elected.
+    fn earlier_leases_bound(&self) -> Timestamp {
         self.elected_at + self.settings.timing.lease_with_drift()
     }
 
-    /// Takes one input.
+    /// Processes one input and returns the resulting outputs.
     ///
     /// `now` must be read after the input arrived, and `leader_lease_valid`
-    /// must tell whether the leader lease holds at `now`. Without it nothing
-    /// is sent and nothing is proposed.
+    /// must state whether the leader lease is valid at `now`. Without a leader
+    /// lease nothing is sent and nothing is proposed.
     pub fn step(
         &mut self,
         now: Timestamp,
@@ -143,30 +152,31 @@
         machine: &StateMachine,
         leader_lease_valid: bool,
     ) -> Vec<GrantorOutput> {
-        self.note_activity(now, leader_lease_valid);
+        self.track_leadership(now, leader_lease_valid);
         match input {
             GrantorInput::Tick => {}
             GrantorInput::Response { from, response } => {
-                self.take_response(now, &from, *response, machine);
+                self.on_response(now, &from, *response, machine);
             }
             GrantorInput::Failed { back_end, order } => {
-                self.take_failure(now, &back_end, order);
+                self.on_request_failed(now, &back_end, order);
             }
-            GrantorInput::Applied(changes) => self.take_changes(now, &changes, machine),
+            GrantorInput::Applied(changes) => self.on_applied(now, &changes, machine),
         }
-        self.standing = match leader_lease_valid {
-            _ if machine.term() > self.term => Standing::Deposed,
-            true => Standing::Leading,
-            false => Standing::WithoutLease,
+        self.leadership = match leader_lease_valid {
+            _ if machine.term() > self.term => Leadership::Deposed,
+            true => Leadership::Leading,
+            false => Leadership::WithoutLease,
         };
-        if self.standing == Standing::Leading {
-            self.advance_term(now, machine);
+        if self.leadership == Leadership::Leading {
+            self.propose_term_commands(now, machine);
             self.run_timers(now, machine);
             self.run_schedule(now, machine);
         }
         let mut outputs = std::mem::take(&mut self.outputs);
-        if self.standing != Standing::Leading {
-            // One owner: without its leader lease a leader gives nothing.
+        if self.leadership != Leadership::Leading {
+            // Exclusive ownership: without its leader lease a leader grants
+            // nothing.
             outputs.retain(|output| {
                 !matches!(
                     output,
@@ -177,37 +187,38 @@
         outputs
     }
 
-    /// When the next [`GrantorInput::Tick`] is due at the latest; `None` once
-    /// a later term has begun.
+    /// Returns when the next [`GrantorInput::Tick`] is due at the latest, or
+    /// `None` once a later term has begun.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
-        match self.standing {
-            Standing::Deposed => return None,
-            // Nothing may be done until the leader lease is back.
-            Standing::WithoutLease => {
+        match self.leadership {
+            Leadership::Deposed => return None,
+            // Nothing may be sent until the leader lease is valid again.
+            Leadership::WithoutLease => {
                 return Some(self.last_step + self.settings.timing.heartbeat());
             }
-            Standing::Leading => {}
+            Leadership::Leading => {}
         }
-        let contact = self.schedule.first().map(|(at, _)| *at);
+        let request = self.schedule.first().map(|(at, _)| *at);
         let timer = self.timers.first().map(|(at, _)| *at);
         let term = match self.term_proposed_at {
-            Some(at) if self.awaits_term() => Some(at + self.settings.proposal_timeout),
-            None if self.awaits_term() => Some(self.last_step),
+            Some(at) if self.awaits_term_begin() => Some(at + self.settings.proposal_timeout),
+            None if self.awaits_term_begin() => Some(self.last_step),
             _ => None,
         };
-        [contact, timer, term].into_iter().flatten().min()
+        [request, timer, term].into_iter().flatten().min()
     }
 
-    /// When the last lease that the back end can have is over, by the
-    /// grantor's clock; for status pages.
+    /// Returns when the last lease that the back end can have expires, by the
+    /// grantor's clock. Used for status pages.
     pub fn lease_expiry_bound(&self, back_end: &BackEndId) -> Option<Timestamp> {
-        let contact = self.contacts.get(back_end)?;
-        Some(contact.lease_bound)
+        let state = self.back_ends.get(back_end)?;
+        Some(state.lease_expiry_bound)
     }
 
-    /// A leader that was paused, or had no leader lease, gives its back ends
-    /// time to answer before it calls them lost.
-    fn note_activity(&mut self, now: Timestamp, leader_lease_valid: bool) {
+    /// Tracks uninterrupted leadership, so that a leader that was paused or had
+    /// no leader lease gives its back ends time to respond before it considers
+    /// them lost.
+    fn track_leadership(&mut self, now: Timestamp, leader_lease_valid: bool) {
         let gap = now.since(self.last_step) > self.settings.timing.renewal();
         self.last_step = now;
         if !leader_lease_valid {
@@ -217,31 +228,32 @@
         }
     }
 
-    fn take_changes(&mut self, now: Timestamp, changes: &[RecordChange], machine: &StateMachine) {
-        self.note_term(now, machine);
+    /// Processes the record changes of applied log entries.
+    fn on_applied(&mut self, now: Timestamp, changes: &[RecordChange], machine: &StateMachine) {
+        self.begin_granting_if_term_applied(now, machine);
         for change in changes {
             match change {
                 RecordChange::BackEnd(record) => {
-                    self.refresh_contact(now, &record.id, machine);
-                    self.review_owned(now, &record.id, machine);
+                    self.refresh_back_end(now, &record.id, machine);
+                    self.reevaluate_owned(now, &record.id, machine);
                 }
-                RecordChange::BackEndRemoved(id) => self.refresh_contact(now, id, machine),
+                RecordChange::BackEndRemoved(id) => self.refresh_back_end(now, id, machine),
                 RecordChange::Session(record) => {
                     self.refresh_session(now, &record.id.back_end, machine);
-                    self.review_owned(now, &record.id.back_end, machine);
+                    self.reevaluate_owned(now, &record.id.back_end, machine);
                 }
                 RecordChange::SessionRemoved(id) => {
                     self.refresh_session(now, &id.back_end, machine);
                 }
-                RecordChange::Slice(record) => self.review(now, &record.key(), machine),
-                RecordChange::SliceRemoved(key) => self.review(now, key, machine),
+                RecordChange::Slice(record) => self.reevaluate_slice(now, &record.key(), machine),
+                RecordChange::SliceRemoved(key) => self.reevaluate_slice(now, key, machine),
                 RecordChange::Service(record) => {
                     for id in machine.eligible_back_ends(&record.id) {
-                        self.refresh_contact(now, id, machine);
+                        self.refresh_back_end(now, id, machine);
                     }
-                    self.review_leaving(now, &record.id, machine);
+                    self.reevaluate_departing(now, &record.id, machine);
                 }
-                RecordChange::ServiceRemoved(id) => self.review_leaving(now, id, machine),
+                RecordChange::ServiceRemoved(id) => self.reevaluate_departing(now, id, machine),
             }
         }
     }
@@ -254,16 +266,16 @@
         self.outputs.push(GrantorOutput::Observed(observation));
     }
 
-    /// Number for the next state of some session's grants.
+    /// Returns the number for the next state of a session's grants.
     fn next_number(&mut self) -> u64 {
         self.latest_number += 1;
         self.latest_number
     }
 }
 
-/// Whether this group has to do with the back end: a service selects it, or it
-/// has a session from when one did. A process belongs to the first group that
-/// asks it, so that of another region must not.
-fn is_wanted(id: &BackEndId, machine: &StateMachine) -> bool {
+/// Returns whether this group manages the back end: a service selects it, or it
+/// still has a session from when one did. A process belongs to the first group
+/// that contacts it, so a back end of another region must not be contacted.
+fn is_managed(id: &BackEndId, machine: &StateMachine) -> bool {
     machine.session(id).is_some() || machine.is_selected(id)
 }
--- a/crates/ownership/src/grantor/recovery.rs
+++ b/crates/ownership/src/grantor/recovery.rs
@@ -1,5 +1,5 @@
-//! After a new founding: slices go back to the back ends that still hold
-//! them, so that a loss of the log moves no keys.
+//! Recovery after a new founding: slices are assigned to the back ends that
+//! still hold them, so that losing the log moves no keys.
 
 use std::collections::BTreeMap;
 
@@ -11,12 +11,13 @@
 use crate::command::Command;
 use crate::machine::StateMachine;
 
-/// Who reported to hold which slice, under the highest epoch.
+/// The session that reported holding each slice under the highest epoch.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Claims {
     highest: BTreeMap<SliceKey, Claim>,
 }
 
+/// A slice that a session reported holding.
 #[derive(Clone, Debug)]
 struct Claim {
     epoch: Epoch,
@@ -25,9 +26,9 @@
 }
 
 impl Claims {
-    /// Notes what a process reports to hold while a new founding waits for
-    /// earlier leases to run out.
-    pub fn note(&mut self, session: &SessionId, held: &[Grant], machine: &StateMachine) {
+    /// Records the grants that a process reports holding while a new founding
+    /// waits for earlier leases to expire.
+    pub fn record(&mut self, session: &SessionId, held: &[Grant], machine: &StateMachine) {
         if !machine.is_recovering() {
             return;
         }
@@ -49,8 +50,8 @@
         }
     }
 
-    /// Takes out the claims of one session.
-    fn take(&mut self, session: &SessionId) -> Vec<(SliceKey, Slice)> {
+    /// Removes and returns the claims of one session.
+    fn take_claims_of(&mut self, session: &SessionId) -> Vec<(SliceKey, Slice)> {
         let own = |claim: &Claim| claim.session == *session;
         let claims = self.highest.iter().filter(|(_, claim)| own(claim));
         let taken: Vec<_> = claims
@@ -62,14 +63,15 @@
 }
 
 impl Grantor {
-    /// Proposes to give a session the slices it reported. They are assigned
-    /// anew, under new epochs: no lease of the earlier founding is left.
-    pub(super) fn propose_claims(&mut self, id: &BackEndId, machine: &StateMachine) {
+    /// Proposes to assign the slices that a session reported to it. They are
+    /// assigned under new epochs, because no lease of the earlier generation is
+    /// left.
+    pub(super) fn propose_claimed_slices(&mut self, id: &BackEndId, machine: &StateMachine) {
         let Some(session) = machine.session(id).map(|record| record.id.clone()) else {
             return;
         };
         let mut commands = Vec::new();
-        for (key, slice) in self.claims.take(&session) {
+        for (key, slice) in self.claims.take_claims_of(&session) {
             let record = machine.slice(&key);
             let free = record.filter(|record| record.owner.is_none() && record.slice == slice);
             if let Some(record) = free {
--- a/crates/ownership/src/grantor/release.rs
+++ b/crates/ownership/src/grantor/release.rs
@@ -1,5 +1,5 @@
-//! How a slice leaves its owner: taken out of its holdings, confirmed, and
-//! given on in the log.
+//! Release of a slice by its owner: it is removed from the owner's grants, the
+//! release is confirmed, and the next owner is proposed to the log.
 
 use threadledge_types::records::{SliceKey, SliceRecord};
 use threadledge_types::session::Grant;
@@ -10,34 +10,35 @@
 use crate::command::{Command, SliceEvidence};
 use crate::machine::StateMachine;
 
-/// A slice taken out of its owner's holdings.
+/// A slice that was removed from its owner's grants.
 #[derive(Clone, Debug)]
-pub(super) struct Withheld {
+pub(super) struct WithheldSlice {
     pub owner: BackEndId,
-    /// Revision of the slice at that time; once it differs, this is void.
+    /// Revision of the slice at that time. Once the slice has another revision,
+    /// this entry is void.
     pub revision: Revision,
-    /// Number of the owner's first state without the slice.
+    /// Number of the first state of the owner's grants without the slice.
     pub number: u64,
     pub confirmed: bool,
     pub proposed_at: Option<Timestamp>,
 }
 
 impl Grantor {
-    /// Takes the slice out of its owner's holdings.
+    /// Removes the slice from its owner's grants.
     pub(super) fn withhold(&mut self, key: &SliceKey, record: &SliceRecord, revision: Revision) {
         let Some(session) = &record.owner else {
             return;
         };
         let owner = session.back_end.clone();
-        let number = self.take_out(key, &owner);
-        if let Some(contact) = self.contacts.get_mut(&owner) {
-            contact.withheld.insert(key.clone());
+        let number = self.remove_grant(key, &owner);
+        if let Some(state) = self.back_ends.get_mut(&owner) {
+            state.withheld.insert(key.clone());
         }
         self.observe(Observation::GrantWithheld {
             session: session.clone(),
             grant: grant_of(record),
         });
-        let withheld = Withheld {
+        let withheld = WithheldSlice {
             owner,
             revision,
             number,
@@ -47,12 +48,13 @@
         self.withheld.insert(key.clone(), withheld);
     }
 
-    /// Notes which withheld slices the owner serves no more.
+    /// Confirms the release of withheld slices that the owner no longer serves.
     ///
-    /// One owner: the owner has taken a state without the slice, so it
-    /// admits nothing new, and refuses every earlier request that would give
-    /// it back; and no admitted work of an overlapping slice is running.
-    pub(super) fn note_releases(
+    /// Exclusive ownership: the owner has accepted a state without the slice,
+    /// so it admits no new requests for it and refuses every earlier lease
+    /// request that would grant it again, and no admitted request of an
+    /// overlapping slice is in flight.
+    pub(super) fn record_releases(
         &mut self,
         now: Timestamp,
         from: &BackEndId,
@@ -60,10 +62,10 @@
         releasing: &[Grant],
         machine: &StateMachine,
     ) {
-        let Some(contact) = self.contacts.get(from) else {
+        let Some(state) = self.back_ends.get(from) else {
             return;
         };
-        let keys: Vec<SliceKey> = contact.withheld.iter().cloned().collect();
+        let keys: Vec<SliceKey> = state.withheld.iter().cloned().collect();
         for key in &keys {
             let Some(record) = machine.slice(key) else {
                 continue;
@@ -76,26 +78,27 @@
             };
             if withheld.number <= number && !running && !withheld.confirmed {
                 withheld.confirmed = true;
-                self.confirm(from, key);
+                self.confirm_release(from, key);
             }
-            self.review(now, key, machine);
+            self.reevaluate_slice(now, key, machine);
         }
     }
 
-    fn confirm(&mut self, from: &BackEndId, key: &SliceKey) {
-        let Some(contact) = self.contacts.get_mut(from) else {
+    fn confirm_release(&mut self, from: &BackEndId, key: &SliceKey) {
+        let Some(state) = self.back_ends.get_mut(from) else {
             return;
         };
-        contact.withheld.remove(key);
-        if let Some(session) = &contact.session {
+        state.withheld.remove(key);
+        if let Some(session) = &state.session {
             let session = session.id.clone();
             let slice = key.clone();
             self.observe(Observation::ReleaseConfirmed { session, slice });
         }
     }
 
-    /// Proposes the new owner of a slice whose release is confirmed.
-    pub(super) fn propose_end(
+    /// Proposes the new owner of a slice whose release is confirmed, or that it
+    /// has none.
+    pub(super) fn propose_handover_end(
         &mut self,
         now: Timestamp,
         key: &SliceKey,
--- a/crates/ownership/src/grantor/holdings.rs
+++ b/crates/ownership/src/grantor/session_grants.rs
@@ -1,5 +1,5 @@
-//! The grants of one session as the leader wants them, with the changes since
-//! the version that the holder reported last.
+//! The grants of one session as the leader intends them, with the changes since
+//! the version that the holder last reported.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,37 +8,40 @@
 
 use crate::command::LeaderTerm;
 
-/// Changes kept for differences; beyond it the holder gets the whole state.
+/// Maximum number of changes kept for deltas. Beyond it the holder is sent the
+/// full state.
 const MAXIMUM_CHANGES: usize = 1_024;
 
+/// A change of the grants.
 #[derive(Clone, Debug)]
 enum Change {
     Add(Grant),
     Remove(Grant),
 }
 
+/// Intended grants of one session. Every change gets the number of a new state.
 #[derive(Clone, Debug)]
-pub(super) struct Holdings {
+pub(super) struct SessionGrants {
     term: LeaderTerm,
     grants: BTreeMap<SliceKey, Grant>,
     /// Number of the first state of this session.
-    first: u64,
-    /// Number of the present state.
-    current: u64,
-    /// Number that the holder reported last.
+    first_number: u64,
+    /// Number of the current state.
+    current_number: u64,
+    /// Number of the state that the holder last reported.
     acknowledged: Option<u64>,
     /// Changes after the acknowledged state.
     changes: VecDeque<(u64, Change)>,
 }
 
-impl Holdings {
-    /// No grants, at state `number`.
+impl SessionGrants {
+    /// Creates the grants of a session that has none, at state `number`.
     pub fn new(term: LeaderTerm, number: u64) -> Self {
-        Holdings {
+        SessionGrants {
             term,
             grants: BTreeMap::new(),
-            first: number,
-            current: number,
+            first_number: number,
+            current_number: number,
             acknowledged: None,
             changes: VecDeque::new(),
         }
@@ -53,45 +56,47 @@
     }
 
     pub fn add(&mut self, key: SliceKey, grant: Grant, number: u64) {
-        self.record(number, Change::Add(grant.clone()));
+        self.record_change(number, Change::Add(grant.clone()));
         self.grants.insert(key, grant);
     }
 
     pub fn remove(&mut self, key: &SliceKey, number: u64) -> Option<Grant> {
         let grant = self.grants.remove(key)?;
-        self.record(number, Change::Remove(grant.clone()));
+        self.record_change(number, Change::Remove(grant.clone()));
         Some(grant)
     }
 
-    fn record(&mut self, number: u64, change: Change) {
-        self.current = number;
+    fn record_change(&mut self, number: u64, change: Change) {
+        self.current_number = number;
         if self.acknowledged.is_none() {
             return;
         }
         self.changes.push_back((number, change));
         if self.changes.len() > MAXIMUM_CHANGES {
-            self.forget();
+            self.reset_changes();
         }
     }
 
-    fn forget(&mut self) {
+    /// Discards the recorded changes, so that the next update is the full state.
+    fn reset_changes(&mut self) {
         self.acknowledged = None;
         self.changes.clear();
     }
 
-    /// Number of the reported state, if it is one of this session's.
-    pub fn own_number(&self, reported: Option<GrantsVersion>) -> Option<u64> {
+    /// Returns the number of the reported state if it is a state of this
+    /// session.
+    pub fn own_state_number(&self, reported: Option<GrantsVersion>) -> Option<u64> {
         let reported = reported?;
-        let known = self.first..=self.current;
+        let known = self.first_number..=self.current_number;
         let own = reported == self.version_at(reported.number) && known.contains(&reported.number);
         own.then_some(reported.number)
     }
 
-    /// Notes the version that the holder reported. Returns whether the
-    /// holder is at the present state.
+    /// Records the version that the holder reported. Returns whether the holder
+    /// is at the current state.
     pub fn acknowledge(&mut self, reported: Option<GrantsVersion>) -> bool {
-        let Some(number) = self.own_number(reported) else {
-            self.forget();
+        let Some(number) = self.own_state_number(reported) else {
+            self.reset_changes();
             return false;
         };
         match self.acknowledged {
@@ -101,14 +106,14 @@
                 }
                 self.acknowledged = Some(number);
             }
-            // The changes from there on are only known if there are none.
-            _ if number == self.current => {
+            // The changes after that state are known only if there are none.
+            _ if number == self.current_number => {
                 self.changes.clear();
                 self.acknowledged = Some(number);
             }
-            _ => self.forget(),
+            _ => self.reset_changes(),
         }
-        number == self.current
+        number == self.current_number
     }
 
     fn version_at(&self, number: u64) -> GrantsVersion {
@@ -119,17 +124,17 @@
         }
     }
 
-    /// What to tell the holder.
+    /// Returns the update to send to the holder.
     pub fn update(&self) -> GrantsUpdate {
-        let version = self.version_at(self.current);
+        let version = self.version_at(self.current_number);
         match self.acknowledged {
             None => GrantsUpdate::Full {
                 version,
                 grants: self.grants.values().cloned().collect(),
             },
-            Some(number) if number == self.current => GrantsUpdate::Unchanged { version },
+            Some(number) if number == self.current_number => GrantsUpdate::Unchanged { version },
             Some(number) => {
-                let (add, remove) = self.difference();
+                let (add, remove) = self.net_changes();
                 GrantsUpdate::Delta {
                     base: self.version_at(number),
                     version,
@@ -140,9 +145,9 @@
         }
     }
 
-    /// Grants to take and to release; a grant that went and came back, or
-    /// came and went, is in neither.
-    fn difference(&self) -> (Vec<Grant>, Vec<Grant>) {
+    /// Returns the grants to add and to remove. A grant that was removed and
+    /// added again, or added and removed again, is in neither.
+    fn net_changes(&self) -> (Vec<Grant>, Vec<Grant>) {
         let mut net: BTreeMap<&Grant, bool> = BTreeMap::new();
         for (_, change) in &self.changes {
             let (grant, added) = match change {
--- a/crates/ownership/src/holder/holdings.rs
+++ b/crates/ownership/src/holder/held_grants.rs
@@ -1,30 +1,32 @@
-//! The grants a holder has, without overlaps.
+//! The grants that a holder has, which never overlap.
 
 use std::collections::BTreeMap;
 
 use threadledge_types::session::Grant;
 use threadledge_types::{Point, ServiceId};
 
+/// Grants by service and by the first point of their slice.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Holdings {
+pub(super) struct HeldGrants {
     services: BTreeMap<ServiceId, BTreeMap<Point, Grant>>,
 }
 
-impl Holdings {
+impl HeldGrants {
+    /// Returns all grants, ordered by service and first point.
     pub fn all(&self) -> Vec<Grant> {
         let grants = self.services.values().flat_map(|grants| grants.values());
         grants.cloned().collect()
     }
 
-    /// The grant that covers the point.
+    /// Returns the grant that covers the point.
     pub fn covering(&self, service: &ServiceId, point: Point) -> Option<&Grant> {
         let grants = self.services.get(service)?;
         let (_, grant) = grants.range(..=point).next_back()?;
         grant.slice.contains(point).then_some(grant)
     }
 
-    /// Takes a grant. Of two that overlap the one with the higher epoch
-    /// stays: epochs grow, so the other is the older.
+    /// Adds a grant. Of two overlapping grants the one with the higher epoch is
+    /// kept: epochs only increase, so the other one is older.
     pub fn add(&mut self, grant: Grant) {
         let grants = self.services.entry(grant.service.clone()).or_default();
         let overlapping: Vec<Grant> = grants
@@ -43,7 +45,7 @@
         grants.insert(grant.slice.first, grant);
     }
 
-    /// Drops exactly this grant, if held.
+    /// Removes exactly this grant, if it is held.
     pub fn remove(&mut self, grant: &Grant) {
         let Some(grants) = self.services.get_mut(&grant.service) else {
             return;
--- a/crates/ownership/src/holder/mod.rs
+++ b/crates/ownership/src/holder/mod.rs
@@ -1,10 +1,11 @@
-//! The back end's side of sessions: what it may serve, and until when.
+//! The back end's side of sessions: the grants and the lease under which it
+//! serves.
 //!
-//! The reference implementation for servers. A server asks [`Holder::admit`]
-//! when a request arrives and [`Holder::may_commit`] at the moment it carries
-//! the request out.
+//! This is the reference implementation for servers. A server calls
+//! [`Holder::admit`] when a request arrives and [`Holder::may_commit`] at the
+//! moment the request takes effect.
 
-mod holdings;
+mod held_grants;
 mod permits;
 
 use std::collections::BTreeSet;
@@ -15,33 +16,38 @@
 };
 use threadledge_types::{BackEndId, Epoch, GroupId, Incarnation, Point, ServiceId, Timestamp};
 
-use holdings::Holdings;
+use held_grants::HeldGrants;
 pub use permits::Permit;
 use permits::Permits;
 
-/// The state of one back end process towards one group.
+/// State of one back-end process towards one group.
 ///
-/// `now` is always the process's own monotonic clock.
+/// `now` is always read from the process's own monotonic clock.
 #[derive(Clone, Debug)]
 pub struct Holder {
     back_end: BackEndId,
     incarnation: Incarnation,
-    /// Group of the first request taken.
+    /// Group of the first accepted request. Other groups are refused.
     group: Option<GroupId>,
+    /// Sequence of the last accepted request, the highest so far.
     highest: LeaseSequence,
+    /// Version of the grants held, as the leader numbers it.
     version: Option<GrantsVersion>,
-    holdings: Holdings,
+    held: HeldGrants,
     permits: Permits,
     lease_end: Option<Timestamp>,
+    /// Slices that the leader asked to prepare for.
     preparing: BTreeSet<Grant>,
+    /// Of these, the slices that the process is ready to own.
     ready: BTreeSet<Grant>,
     draining: bool,
     load: LoadReport,
 }
 
 impl Holder {
-    /// A process that just started: it holds nothing. `incarnation` must be
-    /// larger than that of every earlier process of the same back end.
+    /// Creates the holder of a process that just started and holds nothing.
+    /// `incarnation` must be larger than that of every earlier process of the
+    /// same back end.
     pub fn new(back_end: BackEndId, incarnation: Incarnation) -> Self {
         Holder {
             back_end,
@@ -49,7 +55,7 @@
             group: None,
             highest: LeaseSequence::default(),
             version: None,
-            holdings: Holdings::default(),
+            held: HeldGrants::default(),
             permits: Permits::default(),
             lease_end: None,
             preparing: BTreeSet::new(),
@@ -59,40 +65,40 @@
         }
     }
 
-    /// Life of this process.
+    /// Returns the incarnation of this process.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Whether the lease holds at `now`.
+    /// Returns whether the lease is valid at `now`.
     pub fn has_valid_lease(&self, now: Timestamp) -> bool {
         self.lease_end.is_some_and(|end| now < end)
     }
 
-    /// When the lease ends, if there ever was one.
+    /// Returns when the lease ends, if there ever was one.
     pub fn lease_end(&self) -> Option<Timestamp> {
         self.lease_end
     }
 
-    /// Every grant held, whether or not the lease holds.
+    /// Returns every grant held, whether or not the lease is valid.
     pub fn held_grants(&self) -> Vec<Grant> {
-        self.holdings.all()
+        self.held.all()
     }
 
-    /// Epoch under which the slice of a key is held, whether or not the lease
-    /// holds.
+    /// Returns the epoch under which the slice of a key is held, whether or not
+    /// the lease is valid.
     pub fn held_epoch(&self, service: &ServiceId, point: Point) -> Option<Epoch> {
-        let grant = self.holdings.covering(service, point)?;
+        let grant = self.held.covering(service, point)?;
         Some(grant.epoch)
     }
 
-    /// Slices that the leader asks to make ready for.
+    /// Returns the slices that the leader asked this process to prepare for.
     pub fn slices_to_prepare(&self) -> impl Iterator<Item = &Grant> {
         self.preparing.iter()
     }
 
-    /// Tells that the process is ready to own a slice it was asked to prepare.
-    /// Returns whether it was asked.
+    /// Records that the process is ready to own a slice it was asked to
+    /// prepare. Returns whether it was asked.
     pub fn mark_ready(&mut self, grant: &Grant) -> bool {
         let asked = self.preparing.contains(grant);
         if asked {
@@ -101,13 +107,13 @@
         asked
     }
 
-    /// Announces that the process is leaving. It serves what it holds until
-    /// its grants are taken away.
+    /// Starts draining: announces that the process is shutting down. It serves
+    /// what it holds until its grants are taken away.
     pub fn begin_drain(&mut self) {
         self.draining = true;
     }
 
-    /// Whether the process is leaving.
+    /// Returns whether the process is draining.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
@@ -117,17 +123,17 @@
         self.load = load;
     }
 
-    /// Takes a request of a leader and answers it.
+    /// Processes a lease request and returns the response to it.
     pub fn handle(&mut self, now: Timestamp, request: LeaseRequest) -> LeaseResponse {
-        self.note_lapse(now);
+        self.revoke_if_lease_expired(now);
         let inquiry = request.grants == GrantsUpdate::Inquire;
-        let taken = self.takes(&request, inquiry);
+        let taken = self.accepts(&request, inquiry);
         if taken {
             self.group = Some(request.group);
             self.highest = request.order;
         }
         if taken && !inquiry {
-            self.carry_out(now, &request);
+            self.apply_request(now, &request);
         }
         LeaseResponse {
             back_end: self.back_end.clone(),
@@ -139,47 +145,50 @@
             version: self.version,
             releasing: self.permits.releasing(now),
             ready: self.ready.iter().cloned().collect(),
-            held: inquiry.then(|| self.holdings.all()),
+            held: inquiry.then(|| self.held.all()),
             draining: self.draining,
             load: self.load.clone(),
         }
     }
 
-    /// One owner: a request that was overtaken by a later one, of the same
-    /// leader or of another, and one meant for another life of the process,
-    /// change nothing, however late they arrive.
-    fn takes(&self, request: &LeaseRequest, inquiry: bool) -> bool {
+    /// Returns whether the request is accepted.
+    ///
+    /// Exclusive ownership: a request that arrives after a later one, of the
+    /// same or another leader, is refused, and so is one meant for another
+    /// incarnation of the process, however late it arrives.
+    fn accepts(&self, request: &LeaseRequest, inquiry: bool) -> bool {
         let same_group = self.group.is_none_or(|group| group == request.group);
-        let meant = match request.incarnation {
+        let is_addressed = match request.incarnation {
             Some(incarnation) => incarnation == self.incarnation,
             None => inquiry,
         };
-        let meant = meant && request.back_end == self.back_end;
-        same_group && meant && request.order > self.highest
+        let is_addressed = is_addressed && request.back_end == self.back_end;
+        same_group && is_addressed && request.order > self.highest
     }
 
-    fn carry_out(&mut self, now: Timestamp, request: &LeaseRequest) {
-        let lapsed = !self.has_valid_lease(now);
-        if !self.update(&request.grants) {
-            // The leader's idea of the grants is not what is held: a lease on
-            // it would mean nothing. The answer tells the version held.
+    /// Applies an accepted request that carries grants.
+    fn apply_request(&mut self, now: Timestamp, request: &LeaseRequest) {
+        let lease_expired = !self.has_valid_lease(now);
+        if !self.update_grants(&request.grants) {
+            // The leader assumes other grants than those held, so a lease on
+            // them would be meaningless. The response reports the version held.
             return;
         }
-        self.permits.refresh(&self.holdings, lapsed);
+        self.permits.update_states(&self.held, lease_expired);
         self.preparing = request.prepare.iter().cloned().collect();
         let preparing = &self.preparing;
         self.ready.retain(|grant| preparing.contains(grant));
-        self.renew(now, request);
+        self.renew_lease(now, request);
     }
 
-    /// Takes over the grants. Returns whether the holder now is at the
-    /// version that the leader states.
-    fn update(&mut self, update: &GrantsUpdate) -> bool {
+    /// Applies the update to the grants. Returns whether the holder is now at
+    /// the version that the leader states.
+    fn update_grants(&mut self, update: &GrantsUpdate) -> bool {
         match update {
             GrantsUpdate::Full { version, grants } => {
-                self.holdings = Holdings::default();
+                self.held = HeldGrants::default();
                 for grant in grants {
-                    self.holdings.add(grant.clone());
+                    self.held.add(grant.clone());
                 }
                 self.version = Some(*version);
                 true
@@ -194,10 +203,10 @@
                     return false;
                 }
                 for grant in remove {
-                    self.holdings.remove(grant);
+                    self.held.remove(grant);
                 }
                 for grant in add {
-                    self.holdings.add(grant.clone());
+                    self.held.add(grant.clone());
                 }
                 self.version = Some(*version);
                 true
@@ -207,11 +216,13 @@
         }
     }
 
-    /// One owner: the lease runs from a reading of the own clock that the
-    /// leader had received before it sent the request, so no delay lengthens
-    /// it. A lapsed lease comes back only here, together with the leader's
-    /// word on what is held now.
-    fn renew(&mut self, now: Timestamp, request: &LeaseRequest) {
+    /// Extends the lease.
+    ///
+    /// Exclusive ownership: the lease starts at a reading of this process's
+    /// clock that the leader had received before it sent the request, so no
+    /// network delay can lengthen it. An expired lease becomes valid again only
+    /// here, together with the leader's statement of what is held now.
+    fn renew_lease(&mut self, now: Timestamp, request: &LeaseRequest) {
         let Some(echo) = request.echo.filter(|echo| *echo <= now) else {
             return;
         };
@@ -219,11 +230,11 @@
         self.lease_end = self.lease_end.max(Some(end));
     }
 
-    /// Work under grants that were taken away may end only while the lease
-    /// lasts; once it lapsed, somebody else may own the slice.
-    fn note_lapse(&mut self, now: Timestamp) {
+    /// Revokes the requests admitted under grants that were taken away once the
+    /// lease has expired, because another back end may own the slice by then.
+    fn revoke_if_lease_expired(&mut self, now: Timestamp) {
         if !self.has_valid_lease(now) {
-            self.permits.void_releasing();
+            self.permits.revoke_releasing();
         }
     }
 
@@ -231,8 +242,8 @@
     ///
     /// # Errors
     ///
-    /// [`Refusal::WrongOwner`] unless the slice is held under exactly this
-    /// epoch, [`Refusal::LeaseLapsed`] if the lease has run out.
+    /// Returns [`Refusal::WrongOwner`] unless the slice is held under exactly
+    /// this epoch, and [`Refusal::LeaseLapsed`] if the lease has expired.
     pub fn admit(
         &mut self,
         now: Timestamp,
@@ -243,13 +254,15 @@
         self.admit_with_deadline(now, service, point, epoch, None)
     }
 
-    /// Admits a request that may have no effect from `deadline` on. A slice
+    /// Admits a request that must have no effect from `deadline` on. A slice
     /// that is taken away is released no later than the last such deadline,
-    /// even if the work hangs; without one it waits for the work to finish.
+    /// even if the request hangs. A request without a deadline delays the
+    /// release until it finishes.
     ///
     /// # Errors
     ///
-    /// As [`Holder::admit`], and [`Refusal::DeadlinePassed`].
+    /// Returns the errors of [`Holder::admit`], and
+    /// [`Refusal::DeadlinePassed`].
     pub fn admit_with_deadline(
         &mut self,
         now: Timestamp,
@@ -258,8 +271,8 @@
         epoch: Epoch,
         deadline: Option<Timestamp>,
     ) -> Result<Permit, Refusal> {
-        self.note_lapse(now);
-        let grant = self.holdings.covering(service, point);
+        self.revoke_if_lease_expired(now);
+        let grant = self.held.covering(service, point);
         let grant = grant.filter(|grant| grant.epoch == epoch);
         let grant = grant.ok_or(Refusal::WrongOwner)?.clone();
         if !self.has_valid_lease(now) {
@@ -271,13 +284,13 @@
         Ok(self.permits.issue(grant, point, deadline))
     }
 
-    /// Whether the admitted work may be carried out at this moment. To be
-    /// asked right before its effect, however long it waited or ran before.
+    /// Checks whether an admitted request may take effect now. Must be called
+    /// right before the effect, however long the request waited or ran before.
     ///
     /// # Errors
     ///
-    /// [`Refusal::LeaseLapsed`], [`Refusal::WrongOwner`] or
-    /// [`Refusal::DeadlinePassed`]; the work must then have no effect.
+    /// Returns [`Refusal::LeaseLapsed`], [`Refusal::WrongOwner`] or
+    /// [`Refusal::DeadlinePassed`]. The request must then have no effect.
     pub fn may_commit(&self, now: Timestamp, permit: &Permit) -> Result<(), Refusal> {
         if !self.has_valid_lease(now) {
             return Err(Refusal::LeaseLapsed);
@@ -285,13 +298,13 @@
         self.permits.check(now, permit)
     }
 
-    /// The admitted work ended, with or without effect.
+    /// Ends an admitted request, whether or not it had an effect.
     pub fn finish(&mut self, permit: Permit) {
         self.permits.finish(permit);
     }
 
-    /// Number of admitted requests that have not finished.
+    /// Returns the number of admitted requests that have not finished.
     pub fn in_flight(&self) -> usize {
-        self.permits.running()
+        self.permits.in_flight()
     }
 }
--- a/crates/ownership/src/holder/permits.rs
+++ b/crates/ownership/src/holder/permits.rs
@@ -1,144 +1,158 @@
-//! Admitted work and whether it may still have an effect.
+//! Admitted requests, and whether they may still take effect.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use threadledge_types::session::{Grant, Refusal};
 use threadledge_types::{Epoch, Point, ServiceId, Timestamp};
 
-use super::holdings::Holdings;
+use super::held_grants::HeldGrants;
 
-/// Admission of one request. Given back with `Holder::finish`; giving back
-/// copies of one permit more than once changes nothing.
+/// Admission of one request, to be returned with `Holder::finish`. Returning
+/// copies of one permit more than once has no further effect.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Permit {
-    number: u64,
+    id: u64,
     service: ServiceId,
     point: Point,
     epoch: Epoch,
 }
 
 impl Permit {
-    /// Service of the request.
+    /// Returns the service of the request.
     pub fn service(&self) -> &ServiceId {
         &self.service
     }
 
-    /// Point of the request's key.
+    /// Returns the point of the request's key.
     pub fn point(&self) -> Point {
         self.point
     }
 
-    /// Epoch under which it was admitted.
+    /// Returns the epoch under which the request was admitted.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 }
 
+/// State of the grant under which a request was admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
+enum PermitState {
     /// The grant is held.
     Held,
-    /// The grant was taken away; the work may still end.
+    /// The grant was taken away. The request may still take effect while the
+    /// lease is valid.
     Releasing,
-    /// The lease lapsed after or before the grant was taken away.
-    Void,
+    /// The lease expired before or after the grant was taken away. The request
+    /// must not take effect.
+    Revoked,
 }
 
+/// An admitted request that has not finished.
 #[derive(Clone, Debug)]
-struct Running {
+struct AdmittedRequest {
     grant: Grant,
     point: Point,
-    standing: Standing,
-    /// From then on the work may have no effect.
+    state: PermitState,
+    /// Time from which the request must have no effect.
     deadline: Option<Timestamp>,
 }
 
-impl Running {
-    fn in_time(&self, now: Timestamp) -> bool {
+impl AdmittedRequest {
+    fn is_before_deadline(&self, now: Timestamp) -> bool {
         self.deadline.is_none_or(|deadline| now < deadline)
     }
 }
 
-/// Work that was admitted and has not finished.
+/// Requests that were admitted and have not finished.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Permits {
+    /// Number of permits issued, which is the identifier of the last one.
     issued: u64,
-    running: BTreeMap<u64, Running>,
+    /// Requests that have not finished, by the identifier of their permit.
+    in_flight: BTreeMap<u64, AdmittedRequest>,
 }
 
 impl Permits {
+    /// Issues a permit for a request whose grant is held.
     pub fn issue(&mut self, grant: Grant, point: Point, deadline: Option<Timestamp>) -> Permit {
         self.issued += 1;
         let permit = Permit {
-            number: self.issued,
+            id: self.issued,
             service: grant.service.clone(),
             point,
             epoch: grant.epoch,
         };
-        let running = Running {
+        let request = AdmittedRequest {
             grant,
             point,
-            standing: Standing::Held,
+            state: PermitState::Held,
             deadline,
         };
-        self.running.insert(self.issued, running);
+        self.in_flight.insert(self.issued, request);
         permit
     }
 
     pub fn finish(&mut self, permit: Permit) {
-        self.running.remove(&permit.number);
+        self.in_flight.remove(&permit.id);
     }
 
-    /// Whether the work may still have an effect, the lease aside.
+    /// Checks whether the request may still take effect, not considering the
+    /// lease.
     pub fn check(&self, now: Timestamp, permit: &Permit) -> Result<(), Refusal> {
-        let running = self.running.get(&permit.number);
-        let running = running.ok_or(Refusal::WrongOwner)?;
-        if running.standing == Standing::Void {
+        let request = self.in_flight.get(&permit.id);
+        let request = request.ok_or(Refusal::WrongOwner)?;
+        if request.state == PermitState::Revoked {
             return Err(Refusal::WrongOwner);
         }
-        if !running.in_time(now) {
+        if !request.is_before_deadline(now) {
             return Err(Refusal::DeadlinePassed);
         }
         Ok(())
     }
 
-    pub fn running(&self) -> usize {
-        self.running.len()
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.len()
     }
 
-    /// Grants that were taken away but still have work that may end. Work
-    /// that hangs past its deadline does not hold them up.
+    /// Returns the grants that were taken away but still have requests that may
+    /// take effect. A request that hangs past its deadline does not count.
     pub fn releasing(&self, now: Timestamp) -> Vec<Grant> {
-        let running = self.running.values().filter(|running| running.in_time(now));
-        let releasing = running.filter(|running| running.standing == Standing::Releasing);
-        let grants: BTreeSet<&Grant> = releasing.map(|running| &running.grant).collect();
+        let requests = self
+            .in_flight
+            .values()
+            .filter(|request| request.is_before_deadline(now));
+        let releasing = requests.filter(|request| request.state == PermitState::Releasing);
+        let grants: BTreeSet<&Grant> = releasing.map(|request| &request.grant).collect();
         grants.into_iter().cloned().collect()
     }
 
-    /// The lease lapsed: work under grants taken away must not end any more.
-    pub fn void_releasing(&mut self) {
-        for running in self.running.values_mut() {
-            if running.standing == Standing::Releasing {
-                running.standing = Standing::Void;
+    /// Revokes requests under grants that were taken away, because the lease
+    /// expired.
+    pub fn revoke_releasing(&mut self) {
+        for request in self.in_flight.values_mut() {
+            if request.state == PermitState::Releasing {
+                request.state = PermitState::Revoked;
             }
         }
     }
 
-    /// Compares running work with the grants held now. Under a grant held
-    /// with the same epoch it goes on: the point had no other owner in
-    /// between. Otherwise it may end only if the lease did not lapse.
-    pub fn refresh(&mut self, holdings: &Holdings, lapsed: bool) {
-        for running in self.running.values_mut() {
-            let held = holdings.covering(&running.grant.service, running.point);
-            let held = held.filter(|held| held.epoch == running.grant.epoch);
-            running.standing = match (held, running.standing) {
-                (_, Standing::Void) => Standing::Void,
+    /// Updates the state of every request from the grants held now.
+    ///
+    /// A request continues if its point is held under the same epoch, because
+    /// the point had no other owner in between. Otherwise it may take effect
+    /// only if the lease did not expire.
+    pub fn update_states(&mut self, grants: &HeldGrants, lease_expired: bool) {
+        for request in self.in_flight.values_mut() {
+            let held = grants.covering(&request.grant.service, request.point);
+            let held = held.filter(|held| held.epoch == request.grant.epoch);
+            request.state = match (held, request.state) {
+                (_, PermitState::Revoked) => PermitState::Revoked,
                 (Some(held), _) => {
-                    running.grant = held.clone();
-                    Standing::Held
+                    request.grant = held.clone();
+                    PermitState::Held
                 }
-                (None, _) if lapsed => Standing::Void,
-                (None, _) => Standing::Releasing,
+                (None, _) if lease_expired => PermitState::Revoked,
+                (None, _) => PermitState::Releasing,
             };
         }
     }
--- a/crates/ownership/src/lib.rs
+++ b/crates/ownership/src/lib.rs
@@ -1,14 +1,15 @@
 //! Exclusive ownership of slices by back-end sessions.
 //!
-//! Three parts, none of which opens a socket or reads a clock:
+//! The crate has three parts, none of which opens a socket or reads a clock:
 //!
-//! - [`StateMachine`]: the replicated record of who owns what, applied on
-//!   every member of a group from its log;
-//! - [`Grantor`]: the leader's side of sessions, leases and grants;
-//! - [`Holder`]: the back end's side, the reference for servers.
+//! - [`StateMachine`]: the replicated record of which session owns which slice,
+//!   applied on every member of a group from its log;
+//! - [`Grantor`]: the leader's side, which manages sessions, leases and grants;
+//! - [`Holder`]: the back end's side, the reference implementation for servers.
 //!
-//! No key has two owners at any moment: `docs/design/0005-ownership.md` holds
-//! the proof sketch, and a comment marks each place that keeps a part of it.
+//! The invariant is that no key ever has two owners at the same time.
+//! `docs/design/0005-ownership.md` holds the proof sketch; comments that start
+//! with "Exclusive ownership:" mark the code that the proof relies on.
 
 pub mod command;
 pub mod grantor;
--- a/crates/ownership/src/machine/boundaries.rs
+++ b/crates/ownership/src/machine/boundaries.rs
@@ -18,16 +18,16 @@
         applied: &mut Applied,
     ) -> Result<(), Rejection> {
         self.check_live(service)?;
-        let entry = self.checked(service, slice, expected)?;
+        let entry = self.checked_slice(service, slice, expected)?;
         if entry.next.is_some() {
             return Err(Rejection::MovePending(service.clone(), slice));
         }
         let Some((low, high)) = slice.split_at(at) else {
             return Err(Rejection::InvalidSplit(service.clone(), slice, at));
         };
-        // The epoch stays: every point keeps the owner it had under it, so
-        // requests that carry it go on, and each part gets a new one when it
-        // is assigned to somebody else.
+        // The epoch is kept, because every point keeps the owner that it had
+        // under that epoch: requests that carry it continue, and each part gets
+        // a new epoch when it is assigned to another owner.
         let upper = SliceEntry {
             revision: self.revision,
             ..entry.clone()
@@ -39,9 +39,9 @@
         }
         self.index_owner(&upper_key, upper.owner.as_ref());
         let lower_key = key_of(service, low);
-        self.change(&lower_key, applied, |entry| entry.last = low.last);
-        self.announce(&upper_key, applied);
-        self.classify(&upper_key);
+        self.edit_slice(&lower_key, applied, |entry| entry.last = low.last);
+        self.publish_slice(&upper_key, applied);
+        self.update_misplaced(&upper_key);
         Ok(())
     }
 
@@ -61,8 +61,8 @@
             return Ok(());
         };
         self.check_live(service)?;
-        let low = self.checked(service, *first, *expected_first_epoch)?;
-        let high = self.checked(service, *second, *expected_second_epoch)?;
+        let low = self.checked_slice(service, *first, *expected_first_epoch)?;
+        let high = self.checked_slice(service, *second, *expected_second_epoch)?;
         for (slice, entry) in [(first, low), (second, high)] {
             if entry.next.is_some() {
                 return Err(Rejection::MovePending(service.clone(), *slice));
@@ -72,9 +72,10 @@
         if !adjacent || low.owner != high.owner {
             return Err(Rejection::InvalidMerge(service.clone(), *first, *second));
         }
-        // One number must stand for both: with different epochs it is a new
-        // one, above either, so that epochs grow for every point. Without an
-        // owner the higher one does, as nobody serves under it.
+        // The merged slice needs one epoch. If the two differ, it gets a new
+        // one above both, so that the epoch of every point only increases.
+        // Without an owner the higher of the two is enough, because nobody
+        // serves under it.
         let same = low.epoch == high.epoch || low.owner.is_none();
         let epoch = if same {
             low.epoch.max(high.epoch)
@@ -82,13 +83,13 @@
             Epoch(self.revision)
         };
         let upper_key = key_of(service, *second);
-        self.take(&upper_key);
+        self.clear_owner(&upper_key);
         if let Some(entry) = self.services.get_mut(service) {
             entry.slices.remove(&second.first);
         }
         self.misplaced.remove(&upper_key);
         applied.changes.push(RecordChange::SliceRemoved(upper_key));
-        self.change(&key_of(service, *first), applied, |entry| {
+        self.edit_slice(&key_of(service, *first), applied, |entry| {
             entry.last = second.last;
             entry.epoch = epoch;
         });
--- a/crates/ownership/src/machine/edit.rs
+++ b/crates/ownership/src/machine/edit.rs
@@ -1,4 +1,4 @@
-//! Editing one slice together with the indices over slices.
+//! Changes to one slice that keep the indices over slices consistent.
 
 use threadledge_types::records::{RecordChange, SliceKey};
 use threadledge_types::{BackEndId, Epoch, ServiceId, SessionId};
@@ -7,22 +7,23 @@
 use super::{Applied, StateMachine, slice_record};
 
 impl StateMachine {
-    /// Makes `to` the owner under a new epoch. The slice has no owner.
-    pub(super) fn give(&mut self, key: &SliceKey, to: &SessionId, applied: &mut Applied) {
+    /// Makes `to` the owner under a new epoch. The slice must have no owner.
+    pub(super) fn set_owner(&mut self, key: &SliceKey, to: &SessionId, applied: &mut Applied) {
         let epoch = Epoch(self.revision);
         self.index_owner(key, Some(to));
         if let Some(service) = self.services.get_mut(&key.service) {
             service.owned += 1;
             service.used = true;
         }
-        self.change(key, applied, |entry| {
+        self.edit_slice(key, applied, |entry| {
             entry.owner = Some(to.clone());
             entry.epoch = epoch;
         });
     }
 
-    /// Takes the owner off the slice without telling routers.
-    pub(super) fn take(&mut self, key: &SliceKey) -> Option<SessionId> {
+    /// Removes and returns the owner of the slice without publishing the change
+    /// to routers.
+    pub(super) fn clear_owner(&mut self, key: &SliceKey) -> Option<SessionId> {
         let revision = self.revision;
         let service = self.services.get_mut(&key.service)?;
         let entry = service.slices.get_mut(&key.first)?;
@@ -36,14 +37,16 @@
         Some(owner)
     }
 
-    /// Leaves the slice without an owner.
-    pub(super) fn drop_owner(&mut self, key: &SliceKey, applied: &mut Applied) {
+    /// Removes the owner and the next owner of the slice and publishes the
+    /// change.
+    pub(super) fn remove_owner(&mut self, key: &SliceKey, applied: &mut Applied) {
         self.clear_next(key);
-        self.take(key);
-        self.announce(key, applied);
-        self.forget_service_if_released(&key.service);
+        self.clear_owner(key);
+        self.publish_slice(key, applied);
+        self.remove_service_if_released(&key.service);
     }
 
+    /// Adds the slice to the index of the slices that its owner has.
     pub(super) fn index_owner(&mut self, key: &SliceKey, owner: Option<&SessionId>) {
         let Some(owner) = owner else {
             return;
@@ -53,7 +56,8 @@
         }
     }
 
-    /// Forgets the next owner of a slice without telling routers.
+    /// Clears the next owner of a slice without publishing the change to
+    /// routers.
     pub(super) fn clear_next(&mut self, key: &SliceKey) {
         let revision = self.revision;
         let service = self.services.get_mut(&key.service);
@@ -73,16 +77,16 @@
         }
     }
 
-    /// Gives up every move to a back end that can take no slices any more.
+    /// Cancels every move to a back end that can no longer receive slices.
     pub(super) fn cancel_moves_to(&mut self, back_end: &BackEndId, applied: &mut Applied) {
         let keys = self.incoming.get(back_end).cloned().unwrap_or_default();
         for key in &keys {
             self.clear_next(key);
-            self.announce(key, applied);
+            self.publish_slice(key, applied);
         }
     }
 
-    /// Gives up moves of a service to a back end it no longer selects.
+    /// Cancels the moves of a service to a back end that it no longer selects.
     pub(super) fn cancel_deselected_moves(
         &mut self,
         service: &ServiceId,
@@ -92,15 +96,15 @@
         if self.selects(service, back_end) {
             return;
         }
-        let keys = self.incoming_of(service, back_end);
+        let keys = self.incoming_moves_of(service, back_end);
         for key in &keys {
             self.clear_next(key);
-            self.announce(key, applied);
+            self.publish_slice(key, applied);
         }
     }
 
-    /// Sets whether the slice's owner shall give it up.
-    pub(super) fn classify(&mut self, key: &SliceKey) {
+    /// Updates the index of slices that their owner must give up.
+    pub(super) fn update_misplaced(&mut self, key: &SliceKey) {
         if self.is_misplaced(key) {
             self.misplaced.insert(key.clone());
         } else {
@@ -122,7 +126,8 @@
         draining || service.deleted || !service.eligible.contains(&owner.back_end)
     }
 
-    pub(super) fn change(
+    /// Applies `edit` to the slice, updates the indices and publishes it.
+    pub(super) fn edit_slice(
         &mut self,
         key: &SliceKey,
         applied: &mut Applied,
@@ -134,13 +139,13 @@
             edit(entry);
             entry.revision = revision;
         }
-        self.classify(key);
-        self.announce(key, applied);
+        self.update_misplaced(key);
+        self.publish_slice(key, applied);
     }
 
-    /// Tells routers about the slice. They know no slices of a deleted
+    /// Publishes the slice to routers. They have no slices of a deleted
     /// service.
-    pub(super) fn announce(&self, key: &SliceKey, applied: &mut Applied) {
+    pub(super) fn publish_slice(&self, key: &SliceKey, applied: &mut Applied) {
         let live = |service: &&ServiceEntry| !service.deleted;
         let Some(service) = self.services.get(&key.service).filter(live) else {
             return;
--- a/crates/ownership/src/machine/entries.rs
+++ b/crates/ownership/src/machine/entries.rs
@@ -1,4 +1,4 @@
-//! What the state machine keeps for each object.
+//! Entries of the replicated state, one type per kind of object.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,14 +8,14 @@
 use threadledge_types::records::{BackEndRecord, ServiceRecord, SessionRecord, SliceKey};
 use threadledge_types::{BackEndId, Epoch, Point, Revision, SessionId, Slice};
 
-/// One slice of a service; its first point is the key under which it stands.
+/// One slice of a service. Its first point is the key of the entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct SliceEntry {
     pub last: Point,
     pub owner: Option<SessionId>,
     pub epoch: Epoch,
     pub next: Option<BackEndId>,
-    /// Revision that last changed anything of this entry.
+    /// Revision of the last change to this entry.
     pub revision: Revision,
 }
 
@@ -42,49 +42,51 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ServiceEntry {
     pub record: ServiceRecord,
-    /// Deleted, but some of its slices are still owned: until these are
-    /// released the service keeps its slices, so that nobody else can be
-    /// given one that may still be served.
+    /// The service is deleted, but some of its slices are still owned. It keeps
+    /// all its slices until these are released, so that a slice that may still
+    /// be served cannot be assigned to another back end.
     pub deleted: bool,
     pub slices: BTreeMap<Point, SliceEntry>,
-    /// Slices that have an owner.
+    /// Number of slices that have an owner.
     pub owned: usize,
-    /// A slice was assigned at least once.
+    /// Whether any slice was ever assigned.
     pub used: bool,
     /// Back ends that the selector selects.
     pub eligible: BTreeSet<BackEndId>,
-    /// The parsed selector; `None` selects nothing.
+    /// The parsed selector. `None` selects nothing.
     pub selector: Option<Selector>,
 }
 
 impl ServiceEntry {
     pub fn selects(&self, back_end: &BackEndRecord) -> bool {
-        // Partners: a service selects only within its own namespace.
+        // Isolation between partners: a service selects back ends only within
+        // its own namespace.
         let same_namespace = back_end.id.namespace == self.record.id.namespace;
         let matches = |selector: &Selector| selector.matches(&back_end.labels);
         same_namespace && self.selector.as_ref().is_some_and(matches)
     }
 }
 
-/// Parses a selector with the standard semantics; `None` if it is invalid.
+/// Parses a selector with the standard semantics. Returns `None` if it is
+/// invalid.
 pub(crate) fn parse_selector(selector: &LabelSelector) -> Option<Selector> {
     Selector::try_from(selector.clone()).ok()
 }
 
-/// What becomes of a back end once its session has ended.
+/// Pending change of a back end that takes effect when its session ends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Successor {
-    /// The record takes the place of the present one.
+    /// The record replaces the present one.
     Replaced(Box<BackEndRecord>),
-    /// The back end is gone.
+    /// The back end is removed.
     Deleted { resource_version: u64 },
 }
 
 /// One back end.
 ///
-/// While a session is open, the addresses in force stay: the process behind
-/// the session lives there, and a process at another address is no proof of
-/// its end.
+/// The addresses in force stay unchanged while a session is open: the session's
+/// process runs there, and a process at another address does not prove that it
+/// has ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct BackEndEntry {
     pub record: BackEndRecord,
@@ -92,7 +94,7 @@
 }
 
 impl BackEndEntry {
-    /// Highest object version taken.
+    /// Returns the highest accepted version of the object.
     pub fn version(&self) -> u64 {
         match &self.successor {
             None => self.record.resource_version,
@@ -106,8 +108,8 @@
 #[derive(Clone, Debug)]
 pub(crate) struct SessionEntry {
     pub record: SessionRecord,
-    /// Revision at which it opened.
+    /// Revision at which the session opened.
     pub opened: Revision,
-    /// Slices it owns.
+    /// Slices that the session owns.
     pub slices: BTreeSet<SliceKey>,
 }
--- a/crates/ownership/src/machine/mod.rs
+++ b/crates/ownership/src/machine/mod.rs
@@ -1,7 +1,8 @@
-//! The replicated state machine: what the group has agreed on.
+//! The replicated state machine of a group.
 //!
-//! Deterministic: members that applied the same entries hold the same state.
-//! The cost of a command follows what it changes, not what exists.
+//! It is deterministic: members that applied the same entries hold the same
+//! state. The cost of applying a command depends on the size of its change, not
+//! on the size of the state.
 
 mod boundaries;
 mod edit;
@@ -29,12 +30,12 @@
 pub use tombstones::MAXIMUM_TOMBSTONES;
 use tombstones::Tombstones;
 
-/// What one entry of the log did.
+/// Result of applying one log entry.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Applied {
-    /// Records that changed, in order, for the routers' copies.
+    /// Changed records, in order, to be sent to the routers' copies.
     pub changes: Vec<RecordChange>,
-    /// Commands that changed nothing, with the reason.
+    /// Commands that were rejected, with the reason.
     pub rejected: Vec<Rejection>,
 }
 
@@ -44,24 +45,25 @@
     group: GroupId,
     revision: Revision,
     term: LeaderTerm,
-    /// A new founding began and leases of the earlier one may still run.
+    /// Set after a new founding, while leases of the earlier generation may
+    /// still be valid.
     recovering: bool,
     services: BTreeMap<ServiceId, ServiceEntry>,
     back_ends: BTreeMap<BackEndId, BackEndEntry>,
-    /// At most one open session a back end.
+    /// Open sessions, at most one per back end.
     sessions: BTreeMap<BackEndId, SessionEntry>,
     service_tombstones: Tombstones,
     back_end_tombstones: Tombstones,
-    /// Index: slices with a next owner.
+    /// Index of slices that are being moved.
     pending_moves: BTreeSet<SliceKey>,
-    /// Index: slices with a next owner, by that owner.
+    /// Index of slices that are being moved, by next owner.
     incoming: BTreeMap<BackEndId, BTreeSet<SliceKey>>,
-    /// Index: owned slices that their owner shall give up.
+    /// Index of owned slices that their owner must give up.
     misplaced: BTreeSet<SliceKey>,
 }
 
 impl StateMachine {
-    /// An empty state.
+    /// Creates an empty state.
     pub fn new(group: GroupId) -> Self {
         StateMachine {
             group,
@@ -79,21 +81,22 @@
         }
     }
 
-    /// Applies the entry at `revision`. An entry at or below the revision
-    /// applied last changes nothing.
+    /// Applies the entry at `revision`. An entry at or below the last applied
+    /// revision is rejected.
     pub fn apply(&mut self, revision: Revision, command: &Command) -> Applied {
         let mut applied = Applied::default();
-        // Never reverts, and epochs never repeat: revisions only grow.
+        // Revisions only increase, so state never reverts and epochs are never
+        // reused.
         if revision <= self.revision {
             applied.rejected.push(Rejection::AlreadyApplied(revision));
             return applied;
         }
         self.revision = revision;
-        self.apply_one(command, &mut applied);
+        self.apply_command(command, &mut applied);
         applied
     }
 
-    fn apply_one(&mut self, command: &Command, applied: &mut Applied) {
+    fn apply_command(&mut self, command: &Command, applied: &mut Applied) {
         let result = match command {
             Command::BeginTerm(term) => self.begin_term(*term, applied),
             Command::EndRecovery(term) => self.end_recovery(*term),
@@ -145,7 +148,7 @@
             Command::Merge { .. } => self.merge(command, applied),
             Command::Batch(commands) => {
                 for command in commands {
-                    self.apply_one(command, applied);
+                    self.apply_command(command, applied);
                 }
                 Ok(())
             }
@@ -155,7 +158,7 @@
         }
     }
 
-    /// Rejects conclusions of a leader whose term is over.
+    /// Rejects a command of a leader whose term is over.
     fn check_term(&self, term: LeaderTerm) -> Result<(), Rejection> {
         if term == self.term {
             Ok(())
@@ -168,12 +171,12 @@
         if term <= self.term {
             return Err(Rejection::TermOver(term, self.term));
         }
-        let founded_again =
+        let is_new_founding =
             term.generation > self.term.generation && term.generation.0 > FIRST_GENERATION;
         self.term = term;
-        if founded_again {
-            // Assignments after the checkpoint are not known here, so none of
-            // the checkpoint's can be relied on.
+        if is_new_founding {
+            // Assignments made after the checkpoint are unknown here, so none
+            // of those in the checkpoint can be trusted.
             self.recovering = true;
             self.close_every_session(applied);
         }
@@ -187,10 +190,10 @@
     }
 }
 
-/// Generation of a group that was never founded before.
+/// Generation of a group that was founded only once.
 const FIRST_GENERATION: u32 = 1;
 
-/// Builds the record of a slice as routers see it.
+/// Builds the slice record that is sent to routers.
 fn slice_record(service: &ServiceId, first: Point, entry: &entries::SliceEntry) -> SliceRecord {
     SliceRecord {
         service: service.clone(),
--- a/crates/ownership/src/machine/objects.rs
+++ b/crates/ownership/src/machine/objects.rs
@@ -1,4 +1,4 @@
-//! Configuration objects: accepted once, never reverted.
+//! Configuration objects, which are never reverted to an earlier version.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,13 +8,14 @@
 use threadledge_types::{BackEndId, ServiceId};
 
 use super::entries::{BackEndEntry, ServiceEntry, Successor, parse_selector};
-use super::selection::Division;
+use super::selection::Redivision;
 use super::{Applied, Rejection, StateMachine};
 use crate::command::ObjectChange;
 
 impl StateMachine {
-    /// Back ends go first, so that a service that comes with its back ends
-    /// is divided for all of them.
+    /// Applies changes of configuration objects. Back ends are applied first,
+    /// so that a service that arrives together with its back ends is divided
+    /// for all of them.
     pub(super) fn apply_objects(&mut self, changes: &[ObjectChange], applied: &mut Applied) {
         for change in changes {
             let result = match change {
@@ -55,19 +56,19 @@
                 successor: None,
             };
             self.back_ends.insert(id.clone(), entry);
-            self.back_end_changed(id, applied);
+            self.apply_back_end_change(id, applied);
             return Ok(());
         };
         let moved = entry.record.spec.address != record.spec.address
             || entry.record.spec.control_address != record.spec.control_address;
-        // A session that is leaving because of an earlier change cannot be
-        // kept: the process opens another one afterwards.
+        // A session that is draining because of an earlier change cannot be
+        // kept. The process opens another one afterwards.
         if session_open && (moved || entry.successor.is_some()) {
             entry.successor = Some(Successor::Replaced(Box::new(record.clone())));
-            self.leave(id, applied);
+            self.retire_back_end(id, applied);
         } else {
             entry.record = record.clone();
-            self.back_end_changed(id, applied);
+            self.apply_back_end_change(id, applied);
         }
         Ok(())
     }
@@ -83,15 +84,15 @@
         match self.back_ends.get_mut(id) {
             Some(entry) if session_open => {
                 entry.successor = Some(Successor::Deleted { resource_version });
-                self.leave(id, applied);
+                self.retire_back_end(id, applied);
             }
-            _ => self.forget_back_end(id, resource_version, applied),
+            _ => self.remove_back_end(id, resource_version, applied),
         }
         Ok(())
     }
 
-    /// Configuration never reverts: only a version above the one taken last,
-    /// deletions included, changes anything.
+    /// Accepts only versions above the last accepted one, including deletions,
+    /// so that configuration never reverts.
     fn check_back_end_version(&self, id: &BackEndId, offered: u64) -> Result<(), Rejection> {
         let name = id.to_string();
         let applied = match self.back_ends.get(id) {
@@ -101,13 +102,15 @@
         check_version(name, applied, offered)
     }
 
-    fn leave(&mut self, id: &BackEndId, applied: &mut Applied) {
-        self.drain(id, applied);
-        self.end_if_left(id, applied);
+    /// Drains a back end that is deleted or replaced, and ends its session if
+    /// it owns nothing.
+    fn retire_back_end(&mut self, id: &BackEndId, applied: &mut Applied) {
+        self.start_draining(id, applied);
+        self.end_session_if_released(id, applied);
     }
 
-    /// Drops the back end; it has no session.
-    pub(super) fn forget_back_end(
+    /// Removes a back end that has no session.
+    pub(super) fn remove_back_end(
         &mut self,
         id: &BackEndId,
         resource_version: u64,
@@ -120,14 +123,15 @@
         }
         for service in self.services_in(&id.namespace) {
             self.set_eligible(&service, id, false, applied);
-            self.divide_unused(&service, Division::WhenFarOff, applied);
+            self.divide_if_unused(&service, Redivision::BeyondFactor, applied);
         }
         let removed = RecordChange::BackEndRemoved(id.clone());
         applied.changes.push(removed);
     }
 
-    /// Announces the record in force and looks again at who selects it.
-    pub(super) fn back_end_changed(&mut self, id: &BackEndId, applied: &mut Applied) {
+    /// Publishes the record in force and re-evaluates which services select the
+    /// back end.
+    pub(super) fn apply_back_end_change(&mut self, id: &BackEndId, applied: &mut Applied) {
         let Some(entry) = self.back_ends.get(id) else {
             return;
         };
@@ -137,7 +141,7 @@
         for service in self.services_in(&id.namespace) {
             let selected = self.services[&service].selects(&record);
             self.set_eligible(&service, id, selected, applied);
-            self.divide_unused(&service, Division::WhenFarOff, applied);
+            self.divide_if_unused(&service, Redivision::BeyondFactor, applied);
         }
     }
 
@@ -166,26 +170,27 @@
                 eligible: BTreeSet::new(),
                 selector: None,
             });
-        let revived = entry.deleted;
+        let was_deleted = entry.deleted;
         entry.deleted = false;
         entry.record = record.clone();
         entry.selector = selector;
         let changed = RecordChange::Service(Box::new(record.clone()));
         applied.changes.push(changed);
-        self.select_again(id, applied);
-        self.divide_unused(id, Division::Exact, applied);
-        if revived {
-            self.announce_slices(id, applied);
+        self.reevaluate_selector(id, applied);
+        self.divide_if_unused(id, Redivision::Exact, applied);
+        if was_deleted {
+            self.publish_slices(id, applied);
         }
         Ok(())
     }
 
-    /// A service that comes back while slices of its former life are still
-    /// owned keeps them with their owners and epochs.
-    fn announce_slices(&mut self, id: &ServiceId, applied: &mut Applied) {
+    /// Publishes the slices of a service that was created again while slices of
+    /// its deleted predecessor are still owned. They keep their owners and
+    /// epochs.
+    fn publish_slices(&mut self, id: &ServiceId, applied: &mut Applied) {
         let records: Vec<SliceRecord> = self.slices(id).collect();
         for record in &records {
-            self.classify(&record.key());
+            self.update_misplaced(&record.key());
         }
         applied
             .changes
@@ -204,21 +209,23 @@
         let Some(entry) = self.services.get_mut(id).filter(|entry| !entry.deleted) else {
             return Ok(());
         };
-        // One owner: slices that are owned stay until released, so that the
-        // same service created again cannot give them to somebody else.
+        // Exclusive ownership: owned slices remain until they are released, so
+        // that the same service, if created again, cannot assign them to
+        // another back end.
         entry.deleted = true;
         let removed = RecordChange::ServiceRemoved(id.clone());
         applied.changes.push(removed);
         let keys: Vec<SliceKey> = self.slices(id).map(|record| record.key()).collect();
         for key in &keys {
             self.clear_next(key);
-            self.classify(key);
+            self.update_misplaced(key);
         }
-        self.forget_service_if_released(id);
+        self.remove_service_if_released(id);
         Ok(())
     }
 
-    pub(super) fn forget_service_if_released(&mut self, id: &ServiceId) {
+    /// Removes a deleted service that has no owned slice left.
+    pub(super) fn remove_service_if_released(&mut self, id: &ServiceId) {
         let released = |entry: &&ServiceEntry| entry.deleted && entry.owned == 0;
         if self.services.get(id).filter(released).is_some() {
             self.services.remove(id);
--- a/crates/ownership/src/machine/read.rs
+++ b/crates/ownership/src/machine/read.rs
@@ -1,4 +1,4 @@
-//! Reading the state.
+//! Read access to the replicated state.
 
 use std::collections::BTreeSet;
 
@@ -12,27 +12,27 @@
 use crate::command::LeaderTerm;
 
 impl StateMachine {
-    /// The group.
+    /// Returns the group.
     pub fn group(&self) -> GroupId {
         self.group
     }
 
-    /// Revision of the entry applied last.
+    /// Returns the revision of the last applied entry.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The latest term that began.
+    /// Returns the latest term that has begun.
     pub fn term(&self) -> LeaderTerm {
         self.term
     }
 
-    /// Whether leases of an earlier founding may still run.
+    /// Returns whether leases of an earlier generation may still be valid.
     pub fn is_recovering(&self) -> bool {
         self.recovering
     }
 
-    /// Every record, for a full copy.
+    /// Returns every record, for a full copy of the state.
     pub fn records(&self) -> Vec<RecordChange> {
         let mut changes = Vec::new();
         for entry in self.back_ends.values() {
@@ -53,57 +53,58 @@
         self.services.values().filter(|entry| !entry.deleted)
     }
 
-    /// Accepted services.
+    /// Returns the accepted services.
     pub fn services(&self) -> impl Iterator<Item = &ServiceRecord> {
         self.live_services().map(|entry| &entry.record)
     }
 
-    /// One accepted service.
+    /// Returns an accepted service.
     pub fn service(&self, id: &ServiceId) -> Option<&ServiceRecord> {
         let entry = self.services.get(id).filter(|entry| !entry.deleted)?;
         Some(&entry.record)
     }
 
-    /// Back ends in force, including deleted ones whose session is still open.
+    /// Returns the back ends in force, including deleted ones whose session is
+    /// still open.
     pub fn back_ends(&self) -> impl Iterator<Item = &BackEndRecord> {
         self.back_ends.values().map(|entry| &entry.record)
     }
 
-    /// One back end in force.
+    /// Returns a back end in force.
     pub fn back_end(&self, id: &BackEndId) -> Option<&BackEndRecord> {
         self.back_ends.get(id).map(|entry| &entry.record)
     }
 
-    /// Whether the back end was deleted or gets other addresses, and waits
-    /// for its session to end.
+    /// Returns whether the back end was deleted or is changing its addresses,
+    /// and waits for its session to end.
     pub fn is_retiring(&self, id: &BackEndId) -> bool {
         let entry = self.back_ends.get(id);
         entry.is_some_and(|entry| entry.successor.is_some())
     }
 
-    /// Open sessions.
+    /// Returns the open sessions.
     pub fn sessions(&self) -> impl Iterator<Item = &SessionRecord> {
         self.sessions.values().map(|entry| &entry.record)
     }
 
-    /// The open session of a back end.
+    /// Returns the open session of a back end.
     pub fn session(&self, back_end: &BackEndId) -> Option<&SessionRecord> {
         self.sessions.get(back_end).map(|entry| &entry.record)
     }
 
-    /// Revision at which the open session of a back end opened.
+    /// Returns the revision at which the open session of a back end opened.
     pub fn session_opened(&self, back_end: &BackEndId) -> Option<Revision> {
         self.sessions.get(back_end).map(|entry| entry.opened)
     }
 
-    /// Whether exactly this session is open.
+    /// Returns whether exactly this session is open.
     pub fn is_open(&self, session: &SessionId) -> bool {
         let record = self.session(&session.back_end);
         record.is_some_and(|record| record.id == *session)
     }
 
-    /// Slices of a service in order; also those of a deleted service that
-    /// still has owned ones.
+    /// Returns the slices of a service in order, including those of a deleted
+    /// service that still has owned slices.
     pub fn slices<'a>(
         &'a self,
         service: &ServiceId,
@@ -115,27 +116,27 @@
         })
     }
 
-    /// The slice of a service that contains `point`.
+    /// Returns the slice of a service that contains `point`.
     pub fn slice_at(&self, service: &ServiceId, point: Point) -> Option<SliceRecord> {
         let entry = self.services.get(service)?;
         let (first, slice) = entry.slices.range(..=point).next_back()?;
         Some(slice_record(service, *first, slice))
     }
 
-    /// The slice that starts at exactly that point.
+    /// Returns the slice that starts exactly at the key's point.
     pub fn slice(&self, key: &SliceKey) -> Option<SliceRecord> {
         let entry = self.services.get(&key.service)?;
         let slice = entry.slices.get(&key.first)?;
         Some(slice_record(&key.service, key.first, slice))
     }
 
-    /// Revision that last changed the slice in any way.
+    /// Returns the revision of the last change to the slice.
     pub fn slice_revision(&self, key: &SliceKey) -> Option<Revision> {
         let entry = self.services.get(&key.service)?;
         Some(entry.slices.get(&key.first)?.revision)
     }
 
-    /// Slices owned by the open session of a back end.
+    /// Returns the slices owned by the open session of a back end.
     pub fn slices_of_session<'a>(
         &'a self,
         back_end: &BackEndId,
@@ -144,12 +145,12 @@
         entry.into_iter().flat_map(|entry| entry.slices.iter())
     }
 
-    /// Slices that are being moved.
+    /// Returns the slices that are being moved.
     pub fn pending_moves(&self) -> &BTreeSet<SliceKey> {
         &self.pending_moves
     }
 
-    /// Slices that are being moved to a back end.
+    /// Returns the slices that are being moved to a back end.
     pub fn incoming_moves<'a>(
         &'a self,
         back_end: &BackEndId,
@@ -158,13 +159,13 @@
         keys.into_iter().flat_map(|keys| keys.iter())
     }
 
-    /// Owned slices that the owner shall give up: it is leaving, the service
-    /// no longer selects it, or the service was deleted.
+    /// Returns the owned slices that the owner must give up because it is
+    /// draining, the service no longer selects it, or the service was deleted.
     pub fn misplaced(&self) -> &BTreeSet<SliceKey> {
         &self.misplaced
     }
 
-    /// Back ends that the service's selector selects, with or without a
+    /// Returns the back ends that the service selects, with or without an open
     /// session.
     pub fn eligible_back_ends<'a>(
         &'a self,
@@ -174,7 +175,7 @@
         entry.into_iter().flat_map(|entry| entry.eligible.iter())
     }
 
-    /// Sessions that may be given slices of the service.
+    /// Returns the sessions that may receive slices of the service.
     pub fn eligible_sessions<'a>(
         &'a self,
         service: &ServiceId,
@@ -185,10 +186,10 @@
         })
     }
 
-    /// Whether any service selects the back end.
+    /// Returns whether any service selects the back end.
     ///
-    /// The store holds the back ends of every region, and a region's group has
-    /// to do only with those that its own services select.
+    /// The store holds the back ends of every region. A region's group handles
+    /// only those that its own services select.
     pub fn is_selected(&self, back_end: &BackEndId) -> bool {
         let start = ServiceId::new(back_end.namespace.clone(), "");
         let following = self.services.range(start..);
@@ -196,7 +197,8 @@
         same.any(|(_, entry)| !entry.deleted && entry.eligible.contains(back_end))
     }
 
-    /// Whether the service exists, is not deleted, and selects the back end.
+    /// Returns whether the service exists, is not deleted, and selects the back
+    /// end.
     pub fn selects(&self, service: &ServiceId, back_end: &BackEndId) -> bool {
         let entry = self.services.get(service);
         entry.is_some_and(|entry| !entry.deleted && entry.eligible.contains(back_end))
--- a/crates/ownership/src/machine/recovery.rs
+++ b/crates/ownership/src/machine/recovery.rs
@@ -1,10 +1,10 @@
-//! State for a new founding out of the records that routers hold copies of.
+//! Recovery of the state for a new founding from the record copies of routers.
 //!
-//! Every router of a region has a copy of the records, so the state outlives
-//! even the loss of all members of the group. The copy lacks tombstones of
-//! deleted objects and whatever was committed after it was taken. The first
-//! command of the new founding ends every session, and slices go back to the
-//! back ends that report to hold them.
+//! Every router of a region has a copy of the records, so the state survives
+//! even the loss of all members of the group. The copy lacks the tombstones of
+//! deleted objects and anything committed after it was taken. The first command
+//! of the new founding ends every session, and slices are assigned again to the
+//! back ends that report holding them.
 
 use std::collections::BTreeMap;
 
@@ -17,8 +17,8 @@
 use super::tombstones::Tombstones;
 
 impl Snapshot {
-    /// The state that the records of a full copy at `revision` describe.
-    /// Removals among them are ignored, as are slices of unknown services.
+    /// Builds the state described by the records of a full copy at `revision`.
+    /// Removals are ignored, and so are slices of unknown services.
     pub fn from_records(revision: Revision, records: Vec<RecordChange>) -> Self {
         let mut services: BTreeMap<ServiceId, ServiceSnapshot> = BTreeMap::new();
         let mut back_ends = Vec::new();
--- a/crates/ownership/src/machine/selection.rs
+++ b/crates/ownership/src/machine/selection.rs
@@ -1,5 +1,5 @@
-//! Which back ends a service selects, and into how many slices that divides
-//! it at first.
+//! Selection of back ends by services, and the initial division of a service
+//! into slices.
 
 use std::collections::BTreeMap;
 
@@ -9,34 +9,36 @@
 use super::entries::SliceEntry;
 use super::{Applied, StateMachine, slice_record};
 
-/// Most slices that a new service starts with.
+/// Maximum number of slices that a new service starts with.
 pub const MAXIMUM_INITIAL_SLICES: u32 = 16_384;
-/// A service that was never used is divided anew when the number of slices is
-/// off by this factor: back ends that arrive one by one then cost little each.
-const FAR_OFF_FACTOR: usize = 2;
+/// Factor by which the number of slices must be off before a service that was
+/// never used is divided again. It keeps the cost low when back ends arrive one
+/// by one.
+const REDIVISION_FACTOR: usize = 2;
 
-/// When to divide a service that was never used.
+/// Rule for dividing a service that was never used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Division {
-    /// Whenever the number of slices is not the wanted one.
+pub(super) enum Redivision {
+    /// Divide whenever the number of slices is not the wanted one.
     Exact,
-    /// When it is off by [`FAR_OFF_FACTOR`].
-    WhenFarOff,
+    /// Divide when it is off by [`REDIVISION_FACTOR`] or more.
+    BeyondFactor,
 }
 
-impl Division {
+impl Redivision {
     fn is_due(self, present: usize, wanted: usize) -> bool {
         match self {
-            Division::Exact => present != wanted,
-            Division::WhenFarOff => {
-                present >= wanted * FAR_OFF_FACTOR || wanted >= present * FAR_OFF_FACTOR
+            Redivision::Exact => present != wanted,
+            Redivision::BeyondFactor => {
+                present >= wanted * REDIVISION_FACTOR || wanted >= present * REDIVISION_FACTOR
             }
         }
     }
 }
 
-/// The keys of one service among ordered keys.
-fn start_of(service: &ServiceId) -> SliceKey {
+/// Returns the smallest possible slice key of a service, the start of its
+/// range.
+fn first_key_of(service: &ServiceId) -> SliceKey {
     SliceKey {
         service: service.clone(),
         first: Point(0),
@@ -44,6 +46,7 @@
 }
 
 impl StateMachine {
+    /// Returns the services of a namespace in order.
     pub(super) fn services_in(&self, namespace: &str) -> Vec<ServiceId> {
         let start = ServiceId::new(namespace, "");
         let following = self.services.range(start..);
@@ -51,33 +54,40 @@
         same.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Slices of the service that the owner shall give up.
+    /// Returns the slices of the service that their owner must give up.
     pub fn misplaced_slices_of<'a>(
         &'a self,
         service: &'a ServiceId,
     ) -> impl Iterator<Item = &'a SliceKey> {
-        let following = self.misplaced.range(start_of(service)..);
+        let following = self.misplaced.range(first_key_of(service)..);
         following.take_while(move |key| key.service == *service)
     }
 
-    /// Slices of the service that the open session of the back end owns.
-    fn owned_of(&self, service: &ServiceId, back_end: &BackEndId) -> Vec<SliceKey> {
+    /// Returns the slices of the service that the open session of the back end
+    /// owns.
+    fn slices_owned_by(&self, service: &ServiceId, back_end: &BackEndId) -> Vec<SliceKey> {
         let session = self.sessions.get(back_end);
-        let slices = session.map(|session| session.slices.range(start_of(service)..));
+        let slices = session.map(|session| session.slices.range(first_key_of(service)..));
         let following = slices.into_iter().flatten();
         let own = following.take_while(|key| key.service == *service);
         own.cloned().collect()
     }
 
-    /// Slices of the service that are being moved to the back end.
-    pub(super) fn incoming_of(&self, service: &ServiceId, back_end: &BackEndId) -> Vec<SliceKey> {
+    /// Returns the slices of the service that are being moved to the back end.
+    pub(super) fn incoming_moves_of(
+        &self,
+        service: &ServiceId,
+        back_end: &BackEndId,
+    ) -> Vec<SliceKey> {
         let incoming = self.incoming.get(back_end);
-        let following = incoming.map(|keys| keys.range(start_of(service)..));
+        let following = incoming.map(|keys| keys.range(first_key_of(service)..));
         let following = following.into_iter().flatten();
         let own = following.take_while(|key| key.service == *service);
         own.cloned().collect()
     }
 
+    /// Sets whether the service selects the back end, and cancels moves and
+    /// marks owned slices accordingly.
     pub(super) fn set_eligible(
         &mut self,
         service: &ServiceId,
@@ -97,13 +107,13 @@
             return;
         }
         self.cancel_deselected_moves(service, back_end, applied);
-        for key in self.owned_of(service, back_end) {
-            self.classify(&key);
+        for key in self.slices_owned_by(service, back_end) {
+            self.update_misplaced(&key);
         }
     }
 
-    /// Looks again at every back end of the service's namespace.
-    pub(super) fn select_again(&mut self, id: &ServiceId, applied: &mut Applied) {
+    /// Re-evaluates the service's selector for every back end of its namespace.
+    pub(super) fn reevaluate_selector(&mut self, id: &ServiceId, applied: &mut Applied) {
         let start = BackEndId::new(id.namespace.clone(), "");
         let following = self.back_ends.range(start..);
         let same = following.take_while(|(back_end, _)| back_end.namespace == id.namespace);
@@ -116,11 +126,11 @@
         }
     }
 
-    /// Divides a service anew as long as none of its slices was ever owned.
-    pub(super) fn divide_unused(
+    /// Divides a service again as long as none of its slices was ever owned.
+    pub(super) fn divide_if_unused(
         &mut self,
         id: &ServiceId,
-        division: Division,
+        division: Redivision,
         applied: &mut Applied,
     ) {
         let revision = self.revision;
--- a/crates/ownership/src/machine/sessions.rs
+++ b/crates/ownership/src/machine/sessions.rs
@@ -13,8 +13,8 @@
         session: &SessionId,
         applied: &mut Applied,
     ) -> Result<(), Rejection> {
-        // After a new founding nobody knows who holds what until every
-        // earlier lease has run out.
+        // After a new founding it is unknown which back end holds which slice
+        // until every earlier lease has expired.
         if self.recovering {
             return Err(Rejection::Recovering);
         }
@@ -42,8 +42,8 @@
         term: LeaderTerm,
         applied: &mut Applied,
     ) -> Result<(), Rejection> {
-        // One owner: a conclusion of an earlier leader, or one about an
-        // earlier session of the same process, must not end a session that
+        // Exclusive ownership: a conclusion of an earlier leader, or one about
+        // an earlier session of the same process, must not end a session that
         // has been renewed since.
         self.check_term(term)?;
         let open = self.sessions.get(&session.back_end);
@@ -62,12 +62,12 @@
         if !self.is_open(session) {
             return Err(Rejection::SessionNotOpen(session.clone()));
         }
-        self.drain(&session.back_end, applied);
+        self.start_draining(&session.back_end, applied);
         Ok(())
     }
 
-    /// Marks the open session of a back end as leaving, if there is one.
-    pub(super) fn drain(&mut self, back_end: &BackEndId, applied: &mut Applied) {
+    /// Marks the open session of a back end as draining, if there is one.
+    pub(super) fn start_draining(&mut self, back_end: &BackEndId, applied: &mut Applied) {
         let Some(entry) = self.sessions.get_mut(back_end) else {
             return;
         };
@@ -80,23 +80,23 @@
         applied.changes.push(RecordChange::Session(record));
         self.cancel_moves_to(back_end, applied);
         for key in &owned {
-            self.classify(key);
+            self.update_misplaced(key);
         }
     }
 
-    /// Ends the session: its slices lose their owner, moves to it are given
-    /// up, and a change of the back end that waited comes into force.
+    /// Ends the session. Its slices lose their owner, moves to it are
+    /// cancelled, and a pending change of the back end takes effect.
     pub(super) fn end_session(&mut self, back_end: &BackEndId, applied: &mut Applied) {
         let Some(entry) = self.sessions.remove(back_end) else {
             return;
         };
         self.cancel_moves_to(back_end, applied);
         for key in &entry.slices {
-            self.drop_owner(key, applied);
+            self.remove_owner(key, applied);
         }
         let removed = RecordChange::SessionRemoved(entry.record.id);
         applied.changes.push(removed);
-        self.bring_successor_into_force(back_end, applied);
+        self.apply_successor(back_end, applied);
     }
 
     pub(super) fn close_every_session(&mut self, applied: &mut Applied) {
@@ -106,10 +106,10 @@
         }
     }
 
-    /// Ends the session of a deleted or replaced back end once it owns
-    /// nothing. Every slice it owned was released by confirmation, so the
-    /// process serves nothing any more.
-    pub(super) fn end_if_left(&mut self, back_end: &BackEndId, applied: &mut Applied) {
+    /// Ends the session of a deleted or replaced back end once it owns nothing.
+    /// Every slice it owned was released with confirmation, so the process
+    /// serves nothing any more.
+    pub(super) fn end_session_if_released(&mut self, back_end: &BackEndId, applied: &mut Applied) {
         let owns_nothing = |entry: &SessionEntry| entry.slices.is_empty();
         let idle = self.sessions.get(back_end).is_some_and(owns_nothing);
         if idle && self.is_retiring(back_end) {
@@ -117,7 +117,7 @@
         }
     }
 
-    fn bring_successor_into_force(&mut self, back_end: &BackEndId, applied: &mut Applied) {
+    fn apply_successor(&mut self, back_end: &BackEndId, applied: &mut Applied) {
         let Some(entry) = self.back_ends.get_mut(back_end) else {
             return;
         };
@@ -125,10 +125,10 @@
             None => {}
             Some(Successor::Replaced(record)) => {
                 entry.record = *record;
-                self.back_end_changed(back_end, applied);
+                self.apply_back_end_change(back_end, applied);
             }
             Some(Successor::Deleted { resource_version }) => {
-                self.forget_back_end(back_end, resource_version, applied);
+                self.remove_back_end(back_end, resource_version, applied);
             }
         }
     }
--- a/crates/ownership/src/machine/slices.rs
+++ b/crates/ownership/src/machine/slices.rs
@@ -24,12 +24,13 @@
         applied: &mut Applied,
     ) -> Result<(), Rejection> {
         self.check_live(service)?;
-        let entry = self.checked(service, slice, expected)?;
-        // One owner: only a slice without an owner is assigned.
+        let entry = self.checked_slice(service, slice, expected)?;
+        // Exclusive ownership: only a slice without an owner is assigned.
         if entry.owner.is_some() {
             return Err(Rejection::Owned(service.clone(), slice));
         }
-        // Epochs grow: a second assignment within one log entry has none.
+        // The epoch is the entry's revision, so a second assignment within the
+        // same log entry would reuse it and is rejected.
         if entry.epoch.0 >= self.revision {
             return Err(Rejection::EpochMismatch(
                 service.clone(),
@@ -38,7 +39,7 @@
             ));
         }
         self.check_receiver(service, to)?;
-        self.give(&key_of(service, slice), to, applied);
+        self.set_owner(&key_of(service, slice), to, applied);
         Ok(())
     }
 
@@ -51,7 +52,7 @@
         applied: &mut Applied,
     ) -> Result<(), Rejection> {
         self.check_live(service)?;
-        let entry = self.checked(service, slice, expected)?;
+        let entry = self.checked_slice(service, slice, expected)?;
         let Some(owner) = &entry.owner else {
             return Err(Rejection::Unowned(service.clone(), slice));
         };
@@ -70,7 +71,7 @@
         self.pending_moves.insert(key.clone());
         let incoming = self.incoming.entry(to.clone()).or_default();
         incoming.insert(key.clone());
-        self.change(&key, applied, |entry| entry.next = Some(to.clone()));
+        self.edit_slice(&key, applied, |entry| entry.next = Some(to.clone()));
         Ok(())
     }
 
@@ -81,12 +82,12 @@
         expected: Epoch,
         applied: &mut Applied,
     ) -> Result<(), Rejection> {
-        if self.checked(service, slice, expected)?.next.is_none() {
+        if self.checked_slice(service, slice, expected)?.next.is_none() {
             return Err(Rejection::NoMovePending(service.clone(), slice));
         }
         let key = key_of(service, slice);
         self.clear_next(&key);
-        self.announce(&key, applied);
+        self.publish_slice(&key, applied);
         Ok(())
     }
 
@@ -105,10 +106,10 @@
         self.check_receiver(service, to)?;
         let key = key_of(service, slice);
         self.clear_next(&key);
-        let former = self.take(&key);
-        self.give(&key, to, applied);
+        let former = self.clear_owner(&key);
+        self.set_owner(&key, to, applied);
         if let Some(former) = former {
-            self.end_if_left(&former.back_end, applied);
+            self.end_session_if_released(&former.back_end, applied);
         }
         Ok(())
     }
@@ -126,13 +127,14 @@
         };
         let key = key_of(service, slice);
         self.clear_next(&key);
-        self.drop_owner(&key, applied);
-        self.end_if_left(&owner.back_end, applied);
+        self.remove_owner(&key, applied);
+        self.end_session_if_released(&owner.back_end, applied);
         Ok(())
     }
 
-    /// The slice as the proposer saw it, or why it is not.
-    pub(super) fn checked(
+    /// Returns the slice if it is still as the proposer saw it, and the
+    /// rejection otherwise.
+    pub(super) fn checked_slice(
         &self,
         service: &ServiceId,
         slice: Slice,
@@ -152,8 +154,8 @@
         Ok(entry)
     }
 
-    /// One owner: what a grantor concluded counts only within its term and
-    /// as long as nothing about the slice has changed since it looked.
+    /// Exclusive ownership: a grantor's conclusion takes effect only within its
+    /// term and only if the slice has not changed since the grantor read it.
     fn checked_evidence(
         &self,
         service: &ServiceId,
@@ -161,7 +163,7 @@
         evidence: &SliceEvidence,
     ) -> Result<&SliceEntry, Rejection> {
         self.check_term(evidence.term)?;
-        let entry = self.checked(service, slice, evidence.epoch)?;
+        let entry = self.checked_slice(service, slice, evidence.epoch)?;
         if entry.revision != evidence.revision {
             let service = service.clone();
             return Err(Rejection::SliceChanged(service, slice, entry.revision));
@@ -169,6 +171,7 @@
         Ok(entry)
     }
 
+    /// Checks that the service exists and is not deleted.
     pub(super) fn check_live(&self, service: &ServiceId) -> Result<(), Rejection> {
         match self.service(service) {
             Some(_) => Ok(()),
@@ -176,6 +179,8 @@
         }
     }
 
+    /// Checks that the session is open, not draining, and selected by the
+    /// service.
     fn check_receiver(&self, service: &ServiceId, to: &SessionId) -> Result<(), Rejection> {
         let session = self.session(&to.back_end);
         let Some(session) = session.filter(|session| session.id == *to) else {
--- a/crates/ownership/src/machine/snapshot.rs
+++ b/crates/ownership/src/machine/snapshot.rs
@@ -1,4 +1,4 @@
-//! The whole state as data, for followers that are far behind and for
+//! Snapshots of the whole state, for followers that are far behind and for
 //! checkpoints.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,7 +11,7 @@
 use super::tombstones::Tombstones;
 use super::{LeaderTerm, StateMachine};
 
-/// The whole state of a group. Indices are not part of it.
+/// The whole state of a group. Indices are not included; they are rebuilt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     pub(super) revision: Revision,
@@ -24,6 +24,7 @@
     pub(super) back_end_tombstones: Tombstones,
 }
 
+/// One service and its slices by first point.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct ServiceSnapshot {
     pub(super) record: ServiceRecord,
@@ -32,6 +33,7 @@
     pub(super) slices: Vec<(Point, SliceEntry)>,
 }
 
+/// One open session and the revision at which it opened.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct SessionSnapshot {
     pub(super) record: SessionRecord,
@@ -39,14 +41,14 @@
 }
 
 impl Snapshot {
-    /// Revision of the state.
+    /// Returns the revision of the state.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 }
 
 impl StateMachine {
-    /// The whole state as data.
+    /// Returns a snapshot of the whole state.
     pub fn snapshot(&self) -> Snapshot {
         let services = self.services.values().map(|entry| ServiceSnapshot {
             record: entry.record.clone(),
@@ -74,7 +76,7 @@
         }
     }
 
-    /// The state described by `snapshot`.
+    /// Creates the state described by `snapshot`.
     pub fn restore(group: GroupId, snapshot: Snapshot) -> Self {
         let mut machine = StateMachine::new(group);
         machine.revision = snapshot.revision;
@@ -124,6 +126,7 @@
         }
     }
 
+    /// Adds a restored slice to the indices.
     fn restore_indices(&mut self, key: &SliceKey, slice: &SliceEntry) {
         if let Some(owner) = &slice.owner
             && let Some(session) = self.sessions.get_mut(&owner.back_end)
@@ -135,6 +138,6 @@
             let incoming = self.incoming.entry(next.clone()).or_default();
             incoming.insert(key.clone());
         }
-        self.classify(key);
+        self.update_misplaced(key);
     }
 }
