--- a/crates/placement/src/action.rs
+++ b/crates/placement/src/action.rs
@@ -1,14 +1,14 @@
-//! What the planner proposes.
+//! Actions that the planner proposes.
 
 use serde::{Deserialize, Serialize};
 use threadledge_types::{BackEndId, Epoch, Point, ServiceId, SessionId, Slice};
 
-/// One proposal. Each carries the epoch that the planner saw, so that the
-/// state machine can refuse it when the slice has changed since.
+/// One proposed action. It carries the epoch that the planner saw, so that the
+/// state machine can reject it if the slice has changed since.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
-    /// Give an unowned slice an owner.
+    /// Assign an unowned slice to an owner.
     Assign {
         /// Which service.
         service: ServiceId,
@@ -19,7 +19,7 @@
         /// Epoch of the slice as seen.
         expected_epoch: Epoch,
     },
-    /// Start handing an owned slice over.
+    /// Start the handover of an owned slice.
     BeginMove {
         /// Which service.
         service: ServiceId,
@@ -30,7 +30,7 @@
         /// Epoch of the slice as seen.
         expected_epoch: Epoch,
     },
-    /// Give up a handover whose next owner may no longer take the slice.
+    /// Cancel a handover whose next owner may no longer receive the slice.
     CancelMove {
         /// Which service.
         service: ServiceId,
@@ -39,7 +39,7 @@
         /// Epoch of the slice as seen.
         expected_epoch: Epoch,
     },
-    /// Divide a slice; both parts keep their owner.
+    /// Split a slice. Both parts keep their owner.
     Split {
         /// Which service.
         service: ServiceId,
@@ -50,7 +50,7 @@
         /// Epoch of the slice as seen.
         expected_epoch: Epoch,
     },
-    /// Join two neighbouring slices of one owner.
+    /// Merge two adjacent slices of one owner.
     Merge {
         /// Which service.
         service: ServiceId,
@@ -66,7 +66,7 @@
 }
 
 impl Action {
-    /// The service the action belongs to.
+    /// Returns the service of the action.
     pub fn service(&self) -> &ServiceId {
         match self {
             Action::Assign { service, .. }
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The slice the action is about; the lower one of a merge.
+    /// Returns the slice of the action, which is the lower one for a merge.
     pub fn slice(&self) -> Slice {
         match self {
             Action::Assign { slice, .. }
@@ -88,8 +88,8 @@
         }
     }
 
-    /// First points of all slices the action is about.
-    pub(crate) fn touched(&self) -> impl Iterator<Item = Point> {
+    /// Returns the first points of all slices that the action affects.
+    pub(crate) fn affected_slices(&self) -> impl Iterator<Item = Point> {
         let second = match self {
             Action::Merge { second, .. } => Some(second.first),
             _ => None,
--- a/crates/placement/src/holding.rs
+++ b/crates/placement/src/allocation.rs
@@ -1,4 +1,4 @@
-//! What one back end holds of one service, and what is on its way.
+//! Slices of one service that one back end owns, receives or gives up.
 
 use std::collections::BTreeSet;
 
@@ -6,26 +6,26 @@
 
 use crate::weight::{Weight, density_order};
 
-/// Slices of one service on one back end.
+/// Allocation of one service's slices to one back end.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Holding {
-    /// Sum over the slices it owns.
+pub(crate) struct Allocation {
+    /// Total weight of the slices it owns.
     pub owned: Weight,
-    /// Sum over the slices that are proposed or being prepared for it.
+    /// Total weight of the slices that are proposed or being prepared for it.
     pub inbound: Weight,
     /// Number of those.
     pub inbound_count: usize,
-    /// Sum over the owned slices that are being moved away.
+    /// Total weight of the owned slices that are being moved away.
     pub outbound: Weight,
     /// Number of those.
     pub outbound_count: usize,
-    /// Whether the back end has reported since it holds anything.
-    pub heard: bool,
-    /// Owned slices, the one with the highest rate for each key last.
+    /// Whether the back end has reported its load since it first had slices.
+    pub has_reported: bool,
+    /// Owned slices in ascending order of rate per key.
     by_density: BTreeSet<(u64, Point)>,
 }
 
-impl Holding {
+impl Allocation {
     pub(crate) fn add(&mut self, first: Point, weight: Weight) {
         self.owned += weight;
         self.by_density.insert((density_order(weight), first));
@@ -56,22 +56,23 @@
         self.outbound_count -= 1;
     }
 
-    /// Number of slices owned.
+    /// Returns the number of owned slices.
     pub(crate) fn count(&self) -> usize {
         self.by_density.len()
     }
 
-    /// Whether nothing is owned or on its way.
+    /// Returns whether nothing is owned, received or given up.
     pub(crate) fn is_empty(&self) -> bool {
         self.by_density.is_empty() && self.inbound_count == 0 && self.outbound_count == 0
     }
 
-    /// What it will own once everything on its way has arrived.
+    /// Returns the weight that it will own once all moves have completed.
     pub(crate) fn projected(&self) -> Weight {
         self.owned.plus(self.inbound).minus(self.outbound)
     }
 
-    /// First points of the owned slices, highest rate for each key first.
+    /// Returns the first points of the owned slices in descending order of rate
+    /// per key.
     pub(crate) fn densest_first(&self) -> impl Iterator<Item = Point> + '_ {
         self.by_density.iter().rev().map(|(_, first)| *first)
     }
--- a/crates/placement/src/assign.rs
+++ b/crates/placement/src/assign.rs
@@ -1,4 +1,4 @@
-//! Owners for slices that have none.
+//! Assignment of slices that have no owner.
 
 use std::sync::Arc;
 
@@ -6,37 +6,39 @@
 
 use crate::action::Action;
 use crate::candidates::Candidates;
-use crate::planner::Round;
+use crate::planner::PlanContext;
 use crate::service::ServiceState;
 use crate::slices::SliceState;
 use crate::transfers::Transfer;
 
-/// Gives unowned slices to receivers.
+/// Assigns unowned slices to receivers.
 ///
-/// A slice goes to the back end that was preparing for it, else to its last
-/// owner if that is back, else to the least loaded. So a loss moves only the
-/// lost share, and a restart moves nothing.
-pub(crate) fn assign_unowned(state: &mut ServiceState, round: &mut Round<'_>) {
-    if state.unowned.is_empty() || state.receivers.is_empty() || round.room == 0 {
+/// A slice is assigned to the back end that was preparing for it, otherwise to
+/// its last owner if that is back, otherwise to the least loaded receiver. So
+/// the loss of a back end moves only its share of the slices, and a restart
+/// moves nothing.
+pub(crate) fn assign_unowned(state: &mut ServiceState, context: &mut PlanContext<'_>) {
+    if state.unowned.is_empty() || state.receivers.is_empty() || context.remaining_actions == 0 {
         return;
     }
-    let mut candidates = Candidates::of(state, round);
-    while round.room > 0 {
+    let mut candidates = Candidates::new(state, context);
+    while context.remaining_actions > 0 {
         let Some(first) = state.unowned.first().copied() else {
             return;
         };
-        round.work.slices += 1;
-        if !assign(state, first, &mut candidates, round) {
+        context.work.slices += 1;
+        if !assign(state, first, &mut candidates, context) {
             return;
         }
     }
 }
 
+/// Proposes an owner for one slice. Returns false if there is no receiver.
 fn assign(
     state: &mut ServiceState,
     first: Point,
     candidates: &mut Candidates,
-    round: &mut Round<'_>,
+    context: &mut PlanContext<'_>,
 ) -> bool {
     let Some(slice) = state.table.get(first) else {
         state.unowned.remove(&first);
@@ -55,18 +57,19 @@
         to: receiver.session.clone(),
         expected_epoch: slice.epoch,
     };
-    candidates.place(&to, weight);
+    candidates.add_slice(&to, weight);
     let transfer = Transfer {
         from: None,
         to,
         weight,
     };
-    state.propose(first, round.proposal_end(), Some(transfer));
-    round.push(action);
+    state.record_proposal(first, context.proposal_expiry(), Some(transfer));
+    context.add_action(action);
     true
 }
 
-/// The back end that need not be made ready first.
+/// Returns a back end that does not have to prepare first: the next owner or
+/// the last one.
 fn preferred(state: &ServiceState, slice: &SliceState) -> Option<Arc<BackEndId>> {
     [&slice.next, &slice.previous]
         .into_iter()
@@ -75,7 +78,7 @@
             state
                 .receivers
                 .get(*id)
-                .is_some_and(|receiver| receiver.answers)
+                .is_some_and(|receiver| receiver.reachable)
         })
         .cloned()
 }
--- a/crates/placement/src/balance.rs
+++ b/crates/placement/src/balance.rs
@@ -1,114 +1,123 @@
-//! Balance: when a service is out of balance, and which slices to move.
+//! Balancing: detects when a service is out of balance and chooses the slices
+//! to move.
 //!
-//! Moves are bought sparingly. Imbalance must exceed the policy and the noise
-//! of the measurement, and last; then the busiest back end gives the slice
-//! that carries the most load for each key, within the churn budget.
+//! Moves are made sparingly. The imbalance must exceed the policy and the
+//! measurement noise, and must last. Then the busiest back end gives away the
+//! slice with the most load per key, within the churn budget.
 
 use std::time::Duration;
 
 use threadledge_types::{BackEndId, Point, Timestamp};
 
 use crate::budget::ChurnWindow;
-use crate::loads::{Load, Loads};
-use crate::merge::merge_cold;
-use crate::planner::Round;
+use crate::loads::{Loads, ReceiverLoad};
+use crate::merge::merge_cold_fragments;
+use crate::planner::PlanContext;
 use crate::service::ServiceState;
 use crate::split::{split_hot, split_large};
 use crate::weight::length;
 
-/// Standard deviations of measurement noise that are not acted on.
+/// Number of standard deviations of measurement noise that are tolerated.
 const NOISE_MARGIN: f64 = 3.0;
-/// Part of the tolerated excess at which balancing stops again.
-const STOP_PART: f64 = 0.5;
-/// A back end that falls short of the mean by this part gets slices even when
-/// none is above what is tolerated: it has just joined.
-const NEARLY_EMPTY: f64 = 0.5;
-/// Part of its excess by which the busiest must be relieved when a key goes to
-/// a back end that becomes busier than the one it leaves.
-const LEAST_RELIEF: f64 = 0.25;
-/// Least time over which rates count as averaged.
-const LEAST_WINDOW: Duration = Duration::from_secs(1);
-/// Candidate slices read for each move.
-const CANDIDATES_READ: usize = 32;
-/// Donors tried when the busiest has nothing that may move.
-const DONORS_TRIED: usize = 3;
-/// Least load of a slice that is worth a move, against a usual slice's.
-const LEAST_GAIN: f64 = 0.25;
+/// Fraction of the tolerated excess at which balancing stops again.
+const STOP_RATIO: f64 = 0.5;
+/// Fraction of the mean by which a back end must be below it to receive slices
+/// even when none is above the tolerated load. This is the case of a back end
+/// that has just joined.
+const JOINING_SHORTFALL: f64 = 0.5;
+/// Fraction of its excess by which the busiest back end must be relieved when a
+/// hot key moves to a back end that becomes busier than the one it leaves.
+const MIN_RELIEF_RATIO: f64 = 0.25;
+/// Minimum time over which rates count as averaged.
+const MIN_WINDOW: Duration = Duration::from_secs(1);
+/// Maximum number of candidate slices examined for each move.
+const MAX_CANDIDATES: usize = 32;
+/// Maximum number of donors tried when the busiest has nothing that may move.
+const MAX_DONORS: usize = 3;
+/// Minimum load of a slice that is worth a move, relative to that of a typical
+/// slice.
+const MIN_MOVE_LOAD_RATIO: f64 = 0.25;
 
-/// Balancing of one service.
+/// Balancing state of one service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BalanceState {
     /// When the next check is due.
     pub next_check: Option<Timestamp>,
-    /// Since when it has been out of balance.
-    exceeded_since: Option<Timestamp>,
+    /// Since when the service has been out of balance, until balancing starts.
+    out_of_balance_since: Option<Timestamp>,
     /// Whether slices are being moved for balance.
     active: bool,
-    /// First load report.
+    /// Time of the first load report.
     measured_since: Option<Timestamp>,
     pub window: ChurnWindow,
 }
 
 impl ServiceState {
-    /// Ratio of the busiest receiver's load to the mean.
+    /// Returns the ratio of the highest load of a receiver to the mean.
     pub(crate) fn imbalance(&self) -> Option<f64> {
-        Loads::of(self, Duration::from_secs(1)).map(|loads| loads.ratio())
+        Loads::new(self, Duration::from_secs(1)).map(|loads| loads.ratio())
     }
 }
 
-/// Checks one service, proposes moves, splits or merges, and returns when to
-/// look again, if nothing else happens before.
-pub(crate) fn check_balance(state: &mut ServiceState, round: &mut Round<'_>) -> Option<Timestamp> {
-    let soon = round.now + round.settings.check_interval;
-    if !state.unowned.is_empty() || !state.leaving.is_empty() {
+/// Checks one service and proposes moves, splits or merges. Returns when to
+/// check again if nothing else happens before.
+pub(crate) fn check_balance(
+    state: &mut ServiceState,
+    context: &mut PlanContext<'_>,
+) -> Option<Timestamp> {
+    let soon = context.now + context.settings.check_interval;
+    if !state.unowned.is_empty() || !state.ineligible_owners.is_empty() {
         return Some(soon);
     }
     if state.awaits_reports() {
         return Some(soon);
     }
-    let loads = Loads::of(state, state.measured_window(round))?;
-    round.work.back_ends += loads.len() as u64;
-    if judge(state, &loads, round) {
-        improve(state, loads, round);
+    let loads = Loads::new(state, state.averaging_window(context))?;
+    context.work.back_ends += loads.len() as u64;
+    if should_balance(state, &loads, context) {
+        rebalance(state, loads, context);
         return Some(soon);
     }
-    if state.balance.exceeded_since.is_some() {
+    if state.balance.out_of_balance_since.is_some() {
         return Some(soon);
     }
-    merge_cold(state, &loads, round)
+    merge_cold_fragments(state, &loads, context)
 }
 
-/// Whether to move slices now: imbalance has lasted, or balancing that began
-/// has not reached its end. What noise alone can bring about never counts.
-fn judge(state: &mut ServiceState, loads: &Loads, round: &Round<'_>) -> bool {
+/// Returns whether to move slices now: the imbalance has lasted, or balancing
+/// that began is not complete. An imbalance that noise alone can explain does
+/// not count.
+fn should_balance(state: &mut ServiceState, loads: &Loads, context: &PlanContext<'_>) -> bool {
     let noise = loads.noise * NOISE_MARGIN;
     let tolerated = state.tolerated_excess().max(noise);
     let excess = loads.ratio() - 1.0;
     let shortfall = loads.shortfall();
     let balance = &mut state.balance;
     if balance.active {
-        balance.active = excess > tolerated * STOP_PART || shortfall > tolerated;
+        balance.active = excess > tolerated * STOP_RATIO || shortfall > tolerated;
         return balance.active;
     }
-    if excess <= tolerated && shortfall <= NEARLY_EMPTY.max(noise) {
-        balance.exceeded_since = None;
+    if excess <= tolerated && shortfall <= JOINING_SHORTFALL.max(noise) {
+        balance.out_of_balance_since = None;
         return false;
     }
-    let since = *balance.exceeded_since.get_or_insert(round.now);
-    if round.now.since(since) >= round.settings.min_imbalance_time {
+    let since = *balance.out_of_balance_since.get_or_insert(context.now);
+    if context.now.since(since) >= context.settings.min_imbalance_time {
         balance.active = true;
-        balance.exceeded_since = None;
+        balance.out_of_balance_since = None;
     }
     balance.active
 }
 
-/// Moves slices until the service is in balance, the budget or the number of
-/// moves at once is used up, or nothing helps.
-fn improve(state: &mut ServiceState, mut loads: Loads, round: &mut Round<'_>) {
+/// Moves slices until the service is in balance, the budget or the limit of
+/// concurrent moves is used up, or no move helps.
+fn rebalance(state: &mut ServiceState, mut loads: Loads, context: &mut PlanContext<'_>) {
     let tolerated = state.tolerated_excess();
-    while round.room > 0 && state.moves_in_progress() < round.settings.max_balancing_moves {
+    while context.remaining_actions > 0
+        && state.moves_in_progress() < context.settings.max_balancing_moves
+    {
         let filled = loads.shortfall() <= tolerated;
-        let level = 1.0 + tolerated * STOP_PART;
+        let level = 1.0 + tolerated * STOP_RATIO;
         if loads.ratio() <= level && filled {
             return;
         }
@@ -117,41 +126,42 @@
         } else {
             loads.mean
         };
-        if !move_one(state, &mut loads, floor, round) {
+        if !move_one(state, &mut loads, floor, context) {
             return;
         }
     }
 }
 
-/// Moves one slice from the busiest back end that has one to give.
+/// Moves one slice from the busiest back end that has a suitable one. Returns
+/// whether a move was proposed.
 fn move_one(
     state: &mut ServiceState,
     loads: &mut Loads,
     floor: f64,
-    round: &mut Round<'_>,
+    context: &mut PlanContext<'_>,
 ) -> bool {
     let Some(to) = loads.idlest().cloned() else {
         return false;
     };
-    let donors = loads.busiest_above(floor, DONORS_TRIED);
+    let donors = loads.busiest_above(floor, MAX_DONORS);
     for from in donors.into_iter().filter(|donor| donor.id != to.id) {
-        match choose(state, loads, &from, &to, round) {
+        match choose_slice(state, loads, &from, &to, context) {
             Choice::Move(first) => {
                 let Some(slice) = state.table.get(first) else {
                     return false;
                 };
                 let weight = slice.weight(first);
-                state.spend_move(first, &from.id, &to.id, round);
+                state.begin_budgeted_move(first, &from.id, &to.id, context);
                 loads.shift(&from.id, &to.id, weight);
                 return true;
             }
-            Choice::TooHeavy(first) => {
-                if split_hot(state, first, round) {
+            Choice::TooHot(first) => {
+                if split_hot(state, first, context) {
                     return false;
                 }
             }
             Choice::TooLarge(first) => {
-                if split_large(state, first, round) {
+                if split_large(state, first, context) {
                     return false;
                 }
             }
@@ -161,108 +171,114 @@
     false
 }
 
-/// What a donor has to give.
+/// Result of choosing a slice of a donor.
 enum Choice {
-    /// This slice helps.
+    /// Moving this slice helps.
     Move(Point),
-    /// This slice is too hot to be moved whole, but can be divided.
-    TooHeavy(Point),
-    /// This slice has more keys than the whole budget.
+    /// This slice is too hot to be moved whole, but can be split.
+    TooHot(Point),
+    /// This slice is longer than the whole churn budget.
     TooLarge(Point),
-    /// Nothing that may move now.
+    /// No slice may be moved now.
     Nothing,
 }
 
-/// The slice with the most load for each key among those that fit.
+/// Chooses the slice with the most load per key among those that fit.
 ///
-/// A hot slice is divided before anything else is moved, because a split
-/// moves no key. Where one key makes it hot, the key goes to a back end that
-/// has much less, or else its neighbours move.
-fn choose(
+/// A hot slice is split before anything else is moved, because a split moves no
+/// key. Where a single key makes it hot, that key goes to a back end with much
+/// less load, and otherwise the slices next to it are moved.
+fn choose_slice(
     state: &mut ServiceState,
     loads: &Loads,
-    from: &Load,
-    to: &Load,
-    round: &mut Round<'_>,
+    from: &ReceiverLoad,
+    to: &ReceiverLoad,
+    context: &mut PlanContext<'_>,
 ) -> Choice {
     let budget = state.churn_budget();
-    let left = state.churn_left(round.now);
+    let remaining_churn = state.remaining_churn(context.now);
     let gap = from.load - to.load;
     let excess = (from.load - loads.mean).max(0.0);
-    let usual = loads.mean / f64::from(state.policy.slices_per_back_end.max(1));
-    let Some(holding) = state.holdings.get(&from.id) else {
+    let typical_load = loads.mean / f64::from(state.policy.slices_per_back_end.max(1));
+    let Some(allocation) = state.allocations.get(&from.id) else {
         return Choice::Nothing;
     };
-    let mut otherwise = Choice::Nothing;
-    for first in holding.densest_first().take(CANDIDATES_READ) {
-        round.work.slices += 1;
+    let mut fallback = Choice::Nothing;
+    for first in allocation.densest_first().take(MAX_CANDIDATES) {
+        context.work.slices += 1;
         let Some(slice) = state.table.get(first) else {
             continue;
         };
-        if state.is_being_divided(first) || !slice.load.is_measured() {
+        if state.is_being_split_or_merged(first) || !slice.load.is_measured() {
             return Choice::Nothing;
         }
-        if state.is_busy(first) {
+        if state.has_pending_change(first) {
             continue;
         }
         let load = loads.scale.load(slice.weight(first));
         if load / from.slots + load / to.slots > gap {
-            if !slice.load.is_one_key() {
-                return Choice::TooHeavy(first);
+            if !slice.load.is_single_key() {
+                return Choice::TooHot(first);
             }
-            if load / to.slots > gap - excess * LEAST_RELIEF {
+            if load / to.slots > gap - excess * MIN_RELIEF_RATIO {
                 continue;
             }
         }
-        if slice.moved_within(round.settings.move_cooldown, round.now) {
+        if slice.moved_within(context.settings.move_cooldown, context.now) {
             continue;
         }
-        if load / from.slots < usual * LEAST_GAIN {
+        if load / from.slots < typical_load * MIN_MOVE_LOAD_RATIO {
             continue;
         }
         let size = length(slice.slice(first)) as f64;
-        if size <= left {
+        if size <= remaining_churn {
             return Choice::Move(first);
         }
-        if size > budget && budget >= 1.0 && matches!(otherwise, Choice::Nothing) {
-            otherwise = Choice::TooLarge(first);
+        if size > budget && budget >= 1.0 && matches!(fallback, Choice::Nothing) {
+            fallback = Choice::TooLarge(first);
         }
     }
-    otherwise
+    fallback
 }
 
 impl ServiceState {
-    /// Notes that a back end that holds slices reported its load.
-    pub(crate) fn note_report(&mut self, back_end: &BackEndId, now: Timestamp) {
+    /// Records that a back end with slices reported its load.
+    pub(crate) fn record_report(&mut self, back_end: &BackEndId, now: Timestamp) {
         self.balance.measured_since.get_or_insert(now);
-        if let Some(holding) = self.holdings.get_mut(back_end) {
-            holding.heard = true;
+        if let Some(allocation) = self.allocations.get_mut(back_end) {
+            allocation.has_reported = true;
         }
     }
 
-    /// Whether some owners reported load and others have not yet, as after an
-    /// election: the silent ones are not idle, they are unknown.
+    /// Returns whether some owners have reported load and others have not yet,
+    /// as after an election. The load of the latter is unknown, not zero.
     fn awaits_reports(&self) -> bool {
-        let mut owners = self.receivers.keys().filter_map(|id| self.holdings.get(id));
-        self.table.total().rate > 0 && owners.any(|holding| holding.count() > 0 && !holding.heard)
+        let mut owners = self
+            .receivers
+            .keys()
+            .filter_map(|id| self.allocations.get(id));
+        self.table.total().rate > 0
+            && owners.any(|allocation| allocation.count() > 0 && !allocation.has_reported)
     }
 
-    /// Time over which rates were averaged: an exponential mean counts twice
-    /// its time constant, and no more than has passed.
-    fn measured_window(&self, round: &Round<'_>) -> Duration {
-        let since = self.balance.measured_since.unwrap_or(round.now);
-        round
+    /// Returns the time over which rates were averaged: twice the time constant
+    /// of the exponential mean, but no more than the time since the first
+    /// report.
+    fn averaging_window(&self, context: &PlanContext<'_>) -> Duration {
+        let since = self.balance.measured_since.unwrap_or(context.now);
+        context
             .now
             .since(since)
-            .clamp(LEAST_WINDOW, round.settings.smoothing_time * 2)
+            .clamp(MIN_WINDOW, context.settings.smoothing_time * 2)
     }
 
-    /// Tolerated excess of the busiest over the mean, relative to it.
+    /// Returns the tolerated excess of the highest load over the mean, relative
+    /// to the mean.
     fn tolerated_excess(&self) -> f64 {
         (self.policy.tolerated_imbalance - 1.0).max(0.0)
     }
 
-    /// Handovers proposed or going on.
+    /// Returns the number of handovers and pending proposals.
     fn moves_in_progress(&self) -> usize {
         self.moving.len() + self.pending.len()
     }
--- a/crates/placement/src/budget.rs
+++ b/crates/placement/src/budget.rs
@@ -1,4 +1,4 @@
-//! Share of keys moved for balance within the last minute.
+//! Churn budget: the share of keys that balancing may move within a minute.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,14 +7,14 @@
 use threadledge_types::{BackEndId, Point, Timestamp};
 
 use crate::evacuate::begin_move;
-use crate::planner::Round;
+use crate::planner::PlanContext;
 use crate::service::ServiceState;
-use crate::weight::{LINE_LENGTH, length};
+use crate::weight::{KEY_SPACE_SIZE, length};
 
-/// Length of the window.
+/// Length of the sliding window.
 const WINDOW: Duration = Duration::from_secs(60);
 
-/// Sliding window over the moves begun for balance.
+/// Sliding window over the moves begun for balancing.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ChurnWindow {
     moves: VecDeque<(Timestamp, u128)>,
@@ -23,13 +23,13 @@
 }
 
 impl ChurnWindow {
-    /// Notes a move of `length` points.
-    pub(crate) fn spend(&mut self, now: Timestamp, length: u128) {
+    /// Records a move of `length` points.
+    pub(crate) fn record(&mut self, now: Timestamp, length: u128) {
         self.moves.push_back((now, length));
         self.length += length;
     }
 
-    /// Points moved within the window that ends now.
+    /// Returns the number of points moved within the window that ends now.
     pub(crate) fn spent(&mut self, now: Timestamp) -> u128 {
         while let Some((at, length)) = self.moves.front() {
             if now.since(*at) < WINDOW {
@@ -43,27 +43,27 @@
 }
 
 impl ServiceState {
-    /// Points that balance may move within a minute.
+    /// Returns the number of points that balancing may move within a minute.
     pub(crate) fn churn_budget(&self) -> f64 {
-        self.policy.churn_budget_per_minute.clamp(0.0, 1.0) * LINE_LENGTH
+        self.policy.churn_budget_per_minute.clamp(0.0, 1.0) * KEY_SPACE_SIZE
     }
 
-    /// Points that balance may still move now.
-    pub(crate) fn churn_left(&mut self, now: Timestamp) -> f64 {
+    /// Returns the number of points that balancing may still move now.
+    pub(crate) fn remaining_churn(&mut self, now: Timestamp) -> f64 {
         self.churn_budget() - self.balance.window.spent(now) as f64
     }
 
-    /// Begins a move for balance and takes it out of the budget.
-    pub(crate) fn spend_move(
+    /// Begins a move for balancing and charges it to the budget.
+    pub(crate) fn begin_budgeted_move(
         &mut self,
         first: Point,
         from: &Arc<BackEndId>,
         to: &Arc<BackEndId>,
-        round: &mut Round<'_>,
+        context: &mut PlanContext<'_>,
     ) {
         if let Some(slice) = self.slice(first) {
-            self.balance.window.spend(round.now, length(slice));
-            begin_move(self, first, from, to, round);
+            self.balance.window.record(context.now, length(slice));
+            begin_move(self, first, from, to, context);
         }
     }
 }
--- a/crates/placement/src/candidates.rs
+++ b/crates/placement/src/candidates.rs
@@ -1,41 +1,44 @@
-//! Back ends that may take a slice, the least loaded first.
+//! Receivers of a service ordered by load, for choosing the next owner of a
+//! slice.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use threadledge_types::{BackEndId, Timestamp};
 
-use crate::planner::Round;
+use crate::planner::PlanContext;
 use crate::service::{Receiver, ServiceState};
-use crate::weight::{Scale, Weight};
+use crate::weight::{LoadScale, Weight};
 
-/// Order of choice: load with a cold back end counted as busier than it is,
-/// then load as it is, then slices on their way, then the identifier.
+/// Sort key for choosing: load with a minimum for cold back ends, then actual
+/// load, then number of inbound slices, then the identifier.
 type Rank = (u64, u64, usize, Arc<BackEndId>);
 
-/// Order of choice for slices whose load is not known: share of keys a slot,
-/// then slices on their way, then the identifier.
+/// Sort key for slices of unknown load: share of keys per slot, then number of
+/// inbound slices, then the identifier.
 type KeyRank = (u64, usize, Arc<BackEndId>);
 
-/// Receivers of one service while slices are handed out.
+/// Reachable receivers of one service while slices are assigned.
 pub(crate) struct Candidates {
-    scale: Scale,
+    scale: LoadScale,
     order: BTreeSet<Rank>,
     key_order: BTreeSet<KeyRank>,
     members: BTreeMap<Arc<BackEndId>, Member>,
 }
 
+/// One receiver and what it has been assigned.
 struct Member {
     weight: Weight,
     slots: f64,
     inbound: usize,
-    /// Load a slot below which it does not count as less loaded.
+    /// Minimum load per slot that the back end counts as having, because it is
+    /// cold.
     floor: f64,
 }
 
 impl Candidates {
-    /// Reads the load of every receiver.
-    pub(crate) fn of(state: &ServiceState, round: &mut Round<'_>) -> Self {
+    /// Reads the load of every reachable receiver.
+    pub(crate) fn new(state: &ServiceState, context: &mut PlanContext<'_>) -> Self {
         let scale = state.scale();
         let slots: f64 = state.receivers.values().map(slots_of).sum();
         let mean = scale.load(state.table.total()) / slots.max(1.0);
@@ -46,18 +49,18 @@
             members: BTreeMap::new(),
         };
         for (id, receiver) in &state.receivers {
-            round.work.back_ends += 1;
-            if !receiver.answers {
+            context.work.back_ends += 1;
+            if !receiver.reachable {
                 continue;
             }
-            let holding = state.holdings.get(id);
+            let allocation = state.allocations.get(id);
             let member = Member {
-                weight: holding
-                    .map(|holding| holding.projected())
+                weight: allocation
+                    .map(|allocation| allocation.projected())
                     .unwrap_or_default(),
                 slots: slots_of(receiver),
-                inbound: holding.map_or(0, |holding| holding.inbound_count),
-                floor: mean * coldness(receiver.seen, round),
+                inbound: allocation.map_or(0, |allocation| allocation.inbound_count),
+                floor: mean * cold_fraction(receiver.first_seen, context),
             };
             candidates.order.insert(candidates.rank(id, &member));
             candidates.key_order.insert(key_rank(id, &member));
@@ -66,16 +69,17 @@
         candidates
     }
 
-    /// The best receiver.
+    /// Returns the best receiver.
     pub(crate) fn best(&self) -> Option<Arc<BackEndId>> {
         self.order.first().map(|(_, _, _, id)| Arc::clone(id))
     }
 
-    /// The best receiver for a slice of this weight.
+    /// Returns the best receiver for a slice of this weight.
     ///
-    /// Load is reported only once a slice has an owner. By load, a slice
-    /// without reports would weigh next to nothing beside those with, and one
-    /// back end would be given very many of them; so they go by keys.
+    /// Load is reported only once a slice has an owner. If slices without
+    /// reports were assigned by load, they would weigh next to nothing beside
+    /// those with reports, and one back end would receive very many of them. So
+    /// they are assigned by share of keys.
     pub(crate) fn best_for(&self, weight: Weight) -> Option<Arc<BackEndId>> {
         if weight.rate > 0 {
             return self.best();
@@ -83,8 +87,8 @@
         self.key_order.first().map(|(_, _, id)| Arc::clone(id))
     }
 
-    /// Counts a slice that was given to `id`.
-    pub(crate) fn place(&mut self, id: &Arc<BackEndId>, weight: Weight) {
+    /// Adds a slice that was assigned to `id`.
+    pub(crate) fn add_slice(&mut self, id: &Arc<BackEndId>, weight: Weight) {
         let Some(mut member) = self.members.remove(id) else {
             return;
         };
@@ -118,10 +122,10 @@
     f64::from(receiver.slots)
 }
 
-/// 1 for a session just seen, falling to 0 when it is warm.
-fn coldness(seen: Timestamp, round: &Round<'_>) -> f64 {
-    let warm_up = round.settings.warm_up.as_secs_f64();
-    let age = round.now.since(seen).as_secs_f64();
+/// Returns 1 for a session just seen, falling linearly to 0 when it is warm.
+fn cold_fraction(first_seen: Timestamp, context: &PlanContext<'_>) -> f64 {
+    let warm_up = context.settings.warm_up.as_secs_f64();
+    let age = context.now.since(first_seen).as_secs_f64();
     if age >= warm_up {
         0.0
     } else {
--- a/crates/placement/src/directory.rs
+++ b/crates/placement/src/directory.rs
@@ -1,4 +1,4 @@
-//! Back ends and their sessions, over all services.
+//! Back ends and their sessions, shared by all services.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,35 +6,36 @@
 use threadledge_types::records::{BackEndRecord, SessionRecord};
 use threadledge_types::{BackEndId, Incarnation, SessionId, Timestamp};
 
-/// One back end, as far as it is known. The object may be gone while a
-/// session is still open, and the other way round.
+/// One back end as far as it is known. The object may be deleted while a
+/// session is still open, and a session may be known before the object.
 #[derive(Clone, Debug)]
-pub(crate) struct Entry {
+pub(crate) struct BackEndEntry {
     pub id: Arc<BackEndId>,
     pub record: Option<Box<BackEndRecord>>,
-    /// It answers the leader; one that does not is given nothing, and keeps
-    /// what it owns until its session ends.
-    pub answers: bool,
+    /// Whether it responds to the leader. One that does not receives no slices,
+    /// and keeps what it owns until its session ends.
+    pub reachable: bool,
     sessions: BTreeMap<Incarnation, Session>,
 }
 
+/// One session of a back end.
 #[derive(Clone, Copy, Debug)]
 struct Session {
     draining: bool,
-    seen: Timestamp,
+    first_seen: Timestamp,
 }
 
-/// The session that may take slices.
+/// A session that may receive slices.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct OpenSession {
     pub id: SessionId,
     /// When this planner first saw it.
-    pub seen: Timestamp,
+    pub first_seen: Timestamp,
 }
 
-impl Entry {
-    /// The latest session, if it may take slices. A draining session never
-    /// may: a leaving back end gets no new work.
+impl BackEndEntry {
+    /// Returns the latest session if it may receive slices. A draining session
+    /// may not.
     pub(crate) fn open_session(&self) -> Option<OpenSession> {
         let (incarnation, session) = self.sessions.last_key_value()?;
         if session.draining {
@@ -45,7 +46,7 @@
                 back_end: BackEndId::clone(&self.id),
                 incarnation: *incarnation,
             },
-            seen: session.seen,
+            first_seen: session.first_seen,
         })
     }
 }
@@ -53,27 +54,27 @@
 /// All back ends.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Directory {
-    entries: BTreeMap<Arc<BackEndId>, Entry>,
+    entries: BTreeMap<Arc<BackEndId>, BackEndEntry>,
 }
 
 impl Directory {
-    pub(crate) fn get(&self, id: &BackEndId) -> Option<&Entry> {
+    pub(crate) fn get(&self, id: &BackEndId) -> Option<&BackEndEntry> {
         self.entries.get(id)
     }
 
-    /// The shared form of an identifier.
-    pub(crate) fn share(&self, id: &BackEndId) -> Arc<BackEndId> {
+    /// Returns the shared copy of an identifier.
+    pub(crate) fn shared_id(&self, id: &BackEndId) -> Arc<BackEndId> {
         match self.entries.get_key_value(id) {
             Some((shared, _)) => Arc::clone(shared),
             None => Arc::new(id.clone()),
         }
     }
 
-    /// Back ends of one namespace, in order.
+    /// Returns the back ends of one namespace in order.
     pub(crate) fn in_namespace<'a>(
         &'a self,
         namespace: &'a str,
-    ) -> impl Iterator<Item = &'a Entry> + 'a {
+    ) -> impl Iterator<Item = &'a BackEndEntry> + 'a {
         let start = BackEndId::new(namespace, "");
         self.entries
             .range::<BackEndId, _>(start..)
@@ -90,7 +91,7 @@
         if let Some(entry) = self.entries.get_mut(id) {
             entry.record = None;
         }
-        self.forget_if_empty(id);
+        self.remove_if_empty(id);
     }
 
     pub(crate) fn put_session(&mut self, session: &SessionRecord, now: Timestamp) {
@@ -100,15 +101,15 @@
             .entry(session.id.incarnation)
             .or_insert(Session {
                 draining: session.draining,
-                seen: now,
+                first_seen: now,
             });
         known.draining = session.draining;
     }
 
-    /// Notes whether a known back end answers.
-    pub(crate) fn set_answers(&mut self, id: &BackEndId, answers: bool) {
+    /// Sets whether a known back end responds.
+    pub(crate) fn set_reachable(&mut self, id: &BackEndId, reachable: bool) {
         if let Some(entry) = self.entries.get_mut(id) {
-            entry.answers = answers;
+            entry.reachable = reachable;
         }
     }
 
@@ -116,22 +117,22 @@
         if let Some(entry) = self.entries.get_mut(&id.back_end) {
             entry.sessions.remove(&id.incarnation);
         }
-        self.forget_if_empty(&id.back_end);
+        self.remove_if_empty(&id.back_end);
     }
 
-    fn entry(&mut self, id: &BackEndId) -> &mut Entry {
-        let shared = self.share(id);
+    fn entry(&mut self, id: &BackEndId) -> &mut BackEndEntry {
+        let shared = self.shared_id(id);
         self.entries
             .entry(Arc::clone(&shared))
-            .or_insert_with(|| Entry {
+            .or_insert_with(|| BackEndEntry {
                 id: shared,
                 record: None,
-                answers: true,
+                reachable: true,
                 sessions: BTreeMap::new(),
             })
     }
 
-    fn forget_if_empty(&mut self, id: &BackEndId) {
+    fn remove_if_empty(&mut self, id: &BackEndId) {
         let empty = self
             .entries
             .get(id)
--- a/crates/placement/src/evacuate.rs
+++ b/crates/placement/src/evacuate.rs
@@ -1,5 +1,5 @@
-//! Moves away from owners that may not keep their slices, and handovers
-//! given up because the next owner may no longer take them.
+//! Moves slices away from owners that may not keep them, and cancels handovers
+//! whose next owner may no longer receive the slice.
 
 use std::sync::Arc;
 
@@ -7,30 +7,30 @@
 
 use crate::action::Action;
 use crate::candidates::Candidates;
-use crate::planner::Round;
+use crate::planner::PlanContext;
 use crate::service::ServiceState;
 use crate::transfers::Transfer;
 
-/// A back end with many slices gives up one part in this many at once, so that
-/// the time to drain grows with the logarithm of their number.
-const EVACUATION_ROUNDS: usize = 4;
+/// Divisor of a back end's number of slices that gives how many may move away
+/// at once, so that the time to drain grows with the logarithm of that number.
+const EVACUATION_DIVISOR: usize = 4;
 
-/// Cancels handovers to back ends that may no longer take slices.
-pub(crate) fn cancel_stranded(state: &mut ServiceState, round: &mut Round<'_>) {
-    let stranded: Vec<Point> = state
-        .stranded
+/// Cancels handovers to back ends that may no longer receive slices.
+pub(crate) fn cancel_invalid_moves(state: &mut ServiceState, context: &mut PlanContext<'_>) {
+    let invalid_moves: Vec<Point> = state
+        .invalid_moves
         .iter()
         .copied()
         .filter(|first| !state.pending.contains_key(first))
-        .take(round.room)
+        .take(context.remaining_actions)
         .collect();
-    for first in stranded {
-        round.work.slices += 1;
+    for first in invalid_moves {
+        context.work.slices += 1;
         let Some(slice) = state.table.get(first) else {
             continue;
         };
         if slice.owner.is_none() {
-            // Assignment decides anew; there is no handover to cancel.
+            // There is no handover to cancel. The slice will be assigned again.
             continue;
         }
         let action = Action::CancelMove {
@@ -38,49 +38,58 @@
             slice: slice.slice(first),
             expected_epoch: slice.epoch,
         };
-        state.propose(first, round.proposal_end(), None);
-        round.push(action);
+        state.record_proposal(first, context.proposal_expiry(), None);
+        context.add_action(action);
     }
 }
 
 /// Begins moves away from owners that are draining or no longer selected.
 ///
-/// A bounded number runs at once from each, hottest keys first, spread over
-/// all receivers: the source lets go one by one and no receiver is stormed.
-pub(crate) fn evacuate(state: &mut ServiceState, round: &mut Round<'_>) {
-    if state.leaving.is_empty() || state.receivers.is_empty() || round.room == 0 {
+/// Only a bounded number runs at once for each owner, hottest keys first,
+/// spread over all receivers, so that the source releases slices gradually and
+/// no receiver is overloaded.
+pub(crate) fn evacuate(state: &mut ServiceState, context: &mut PlanContext<'_>) {
+    if state.ineligible_owners.is_empty()
+        || state.receivers.is_empty()
+        || context.remaining_actions == 0
+    {
         return;
     }
-    let mut candidates = Candidates::of(state, round);
-    let leaving: Vec<Arc<BackEndId>> = state.leaving.iter().cloned().collect();
-    for from in leaving {
-        for first in next_to_leave(state, &from, round) {
-            round.work.slices += 1;
+    let mut candidates = Candidates::new(state, context);
+    let ineligible_owners: Vec<Arc<BackEndId>> = state.ineligible_owners.iter().cloned().collect();
+    for from in ineligible_owners {
+        for first in next_slices_to_evacuate(state, &from, context) {
+            context.work.slices += 1;
             let Some(to) = candidates.best() else {
                 return;
             };
-            begin_move(state, first, &from, &to, round);
+            begin_move(state, first, &from, &to, context);
             if let Some(slice) = state.table.get(first) {
-                candidates.place(&to, slice.weight(first));
+                candidates.add_slice(&to, slice.weight(first));
             }
         }
     }
 }
 
-fn next_to_leave(state: &ServiceState, from: &BackEndId, round: &Round<'_>) -> Vec<Point> {
-    let Some(holding) = state.holdings.get(from) else {
+/// Returns the slices whose moves away from `from` may begin now.
+fn next_slices_to_evacuate(
+    state: &ServiceState,
+    from: &BackEndId,
+    context: &PlanContext<'_>,
+) -> Vec<Point> {
+    let Some(allocation) = state.allocations.get(from) else {
         return Vec::new();
     };
-    let most = round
+    let limit = context
         .settings
         .max_evacuations_per_back_end
-        .max(holding.count() / EVACUATION_ROUNDS)
-        .saturating_sub(holding.outbound_count)
-        .min(round.room);
-    holding
+        .max(allocation.count() / EVACUATION_DIVISOR)
+        .saturating_sub(allocation.outbound_count)
+        .min(context.remaining_actions);
+    allocation
         .densest_first()
-        .filter(|first| !state.is_busy(*first))
-        .take(most)
+        .filter(|first| !state.has_pending_change(*first))
+        .take(limit)
         .collect()
 }
 
@@ -90,7 +99,7 @@
     first: Point,
     from: &Arc<BackEndId>,
     to: &Arc<BackEndId>,
-    round: &mut Round<'_>,
+    context: &mut PlanContext<'_>,
 ) {
     let Some(slice) = state.table.get(first) else {
         return;
@@ -106,6 +115,6 @@
         to: Arc::clone(to),
         weight: slice.weight(first),
     };
-    state.propose(first, round.proposal_end(), Some(transfer));
-    round.push(action);
+    state.record_proposal(first, context.proposal_expiry(), Some(transfer));
+    context.add_action(action);
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,23 +1,24 @@
 //! Decides which back end should own which slice.
 //!
-//! [`Planner`] follows the records of one group and the load reports of back
-//! ends, and proposes [`Action`]s: assignments of unowned slices, moves,
-//! splits and merges. It proposes only. The replicated state machine compares
-//! each proposal's epoch and refuses those that lost a race, so nothing here
-//! can break sole ownership.
+//! [`Planner`] observes the records of one group and the load reports of back
+//! ends, and proposes [`Action`]s: assignments of unowned slices, moves, splits
+//! and merges. It only proposes. The replicated state machine compares the
+//! epoch of each proposal and rejects those that lost a race, so nothing here
+//! can violate exclusive ownership.
 //!
-//! Costs follow the change: [`Planner::plan`] visits the services in which
-//! something changed, and within them only the slices it acts on.
+//! The cost of planning depends on the size of a change: [`Planner::plan`]
+//! visits the services in which something changed, and within them only the
+//! slices it acts on.
 
 mod action;
+mod allocation;
 mod assign;
 mod balance;
 mod budget;
 mod candidates;
 mod directory;
 mod evacuate;
-mod holding;
-mod load;
+mod load_reports;
 mod loads;
 mod merge;
 mod observe;
@@ -30,9 +31,9 @@
 mod split;
 mod transfers;
 mod weight;
-mod work;
+mod work_counters;
 
 pub use action::Action;
 pub use planner::Planner;
 pub use settings::PlannerSettings;
-pub use work::WorkCounters;
+pub use work_counters::WorkCounters;
--- a/crates/placement/src/loads.rs
+++ b/crates/placement/src/loads.rs
@@ -1,4 +1,4 @@
-//! Loads of the back ends that may serve, compared.
+//! Comparison of the loads of the receivers of a service.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,49 +6,50 @@
 use threadledge_types::BackEndId;
 
 use crate::service::ServiceState;
-use crate::weight::{Scale, Weight};
+use crate::weight::{LoadScale, Weight};
 
-/// Loads of the receivers, a slot, busiest first.
+/// Loads per slot of the receivers, in descending order.
 #[derive(Clone, Debug)]
 pub(crate) struct Loads {
-    pub scale: Scale,
+    pub scale: LoadScale,
     pub mean: f64,
     /// Standard deviation of one back end's measured load, relative to the
     /// mean.
     pub noise: f64,
-    members: Vec<Load>,
+    members: Vec<ReceiverLoad>,
 }
 
 /// Load of one receiver.
 #[derive(Clone, Debug)]
-pub(crate) struct Load {
+pub(crate) struct ReceiverLoad {
     pub id: Arc<BackEndId>,
     pub slots: f64,
-    /// Load a slot, once everything on its way has arrived.
+    /// Load per slot once all moves have completed.
     pub load: f64,
-    /// It answers the leader and may be given slices.
-    pub answers: bool,
+    /// It responds to the leader and may receive slices.
+    pub reachable: bool,
 }
 
 impl Loads {
-    /// `window` is the time over which rates were averaged.
-    pub(crate) fn of(state: &ServiceState, window: Duration) -> Option<Self> {
+    /// Computes the loads, or returns `None` if there are no receivers or no
+    /// slices to compare. `window` is the time over which rates were averaged.
+    pub(crate) fn new(state: &ServiceState, window: Duration) -> Option<Self> {
         let scale = state.scale();
         let mut sum = Weight::default();
         let mut slots = 0.0;
         let mut members = Vec::with_capacity(state.receivers.len());
         for (id, receiver) in &state.receivers {
-            let holding = state.holdings.get(id);
-            let weight = holding
-                .map(|holding| holding.projected())
+            let allocation = state.allocations.get(id);
+            let weight = allocation
+                .map(|allocation| allocation.projected())
                 .unwrap_or_default();
             sum += weight;
             slots += f64::from(receiver.slots);
-            members.push(Load {
+            members.push(ReceiverLoad {
                 id: Arc::clone(id),
                 slots: f64::from(receiver.slots),
                 load: scale.load(weight) / f64::from(receiver.slots),
-                answers: receiver.answers,
+                reachable: receiver.reachable,
             });
         }
         if members.is_empty() || sum.length == 0 {
@@ -77,40 +78,41 @@
         });
     }
 
-    /// Ratio of the busiest to the mean.
+    /// Returns the ratio of the highest load to the mean.
     pub(crate) fn ratio(&self) -> f64 {
         self.members
             .first()
             .map_or(1.0, |busiest| busiest.load / self.mean)
     }
 
-    /// By how much the idlest stays below the mean, relative to it.
+    /// Returns how far the lowest load is below the mean, relative to the mean.
     pub(crate) fn shortfall(&self) -> f64 {
         self.idlest()
             .map_or(0.0, |idlest| 1.0 - idlest.load / self.mean)
     }
 
-    /// Number of receivers.
+    /// Returns the number of receivers.
     pub(crate) fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// The busiest receivers above `floor`, at most `most`.
-    pub(crate) fn busiest_above(&self, floor: f64, most: usize) -> Vec<Load> {
+    /// Returns the receivers with a load above `floor` among the `limit`
+    /// busiest.
+    pub(crate) fn busiest_above(&self, floor: f64, limit: usize) -> Vec<ReceiverLoad> {
         self.members
             .iter()
-            .take(most)
+            .take(limit)
             .filter(|member| member.load > floor)
             .cloned()
             .collect()
     }
 
-    /// The least busy receiver that answers.
-    pub(crate) fn idlest(&self) -> Option<&Load> {
-        self.members.iter().rev().find(|member| member.answers)
+    /// Returns the least loaded reachable receiver.
+    pub(crate) fn idlest(&self) -> Option<&ReceiverLoad> {
+        self.members.iter().rev().find(|member| member.reachable)
     }
 
-    /// Counts a move and sorts again.
+    /// Applies a move to the loads and sorts again.
     pub(crate) fn shift(&mut self, from: &BackEndId, to: &BackEndId, weight: Weight) {
         let load = self.scale.load(weight);
         for member in &mut self.members {
--- a/crates/placement/src/observe.rs
+++ b/crates/placement/src/observe.rs
@@ -1,4 +1,4 @@
-//! Following the group's records.
+//! Updates from the group's records.
 
 use std::sync::Arc;
 
@@ -9,18 +9,19 @@
 use crate::service::ServiceState;
 
 impl Planner {
-    /// Follows one change of the group's records, in the order of the log.
+    /// Applies one change of the group's records. Changes must arrive in the
+    /// order of the log.
     pub fn observe(&mut self, change: &RecordChange) {
         match change {
             RecordChange::Service(record) => self.observe_service(record),
             RecordChange::ServiceRemoved(id) => self.forget_service(id),
             RecordChange::BackEnd(record) => {
                 self.directory.put_record(record.clone());
-                self.select_again(&record.id);
+                self.reevaluate_selectors(&record.id);
             }
             RecordChange::BackEndRemoved(id) => {
                 self.directory.remove_record(id);
-                self.select_again(id);
+                self.reevaluate_selectors(id);
             }
             RecordChange::Session(session) => {
                 self.directory.put_session(session, self.now);
@@ -43,7 +44,7 @@
 
     fn observe_service(&mut self, record: &ServiceRecord) {
         match self.services.get_mut(&record.id) {
-            Some(state) => state.change(record),
+            Some(state) => state.update(record),
             None => {
                 let state = ServiceState::new(record);
                 self.services.insert(Arc::clone(&state.id), state);
@@ -58,12 +59,11 @@
             return;
         };
         let directory = &self.directory;
-        state.put_slice(record, |id| directory.share(id), self.now);
+        state.put_slice(record, |id| directory.shared_id(id), self.now);
         self.mark_dirty(&record.service);
     }
 
-    /// Evaluates one service's selector against the back ends of its
-    /// namespace.
+    /// Evaluates one service's selector against the back ends of its namespace.
     fn refresh_service(&mut self, id: &ServiceId) {
         let Some(state) = self.services.get_mut(id) else {
             return;
@@ -77,7 +77,7 @@
     }
 
     /// Evaluates the selectors of one namespace against one back end.
-    fn select_again(&mut self, id: &BackEndId) {
+    fn reevaluate_selectors(&mut self, id: &BackEndId) {
         let start = ServiceId::new(&id.namespace, "");
         let before = self.selection.services_of(id);
         let entry = self.directory.get(id);
@@ -93,20 +93,21 @@
         self.refresh_back_end(id);
     }
 
-    /// Evaluates one back end again in the services that select it.
+    /// Re-evaluates one back end in the services that select it.
     fn refresh_back_end(&mut self, id: &BackEndId) {
         let selecting = self.selection.services_of(id);
         self.refresh_receivers(id, selecting);
     }
 
-    /// Notes whether a back end answers the leader. One that does not is given
-    /// no slices, and loses none for it: whether it is gone shows when its
-    /// lease runs out.
-    pub fn set_reachable(&mut self, id: &BackEndId, answers: bool) {
-        self.directory.set_answers(id, answers);
+    /// Sets whether a back end responds to the leader. One that does not
+    /// receives no slices, but keeps those it has: whether it is gone is known
+    /// only when its lease expires.
+    pub fn set_reachable(&mut self, id: &BackEndId, reachable: bool) {
+        self.directory.set_reachable(id, reachable);
         self.refresh_back_end(id);
     }
 
+    /// Re-evaluates whether one back end may receive slices of the services.
     fn refresh_receivers(&mut self, id: &BackEndId, services: Vec<Arc<ServiceId>>) {
         let entry = self.directory.get(id);
         let mut affected = Vec::new();
--- a/crates/placement/src/planner.rs
+++ b/crates/placement/src/planner.rs
@@ -1,4 +1,4 @@
-//! The planner: which services need a look, and in what order.
+//! The planner, which schedules planning and balance checks of services.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,11 +10,11 @@
 use crate::assign::assign_unowned;
 use crate::balance::check_balance;
 use crate::directory::Directory;
-use crate::evacuate::{cancel_stranded, evacuate};
+use crate::evacuate::{cancel_invalid_moves, evacuate};
 use crate::selection::Selection;
 use crate::service::ServiceState;
 use crate::settings::PlannerSettings;
-use crate::work::WorkCounters;
+use crate::work_counters::WorkCounters;
 
 /// Plans the ownership of the slices of one group.
 #[derive(Clone, Debug)]
@@ -29,44 +29,46 @@
     dirty: BTreeSet<Arc<ServiceId>>,
     /// Services by the time of their next balance check.
     checks: BTreeSet<(Timestamp, Arc<ServiceId>)>,
-    /// Proposals by the time at which they are given up.
+    /// Proposals by the time at which they expire.
     expiries: BTreeSet<(Timestamp, Arc<ServiceId>, Point)>,
-    /// Last service that was planned, so that all get their turn.
+    /// Service that was planned last, so that services take turns.
     cursor: Option<Arc<ServiceId>>,
-    /// Latest report of each back end.
+    /// Time of the latest load report of each back end.
     pub(crate) reported_at: BTreeMap<BackEndId, Timestamp>,
     pub(crate) work: WorkCounters,
 }
 
-/// Room for actions and what is needed to make them.
-pub(crate) struct Round<'a> {
+/// State of planning one service: its inputs, the actions so far and how many
+/// more may be added.
+pub(crate) struct PlanContext<'a> {
     pub settings: &'a PlannerSettings,
     pub now: Timestamp,
-    /// Actions that may still be added.
-    pub room: usize,
+    /// Number of actions that may still be added.
+    pub remaining_actions: usize,
     pub actions: Vec<Action>,
     pub work: WorkCounters,
 }
 
-impl Round<'_> {
-    /// When a proposal made now is given up.
-    pub(crate) fn proposal_end(&self) -> Timestamp {
+impl PlanContext<'_> {
+    /// Returns when a proposal made now expires.
+    pub(crate) fn proposal_expiry(&self) -> Timestamp {
         self.now + self.settings.proposal_timeout
     }
 
     /// Adds an action.
-    pub(crate) fn push(&mut self, action: Action) {
-        self.room = self.room.saturating_sub(1);
+    pub(crate) fn add_action(&mut self, action: Action) {
+        self.remaining_actions = self.remaining_actions.saturating_sub(1);
         self.actions.push(action);
     }
 }
 
 impl Planner {
-    /// A planner that knows nothing yet. `seed` decides ties that nothing
+    /// Creates a planner without any records. `seed` decides ties that nothing
     /// else decides.
     pub fn new(settings: PlannerSettings, seed: u64) -> Self {
-        // Every tie is decided by identifiers today; the seed is part of the
-        // interface so that a random choice can be added without changing it.
+        // All ties are currently decided by identifiers. The seed is part of
+        // the interface so that a random choice can be added without changing
+        // it.
         let _ = seed;
         Planner {
             settings,
@@ -83,9 +85,9 @@
         }
     }
 
-    /// Proposes at most `max_actions` actions. Assignments and moves away
-    /// from leaving back ends come first, balance after; services take turns,
-    /// so that a large one starves no other.
+    /// Proposes at most `max_actions` actions. Assignments and moves away from
+    /// owners that may not keep their slices come first, and balancing comes
+    /// after. Services take turns, so that a large one cannot starve another.
     pub fn plan(&mut self, now: Timestamp, max_actions: usize) -> Vec<Action> {
         self.now = self.now.max(now);
         self.expire_proposals();
@@ -95,25 +97,25 @@
         actions
     }
 
-    /// Takes back a proposal that was refused or never committed, so that the
-    /// slice is planned again at once and not only after the timeout.
+    /// Withdraws a proposal that was rejected or never committed, so that the
+    /// slice is planned again at once instead of after the timeout.
     pub fn withdraw(&mut self, action: &Action) {
         let Some(state) = self.services.get_mut(action.service()) else {
             return;
         };
-        for first in action.touched() {
-            state.drop_pending(first);
+        for first in action.affected_slices() {
+            state.remove_proposal(first);
         }
         self.mark_dirty(action.service());
     }
 
-    /// Ratio of the busiest back end's load to the mean, over the back ends
-    /// that may serve; `None` without any.
+    /// Returns the ratio of the highest load to the mean over the receivers of
+    /// the service, or `None` if there are none.
     pub fn imbalance(&self, service: &ServiceId) -> Option<f64> {
         self.services.get(service)?.imbalance()
     }
 
-    /// Slices of the service that nobody owns.
+    /// Returns the number of slices of the service that have no owner.
     pub fn unowned_slices(&self, service: &ServiceId) -> usize {
         self.services.get(service).map_or(0, |state| {
             let proposed = state
@@ -128,7 +130,7 @@
         })
     }
 
-    /// Back ends that may take slices of the service.
+    /// Returns the back ends that may receive slices of the service.
     pub fn receivers(&self, service: &ServiceId) -> Vec<BackEndId> {
         self.services.get(service).map_or_else(Vec::new, |state| {
             state
@@ -139,7 +141,7 @@
         })
     }
 
-    /// A slice as the records seen so far have it.
+    /// Returns a slice as of the records observed so far.
     pub fn slice_record(&self, key: &SliceKey) -> Option<SliceRecord> {
         let state = self.services.get(&key.service)?.table.get(key.first)?;
         let owner = state.owner.as_ref().map(|owner| SessionId {
@@ -155,12 +157,13 @@
         })
     }
 
-    /// How much the planner looked at so far.
+    /// Returns the counters of the work done so far.
     pub fn work_counters(&self) -> WorkCounters {
         self.work
     }
 
-    /// Notes that a service needs planning, and a balance check soon.
+    /// Marks a service as needing planning, and schedules a balance check for
+    /// it.
     pub(crate) fn mark_dirty(&mut self, service: &ServiceId) {
         let Some((id, _)) = self.services.get_key_value(service) else {
             return;
@@ -170,7 +173,7 @@
         self.schedule_check(&id, self.now + self.settings.check_interval);
     }
 
-    /// Plans a balance check at `at`, unless an earlier one is planned.
+    /// Schedules a balance check at `at`, unless an earlier one is scheduled.
     pub(crate) fn schedule_check(&mut self, service: &Arc<ServiceId>, at: Timestamp) {
         let Some(state) = self.services.get_mut(service) else {
             return;
@@ -185,7 +188,7 @@
         self.checks.insert((at, Arc::clone(service)));
     }
 
-    /// Forgets everything planned for a service.
+    /// Removes a service and everything scheduled for it.
     pub(crate) fn forget_service(&mut self, service: &ServiceId) {
         let Some((id, state)) = self.services.remove_entry(service) else {
             return;
@@ -209,20 +212,20 @@
             let lapsed = state
                 .pending
                 .get(&first)
-                .is_some_and(|pending| pending.until <= self.now);
+                .is_some_and(|pending| pending.expires_at <= self.now);
             if lapsed {
-                state.drop_pending(first);
+                state.remove_proposal(first);
                 self.mark_dirty(&service);
             }
         }
     }
 
-    /// Gives every dirty service its part of the room, then hands what was
-    /// left over to those that could use more.
+    /// Plans the dirty services. Each gets an equal part of the remaining
+    /// actions, and what is unused is offered to those that need more.
     fn plan_dirty(&mut self, actions: &mut Vec<Action>, max_actions: usize) {
         loop {
             let before = actions.len();
-            self.plan_turn(actions, max_actions);
+            self.plan_dirty_once(actions, max_actions);
             let idle = actions.len() == before;
             if idle || actions.len() >= max_actions || self.dirty.is_empty() {
                 return;
@@ -230,16 +233,17 @@
         }
     }
 
-    fn plan_turn(&mut self, actions: &mut Vec<Action>, max_actions: usize) {
-        let turn = self.turn();
-        let mut left = turn.len();
-        for service in turn {
-            let room = max_actions.saturating_sub(actions.len());
-            if room == 0 {
+    /// Plans every dirty service once with its part of the remaining actions.
+    fn plan_dirty_once(&mut self, actions: &mut Vec<Action>, max_actions: usize) {
+        let services = self.dirty_in_order();
+        let mut remaining_services = services.len();
+        for service in services {
+            let remaining_actions = max_actions.saturating_sub(actions.len());
+            if remaining_actions == 0 {
                 return;
             }
-            let quota = room.div_ceil(left);
-            left -= 1;
+            let quota = remaining_actions.div_ceil(remaining_services);
+            remaining_services -= 1;
             let used = self.plan_service(&service, actions, quota);
             if used < quota {
                 self.dirty.remove(&service);
@@ -248,8 +252,9 @@
         }
     }
 
-    /// Dirty services, starting after the one planned last.
-    fn turn(&self) -> Vec<Arc<ServiceId>> {
+    /// Returns the dirty services in order, starting after the one planned
+    /// last.
+    fn dirty_in_order(&self) -> Vec<Arc<ServiceId>> {
         let Some(cursor) = &self.cursor else {
             return self.dirty.iter().cloned().collect();
         };
@@ -264,10 +269,10 @@
         actions: &mut Vec<Action>,
         quota: usize,
     ) -> usize {
-        self.in_round(service, actions, quota, |state, round| {
-            cancel_stranded(state, round);
-            assign_unowned(state, round);
-            evacuate(state, round);
+        self.run_for_service(service, actions, quota, |state, context| {
+            cancel_invalid_moves(state, context);
+            assign_unowned(state, context);
+            evacuate(state, context);
         })
     }
 
@@ -280,52 +285,54 @@
             }
             due.push(service);
         }
-        let mut left = due.len();
+        let mut remaining_services = due.len();
         for service in due {
-            let room = max_actions.saturating_sub(actions.len());
-            let quota = room.div_ceil(left);
-            left -= 1;
-            let mut again = None;
-            self.in_round(&service, actions, quota, |state, round| {
+            let remaining_actions = max_actions.saturating_sub(actions.len());
+            let quota = remaining_actions.div_ceil(remaining_services);
+            remaining_services -= 1;
+            let mut next_check = None;
+            self.run_for_service(&service, actions, quota, |state, context| {
                 state.balance.next_check = None;
-                again = check_balance(state, round);
+                next_check = check_balance(state, context);
             });
-            if let Some(at) = again {
+            if let Some(at) = next_check {
                 self.schedule_check(&service, at);
             }
         }
     }
 
-    /// Runs `step` for one service and notes the proposals it made.
-    fn in_round(
+    /// Runs `step` for one service and records the expiry of its proposals.
+    /// Returns the number of actions proposed.
+    fn run_for_service(
         &mut self,
         service: &Arc<ServiceId>,
         actions: &mut Vec<Action>,
         quota: usize,
-        step: impl FnOnce(&mut ServiceState, &mut Round<'_>),
+        step: impl FnOnce(&mut ServiceState, &mut PlanContext<'_>),
     ) -> usize {
         let Some(state) = self.services.get_mut(service) else {
             return 0;
         };
-        let mut round = Round {
+        let mut context = PlanContext {
             settings: &self.settings,
             now: self.now,
-            room: quota,
+            remaining_actions: quota,
             actions: Vec::new(),
             work: self.work,
         };
-        round.work.services += 1;
-        step(state, &mut round);
-        self.work = round.work;
-        let until = round.proposal_end();
-        let made = round.actions;
-        for action in &made {
-            for first in action.touched() {
-                self.expiries.insert((until, Arc::clone(service), first));
+        context.work.services += 1;
+        step(state, &mut context);
+        self.work = context.work;
+        let expires_at = context.proposal_expiry();
+        let proposed = context.actions;
+        for action in &proposed {
+            for first in action.affected_slices() {
+                self.expiries
+                    .insert((expires_at, Arc::clone(service), first));
             }
         }
-        let used = made.len();
-        actions.extend(made);
+        let used = proposed.len();
+        actions.extend(proposed);
         used
     }
 }
--- a/crates/placement/src/selection.rs
+++ b/crates/placement/src/selection.rs
@@ -1,5 +1,5 @@
-//! Which services select which back end, so that what concerns one back end
-//! costs nothing for the other services of its namespace.
+//! Index of the services that select each back end, so that a change of one
+//! back end costs nothing for the other services of its namespace.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,13 +13,13 @@
 }
 
 impl Selection {
-    /// Services that select the back end, in order.
+    /// Returns the services that select the back end, in order.
     pub(crate) fn services_of(&self, back_end: &BackEndId) -> Vec<Arc<ServiceId>> {
         let services = self.by_back_end.get(back_end);
         services.into_iter().flatten().cloned().collect()
     }
 
-    /// Notes whether the service selects the back end.
+    /// Sets whether the service selects the back end.
     pub(crate) fn set(&mut self, back_end: &BackEndId, service: &Arc<ServiceId>, selected: bool) {
         if selected {
             let services = self.by_back_end.entry(back_end.clone()).or_default();
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Forgets a service.
+    /// Removes a service.
     pub(crate) fn remove_service(&mut self, service: &ServiceId) {
         let start = BackEndId::new(&service.namespace, "");
         let selecting: Vec<BackEndId> = self
--- a/crates/placement/src/service.rs
+++ b/crates/placement/src/service.rs
@@ -8,23 +8,23 @@
 use threadledge_types::records::ServiceRecord;
 use threadledge_types::{BackEndId, Point, ServiceId, SessionId, Slice, Timestamp};
 
+use crate::allocation::Allocation;
 use crate::balance::BalanceState;
-use crate::directory::Entry;
-use crate::holding::Holding;
+use crate::directory::BackEndEntry;
 use crate::slices::{SliceLoad, SliceTable};
-use crate::transfers::{Pending, Transfer};
-use crate::weight::{Scale, Weight};
+use crate::transfers::{PendingProposal, Transfer};
+use crate::weight::{LoadScale, Weight};
 
-/// A back end that may take slices of the service.
+/// A back end that may receive slices of the service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Receiver {
     pub session: SessionId,
-    /// Requests it carries out at once, at least 1.
+    /// Number of requests that it processes concurrently, at least 1.
     pub slots: u32,
     /// When its session was first seen.
-    pub seen: Timestamp,
-    /// It answers the leader.
-    pub answers: bool,
+    pub first_seen: Timestamp,
+    /// Whether it responds to the leader.
+    pub reachable: bool,
 }
 
 /// Planning state of one service.
@@ -33,21 +33,21 @@
     pub id: Arc<ServiceId>,
     pub policy: PlacementPolicy,
     selector: Option<Selector>,
-    /// Back ends that may take slices.
+    /// Back ends that may receive slices.
     pub receivers: BTreeMap<Arc<BackEndId>, Receiver>,
-    /// Back ends that own slices or have some on their way.
-    pub holdings: BTreeMap<Arc<BackEndId>, Holding>,
+    /// Allocations of the back ends that own slices or take part in transfers.
+    pub allocations: BTreeMap<Arc<BackEndId>, Allocation>,
     /// Owners that may not keep their slices.
-    pub leaving: BTreeSet<Arc<BackEndId>>,
+    pub ineligible_owners: BTreeSet<Arc<BackEndId>>,
     pub table: SliceTable,
-    /// Slices without owner and without a proposal.
+    /// Slices without an owner and without a proposal.
     pub unowned: BTreeSet<Point>,
-    /// Proposals without effect yet.
-    pub pending: BTreeMap<Point, Pending>,
+    /// Proposals that have no effect in the records yet.
+    pub pending: BTreeMap<Point, PendingProposal>,
     /// Handovers that the records show.
     pub moving: BTreeMap<Point, Transfer>,
-    /// Handovers to a back end that may no longer take them.
-    pub stranded: BTreeSet<Point>,
+    /// Handovers to a back end that may no longer receive slices.
+    pub invalid_moves: BTreeSet<Point>,
     pub balance: BalanceState,
 }
 
@@ -56,28 +56,29 @@
         ServiceState {
             id: Arc::new(record.id.clone()),
             policy: record.spec.placement.clone(),
-            selector: selector_of(record),
+            selector: parse_selector(record),
             receivers: BTreeMap::new(),
-            holdings: BTreeMap::new(),
-            leaving: BTreeSet::new(),
+            allocations: BTreeMap::new(),
+            ineligible_owners: BTreeSet::new(),
             table: SliceTable::default(),
             unowned: BTreeSet::new(),
             pending: BTreeMap::new(),
             moving: BTreeMap::new(),
-            stranded: BTreeSet::new(),
+            invalid_moves: BTreeSet::new(),
             balance: BalanceState::default(),
         }
     }
 
-    /// Takes over a changed specification; receivers are refreshed after.
-    pub(crate) fn change(&mut self, record: &ServiceRecord) {
+    /// Applies a changed specification. The caller refreshes the receivers
+    /// afterwards.
+    pub(crate) fn update(&mut self, record: &ServiceRecord) {
         self.policy = record.spec.placement.clone();
-        self.selector = selector_of(record);
+        self.selector = parse_selector(record);
     }
 
-    /// Whether the selector matches the back end. A service selects only
-    /// within its own namespace, so that partners never mix.
-    pub(crate) fn selects(&self, entry: &Entry) -> bool {
+    /// Returns whether the selector matches the back end. A service selects
+    /// only within its own namespace, so that partners are isolated.
+    pub(crate) fn selects(&self, entry: &BackEndEntry) -> bool {
         let Some(record) = &entry.record else {
             return false;
         };
@@ -88,19 +89,23 @@
                 .is_some_and(|selector| selector.matches(&record.labels))
     }
 
-    /// Evaluates again whether one back end may take slices. Returns whether
-    /// the answer changed.
-    pub(crate) fn refresh_receiver(&mut self, id: &BackEndId, entry: Option<&Entry>) -> bool {
+    /// Re-evaluates whether one back end may receive slices. Returns whether
+    /// the result changed.
+    pub(crate) fn refresh_receiver(
+        &mut self,
+        id: &BackEndId,
+        entry: Option<&BackEndEntry>,
+    ) -> bool {
         let receiver = entry
             .filter(|entry| self.selects(entry))
-            .and_then(receiver_of);
+            .and_then(build_receiver);
         if receiver.as_ref() == self.receivers.get(id) {
             return false;
         }
         match (receiver, entry) {
             (Some(receiver), Some(entry)) => {
                 self.receivers.insert(Arc::clone(&entry.id), receiver);
-                self.stranded.retain(|first| {
+                self.invalid_moves.retain(|first| {
                     self.moving
                         .get(first)
                         .is_some_and(|transfer| *transfer.to != *id)
@@ -108,26 +113,27 @@
             }
             _ => {
                 self.receivers.remove(id);
-                let stranded = self
+                let invalid_moves = self
                     .moving
                     .iter()
                     .filter(|(_, transfer)| *transfer.to == *id)
                     .map(|(first, _)| *first);
-                self.stranded.extend(stranded);
+                self.invalid_moves.extend(invalid_moves);
             }
         }
-        self.refresh_leaving(id);
+        self.refresh_ineligible_owner(id);
         true
     }
 
-    pub(crate) fn refresh_leaving(&mut self, id: &BackEndId) {
+    /// Updates whether the back end is an owner that may not keep its slices.
+    pub(crate) fn refresh_ineligible_owner(&mut self, id: &BackEndId) {
         let leaves = !self.receivers.contains_key(id);
-        match self.holdings.get_key_value(id) {
-            Some((shared, holding)) if leaves && holding.count() > 0 => {
-                self.leaving.insert(Arc::clone(shared));
+        match self.allocations.get_key_value(id) {
+            Some((shared, allocation)) if leaves && allocation.count() > 0 => {
+                self.ineligible_owners.insert(Arc::clone(shared));
             }
             _ => {
-                self.leaving.remove(id);
+                self.ineligible_owners.remove(id);
             }
         }
     }
@@ -142,15 +148,15 @@
             .owner
             .as_ref()
             .map(|owner| Arc::clone(&owner.back_end));
-        let before = Weight::of(slice, state.load.rate);
+        let before = Weight::new(slice, state.load.rate);
         self.table.set_load(first, load);
         if before.rate == load.rate {
             return;
         }
         if let Some(owner) = owner {
-            let holding = self.holding(&owner);
-            holding.remove(first, before);
-            holding.add(first, Weight::of(slice, load.rate));
+            let allocation = self.allocation(&owner);
+            allocation.remove(first, before);
+            allocation.add(first, Weight::new(slice, load.rate));
         }
     }
 
@@ -158,35 +164,35 @@
         self.table.get(first).map(|state| state.slice(first))
     }
 
-    pub(crate) fn scale(&self) -> Scale {
-        Scale::new(self.table.total())
+    pub(crate) fn scale(&self) -> LoadScale {
+        LoadScale::new(self.table.total())
     }
 
-    pub(crate) fn holding(&mut self, id: &Arc<BackEndId>) -> &mut Holding {
-        self.holdings.entry(Arc::clone(id)).or_default()
+    pub(crate) fn allocation(&mut self, id: &Arc<BackEndId>) -> &mut Allocation {
+        self.allocations.entry(Arc::clone(id)).or_default()
     }
 
-    /// Forgets the holding of a back end that holds nothing any more.
-    pub(crate) fn tidy(&mut self, id: &Arc<BackEndId>) {
-        if self.holdings.get(id).is_some_and(Holding::is_empty) {
-            self.holdings.remove(id);
+    /// Removes the allocation of a back end that no longer has anything.
+    pub(crate) fn remove_allocation_if_empty(&mut self, id: &Arc<BackEndId>) {
+        if self.allocations.get(id).is_some_and(Allocation::is_empty) {
+            self.allocations.remove(id);
         }
-        self.refresh_leaving(id);
+        self.refresh_ineligible_owner(id);
     }
 }
 
-fn selector_of(record: &ServiceRecord) -> Option<Selector> {
-    // A selector that cannot be read was never accepted; nothing is selected.
+fn parse_selector(record: &ServiceRecord) -> Option<Selector> {
+    // An invalid selector was never accepted, so nothing is selected.
     Selector::try_from(record.spec.back_end_selector.clone()).ok()
 }
 
-fn receiver_of(entry: &Entry) -> Option<Receiver> {
+fn build_receiver(entry: &BackEndEntry) -> Option<Receiver> {
     let session = entry.open_session()?;
     let record = entry.record.as_ref()?;
     Some(Receiver {
         session: session.id,
         slots: record.spec.slots.max(1),
-        seen: session.seen,
-        answers: entry.answers,
+        first_seen: session.first_seen,
+        reachable: entry.reachable,
     })
 }
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -2,34 +2,36 @@
 
 use std::time::Duration;
 
-/// Time constants and bounds. What partners may set for each service is in
-/// [`threadledge_types::objects::PlacementPolicy`].
+/// Time constants and bounds. The settings that partners may choose for each
+/// service are in [`threadledge_types::objects::PlacementPolicy`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannerSettings {
-    /// A slice with a proposal is left alone for this long, unless its record
-    /// changes first.
+    /// Time for which a slice with a proposal is not planned again, unless its
+    /// record changes first.
     pub proposal_timeout: Duration,
-    /// Time constant of the smoothing of reported rates.
+    /// Time constant of the exponential smoothing of reported rates.
     pub smoothing_time: Duration,
-    /// A reported absence of load counts only this long after a slice changed
-    /// hands, because reports lag.
+    /// Time after a change of a slice before its absence from a report counts
+    /// as no load, because reports lag.
     pub report_lag: Duration,
-    /// Imbalance must last this long before slices move for it.
+    /// Time for which an imbalance must last before slices are moved.
     pub min_imbalance_time: Duration,
-    /// Shortest interval between two balance checks of one service.
+    /// Minimum interval between two balance checks of one service.
     pub check_interval: Duration,
-    /// A slice that was taken from an owner is not moved for balance for this
-    /// long.
+    /// Time for which a slice that was taken from an owner is not moved again
+    /// for balancing.
     pub move_cooldown: Duration,
-    /// A session younger than this counts as cold.
+    /// Age below which a session counts as cold.
     pub warm_up: Duration,
-    /// Moves that may run at once away from one back end that is leaving; for
-    /// back ends with many slices a quarter of these, if that is more.
+    /// Maximum number of concurrent moves away from one back end that may not
+    /// keep its slices. For a back end with many slices the limit is a quarter
+    /// of them, if that is more.
     pub max_evacuations_per_back_end: usize,
-    /// Moves that may run at once in one service for balance.
+    /// Maximum number of concurrent moves in one service. Balancing begins no
+    /// move beyond it.
     pub max_balancing_moves: usize,
-    /// Neighbouring slices are merged only when both have been unchanged for
-    /// this long.
+    /// Time for which both of two adjacent slices must have been unchanged
+    /// before they are merged.
     pub min_merge_age: Duration,
 }
 
--- a/crates/placement/src/slice_changes.rs
+++ b/crates/placement/src/slice_changes.rs
@@ -1,4 +1,4 @@
-//! Following the records of slices.
+//! Updates from the records of slices.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::transfers::Transfer;
 
 impl ServiceState {
-    /// Takes over a slice record.
+    /// Applies a slice record.
     pub(crate) fn put_slice(
         &mut self,
         record: &SliceRecord,
@@ -32,7 +32,7 @@
             _ => now,
         };
         let moved_at = match &old {
-            // Part of a split, or seen for the first time: nothing moved.
+            // Part of a split, or seen for the first time: nothing was moved.
             None => Timestamp::ZERO,
             Some(old) if old.owner.is_none() || old.owner == owner => old.moved_at,
             Some(_) => now,
@@ -54,7 +54,7 @@
         self.attach(slice.first, state);
     }
 
-    /// Takes over the removal of a slice that was merged into the one before.
+    /// Applies the removal of a slice that was merged into the one before it.
     pub(crate) fn remove_slice(&mut self, first: Point, now: Timestamp) {
         let Some(old) = self.detach(first) else {
             return;
@@ -65,7 +65,7 @@
             .filter(|(_, state)| state.last >= first)
             .map(|(point, _)| point);
         match grown {
-            None => self.table.loosen(first, old.load),
+            None => self.table.store_unclaimed_load(first, old.load),
             Some(point) => {
                 if let Some(mut state) = self.detach(point) {
                     state.load = state.load.join(old.load);
@@ -76,14 +76,15 @@
         }
     }
 
+    /// Adds a slice to every index and sum.
     fn attach(&mut self, first: Point, state: SliceState) {
         let weight = state.weight(first);
         match &state.owner {
             Some(owner) => {
-                let holding = self.holding(&owner.back_end);
-                holding.add(first, weight);
+                let allocation = self.allocation(&owner.back_end);
+                allocation.add(first, weight);
                 let back_end = Arc::clone(&owner.back_end);
-                self.refresh_leaving(&back_end);
+                self.refresh_ineligible_owner(&back_end);
             }
             None => {
                 self.unowned.insert(first);
@@ -98,28 +99,28 @@
                 to: Arc::clone(next),
                 weight,
             };
-            self.count_transfer(&transfer);
+            self.add_transfer(&transfer);
             if !self.receivers.contains_key(next) {
-                self.stranded.insert(first);
+                self.invalid_moves.insert(first);
             }
             self.moving.insert(first, transfer);
         }
         self.table.insert(first, state);
     }
 
-    /// Takes a slice out of everything that counts it.
+    /// Removes a slice from every index and sum that includes it.
     fn detach(&mut self, first: Point) -> Option<SliceState> {
-        self.drop_pending(first);
+        self.remove_proposal(first);
         if let Some(transfer) = self.moving.remove(&first) {
-            self.uncount_transfer(&transfer);
+            self.remove_transfer(&transfer);
         }
-        self.stranded.remove(&first);
+        self.invalid_moves.remove(&first);
         self.unowned.remove(&first);
         let state = self.table.remove(first)?;
         if let Some(owner) = &state.owner {
             let weight = state.weight(first);
-            self.holding(&owner.back_end).remove(first, weight);
-            self.tidy(&owner.back_end);
+            self.allocation(&owner.back_end).remove(first, weight);
+            self.remove_allocation_if_empty(&owner.back_end);
         }
         Some(state)
     }
--- a/crates/placement/src/slices.rs
+++ b/crates/placement/src/slices.rs
@@ -14,13 +14,14 @@
     pub last: Point,
     pub epoch: Epoch,
     pub owner: Option<Owner>,
-    /// Who owned it last, while nobody does.
+    /// Last owner, while the slice has none.
     pub previous: Option<Arc<BackEndId>>,
     pub next: Option<Arc<BackEndId>>,
     pub load: SliceLoad,
     /// When its owner or bounds last changed.
     pub changed_at: Timestamp,
-    /// When it was last taken from an owner.
+    /// When the slice was last taken from an owner. [`Timestamp::ZERO`] if
+    /// never.
     pub moved_at: Timestamp,
 }
 
@@ -34,21 +35,22 @@
 /// Smoothed load of a slice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct SliceLoad {
-    /// Micro-requests a second.
+    /// Micro-requests per second.
     pub rate: u64,
-    /// The key that stands out, and its part of `rate`.
+    /// The hottest key and its part of `rate`.
     pub hottest: Option<(Point, u64)>,
-    /// Reports since the rate was last a guess.
+    /// Number of reports since the rate was last an estimate.
     pub samples: u32,
 }
 
-/// Reports that turn the guess after a split into a measurement.
-const LEAST_SAMPLES: u32 = 3;
-/// Part of a slice's rate at which one key makes the slice hot.
-const ONE_KEY_PART: f64 = 0.75;
+/// Number of reports after which the rate estimated at a split counts as
+/// measured.
+const MIN_SAMPLES: u32 = 3;
+/// Fraction of a slice's rate at which a single key makes the slice hot.
+const SINGLE_KEY_RATIO: f64 = 0.75;
 
 impl SliceState {
-    /// Whether the slice was taken from an owner within `period`.
+    /// Returns whether the slice was taken from an owner within `period`.
     pub(crate) fn moved_within(&self, period: Duration, now: Timestamp) -> bool {
         self.moved_at > Timestamp::ZERO && now.since(self.moved_at) < period
     }
@@ -61,25 +63,26 @@
     }
 
     pub(crate) fn weight(&self, first: Point) -> Weight {
-        Weight::of(self.slice(first), self.load.rate)
+        Weight::new(self.slice(first), self.load.rate)
     }
 }
 
 impl SliceLoad {
-    /// Whether the rate has been measured since the slice was split.
+    /// Returns whether the rate has been measured since the slice was split.
     pub(crate) fn is_measured(self) -> bool {
-        self.rate == 0 || self.samples >= LEAST_SAMPLES
+        self.rate == 0 || self.samples >= MIN_SAMPLES
     }
 
-    /// Whether a single key makes up most of the rate, so that dividing the
-    /// slice would divide little of its load.
-    pub(crate) fn is_one_key(self) -> bool {
+    /// Returns whether a single key makes up most of the rate, so that
+    /// splitting the slice would divide little of its load.
+    pub(crate) fn is_single_key(self) -> bool {
         self.hottest
-            .is_some_and(|(_, rate)| rate as f64 >= self.rate as f64 * ONE_KEY_PART)
+            .is_some_and(|(_, rate)| rate as f64 >= self.rate as f64 * SINGLE_KEY_RATIO)
     }
 
-    /// Divides the load of `whole` between its part below `at` and the rest:
-    /// the hot key goes with its side, everything else by length.
+    /// Divides the load of `whole` between its parts below `at` and from `at`
+    /// on. The hot key's rate goes to its part, and the rest is divided by
+    /// length.
     pub(crate) fn divide(self, whole: Slice, at: Point) -> (SliceLoad, SliceLoad) {
         let hot_rate = self.hottest.map_or(0, |(_, rate)| rate.min(self.rate));
         let spread = self.rate - hot_rate;
@@ -101,7 +104,7 @@
         (low, high)
     }
 
-    /// Joins the loads of two neighbours.
+    /// Combines the loads of two adjacent slices.
     pub(crate) fn join(self, other: SliceLoad) -> SliceLoad {
         let hottest = [self.hottest, other.hottest]
             .into_iter()
@@ -120,10 +123,11 @@
 pub(crate) struct SliceTable {
     slices: BTreeMap<Point, SliceState>,
     by_length: BTreeSet<(u128, Point)>,
-    /// Loads of parts whose own record has not been seen yet (splits) or of
-    /// slices that were removed before their neighbour grew (merges).
-    loose_loads: BTreeMap<Point, SliceLoad>,
-    /// Sum over all slices.
+    /// Loads by point, of split parts whose record has not arrived yet and of
+    /// merged slices whose removal arrived before the record of the adjacent
+    /// slice that absorbs them.
+    unclaimed_loads: BTreeMap<Point, SliceLoad>,
+    /// Total weight of all slices.
     total: Weight,
 }
 
@@ -164,13 +168,13 @@
         }
     }
 
-    /// The slice after the one that ends at `last`.
+    /// Returns the slice after the one that ends at `last`.
     pub(crate) fn after(&self, last: Point) -> Option<(Point, &SliceState)> {
         let first = Point(last.0.checked_add(1)?);
         self.slices.get(&first).map(|state| (first, state))
     }
 
-    /// The slice that ends before `first`.
+    /// Returns the slice before the one that starts at `first`.
     pub(crate) fn before(&self, first: Point) -> Option<(Point, &SliceState)> {
         self.slices
             .range(..first)
@@ -178,13 +182,14 @@
             .map(|(point, state)| (*point, state))
     }
 
-    /// Slices from the shortest on.
+    /// Returns the slices in ascending order of length.
     pub(crate) fn shortest_first(&self) -> impl Iterator<Item = (u128, Point)> + '_ {
         self.by_length.iter().copied()
     }
 
-    /// Load that a slice has now that it reaches from `slice.first` to
-    /// `slice.last` and was `old` before.
+    /// Returns the load of a slice that now has the bounds `slice`. `old` is
+    /// its former last point and load. The load of a part that was split off is
+    /// stored until the record of that part arrives.
     pub(crate) fn carry_load(
         &mut self,
         slice: Slice,
@@ -198,30 +203,30 @@
                 };
                 let at = Point(slice.last.0 + 1);
                 let (low, high) = load.divide(whole, at);
-                self.loosen(at, high);
+                self.store_unclaimed_load(at, high);
                 low
             }
-            Some((_, load)) => load.join(self.take_loose(slice)),
-            None => self.take_loose(slice),
+            Some((_, load)) => load.join(self.take_unclaimed_loads(slice)),
+            None => self.take_unclaimed_loads(slice),
         }
     }
 
-    /// Keeps the load of a part for the record that will cover it.
-    pub(crate) fn loosen(&mut self, first: Point, load: SliceLoad) {
+    /// Stores the load of a part until the record that covers it arrives.
+    pub(crate) fn store_unclaimed_load(&mut self, first: Point, load: SliceLoad) {
         if load.rate > 0 {
-            self.loose_loads.insert(first, load);
+            self.unclaimed_loads.insert(first, load);
         }
     }
 
-    fn take_loose(&mut self, slice: Slice) -> SliceLoad {
+    fn take_unclaimed_loads(&mut self, slice: Slice) -> SliceLoad {
         let covered: Vec<Point> = self
-            .loose_loads
+            .unclaimed_loads
             .range(slice.first..=slice.last)
             .map(|(point, _)| *point)
             .collect();
         covered
             .into_iter()
-            .filter_map(|point| self.loose_loads.remove(&point))
+            .filter_map(|point| self.unclaimed_loads.remove(&point))
             .fold(SliceLoad::default(), SliceLoad::join)
     }
 }
--- a/crates/placement/src/transfers.rs
+++ b/crates/placement/src/transfers.rs
@@ -1,4 +1,4 @@
-//! Slices on their way: proposals without effect yet, and handovers.
+//! Slices in transfer: proposals without effect yet, and handovers.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use crate::service::ServiceState;
 use crate::weight::Weight;
 
-/// A slice on its way, counted at its source and its destination.
+/// A slice in transfer, counted at its source and its destination.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Transfer {
     pub from: Option<Arc<BackEndId>>,
@@ -17,30 +17,42 @@
 
 /// A proposal that has no effect in the records yet.
 #[derive(Clone, Debug)]
-pub(crate) struct Pending {
-    pub until: Timestamp,
+pub(crate) struct PendingProposal {
+    pub expires_at: Timestamp,
     pub transfer: Option<Transfer>,
 }
 
 impl ServiceState {
-    /// Notes a proposal; it counts as done until its record comes or `until`
-    /// passes.
-    pub(crate) fn propose(&mut self, first: Point, until: Timestamp, transfer: Option<Transfer>) {
-        self.drop_pending(first);
+    /// Records a proposal. It is treated as done until its record arrives or
+    /// `expires_at` passes.
+    pub(crate) fn record_proposal(
+        &mut self,
+        first: Point,
+        expires_at: Timestamp,
+        transfer: Option<Transfer>,
+    ) {
+        self.remove_proposal(first);
         if let Some(transfer) = &transfer {
-            self.count_transfer(transfer);
+            self.add_transfer(transfer);
         }
         self.unowned.remove(&first);
-        self.pending.insert(first, Pending { until, transfer });
+        self.pending.insert(
+            first,
+            PendingProposal {
+                expires_at,
+                transfer,
+            },
+        );
     }
 
-    /// Forgets the proposal for a slice.
-    pub(crate) fn drop_pending(&mut self, first: Point) {
+    /// Removes the proposal for a slice. A slice without an owner becomes
+    /// assignable again.
+    pub(crate) fn remove_proposal(&mut self, first: Point) {
         let Some(pending) = self.pending.remove(&first) else {
             return;
         };
         if let Some(transfer) = &pending.transfer {
-            self.uncount_transfer(transfer);
+            self.remove_transfer(transfer);
         }
         let unowned = self
             .table
@@ -51,31 +63,33 @@
         }
     }
 
-    /// Whether the slice has a proposal or a handover.
-    pub(crate) fn is_busy(&self, first: Point) -> bool {
+    /// Returns whether the slice has a proposal or a handover.
+    pub(crate) fn has_pending_change(&self, first: Point) -> bool {
         self.pending.contains_key(&first) || self.moving.contains_key(&first)
     }
 
-    /// Whether a split or merge of the slice is proposed.
-    pub(crate) fn is_being_divided(&self, first: Point) -> bool {
+    /// Returns whether a split or merge of the slice is proposed.
+    pub(crate) fn is_being_split_or_merged(&self, first: Point) -> bool {
         self.pending
             .get(&first)
             .is_some_and(|pending| pending.transfer.is_none())
     }
 
-    pub(crate) fn count_transfer(&mut self, transfer: &Transfer) {
-        self.holding(&transfer.to).add_inbound(transfer.weight);
+    /// Counts a transfer at its source and its destination.
+    pub(crate) fn add_transfer(&mut self, transfer: &Transfer) {
+        self.allocation(&transfer.to).add_inbound(transfer.weight);
         if let Some(from) = &transfer.from {
-            self.holding(from).add_outbound(transfer.weight);
+            self.allocation(from).add_outbound(transfer.weight);
         }
     }
 
-    pub(crate) fn uncount_transfer(&mut self, transfer: &Transfer) {
-        self.holding(&transfer.to).remove_inbound(transfer.weight);
-        self.tidy(&transfer.to);
+    pub(crate) fn remove_transfer(&mut self, transfer: &Transfer) {
+        self.allocation(&transfer.to)
+            .remove_inbound(transfer.weight);
+        self.remove_allocation_if_empty(&transfer.to);
         if let Some(from) = &transfer.from {
-            self.holding(from).remove_outbound(transfer.weight);
-            self.tidy(from);
+            self.allocation(from).remove_outbound(transfer.weight);
+            self.remove_allocation_if_empty(from);
         }
     }
 }
--- a/crates/placement/src/work.rs
+++ b/crates/placement/src/work_counters.rs
@@ -1,7 +1,7 @@
 //! Counters of the planner's own work.
 
-/// How much the planner looked at, so that tests can hold its cost to the
-/// size of the change.
+/// Amount of work that the planner did. Tests use it to check that the cost
+/// depends on the size of the change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkCounters {
     /// Services visited.
