--- a/crates/ownership/tests/grantor/bench.rs
+++ b/crates/ownership/tests/grantor/harness.rs
@@ -1,5 +1,5 @@
-//! One leader, its back ends and a network without surprises, in virtual
-//! time; each test adds its own surprise.
+//! Harness with one leader, its back ends and a reliable network in virtual
+//! time. Each test adds its own failures.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,10 +16,10 @@
     service_id, term,
 };
 
-/// One way between leader and back end, in milliseconds.
-pub const LATENCY: u64 = 1;
-/// From a proposal to its commit, in milliseconds.
-pub const COMMIT: u64 = 2;
+/// One-way latency between leader and back end, in milliseconds.
+pub const LATENCY_MS: u64 = 1;
+/// Time from a proposal to its commit, in milliseconds.
+pub const COMMIT_DELAY_MS: u64 = 2;
 
 enum Message {
     Request(SocketAddr, Box<LeaseRequest>),
@@ -27,33 +27,33 @@
     Commit(Command),
 }
 
-pub struct Bench {
+pub struct Harness {
     pub log: Log,
     pub grantor: Grantor,
     pub term: LeaderTerm,
-    /// Milliseconds.
+    /// Virtual time in milliseconds.
     pub now: u64,
     pub lease_valid: bool,
     pub holders: BTreeMap<SocketAddr, Holder>,
-    /// Back ends that are frozen or gone: requests to them are lost.
-    pub silent: BTreeSet<SocketAddr>,
-    /// Back ends whose answers are lost.
-    pub muted: BTreeSet<SocketAddr>,
-    /// Whether holders say they are ready as soon as asked.
-    pub prepares: bool,
-    /// Whether nothing that is proposed commits.
+    /// Back ends that are frozen or gone, so requests to them are lost.
+    pub unreachable: BTreeSet<SocketAddr>,
+    /// Back ends whose responses are lost.
+    pub responses_lost: BTreeSet<SocketAddr>,
+    /// Whether holders become ready as soon as they are asked to prepare.
+    pub marks_ready: bool,
+    /// Whether proposals are lost instead of committed.
     pub loses_proposals: bool,
-    /// Whether placement assigns unowned slices to any candidate.
-    pub places: bool,
-    /// Reports that the back end answers or does not, with their times.
-    pub answering: Vec<(u64, bool)>,
+    /// Whether unowned slices are assigned to eligible sessions.
+    pub assigns: bool,
+    /// Reachability reports, with their times.
+    pub reachability: Vec<(u64, bool)>,
     pub observed: Vec<(u64, Observation)>,
     pub sent: Vec<(u64, LeaseRequest)>,
     pub proposed: Vec<(u64, Command)>,
-    /// Slices placement has proposed an owner for, by epoch.
-    asked: BTreeSet<(SliceKey, Epoch)>,
+    /// Slices for which an owner was proposed, with their epoch.
+    proposed_assignments: BTreeSet<(SliceKey, Epoch)>,
     messages: BTreeMap<(u64, u64), Message>,
-    count: u64,
+    message_count: u64,
 }
 
 pub fn at(millis: u64) -> Timestamp {
@@ -64,8 +64,9 @@
     GrantorSettings::from(Timing::default())
 }
 
-impl Bench {
-    /// `back_ends` processes and one service with `slices` each.
+impl Harness {
+    /// Creates `back_ends` processes and one service with `slices` slices for
+    /// each.
     pub fn new(back_ends: u16, slices: u32) -> Self {
         let mut log = Log::new();
         let mut holders = BTreeMap::new();
@@ -77,50 +78,50 @@
         }
         log.accept(&put_service(service("s", 1, "blue", slices)));
         let grantor = start(term(1), 0, &log);
-        Bench {
+        Harness {
             log,
             grantor,
             term: term(1),
             now: 0,
             lease_valid: true,
             holders,
-            silent: BTreeSet::new(),
-            muted: BTreeSet::new(),
-            prepares: true,
+            unreachable: BTreeSet::new(),
+            responses_lost: BTreeSet::new(),
+            marks_ready: true,
             loses_proposals: false,
-            places: true,
-            answering: Vec::new(),
+            assigns: true,
+            reachability: Vec::new(),
             observed: Vec::new(),
             sent: Vec::new(),
             proposed: Vec::new(),
-            asked: BTreeSet::new(),
+            proposed_assignments: BTreeSet::new(),
             messages: BTreeMap::new(),
-            count: 0,
+            message_count: 0,
         }
     }
 
-    /// A bench on which every slice is owned and served.
+    /// Creates a harness in which every slice is owned and served.
     pub fn settled(back_ends: u16, slices: u32) -> Self {
-        let mut bench = Bench::new(back_ends, slices);
-        bench.run_until(1_000);
-        bench.observed.clear();
-        bench.sent.clear();
-        bench.proposed.clear();
-        bench
+        let mut harness = Harness::new(back_ends, slices);
+        harness.run_until(1_000);
+        harness.observed.clear();
+        harness.sent.clear();
+        harness.proposed.clear();
+        harness
     }
 
-    /// Another leader takes over now; messages of the former one are lost.
+    /// Replaces the leader. Messages of the former one are lost.
     pub fn new_leader(&mut self) {
         self.term.term += 1;
         self.messages.clear();
-        self.asked.clear();
+        self.proposed_assignments.clear();
         self.grantor = start(self.term, self.now, &self.log);
     }
 
-    fn later(&mut self, delay: u64, message: Message) {
-        self.count += 1;
+    fn send_later(&mut self, delay: u64, message: Message) {
+        self.message_count += 1;
         self.messages
-            .insert((self.now + delay, self.count), message);
+            .insert((self.now + delay, self.message_count), message);
     }
 
     pub fn run_until(&mut self, end: u64) {
@@ -142,8 +143,8 @@
         self.run_until(self.now + millis);
     }
 
-    /// Runs until the condition holds; returns the time it took.
-    pub fn run_until_true(&mut self, limit: u64, condition: impl Fn(&Bench) -> bool) -> u64 {
+    /// Runs until the condition holds and returns the time it took.
+    pub fn run_until_condition(&mut self, limit: u64, condition: impl Fn(&Harness) -> bool) -> u64 {
         let start = self.now;
         while !condition(self) {
             assert!(self.now < start + limit, "not within {limit} ms");
@@ -161,14 +162,14 @@
             match output {
                 GrantorOutput::Send { to, request } => {
                     self.sent.push((self.now, (*request).clone()));
-                    self.later(LATENCY, Message::Request(to, request));
+                    self.send_later(LATENCY_MS, Message::Request(to, request));
                 }
                 GrantorOutput::Propose(command) => self.propose(command),
                 GrantorOutput::Observed(observation) => {
                     self.observed.push((self.now, observation));
                 }
                 GrantorOutput::Reachability { reachable, .. } => {
-                    self.answering.push((self.now, reachable));
+                    self.reachability.push((self.now, reachable));
                 }
                 GrantorOutput::Load { .. } => {}
             }
@@ -178,7 +179,7 @@
     pub fn propose(&mut self, command: Command) {
         self.proposed.push((self.now, command.clone()));
         if !self.loses_proposals {
-            self.later(COMMIT, Message::Commit(command));
+            self.send_later(COMMIT_DELAY_MS, Message::Commit(command));
         }
     }
 
@@ -186,12 +187,12 @@
     pub fn commit(&mut self, command: &Command) {
         let applied = self.log.apply(command);
         self.step(GrantorInput::Applied(applied.changes));
-        if self.places {
-            self.place();
+        if self.assigns {
+            self.assign_unowned();
         }
     }
 
-    fn place(&mut self) {
+    fn assign_unowned(&mut self) {
         let service = service_id("s");
         let candidates: Vec<_> = self
             .log
@@ -206,8 +207,8 @@
         let free = free.filter(|record| record.owner.is_none());
         let mut commands = Vec::new();
         for (number, record) in free.enumerate() {
-            let asked = (record.key(), record.epoch);
-            if self.asked.insert(asked) {
+            let assignment = (record.key(), record.epoch);
+            if self.proposed_assignments.insert(assignment) {
                 let to = &candidates[number % candidates.len()];
                 commands.push(assign(&record, to));
             }
@@ -219,7 +220,7 @@
 
     fn deliver(&mut self, message: Message) {
         match message {
-            Message::Request(to, request) => self.answer(to, *request),
+            Message::Request(to, request) => self.handle_request(to, *request),
             Message::Response(from, response) => {
                 self.step(GrantorInput::Response { from, response });
             }
@@ -227,8 +228,8 @@
         }
     }
 
-    fn answer(&mut self, to: SocketAddr, request: LeaseRequest) {
-        if self.silent.contains(&to) {
+    fn handle_request(&mut self, to: SocketAddr, request: LeaseRequest) {
+        if self.unreachable.contains(&to) {
             return;
         }
         let from = request.back_end.clone();
@@ -236,13 +237,13 @@
             return;
         };
         let response = Box::new(holder.handle(at(self.now), request));
-        if self.prepares {
+        if self.marks_ready {
             for grant in holder.slices_to_prepare().cloned().collect::<Vec<_>>() {
                 holder.mark_ready(&grant);
             }
         }
-        if !self.muted.contains(&to) {
-            self.later(LATENCY, Message::Response(from, response));
+        if !self.responses_lost.contains(&to) {
+            self.send_later(LATENCY_MS, Message::Response(from, response));
         }
     }
 
@@ -251,8 +252,9 @@
         holder.expect("a process at that address")
     }
 
-    /// Numbers of the processes that would admit work for the key now.
-    pub fn servers_of(&self, point: Point) -> Vec<SocketAddr> {
+    /// Returns the addresses of the processes that would admit requests for the
+    /// key now.
+    pub fn addresses_serving(&self, point: Point) -> Vec<SocketAddr> {
         let service = service_id("s");
         let serving = self.holders.iter().filter(|(_, holder)| {
             holder.has_valid_lease(at(self.now)) && holder.held_epoch(&service, point).is_some()
@@ -270,8 +272,8 @@
         matching.next().map(|(when, _)| *when)
     }
 
-    /// Requests to a back end that gave it grants or a lease.
-    pub fn granting(&self, number: u16) -> Vec<&(u64, LeaseRequest)> {
+    /// Returns the requests to a back end that carried grants or a lease.
+    pub fn grant_requests(&self, number: u16) -> Vec<&(u64, LeaseRequest)> {
         let id = back_end_id(&name(number));
         let sent = self.sent.iter().filter(|(_, request)| {
             request.back_end == id && request.grants != GrantsUpdate::Inquire
--- a/crates/ownership/tests/grantor/main.rs
+++ b/crates/ownership/tests/grantor/main.rs
@@ -1,8 +1,9 @@
-//! The leader's side: each failure by name.
+//! Tests of the leader's side: handovers, failures and the selection of back
+//! ends.
 
-mod bench;
 mod failures;
 mod handover;
+mod harness;
 mod selection;
 #[path = "../support/mod.rs"]
 mod support;
--- a/crates/ownership/tests/handover_model.rs
+++ b/crates/ownership/tests/handover_model.rs
@@ -1,11 +1,10 @@
-//! Every schedule of one handover, up to a bound.
+//! Explores every schedule of one handover up to a bound.
 //!
-//! Two back ends and one slice, run by the real state machine, grantor and
-//! holders. From each state every action that is possible is taken: any
-//! message is delivered or lost in any order, any proposal commits or is
-//! committed twice, the move is begun and cancelled, work ends, time passes,
-//! the leader changes. In every state at most one back end could have an
-//! effect.
+//! Two back ends and one slice are run by the real state machine, grantor and
+//! holders. From each state every possible action is taken: any message is
+//! delivered or lost in any order, any proposal commits once or twice, the move
+//! is begun and cancelled, admitted requests finish, time passes, the leader
+//! changes. In every state at most one back end may have an effect.
 
 mod support;
 
@@ -24,8 +23,8 @@
 
 const NAMES: [&str; 2] = ["a", "b"];
 const KEY: Point = Point(1);
-/// Schedules with more messages in flight are not followed further.
-const MAXIMUM_MESSAGES: usize = 3;
+/// Schedules with more messages in flight are not explored further.
+const MAX_MESSAGES: usize = 3;
 
 #[derive(Clone, Debug)]
 enum Message {
@@ -52,7 +51,7 @@
     }
 }
 
-/// How often each action may still happen.
+/// How often each action may still be taken.
 #[derive(Clone, Debug)]
 struct Budget {
     begin: u8,
@@ -60,7 +59,7 @@
     lose: u8,
     again: u8,
     pass: u8,
-    /// Time that passes at once, in milliseconds.
+    /// Time that passes with one `pass`, in milliseconds.
     jump: u64,
     leaders: u8,
     work: u8,
@@ -73,7 +72,7 @@
     term: u64,
     grantor: Grantor,
     holders: Vec<Holder>,
-    /// Work that the first back end admitted.
+    /// Request that the first back end admitted.
     permit: Option<Permit>,
     messages: Vec<Message>,
     proposals: Vec<Command>,
@@ -88,8 +87,8 @@
 }
 
 impl World {
-    /// The slice is owned and served by the first back end.
-    fn settled(budget: Budget) -> Self {
+    /// Creates a world in which the first back end owns and serves the slice.
+    fn with_owner(budget: Budget) -> Self {
         let mut log = Log::with_one_slice();
         log.assign(&session_id("a", 1));
         let holder = |name: &&str| Holder::new(back_end_id(name), Incarnation(1));
@@ -123,10 +122,10 @@
         world
     }
 
-    /// The move has begun, the next owner is ready, and the request that
-    /// takes the slice from its owner is on its way.
+    /// Creates a world in which the move has begun, the next owner is ready,
+    /// and the request that takes the slice from its owner is in flight.
     fn withholding(budget: Budget) -> Self {
-        let mut world = World::settled(budget);
+        let mut world = World::with_owner(budget);
         world.take(Action::Begin);
         while world.messages.iter().all(|message| !message.is_to(0)) {
             if world.messages.is_empty() {
@@ -236,7 +235,7 @@
         actions
     }
 
-    /// Takes an action; false if it changes nothing.
+    /// Takes an action. Returns false if it changes nothing.
     fn take(&mut self, action: Action) -> bool {
         let record = self.machine.slice_at(&service_id("s"), KEY);
         let record = record.expect("the slice");
@@ -275,8 +274,8 @@
             Action::NextLeader => {
                 self.budget.leaders -= 1;
                 self.term += 1;
-                // What the former leader proposed is lost; what it sent is
-                // still on its way.
+                // The former leader's proposals are lost, but its messages are
+                // still in flight.
                 self.proposals.clear();
                 self.grantor = grantor(self.term, self.now, &self.machine);
                 self.step(GrantorInput::Tick);
@@ -299,17 +298,18 @@
         let mut hasher = DefaultHasher::new();
         let slice = self.machine.slice_at(&service_id("s"), KEY);
         let sessions: Vec<_> = self.machine.sessions().collect();
-        let agreed = (slice, sessions, self.machine.term());
-        let beliefs = (&self.grantor, &self.holders, &self.permit);
-        let flying = (&self.messages, &self.proposals);
-        let whole = (agreed, beliefs, flying, self.now, &self.budget);
+        let replicated = (slice, sessions, self.machine.term());
+        let local = (&self.grantor, &self.holders, &self.permit);
+        let in_flight = (&self.messages, &self.proposals);
+        let whole = (replicated, local, in_flight, self.now, &self.budget);
         format!("{whole:?}").hash(&mut hasher);
         hasher.finish()
     }
 }
 
-/// Follows every schedule of up to `depth` actions. Returns the numbers of
-/// states and of those in which the second back end could have an effect.
+/// Explores every schedule of up to `depth` actions. Returns the number of
+/// states and the number of those in which the second back end may have an
+/// effect.
 fn explore(start: World, depth: usize) -> (usize, usize) {
     let mut seen = BTreeSet::new();
     let mut frontier = vec![start];
@@ -320,7 +320,7 @@
             for action in world.actions() {
                 let mut following = world.clone();
                 let changed = following.take(action);
-                if !changed || following.messages.len() > MAXIMUM_MESSAGES {
+                if !changed || following.messages.len() > MAX_MESSAGES {
                     continue;
                 }
                 if !seen.insert(following.fingerprint()) {
--- a/crates/ownership/tests/holder.rs
+++ b/crates/ownership/tests/holder.rs
@@ -1,4 +1,4 @@
-//! The back end's side on its own.
+//! Tests of the back end's side on its own.
 
 mod support;
 
@@ -38,25 +38,25 @@
     }
 }
 
-/// A holder and the leader that talks to it.
-struct Pair {
+/// A holder and the leader that sends it requests.
+struct HolderAndLeader {
     holder: Holder,
     leader: LeaderTerm,
     sequence: u64,
 }
 
-impl Pair {
+impl HolderAndLeader {
     fn new() -> Self {
-        Pair {
+        HolderAndLeader {
             holder: Holder::new(back_end_id("a"), Incarnation(5)),
             leader: term(1),
             sequence: 0,
         }
     }
 
-    /// A holder with one grant and a lease from `echo`.
+    /// Creates a holder with the grants and a lease from `echo`.
     fn holding(grants: Vec<Grant>, echo: u64) -> Self {
-        let mut pair = Pair::new();
+        let mut pair = HolderAndLeader::new();
         pair.full(echo, echo, 1, grants);
         pair
     }
@@ -100,13 +100,13 @@
 
 #[test]
 fn a_new_process_admits_nothing() {
-    let refused = Pair::new().admit(0, 1, 1);
+    let refused = HolderAndLeader::new().admit(0, 1, 1);
     assert_eq!(refused, Err(Refusal::WrongOwner));
 }
 
 #[test]
 fn another_epoch_or_another_key_is_refused() {
-    let mut pair = Pair::holding(vec![grant(0, 9, 3)], 0);
+    let mut pair = HolderAndLeader::holding(vec![grant(0, 9, 3)], 0);
     assert!(pair.admit(1, 9, 3).is_ok());
     for (point, index) in [(9, 2), (9, 4), (10, 3)] {
         assert_eq!(pair.admit(1, point, index), Err(Refusal::WrongOwner));
@@ -114,8 +114,8 @@
 }
 
 #[test]
-fn a_lapsed_lease_admits_nothing_and_lets_nothing_take_effect() {
-    let mut pair = Pair::holding(vec![grant(0, 9, 3)], 100);
+fn an_expired_lease_admits_nothing_and_lets_nothing_take_effect() {
+    let mut pair = HolderAndLeader::holding(vec![grant(0, 9, 3)], 100);
     let permit = pair.admit(2_099, 1, 3).expect("the lease holds");
     assert_eq!(pair.may_commit(2_099, &permit), Ok(()));
     assert_eq!(pair.may_commit(2_100, &permit), Err(Refusal::LeaseLapsed));
@@ -124,7 +124,7 @@
 
 #[test]
 fn a_delayed_renewal_does_not_lengthen_the_lease() {
-    let mut pair = Pair::holding(vec![grant(0, 9, 3)], 0);
+    let mut pair = HolderAndLeader::holding(vec![grant(0, 9, 3)], 0);
     pair.unchanged(1_900, 100, 1);
     assert_eq!(pair.holder.lease_end(), Some(at(2_100)));
     pair.unchanged(1_950, 50, 1);
@@ -133,14 +133,14 @@
 
 #[test]
 fn an_echo_from_the_future_renews_nothing() {
-    let mut pair = Pair::new();
+    let mut pair = HolderAndLeader::new();
     pair.full(10, 11, 1, vec![grant(0, 9, 3)]);
     assert!(!pair.holder.has_valid_lease(at(10)));
 }
 
 #[test]
 fn duplicated_and_reordered_requests_change_nothing() {
-    let mut pair = Pair::new();
+    let mut pair = HolderAndLeader::new();
     let take = GrantsUpdate::Full {
         version: version(term(1), 1),
         grants: vec![grant(0, 9, 3)],
@@ -164,7 +164,7 @@
 
 #[test]
 fn a_leader_of_an_earlier_term_is_refused() {
-    let mut pair = Pair::holding(vec![grant(0, 9, 3)], 0);
+    let mut pair = HolderAndLeader::holding(vec![grant(0, 9, 3)], 0);
     let deposed = pair.request(0, GrantsUpdate::Inquire);
     let mut inquiry = deposed.clone();
     inquiry.order = term(2).lease_sequence(1);
@@ -175,8 +175,8 @@
 }
 
 #[test]
-fn a_request_for_another_life_is_refused() {
-    let mut pair = Pair::new();
+fn a_request_for_another_incarnation_is_refused() {
+    let mut pair = HolderAndLeader::new();
     let version = version(term(1), 1);
     let grants = vec![grant(0, 9, 3)];
     let mut request = pair.request(0, GrantsUpdate::Full { version, grants });
@@ -191,7 +191,7 @@
 
 #[test]
 fn an_inquiry_reports_what_is_held_and_renews_nothing() {
-    let mut pair = Pair::holding(vec![grant(0, 9, 3)], 0);
+    let mut pair = HolderAndLeader::holding(vec![grant(0, 9, 3)], 0);
     let inquiry = pair.request(1_000, GrantsUpdate::Inquire);
     let response = pair.holder.handle(at(1_500), inquiry);
     assert_eq!(response.held, Some(vec![grant(0, 9, 3)]));
@@ -199,8 +199,8 @@
 }
 
 #[test]
-fn a_difference_from_a_version_not_held_is_ignored() {
-    let mut pair = Pair::holding(vec![grant(0, 9, 3)], 0);
+fn a_delta_from_a_version_not_held_is_ignored() {
+    let mut pair = HolderAndLeader::holding(vec![grant(0, 9, 3)], 0);
     let delta = GrantsUpdate::Delta {
         base: version(term(1), 2),
         version: version(term(1), 3),
@@ -216,15 +216,15 @@
 
 #[test]
 fn a_confirmation_of_a_version_not_held_renews_nothing() {
-    let mut pair = Pair::holding(vec![grant(0, 9, 3)], 0);
+    let mut pair = HolderAndLeader::holding(vec![grant(0, 9, 3)], 0);
     let response = pair.unchanged(1_000, 1_000, 2);
     assert_eq!(response.version, Some(version(term(1), 1)));
     assert_eq!(pair.holder.lease_end(), Some(at(2_000)));
 }
 
 #[test]
-fn a_grant_taken_away_is_releasing_until_its_work_ends() {
-    let mut pair = Pair::holding(vec![grant(0, 9, 3)], 0);
+fn a_grant_taken_away_is_releasing_until_its_requests_finish() {
+    let mut pair = HolderAndLeader::holding(vec![grant(0, 9, 3)], 0);
     let permit = pair.admit(1, 1, 3).expect("held");
     let response = pair.full(10, 5, 2, Vec::new());
     assert_eq!(response.releasing, vec![grant(0, 9, 3)]);
@@ -239,8 +239,8 @@
 }
 
 #[test]
-fn work_that_hangs_past_its_deadline_neither_holds_a_slice_up_nor_takes_effect() {
-    let mut pair = Pair::holding(vec![grant(0, 9, 3)], 0);
+fn a_request_past_its_deadline_neither_delays_a_release_nor_takes_effect() {
+    let mut pair = HolderAndLeader::holding(vec![grant(0, 9, 3)], 0);
     let service = service_id("s");
     let mut admit = |deadline| {
         let holder = &mut pair.holder;
@@ -257,21 +257,25 @@
 }
 
 #[test]
-fn work_of_a_grant_taken_away_is_over_for_good_once_the_lease_lapsed() {
-    let mut pair = Pair::holding(vec![grant(0, 9, 3)], 0);
+fn requests_of_a_grant_taken_away_are_revoked_for_good_once_the_lease_expired() {
+    let mut pair = HolderAndLeader::holding(vec![grant(0, 9, 3)], 0);
     let permit = pair.admit(1, 1, 3).expect("held");
     pair.full(10, 5, 2, Vec::new());
     let inquiry = pair.request(0, GrantsUpdate::Inquire);
     let lapsed = pair.holder.handle(at(2_500), inquiry);
-    assert_eq!(lapsed.releasing, Vec::new(), "it holds nothing up");
+    assert_eq!(
+        lapsed.releasing,
+        Vec::new(),
+        "a revoked request delays no release"
+    );
     pair.unchanged(3_000, 2_990, 2);
     assert!(pair.holder.has_valid_lease(at(3_001)), "renewed");
     assert_eq!(pair.may_commit(3_001, &permit), Err(Refusal::WrongOwner));
 }
 
 #[test]
-fn a_grant_taken_away_during_a_lapse_lets_nothing_take_effect() {
-    let mut pair = Pair::holding(vec![grant(0, 9, 3)], 0);
+fn a_grant_taken_away_while_the_lease_is_expired_lets_nothing_take_effect() {
+    let mut pair = HolderAndLeader::holding(vec![grant(0, 9, 3)], 0);
     let permit = pair.admit(1, 1, 3).expect("held");
     let response = pair.full(3_000, 2_990, 2, Vec::new());
     assert_eq!(response.releasing, Vec::new());
@@ -279,8 +283,8 @@
 }
 
 #[test]
-fn work_outlives_a_lapse_only_under_the_same_epoch() {
-    let mut pair = Pair::holding(vec![grant(0, 9, 3), grant(10, 19, 3)], 0);
+fn requests_survive_an_expired_lease_only_under_the_same_epoch() {
+    let mut pair = HolderAndLeader::holding(vec![grant(0, 9, 3), grant(10, 19, 3)], 0);
     let kept = pair.admit(1, 1, 3).expect("held");
     let assigned_anew = pair.admit(1, 10, 3).expect("held");
     pair.full(3_000, 2_990, 2, vec![grant(0, 9, 3), grant(10, 19, 7)]);
@@ -290,8 +294,8 @@
 }
 
 #[test]
-fn work_goes_on_through_a_split_of_its_slice() {
-    let mut pair = Pair::holding(vec![grant(0, 9, 3)], 0);
+fn requests_continue_through_a_split_of_their_slice() {
+    let mut pair = HolderAndLeader::holding(vec![grant(0, 9, 3)], 0);
     let permit = pair.admit(1, 7, 3).expect("held");
     let delta = GrantsUpdate::Delta {
         base: version(term(1), 1),
@@ -308,7 +312,7 @@
 
 #[test]
 fn of_overlapping_grants_the_older_is_refused() {
-    let mut pair = Pair::holding(vec![grant(0, 9, 3), grant(5, 14, 4)], 0);
+    let mut pair = HolderAndLeader::holding(vec![grant(0, 9, 3), grant(5, 14, 4)], 0);
     assert_eq!(pair.admit(1, 7, 3), Err(Refusal::WrongOwner));
     assert!(pair.admit(1, 7, 4).is_ok());
     pair.full(2, 0, 2, vec![grant(5, 14, 4), grant(0, 9, 3)]);
@@ -317,7 +321,7 @@
 
 #[test]
 fn readiness_counts_only_for_slices_that_are_asked_for() {
-    let mut pair = Pair::holding(Vec::new(), 0);
+    let mut pair = HolderAndLeader::holding(Vec::new(), 0);
     let asked = grant(0, 9, 3);
     assert!(!pair.holder.mark_ready(&asked));
     let version = version(term(1), 1);
@@ -332,8 +336,8 @@
 }
 
 #[test]
-fn a_draining_process_says_so_and_serves_what_it_holds() {
-    let mut pair = Pair::holding(vec![grant(0, 9, 3)], 0);
+fn a_draining_process_reports_it_and_serves_what_it_holds() {
+    let mut pair = HolderAndLeader::holding(vec![grant(0, 9, 3)], 0);
     pair.holder.begin_drain();
     assert!(pair.unchanged(1, 0, 1).draining);
     assert!(pair.admit(2, 1, 3).is_ok());
--- a/crates/ownership/tests/machine_objects.rs
+++ b/crates/ownership/tests/machine_objects.rs
@@ -1,4 +1,4 @@
-//! The replicated state: configuration objects.
+//! Tests of the replicated state: configuration objects.
 
 mod support;
 
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_deleted_object_does_not_come_back_by_an_old_version() {
+fn a_deleted_object_is_not_restored_by_an_old_version() {
     let mut log = Log::new();
     log.accept(&put_back_end(back_end("a", 5, 1, "blue")));
     log.accept(&put_service(service("s", 5, "blue", 1)));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn forgotten_deletions_still_keep_old_objects_out() {
+fn dropped_tombstones_still_reject_old_versions() {
     let mut log = Log::new();
     for number in 0..=MAXIMUM_TOMBSTONES as u64 {
         log.accept(&delete_back_end(&format!("gone-{number}"), number + 10));
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_deleted_back_end_stays_until_its_slices_have_left() {
+fn a_deleted_back_end_remains_until_its_slices_are_released() {
     let mut log = Log::with_one_slice();
     let record = log.assign(&session_id("a", 1));
     let applied = log.accept(&delete_back_end("a", 2));
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_new_address_comes_into_force_when_the_session_at_the_old_one_ended() {
+fn a_new_address_takes_effect_when_the_session_at_the_old_one_ends() {
     let mut log = Log::with_one_slice();
     let record = log.assign(&session_id("a", 1));
     log.accept(&put_back_end(back_end("a", 2, 9, "blue")));
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_service_created_again_does_not_reassign_slices_that_are_still_out() {
+fn a_service_created_again_does_not_reassign_slices_that_are_still_owned() {
     let mut log = Log::with_one_slice();
     let record = log.assign(&session_id("a", 1));
     let applied = log.accept(&delete_service(2));
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn a_deleted_service_is_forgotten_when_its_last_slice_is_released() {
+fn a_deleted_service_is_removed_when_its_last_slice_is_released() {
     let mut log = Log::with_one_slice();
     let record = log.assign(&session_id("a", 1));
     log.accept(&delete_service(2));
--- a/crates/ownership/tests/machine_ownership.rs
+++ b/crates/ownership/tests/machine_ownership.rs
@@ -1,4 +1,4 @@
-//! The replicated state: who owns what.
+//! Tests of the replicated state: ownership of slices.
 
 mod support;
 
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn closing_a_session_frees_its_slices_and_gives_up_moves_to_it() {
+fn closing_a_session_releases_its_slices_and_cancels_moves_to_it() {
     let mut log = Log::with_one_slice();
     let record = log.assign(&session_id("a", 1));
     log.accept(&begin_move(&record, &support::back_end_id("b")));
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_draining_session_gets_no_slices_and_shall_give_up_its_own() {
+fn a_draining_session_gets_no_slices_and_must_give_up_its_own() {
     let mut log = Log::with_one_slice();
     let record = log.assign(&session_id("a", 1));
     log.accept(&Command::MarkDraining(session_id("a", 1)));
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn slices_of_different_owners_or_on_the_move_are_not_merged() {
+fn slices_of_different_owners_or_being_moved_are_not_merged() {
     let mut log = Log::with_one_slice();
     let record = log.assign(&session_id("a", 1));
     log.accept(&split(&record, Point(1 << 63)));
--- a/crates/ownership/tests/simulation/clock.rs
+++ b/crates/ownership/tests/simulation/clock.rs
@@ -1,9 +1,9 @@
-//! Clocks that run at different rates from different origins.
+//! Clocks with different rates and origins.
 
 use threadledge_types::Timestamp;
 
-/// Fastest and slowest rate, in parts per million of real time; their ratio
-/// is just below the drift that the default timing tolerates (5 %).
+/// Slowest and fastest rate, in parts per million of real time. Their ratio is
+/// just below the drift that the default timing tolerates (5 %).
 pub const RATES: std::ops::Range<u64> = 976_000..1_024_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -13,13 +13,13 @@
 }
 
 impl Clock {
-    /// What the clock shows at a real time, in microseconds.
+    /// Returns the reading at a real time in microseconds.
     pub fn read(&self, real: u64) -> Timestamp {
         let passed = u128::from(real) * u128::from(self.rate) / 1_000_000;
         Timestamp::from_micros(self.origin + passed as u64)
     }
 
-    /// The first real time at which the clock shows `reading`.
+    /// Returns the first real time at which the clock shows `reading`.
     pub fn when(&self, reading: Timestamp) -> u64 {
         let passed = reading.as_micros().saturating_sub(self.origin);
         (u128::from(passed) * 1_000_000).div_ceil(u128::from(self.rate)) as u64
--- a/crates/ownership/tests/simulation/chaos.rs
+++ b/crates/ownership/tests/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, and what operators and placement do meanwhile.
+//! Injected faults, and the actions of operators and placement.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
     address, assign, back_end, back_end_id, begin_move, cancel_move, objects, put_back_end,
     put_service, service,
 };
-use crate::world::{Event, MILLISECOND, POINTS, SECOND, Weather, World, point};
+use crate::world::{Event, MILLISECOND, NetworkFaults, POINTS, SECOND, World, point};
 
 pub const BACK_ENDS: u16 = 5;
 
-/// What operators believe about the objects.
+/// Configuration objects as operators wrote them.
 pub struct Operators {
     version: u64,
     next_address: u16,
@@ -73,7 +73,7 @@
         world.propose(objects(changes));
     }
 
-    /// Changes one thing.
+    /// Changes one object.
     fn change_objects(&mut self, world: &mut World) {
         self.version += 1;
         let number = world.random.random_range(0..BACK_ENDS);
@@ -90,7 +90,7 @@
                 }
             }
             3 => {
-                // The same back end comes up elsewhere while the earlier
+                // The same back end starts at another address while the earlier
                 // process still runs.
                 if let Some((place, pool)) = known {
                     *place = self.next_address;
@@ -108,29 +108,29 @@
         }
     }
 
-    /// One thing goes wrong or changes.
-    pub fn disturb(&mut self, world: &mut World) {
+    /// Injects one fault or change.
+    pub fn inject_fault(&mut self, world: &mut World) {
         match world.random.random_range(0..18) {
             0 | 1 => freeze_process(world),
             2 | 3 => restart_process(world),
             4 => drain_process(world),
             5 | 6 => self.change_objects(world),
-            7..=9 => move_something(world),
-            10 | 11 => divide_something(world),
+            7..=9 => change_a_move(world),
+            10 | 11 => split_or_merge_a_slice(world),
             12 => lose_leader(world),
             13 => freeze_leader(world),
-            14 => change_weather(world),
+            14 => change_network_faults(world),
             15 => stall_commits(world),
             16 => lose_leader_while_stalled(world),
             _ => lose_majority(world),
         }
     }
 
-    /// Everything is repaired: one process for each back end, and a fair
-    /// network.
-    pub fn heal(&mut self, world: &mut World) {
-        world.calm = true;
-        world.weather = Weather::FAIR;
+    /// Repairs everything: one process for each back end, and a network without
+    /// faults.
+    pub fn repair(&mut self, world: &mut World) {
+        world.repaired = true;
+        world.network_faults = NetworkFaults::NONE;
         self.service_exists = true;
         let found = std::mem::take(&mut world.processes);
         for number in 0..BACK_ENDS {
@@ -139,7 +139,7 @@
             let fresh = world.process(back_end_id(&name(number)), address(place));
             world.processes.push(fresh);
         }
-        // Some processes come through without a restart.
+        // Some processes survive without a restart.
         for mut survivor in found {
             survivor.frozen_until = 0;
             let slot = world
@@ -160,20 +160,20 @@
     }
 }
 
-fn any_process(world: &mut World) -> Option<usize> {
+fn random_process(world: &mut World) -> Option<usize> {
     let count = world.processes.len();
     (count > 0).then(|| world.random.random_range(0..count))
 }
 
 fn freeze_process(world: &mut World) {
-    if let Some(number) = any_process(world) {
+    if let Some(number) = random_process(world) {
         let time = world.random.random_range(100 * MILLISECOND..5 * SECOND);
         world.processes[number].frozen_until = world.real + time;
     }
 }
 
 fn restart_process(world: &mut World) {
-    let Some(number) = any_process(world) else {
+    let Some(number) = random_process(world) else {
         return;
     };
     let gone = world.processes.swap_remove(number);
@@ -185,7 +185,7 @@
 }
 
 fn drain_process(world: &mut World) {
-    if let Some(number) = any_process(world) {
+    if let Some(number) = random_process(world) {
         world.processes[number].holder.begin_drain();
     }
 }
@@ -194,20 +194,20 @@
     world.committed.slices(&world.service).collect()
 }
 
-fn any_slice(world: &mut World) -> Option<SliceRecord> {
+fn random_slice(world: &mut World) -> Option<SliceRecord> {
     let slices = slices(world);
     let number = world.random.random_range(0..slices.len().max(1));
     slices.into_iter().nth(number)
 }
 
-fn move_something(world: &mut World) {
-    let Some(record) = any_slice(world) else {
+fn change_a_move(world: &mut World) {
+    let Some(record) = random_slice(world) else {
         return;
     };
     if record.next.is_some() {
         world.propose(cancel_move(&record));
     }
-    if let Some(to) = any_candidate(world) {
+    if let Some(to) = random_session_back_end(world) {
         world.propose(begin_move(&record, &to));
         if world.random.random_bool(0.3) {
             world.propose(cancel_move(&record));
@@ -216,14 +216,14 @@
     }
 }
 
-fn any_candidate(world: &mut World) -> Option<BackEndId> {
+fn random_session_back_end(world: &mut World) -> Option<BackEndId> {
     let candidates = world.committed.eligible_sessions(&world.service);
     let candidates: Vec<BackEndId> = candidates.map(|id| id.back_end.clone()).collect();
     let number = world.random.random_range(0..candidates.len().max(1));
     candidates.into_iter().nth(number)
 }
 
-fn divide_something(world: &mut World) {
+fn split_or_merge_a_slice(world: &mut World) {
     let at = point(world.random.random_range(0..POINTS));
     let service = world.service.clone();
     let Some(record) = world.committed.slice_at(&service, at) else {
@@ -268,7 +268,7 @@
     world.at(time, Event::Commit);
 }
 
-/// What the leader proposed last may or may not be in the next one's log.
+/// Whether the leader's last proposals are in the next one's log is random.
 fn lose_leader_while_stalled(world: &mut World) {
     stall_commits(world);
     let leader = world.leader();
@@ -285,15 +285,15 @@
     world.routers[leader].frozen_until = world.real + time;
 }
 
-fn change_weather(world: &mut World) {
-    world.weather = match world.random.random_range(0..3) {
-        0 => Weather::FAIR,
-        1 => Weather {
+fn change_network_faults(world: &mut World) {
+    world.network_faults = match world.random.random_range(0..3) {
+        0 => NetworkFaults::NONE,
+        1 => NetworkFaults {
             loss: 0.1,
             duplicate: 0.1,
             slow: 0.1,
         },
-        _ => Weather {
+        _ => NetworkFaults {
             loss: 0.4,
             duplicate: 0.2,
             slow: 0.3,
@@ -304,16 +304,16 @@
 fn lose_majority(world: &mut World) {
     if world.random.random_bool(0.2) {
         world.electing = false;
-        world.found_again();
+        world.refound_group();
     }
 }
 
-/// Placement in its simplest form: unowned slices go to any candidate, and
-/// owners that have to go are relieved.
-pub fn place(world: &mut World) {
+/// A minimal placement: unowned slices are assigned to random eligible
+/// sessions, and slices are moved away from owners that must give them up.
+pub fn place_slices(world: &mut World) {
     for record in slices(world) {
         let misplaced = world.committed.misplaced().contains(&record.key());
-        let Some(to) = any_candidate(world) else {
+        let Some(to) = random_session_back_end(world) else {
             return;
         };
         let session = world.committed.session(&to).map(|open| open.id.clone());
@@ -331,9 +331,10 @@
     }
 }
 
-/// Clients: some work starts, some ends, under present and stale epochs.
-pub fn work(world: &mut World) {
-    let Some(number) = any_process(world) else {
+/// Client requests: some are admitted and some finish, under present and stale
+/// epochs.
+pub fn run_client_work(world: &mut World) {
+    let Some(number) = random_process(world) else {
         return;
     };
     let key = point(world.random.random_range(0..POINTS));
@@ -361,8 +362,8 @@
     }
 }
 
-/// Whether every copy that replays the changes equals the state.
-pub fn full_copy_is_complete(world: &World) -> bool {
+/// Returns whether the records of the full copy contain every slice.
+pub fn records_contain_every_slice(world: &World) -> bool {
     let copies = world.committed.records();
     let slices = copies
         .iter()
--- a/crates/ownership/tests/simulation/main.rs
+++ b/crates/ownership/tests/simulation/main.rs
@@ -1,35 +1,35 @@
-//! Random schedules of everything that may go wrong, with fixed seeds.
+//! Random schedules of failures, with fixed seeds.
 //!
-//! After every event at most one process could have an effect on any key.
-//! Once all is repaired, every key is owned and served again.
+//! After every event at most one process may have an effect on any key. After
+//! the failures end, every key is owned and served again.
 
-mod chaos;
 mod clock;
+mod faults;
 mod process;
 mod router;
 #[path = "../support/mod.rs"]
 mod support;
 mod world;
 
-use chaos::Operators;
+use faults::Operators;
 use rand::RngExt;
 use threadledge_ownership::StateMachine;
 use world::{Event, MILLISECOND, POINTS, SECOND, World, point};
 
-const CHAOS_END: u64 = 25 * SECOND;
-const CALM_END: u64 = CHAOS_END + 12 * SECOND;
+const FAULTS_END: u64 = 25 * SECOND;
+const RECOVERY_END: u64 = FAULTS_END + 12 * SECOND;
 const WORK_INTERVAL: u64 = 8 * MILLISECOND;
-/// The parts run side by side.
-const SEEDS_A_PART: u64 = 6;
+/// Number of seeds in each test, so that the tests run in parallel.
+const SEEDS_PER_PART: u64 = 6;
 
 fn run(seed: u64) -> World {
     let mut world = World::new(seed);
     let mut operators = Operators::new(&mut world);
     operators.publish(&mut world);
-    world.at(2 * SECOND, Event::Chaos);
-    advance(&mut world, &mut operators, CHAOS_END);
-    operators.heal(&mut world);
-    advance(&mut world, &mut operators, CALM_END);
+    world.at(2 * SECOND, Event::InjectFault);
+    advance(&mut world, &mut operators, FAULTS_END);
+    operators.repair(&mut world);
+    advance(&mut world, &mut operators, RECOVERY_END);
     world
 }
 
@@ -37,19 +37,19 @@
     while let Some(event) = world.run_one(until) {
         match event {
             Event::Work => {
-                chaos::work(world);
+                faults::run_client_work(world);
                 if world.random.random_bool(0.1) {
-                    chaos::place(world);
+                    faults::place_slices(world);
                 }
                 world.at(WORK_INTERVAL, Event::Work);
             }
-            Event::Chaos if world.calm => {}
-            Event::Chaos => {
-                operators.disturb(world);
+            Event::InjectFault if world.repaired => {}
+            Event::InjectFault => {
+                operators.inject_fault(world);
                 let pause = world
                     .random
                     .random_range(20 * MILLISECOND..800 * MILLISECOND);
-                world.at(pause, Event::Chaos);
+                world.at(pause, Event::InjectFault);
             }
             event => world.handle(event),
         }
@@ -80,38 +80,38 @@
     assert_eq!(restored.records(), world.committed.records());
     assert_eq!(restored.misplaced(), world.committed.misplaced());
     assert_eq!(restored.pending_moves(), world.committed.pending_moves());
-    assert!(chaos::full_copy_is_complete(world));
+    assert!(faults::records_contain_every_slice(world));
 }
 
 fn run_seeds(seeds: std::ops::Range<u64>) {
-    let mut effects = 0;
+    let mut effect_checks = 0;
     for seed in seeds {
         println!("seed {seed}");
         let world = run(seed);
         assert_served(&world, seed);
         assert_restorable(&world);
-        effects += world.effects;
+        effect_checks += world.effect_checks;
         println!("seed {seed}: {:?}", world.observations);
     }
-    assert!(effects > 0);
+    assert!(effect_checks > 0);
 }
 
 #[test]
 fn random_failures_never_give_a_key_two_owners_and_service_resumes_first_part() {
-    run_seeds(0..SEEDS_A_PART);
+    run_seeds(0..SEEDS_PER_PART);
 }
 
 #[test]
 fn random_failures_never_give_a_key_two_owners_and_service_resumes_second_part() {
-    run_seeds(SEEDS_A_PART..2 * SEEDS_A_PART);
+    run_seeds(SEEDS_PER_PART..2 * SEEDS_PER_PART);
 }
 
 #[test]
 fn random_failures_never_give_a_key_two_owners_and_service_resumes_third_part() {
-    run_seeds(2 * SEEDS_A_PART..3 * SEEDS_A_PART);
+    run_seeds(2 * SEEDS_PER_PART..3 * SEEDS_PER_PART);
 }
 
 #[test]
 fn random_failures_never_give_a_key_two_owners_and_service_resumes_fourth_part() {
-    run_seeds(3 * SEEDS_A_PART..4 * SEEDS_A_PART);
+    run_seeds(3 * SEEDS_PER_PART..4 * SEEDS_PER_PART);
 }
--- a/crates/ownership/tests/simulation/process.rs
+++ b/crates/ownership/tests/simulation/process.rs
@@ -13,13 +13,13 @@
     pub back_end: BackEndId,
     pub clock: Clock,
     pub holder: Holder,
-    /// Real time until which it is frozen.
+    /// Real time until which the process is frozen.
     pub frozen_until: u64,
     pub permits: Vec<Permit>,
 }
 
 impl Process {
-    /// The epoch under which an effect on the key would be allowed now.
+    /// Returns the epoch under which an effect on the key would be allowed now.
     pub fn could_commit(&self, real: u64, service: &ServiceId, point: Point) -> Option<Epoch> {
         let now = self.clock.read(real);
         if !self.holder.has_valid_lease(now) {
--- a/crates/ownership/tests/simulation/router.rs
+++ b/crates/ownership/tests/simulation/router.rs
@@ -1,4 +1,4 @@
-//! Routers that lead or once led the group.
+//! Routers that lead the group or led it before.
 
 use threadledge_ownership::{Grantor, LeaderTerm, StateMachine};
 
@@ -9,10 +9,10 @@
     pub term: LeaderTerm,
     pub machine: StateMachine,
     pub grantor: Grantor,
-    /// The leader lease holds.
+    /// Whether the leader lease is valid.
     pub lease_valid: bool,
-    /// Real time until which it is frozen.
+    /// Real time until which the router is frozen.
     pub frozen_until: u64,
-    /// Real time of the earliest wake-up on its way.
+    /// Real time of the earliest scheduled wake-up.
     pub wakeup: Option<u64>,
 }
--- a/crates/ownership/tests/simulation/world.rs
+++ b/crates/ownership/tests/simulation/world.rs
@@ -1,4 +1,4 @@
-//! Leaders, back ends, clients and the network between them.
+//! The simulated leaders, back ends, clients and network.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 
 pub const MILLISECOND: u64 = 1_000;
 pub const SECOND: u64 = 1_000_000;
-/// Keys that are watched.
+/// Number of keys that are checked.
 pub const POINTS: u64 = 8;
 
 pub fn point(number: u64) -> Point {
@@ -53,23 +53,23 @@
     Elect,
     RegainLease,
     Work,
-    Chaos,
+    InjectFault,
     Start(Box<Process>),
 }
 
-/// Most entries of earlier leaders that are applied one by one.
-const MOST_INHERITED: usize = 8;
+/// Maximum number of entries of earlier leaders that are applied one by one.
+const MAX_INHERITED: usize = 8;
 
-/// How bad the network is.
+/// Probabilities that the network loses, duplicates or delays a message.
 #[derive(Clone, Copy)]
-pub struct Weather {
+pub struct NetworkFaults {
     pub loss: f64,
     pub duplicate: f64,
     pub slow: f64,
 }
 
-impl Weather {
-    pub const FAIR: Weather = Weather {
+impl NetworkFaults {
+    pub const NONE: NetworkFaults = NetworkFaults {
         loss: 0.0,
         duplicate: 0.0,
         slow: 0.0,
@@ -82,15 +82,15 @@
     events: BTreeMap<(u64, u64), Event>,
     scheduled: u64,
     pub timing: Timing,
-    pub weather: Weather,
+    pub network_faults: NetworkFaults,
     pub routers: Vec<Router>,
-    /// Everything committed, applied.
+    /// State after all committed entries.
     pub committed: StateMachine,
     pub checkpoint: StateMachine,
     pub generation: Generation,
     index: u64,
-    pub tail: VecDeque<Command>,
-    /// Entries of the tail that earlier leaders proposed.
+    pub uncommitted: VecDeque<Command>,
+    /// Number of uncommitted entries that earlier leaders proposed.
     inherited: usize,
     pub processes: Vec<Process>,
     /// Highest epoch of each process, by key.
@@ -98,9 +98,9 @@
     pub electing: bool,
     /// No entry commits before this real time.
     pub stalled_until: u64,
-    pub calm: bool,
+    pub repaired: bool,
     pub service: ServiceId,
-    pub effects: u64,
+    pub effect_checks: u64,
     pub observations: BTreeMap<String, u64>,
     incarnations: u64,
 }
@@ -113,21 +113,21 @@
             events: BTreeMap::new(),
             scheduled: 0,
             timing: Timing::default(),
-            weather: Weather::FAIR,
+            network_faults: NetworkFaults::NONE,
             routers: Vec::new(),
             committed: StateMachine::new(GROUP),
             checkpoint: StateMachine::new(GROUP),
             generation: Generation(1),
             index: 0,
-            tail: VecDeque::new(),
+            uncommitted: VecDeque::new(),
             inherited: 0,
             processes: Vec::new(),
             highest: BTreeMap::new(),
             electing: false,
             stalled_until: 0,
-            calm: false,
+            repaired: false,
             service: service_id("s"),
-            effects: 0,
+            effect_checks: 0,
             observations: BTreeMap::new(),
             incarnations: 0,
         };
@@ -142,7 +142,7 @@
         self.events.insert(key, event);
     }
 
-    /// A clock, often as fast or as slow as is tolerated.
+    /// Returns a random clock, often as fast or as slow as is tolerated.
     pub fn clock(&mut self) -> Clock {
         let rate = match self.random.random_range(0..4) {
             0 => RATES.start,
@@ -159,13 +159,13 @@
         self.routers.len() - 1
     }
 
-    /// Another router becomes leader. What the former one had not committed
-    /// survives up to a random entry.
+    /// Makes another router the leader. The former one's uncommitted entries
+    /// survive up to a random one.
     pub fn elect(&mut self) {
         self.electing = false;
-        let kept = self.random.random_range(0..=self.tail.len());
-        self.tail.truncate(kept);
-        self.inherited = kept.min(MOST_INHERITED);
+        let kept = self.random.random_range(0..=self.uncommitted.len());
+        self.uncommitted.truncate(kept);
+        self.inherited = kept.min(MAX_INHERITED);
         if let Some(former) = self.routers.last_mut() {
             former.lease_valid = false;
         }
@@ -192,11 +192,12 @@
         self.step_router(self.leader(), GrantorInput::Tick);
     }
 
-    /// A majority is lost: the group is founded again from its checkpoint.
-    pub fn found_again(&mut self) {
+    /// Simulates the loss of a majority: the group is founded again from its
+    /// checkpoint.
+    pub fn refound_group(&mut self) {
         self.generation.0 += 1;
         self.index = 0;
-        self.tail.clear();
+        self.uncommitted.clear();
         self.inherited = 0;
         self.committed = self.checkpoint.clone();
         self.elect();
@@ -215,19 +216,19 @@
         }
     }
 
-    /// Hands a command to the present leader.
+    /// Proposes a command to the current leader.
     pub fn propose(&mut self, command: Command) {
         let term = self.routers[self.leader()].term;
-        self.append_later(term, command);
+        self.send_append(term, command);
     }
 
-    fn append_later(&mut self, term: LeaderTerm, command: Command) {
-        if !self.calm && self.random.random_bool(0.05) {
+    fn send_append(&mut self, term: LeaderTerm, command: Command) {
+        if !self.repaired && self.random.random_bool(0.05) {
             return;
         }
-        let copies = 1 + usize::from(!self.calm && self.random.random_bool(0.1));
+        let copies = 1 + usize::from(!self.repaired && self.random.random_bool(0.1));
         for _ in 0..copies {
-            let slow = !self.calm && self.random.random_bool(0.1);
+            let slow = !self.repaired && self.random.random_bool(0.1);
             let longest = if slow { 3 * SECOND } else { 2 * MILLISECOND };
             let delay = self.random.random_range(100..longest);
             let command = command.clone();
@@ -235,7 +236,8 @@
         }
     }
 
-    /// Takes the next event. Returns false when `until` is reached.
+    /// Removes and returns the next event, or returns `None` when `until` is
+    /// reached.
     pub fn run_one(&mut self, until: u64) -> Option<Event> {
         let (&(at, number), _) = self.events.first_key_value()?;
         if at > until {
@@ -268,9 +270,9 @@
                 order,
             } => self.step_router(router, GrantorInput::Failed { back_end, order }),
             Event::Append { term, command } => {
-                // A command of another term's leader is never taken over.
+                // A command proposed in another term is never appended.
                 if term == self.routers[self.leader()].term {
-                    self.tail.push_back(command);
+                    self.uncommitted.push_back(command);
                     let delay = self.commit_delay();
                     self.at(delay, Event::Commit);
                 }
@@ -288,26 +290,26 @@
                 }
             }
             Event::Start(process) => self.processes.push(*process),
-            Event::Work | Event::Chaos => unreachable!("handled by the schedule"),
+            Event::Work | Event::InjectFault => unreachable!("handled by the schedule"),
         }
     }
 
-    /// A quorum is slow now and then.
+    /// Returns the delay of a commit. A quorum is occasionally slow.
     fn commit_delay(&mut self) -> u64 {
-        let slow = !self.calm && self.random.random_bool(0.1);
+        let slow = !self.repaired && self.random.random_bool(0.1);
         let longest = if slow { SECOND } else { 5 * MILLISECOND };
         self.random.random_range(200..longest)
     }
 
     fn commit(&mut self) {
         if self.real < self.stalled_until {
-            if !self.tail.is_empty() {
+            if !self.uncommitted.is_empty() {
                 let delay = self.stalled_until - self.real;
                 self.at(delay, Event::Commit);
             }
             return;
         }
-        while let Some(command) = self.tail.pop_front() {
+        while let Some(command) = self.uncommitted.pop_front() {
             self.index += 1;
             let revision = Revision::new(self.generation, self.index);
             self.committed.apply(revision, &command);
@@ -324,10 +326,10 @@
                 break;
             }
         }
-        if !self.calm && self.random.random_bool(0.01) {
+        if !self.repaired && self.random.random_bool(0.01) {
             self.stalled_until = self.real + self.random.random_range(0..SECOND);
         }
-        if !self.tail.is_empty() {
+        if !self.uncommitted.is_empty() {
             let delay = self.stalled_until.saturating_sub(self.real);
             self.at(delay + MILLISECOND, Event::Commit);
         }
@@ -358,24 +360,24 @@
             .grantor
             .step(now, input, &router.machine, router.lease_valid);
         let term = router.term;
-        self.plan_wakeup(number);
+        self.schedule_wakeup(number);
         for output in outputs {
             match output {
                 GrantorOutput::Send { to, request } => self.send(number, to, request),
-                GrantorOutput::Propose(command) => self.append_later(term, command),
-                GrantorOutput::Observed(observation) => self.count(&observation),
+                GrantorOutput::Propose(command) => self.send_append(term, command),
+                GrantorOutput::Observed(observation) => self.count_observation(&observation),
                 GrantorOutput::Load { .. } | GrantorOutput::Reachability { .. } => {}
             }
         }
     }
 
-    fn count(&mut self, observation: &Observation) {
+    fn count_observation(&mut self, observation: &Observation) {
         let text = format!("{observation:?}");
         let name = text.split(['(', ' ']).next().unwrap_or_default().to_owned();
         *self.observations.entry(name).or_default() += 1;
     }
 
-    fn plan_wakeup(&mut self, number: usize) {
+    fn schedule_wakeup(&mut self, number: usize) {
         let real = self.real;
         let deposed = number != self.leader();
         let router = &mut self.routers[number];
@@ -385,7 +387,7 @@
         let Some(due) = router.grantor.next_wakeup() else {
             return;
         };
-        // Without a lease the leader only looks again now and then.
+        // Without a lease the leader only checks again at intervals.
         let pause = if router.lease_valid {
             1
         } else {
@@ -399,14 +401,14 @@
         self.at(due - real, Event::Wakeup(number));
     }
 
-    fn delays(&mut self) -> Vec<u64> {
-        if self.random.random_bool(self.weather.loss) {
+    fn message_delays(&mut self) -> Vec<u64> {
+        if self.random.random_bool(self.network_faults.loss) {
             return Vec::new();
         }
-        let copies = 1 + usize::from(self.random.random_bool(self.weather.duplicate));
+        let copies = 1 + usize::from(self.random.random_bool(self.network_faults.duplicate));
         let mut delays = Vec::new();
         for _ in 0..copies {
-            let slow = self.random.random_bool(self.weather.slow);
+            let slow = self.random.random_bool(self.network_faults.slow);
             let longest = if slow { 6 * SECOND } else { 5 * MILLISECOND };
             delays.push(self.random.random_range(500..longest));
         }
@@ -414,7 +416,7 @@
     }
 
     fn send(&mut self, router: usize, to: SocketAddr, request: Box<LeaseRequest>) {
-        for delay in self.delays() {
+        for delay in self.message_delays() {
             let request = request.clone();
             let event = Event::RequestArrives {
                 router,
@@ -463,7 +465,7 @@
                 process.holder.mark_ready(&grant);
             }
         }
-        for delay in self.delays() {
+        for delay in self.message_delays() {
             let event = Event::ResponseArrives {
                 router,
                 from: from.clone(),
@@ -473,10 +475,10 @@
         }
     }
 
-    /// The invariants: at most one process could have an effect on a key, and
-    /// only under an epoch above that of every other process before it. Work
-    /// that one process admitted before a merge gave it a higher epoch may
-    /// end after: the owner is the same.
+    /// Checks the invariants: at most one process may have an effect on a key,
+    /// and only under an epoch above that of every other process before it. A
+    /// request that a process admitted before a merge gave it a higher epoch
+    /// may finish after the merge, because the owner is the same.
     pub fn check(&mut self) {
         for number in 0..POINTS {
             let key = point(number);
@@ -494,7 +496,7 @@
             let Some(&(owner, epoch)) = owners.first() else {
                 continue;
             };
-            self.effects += 1;
+            self.effect_checks += 1;
             let highest = self.highest.entry(key).or_default();
             for (other, earlier) in highest.iter() {
                 assert!(
--- a/crates/ownership/tests/support/mod.rs
+++ b/crates/ownership/tests/support/mod.rs
@@ -33,12 +33,13 @@
     }
 }
 
-/// Control address number `number`.
+/// Returns the address numbered `number`.
 pub fn address(number: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 10_000 + number))
 }
 
-/// A back end with the label `pool` and both addresses from `number`.
+/// Returns a back end with the label `pool`, whose two addresses are numbered
+/// `number`.
 pub fn back_end(name: &str, version: u64, number: u16, pool: &str) -> BackEndRecord {
     BackEndRecord {
         id: back_end_id(name),
@@ -55,7 +56,7 @@
     }
 }
 
-/// A service that selects the back ends labelled with `pool`.
+/// Returns a service that selects the back ends labelled with `pool`.
 pub fn service(name: &str, version: u64, pool: &str, slices_per_back_end: u32) -> ServiceRecord {
     let selector = serde_json::json!({"matchLabels": {"pool": pool}});
     ServiceRecord {
@@ -87,7 +88,7 @@
     Command::ApplyObjects { changes }
 }
 
-/// Term `term` of the first generation.
+/// Returns term `term` of the first generation.
 pub fn term(term: u64) -> LeaderTerm {
     LeaderTerm {
         generation: Generation(1),
@@ -95,7 +96,7 @@
     }
 }
 
-/// A state machine that numbers its entries itself.
+/// A state machine that assigns revisions to its entries.
 pub struct Log {
     pub machine: StateMachine,
     index: u64,
@@ -126,7 +127,8 @@
         applied
     }
 
-    /// Back ends `a` and `b` with open sessions, service `s` of one slice.
+    /// Creates back ends `a` and `b` with open sessions, and service `s` with
+    /// one slice.
     pub fn with_one_slice() -> Self {
         let mut log = Log::new();
         log.accept(&Command::BeginTerm(term(1)));
@@ -138,18 +140,18 @@
         log
     }
 
-    /// The slices of service `s`.
+    /// Returns the slices of service `s`.
     pub fn slices(&self) -> Vec<SliceRecord> {
         self.machine.slices(&service_id("s")).collect()
     }
 
-    /// The only slice of service `s`.
+    /// Returns the only slice of service `s`.
     pub fn only_slice(&self) -> SliceRecord {
         let mut slices = self.slices().into_iter();
         slices.next().expect("a slice")
     }
 
-    /// Gives the only slice of service `s` to a session.
+    /// Assigns the only slice of service `s` to a session.
     pub fn assign(&mut self, to: &SessionId) -> SliceRecord {
         let command = assign(&self.only_slice(), to);
         self.accept(&command);
--- a/crates/placement/examples/exchange.rs
+++ b/crates/placement/examples/exchange.rs
@@ -1,5 +1,5 @@
-//! Prints what each policy buys: imbalance against churn, while the hot keys
-//! shift every two minutes.
+//! Prints the imbalance and the churn that result from each policy, while the
+//! hot keys change every two minutes.
 //!
 //! `cargo run --release -p threadledge-placement --example exchange`
 
@@ -17,7 +17,7 @@
 const STEPS_A_SHIFT: usize = 240;
 const RATE: f64 = 3_000.0;
 const HOT_KEYS: u32 = 500;
-/// Virtual nodes of each back end on the hash ring that is compared.
+/// Virtual nodes of each back end on the hash ring used for comparison.
 const RING_NODES: u32 = 100;
 
 fn main() {
@@ -79,7 +79,8 @@
     }
 }
 
-/// The same traffic on a hash ring, which nothing moves.
+/// Returns the result for the same traffic on a hash ring, which never moves
+/// keys.
 fn ring() -> String {
     let mut nodes: BTreeMap<Point, u32> = BTreeMap::new();
     for number in 0..BACK_ENDS {
--- a/crates/placement/examples/plan_cost.rs
+++ b/crates/placement/examples/plan_cost.rs
@@ -1,4 +1,4 @@
-//! Prints what planning costs as the number of slices grows.
+//! Prints the cost of planning for increasing numbers of slices.
 //!
 //! `cargo run --release -p threadledge-placement --example plan_cost`
 
@@ -19,10 +19,10 @@
 
 const BACK_ENDS: u32 = 100;
 const SIZES: [u32; 4] = [1_000, 10_000, 100_000, 1_000_000];
-const MANY: usize = usize::MAX;
+const NO_LIMIT: usize = usize::MAX;
 const ROUNDS: u32 = 1_000;
 
-struct Bench {
+struct Benchmark {
     planner: Planner,
     now: Timestamp,
     slices: BTreeMap<Slice, SliceRecord>,
@@ -45,59 +45,71 @@
 
 fn measure(size: u32) {
     let resident = resident_bytes();
-    let mut bench = Bench::new(size);
+    let mut benchmark = Benchmark::new(size);
     let per_slice = |elapsed: Duration, count: usize| elapsed.as_nanos() / count.max(1) as u128;
 
     let divided = Slice::divide(size);
     let observe = timed(|| {
         for slice in &divided {
-            bench.planner.observe(&RecordChange::Slice(unowned(*slice)));
+            benchmark
+                .planner
+                .observe(&RecordChange::Slice(unowned(*slice)));
         }
     });
     let held = resident_bytes().saturating_sub(resident);
     for slice in divided {
-        bench.slices.insert(slice, unowned(slice));
+        benchmark.slices.insert(slice, unowned(slice));
     }
 
     let mut actions = Vec::new();
-    let assign = timed(|| actions = bench.planner.plan(bench.now, MANY));
-    bench.apply(&actions);
-    // Freed here, so that the next measurement does not pay for it.
+    let assign = timed(|| actions = benchmark.planner.plan(benchmark.now, NO_LIMIT));
+    benchmark.apply(&actions);
+    // Freed here, so that the next measurement does not include it.
     actions = Vec::new();
-    bench.pass(Duration::from_secs(60));
+    benchmark.pass(Duration::from_secs(60));
 
-    let lost = bench.slices_of(7);
+    let lost = benchmark.slices_of(7);
     let loss = timed(|| {
         for slice in &lost {
-            bench.planner.observe(&RecordChange::Slice(unowned(*slice)));
+            benchmark
+                .planner
+                .observe(&RecordChange::Slice(unowned(*slice)));
         }
-        actions = bench.planner.plan(bench.now, MANY);
+        actions = benchmark.planner.plan(benchmark.now, NO_LIMIT);
     });
-    bench.apply(&actions);
+    benchmark.apply(&actions);
 
-    let one = bench.slices_of(3)[0];
+    let one = benchmark.slices_of(3)[0];
     let mut one_change = Duration::ZERO;
     for _ in 0..ROUNDS {
-        bench.now = bench.now + Duration::from_millis(1);
+        benchmark.now = benchmark.now + Duration::from_millis(1);
         one_change += timed(|| {
-            bench.planner.observe(&RecordChange::Slice(unowned(one)));
-            actions = bench.planner.plan(bench.now, MANY);
+            benchmark
+                .planner
+                .observe(&RecordChange::Slice(unowned(one)));
+            actions = benchmark.planner.plan(benchmark.now, NO_LIMIT);
         });
-        bench.apply(&actions);
+        benchmark.apply(&actions);
     }
 
-    let (back_end, report) = bench.report(5);
+    let (back_end, report) = benchmark.report(5);
     let reported = report.slice_rates.len();
-    bench.now = bench.now + Duration::from_millis(500);
-    let report = timed(|| bench.planner.observe_load(bench.now, &back_end, &report));
+    benchmark.now = benchmark.now + Duration::from_millis(500);
+    let report = timed(|| {
+        benchmark
+            .planner
+            .observe_load(benchmark.now, &back_end, &report)
+    });
 
-    // Proposals run out first, so that the check is measured by itself.
-    bench.pass(Duration::from_secs(10));
-    let (back_end, again) = bench.report(6);
-    bench.planner.observe_load(bench.now, &back_end, &again);
-    bench.now = bench.now + Duration::from_secs(2);
+    // Proposals expire first, so that only the check is measured.
+    benchmark.pass(Duration::from_secs(10));
+    let (back_end, again) = benchmark.report(6);
+    benchmark
+        .planner
+        .observe_load(benchmark.now, &back_end, &again);
+    benchmark.now = benchmark.now + Duration::from_secs(2);
     let check = timed(|| {
-        black_box(bench.planner.plan(bench.now, MANY));
+        black_box(benchmark.planner.plan(benchmark.now, NO_LIMIT));
     });
 
     println!(
@@ -112,7 +124,7 @@
     );
 }
 
-impl Bench {
+impl Benchmark {
     fn new(size: u32) -> Self {
         let mut planner = Planner::new(PlannerSettings::default(), 1);
         for number in 0..BACK_ENDS {
@@ -123,7 +135,7 @@
             }));
         }
         planner.observe(&RecordChange::Service(Box::new(service_record(size))));
-        Bench {
+        Benchmark {
             planner,
             now: Timestamp::from_millis(1_000),
             slices: BTreeMap::new(),
@@ -149,7 +161,7 @@
 
     fn pass(&mut self, time: Duration) {
         self.now = self.now + time;
-        black_box(self.planner.plan(self.now, MANY));
+        black_box(self.planner.plan(self.now, NO_LIMIT));
     }
 
     fn slices_of(&self, number: u32) -> Vec<Slice> {
@@ -186,7 +198,8 @@
     start.elapsed()
 }
 
-/// Resident memory of this process, where the system tells.
+/// Returns the resident memory of this process, or 0 where the system does not
+/// report it.
 fn resident_bytes() -> u64 {
     const PAGE: u64 = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/placement/tests/balance.rs
+++ b/crates/placement/tests/balance.rs
@@ -1,4 +1,5 @@
-//! Balance, hot keys, noise, and the exchange between imbalance and churn.
+//! Tests of balancing, hot keys, noise, and the trade-off between imbalance and
+//! churn.
 
 mod common;
 
@@ -68,7 +69,8 @@
         "the hot keys do put it out of balance: {before}"
     );
     assert!(after <= 1.15, "{after}");
-    // A hot key's owner must shed as much as the key brings above the mean.
+    // The owner of a hot key must give up as much load as the key adds above
+    // the mean.
     let mean = 3_420.0 / f64::from(COUNT);
     let excess: f64 = keys
         .iter()
@@ -101,7 +103,7 @@
 }
 
 #[test]
-fn slice_with_several_hot_keys_is_split_until_they_can_part() {
+fn slice_with_several_hot_keys_is_split_until_they_can_be_separated() {
     let quiet = Traffic {
         spread: 1_500.0,
         hot: BTreeMap::new(),
@@ -128,7 +130,7 @@
 }
 
 #[test]
-fn key_hotter_than_a_back_end_sheds_its_neighbours_only() {
+fn key_hotter_than_a_back_end_moves_only_adjacent_slices_away() {
     let quiet = Traffic {
         spread: 1_500.0,
         hot: BTreeMap::new(),
@@ -155,7 +157,7 @@
 }
 
 #[test]
-fn cold_pieces_are_merged_again() {
+fn cold_fragments_are_merged_again() {
     let quiet = Traffic {
         spread: 1_500.0,
         hot: BTreeMap::new(),
@@ -171,12 +173,12 @@
         },
     );
     model.run(240);
-    let pieces = model.slices[&gallery()].len();
+    let fragments = model.slices[&gallery()].len();
     model.traffic.insert(gallery(), quiet);
     model.run(1_200);
     let after = model.slices[&gallery()].len();
-    assert!(pieces > 4 * 32, "{pieces}");
-    assert!(after < pieces, "{pieces} slices became {after}");
+    assert!(fragments > 4 * 32, "{fragments}");
+    assert!(after < fragments, "{fragments} slices became {after}");
 }
 
 #[test]
@@ -244,7 +246,7 @@
     };
     model.traffic.insert(gallery(), traffic(neighbours));
     model.run(160);
-    assert!(splits(&model) > 0, "there are pieces to merge");
+    assert!(splits(&model) > 0, "there are fragments to merge");
     model
         .traffic
         .insert(gallery(), traffic(hot(&[("other", 300.0)])));
@@ -263,11 +265,11 @@
     model.run(360);
     model.reset_churn();
     model.replace_planner();
-    // One back end is slow to answer the new leader.
+    // One back end is slow to respond to the new leader.
     let late = back_end(0);
-    model.silent.insert(late.clone());
+    model.unreporting.insert(late.clone());
     model.run(40);
-    model.silent.remove(&late);
+    model.unreporting.remove(&late);
     model.run(120);
     assert_eq!(model.actions, Vec::new());
 }
@@ -279,8 +281,14 @@
         hot: BTreeMap::new(),
     };
     let mut model = warm_model(COUNT, policy(1.10, 0.01), traffic);
-    let liar = back_end(3);
-    let exaggerate = |id: &BackEndId, rate| if *id == liar { rate * 1_000.0 } else { rate };
+    let exaggerating = back_end(3);
+    let exaggerate = |id: &BackEndId, rate| {
+        if *id == exaggerating {
+            rate * 1_000.0
+        } else {
+            rate
+        }
+    };
     model.run_with(600, exaggerate);
     let minutes = 5.0;
     let churn = model.churn_of(&gallery());
@@ -288,7 +296,7 @@
 }
 
 #[test]
-fn reports_of_nonsense_change_nothing() {
+fn invalid_rates_in_reports_change_nothing() {
     let traffic = Traffic {
         spread: 1_500.0,
         hot: BTreeMap::new(),
@@ -322,7 +330,7 @@
 }
 
 #[test]
-fn higher_tolerance_buys_less_churn() {
+fn higher_tolerance_causes_less_churn() {
     let churn_with = |tolerated: f64| {
         let mut model = warm_model(COUNT, policy(tolerated, 0.05), Traffic::default());
         model.traffic.insert(
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A small model of the group's records: it applies the planner's actions,
-//! completes handovers and reports load, all in virtual time.
+//! A model of the group's records in virtual time. It applies the planner's
+//! actions, completes handovers and reports load.
 
 #![allow(dead_code, reason = "each test file uses a part of the model")]
 
@@ -19,14 +19,14 @@
 };
 
 pub const STEP: Duration = Duration::from_millis(500);
-pub const MANY: usize = 1_000_000;
+pub const NO_LIMIT: usize = 1_000_000;
 
 /// Traffic of one service.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
-    /// Requests a second, spread over all keys.
+    /// Requests per second that are spread over all keys.
     pub spread: f64,
-    /// Keys with requests of their own.
+    /// Additional requests per second of hot keys.
     pub hot: BTreeMap<Point, f64>,
 }
 
@@ -62,13 +62,13 @@
     pub churn: BTreeMap<ServiceId, f64>,
     /// All actions so far.
     pub actions: Vec<Action>,
-    /// Steps by which reports come late.
+    /// Number of steps by which reports are delayed.
     pub report_delay: usize,
     /// Back ends that send no report.
-    pub silent: BTreeSet<BackEndId>,
-    /// Configuration so far, for a planner that starts anew.
+    pub unreporting: BTreeSet<BackEndId>,
+    /// Configuration changes so far, for a new planner.
     configuration: Vec<RecordChange>,
-    on_their_way: VecDeque<Vec<(BackEndId, LoadReport)>>,
+    delayed_reports: VecDeque<Vec<(BackEndId, LoadReport)>>,
     index: u64,
 }
 
@@ -87,14 +87,14 @@
             churn: BTreeMap::new(),
             actions: Vec::new(),
             report_delay: 0,
-            silent: BTreeSet::new(),
+            unreporting: BTreeSet::new(),
             configuration: Vec::new(),
-            on_their_way: VecDeque::new(),
+            delayed_reports: VecDeque::new(),
             index: 0,
         }
     }
 
-    /// A service that selects `app=NAME`, with its slices unowned.
+    /// Adds a service that selects `app=NAME`, with its slices unowned.
     pub fn service(&mut self, id: &ServiceId, slices: u32, placement: PlacementPolicy) {
         self.change_service(id, &id.name.clone(), placement);
         for slice in Slice::divide(slices) {
@@ -167,8 +167,8 @@
         self.observe(RecordChange::Session(session));
     }
 
-    /// The session ends: its slices lose their owner.
-    pub fn lose(&mut self, id: &BackEndId) {
+    /// Ends the session. Its slices lose their owner.
+    pub fn end_session(&mut self, id: &BackEndId) {
         let Some(session) = self.sessions.remove(id) else {
             return;
         };
@@ -199,7 +199,7 @@
             .sum()
     }
 
-    /// Requests a second that `id` gets for `service`.
+    /// Returns the requests per second that `id` receives for `service`.
     pub fn rate_of(&self, service: &ServiceId, id: &BackEndId) -> f64 {
         let owned = self.slices[service]
             .values()
@@ -209,7 +209,7 @@
             .sum()
     }
 
-    /// Ratio of the highest rate to the mean over open sessions.
+    /// Returns the ratio of the highest rate to the mean over open sessions.
     pub fn true_imbalance(&self, service: &ServiceId) -> f64 {
         let rates: Vec<f64> = self
             .sessions
@@ -220,7 +220,8 @@
         rates.into_iter().fold(0.0, f64::max) / mean
     }
 
-    /// Reports load, completes handovers, plans and applies, `steps` times.
+    /// Completes handovers, reports load, plans and applies the actions,
+    /// `steps` times.
     pub fn run(&mut self, steps: usize) {
         self.run_with(steps, |_, rate| rate);
     }
@@ -230,7 +231,7 @@
             self.now = self.now + STEP;
             self.complete_moves();
             self.report(&mut distort);
-            self.plan(MANY);
+            self.plan(NO_LIMIT);
         }
     }
 
@@ -273,10 +274,10 @@
             };
             (id, report)
         });
-        self.on_their_way.push_back(reports.collect());
-        while self.on_their_way.len() > self.report_delay {
-            for (id, report) in self.on_their_way.pop_front().unwrap_or_default() {
-                if self.silent.contains(&id) {
+        self.delayed_reports.push_back(reports.collect());
+        while self.delayed_reports.len() > self.report_delay {
+            for (id, report) in self.delayed_reports.pop_front().unwrap_or_default() {
+                if self.unreporting.contains(&id) {
                     continue;
                 }
                 self.planner.observe_load(self.now, &id, &report);
@@ -297,11 +298,11 @@
                 .and_then(|next| self.sessions.get(next));
             let Some(session) = session else { continue };
             let owner = session.id.clone();
-            self.give(record, owner);
+            self.set_owner(record, owner);
         }
     }
 
-    fn give(&mut self, record: SliceRecord, owner: SessionId) {
+    fn set_owner(&mut self, record: SliceRecord, owner: SessionId) {
         *self.churn.entry(record.service.clone()).or_default() += record.slice.share();
         self.index += 1;
         let epoch = Epoch(Revision::new(Generation(1), self.index));
@@ -323,7 +324,7 @@
                 assert!(!self.sessions[&to.back_end].draining);
                 assert_eq!(self.sessions[&to.back_end].id, *to);
                 assert_eq!(to.back_end.namespace, record.service.namespace);
-                self.give(record, to.clone());
+                self.set_owner(record, to.clone());
             }
             Action::BeginMove { to, .. } => {
                 assert!(record.owner.is_some() && record.next.is_none());
@@ -392,7 +393,7 @@
         }
     }
 
-    /// Another leader takes over: its planner knows the records only.
+    /// Simulates a new leader, whose planner knows only the records.
     pub fn replace_planner(&mut self) {
         self.planner = Planner::new(PlannerSettings::default(), 8);
         let sessions = self.sessions.values().cloned().map(RecordChange::Session);
@@ -413,7 +414,7 @@
         self.churn.get(service).copied().unwrap_or_default()
     }
 
-    /// Forgets the churn counted so far.
+    /// Resets the churn and the actions counted so far.
     pub fn reset_churn(&mut self) {
         self.churn.clear();
         self.actions.clear();
@@ -432,8 +433,8 @@
     BackEndId::new("hearts", format!("gallery-{number:02}"))
 }
 
-/// A service with `count` equal back ends that own the usual slices, warm and
-/// at rest.
+/// Creates a model of one service with `count` equal back ends that own the
+/// usual number of slices, are warm and have nothing left to plan.
 pub fn warm_model(count: u32, policy: PlacementPolicy, traffic: Traffic) -> Model {
     let mut model = Model::new();
     for number in 0..count {
--- a/crates/placement/tests/incremental_cost.rs
+++ b/crates/placement/tests/incremental_cost.rs
@@ -1,15 +1,16 @@
-//! The planner's work follows the change, counted in operations.
+//! Tests that the planner's work, counted in operations, depends on the size of
+//! the change.
 
 mod common;
 
-use common::{MANY, Model, back_end, gallery};
+use common::{Model, NO_LIMIT, back_end, gallery};
 use threadledge_placement::WorkCounters;
 use threadledge_types::objects::PlacementPolicy;
 use threadledge_types::{BackEndId, ServiceId};
 
 const BACK_ENDS: u32 = 20;
 
-/// A service at rest with `slices` slices, and nothing left to plan.
+/// Creates a service with `slices` slices and nothing left to plan.
 fn settled(slices: u32) -> Model {
     let mut model = Model::new();
     for number in 0..BACK_ENDS {
@@ -23,18 +24,18 @@
     model.service(&gallery(), slices, policy);
     for _ in 0..40 {
         model.now = model.now + common::STEP;
-        model.plan(MANY);
+        model.plan(NO_LIMIT);
     }
     model.reset_churn();
     model
 }
 
-/// Work of the plans in the two seconds after `change`.
+/// Returns the work of the plans in the two seconds after `change`.
 fn work_after(model: &mut Model, change: impl FnOnce(&mut Model)) -> WorkCounters {
     let before = model.planner.work_counters();
     change(model);
     for _ in 0..4 {
-        model.plan(MANY);
+        model.plan(NO_LIMIT);
         model.now = model.now + common::STEP;
     }
     let after = model.planner.work_counters();
@@ -65,9 +66,9 @@
 }
 
 #[test]
-fn work_for_a_loss_follows_the_lost_slices() {
+fn work_for_a_lost_session_is_proportional_to_its_slices() {
     let mut model = settled(10_000);
-    let work = work_after(&mut model, |model| model.lose(&back_end(0)));
+    let work = work_after(&mut model, |model| model.end_session(&back_end(0)));
     assert_eq!(work.slices, 500);
 }
 
@@ -83,7 +84,7 @@
     }
     for _ in 0..10 {
         model.now = model.now + common::STEP;
-        model.plan(MANY);
+        model.plan(NO_LIMIT);
     }
     let work = work_after(&mut model, |model| {
         let record = model.owned_by(&back_end(0)).remove(0);
@@ -93,13 +94,13 @@
 }
 
 #[test]
-fn what_concerns_one_back_end_costs_nothing_for_other_services() {
+fn changes_of_one_back_end_cost_nothing_for_other_services() {
     let mut model = settled(100);
     for number in 0..500 {
         let service = ServiceId::new("hearts", format!("service-{number}"));
         model.service(&service, 1, PlacementPolicy::default());
     }
-    model.plan(MANY);
+    model.plan(NO_LIMIT);
     let before = model.planner.work_counters();
     let report = threadledge_types::session::LoadReport::default();
     model.planner.observe_load(model.now, &back_end(0), &report);
--- a/crates/placement/tests/ownership_changes.rs
+++ b/crates/placement/tests/ownership_changes.rs
@@ -1,10 +1,11 @@
-//! Assignment, loss, restart, drain, join and selection.
+//! Tests of assignment, lost sessions, restarts, draining, joining and
+//! selection.
 
 mod common;
 
 use std::collections::BTreeMap;
 
-use common::{MANY, Model, Traffic, back_end, gallery, owner_of, warm_model};
+use common::{Model, NO_LIMIT, Traffic, back_end, gallery, owner_of, warm_model};
 use threadledge_placement::{Action, PlannerSettings};
 use threadledge_types::objects::PlacementPolicy;
 use threadledge_types::{BackEndId, ServiceId};
@@ -28,7 +29,7 @@
     model.open(&back_end(0), 1);
     model.open(&back_end(1), 1);
     model.service(&gallery(), 128, PlacementPolicy::default());
-    let actions = model.plan(MANY);
+    let actions = model.plan(NO_LIMIT);
     assert_eq!(actions.len(), 128);
     assert_eq!(model.owned_by(&back_end(0)).len(), 32);
     assert_eq!(model.owned_by(&back_end(1)).len(), 96);
@@ -39,7 +40,7 @@
     let mut model = warm_model(15, PlacementPolicy::default(), spread(3_000.0));
     let lost = model.share_of(&back_end(4));
     let before = model.slices.clone();
-    model.lose(&back_end(4));
+    model.end_session(&back_end(4));
     model.run(60);
     assert!(close_to(model.churn_of(&gallery()), lost));
     for record in model.records() {
@@ -65,9 +66,9 @@
         .into_iter()
         .map(|record| record.slice)
         .collect();
-    model.lose(&back_end(2));
+    model.end_session(&back_end(2));
     model.open(&back_end(2), 2);
-    model.plan(MANY);
+    model.plan(NO_LIMIT);
     let after: Vec<_> = model
         .owned_by(&back_end(2))
         .into_iter()
@@ -77,11 +78,11 @@
 }
 
 #[test]
-fn draining_back_end_gives_up_its_slices_a_bounded_number_at_once() {
+fn draining_back_end_gives_up_a_bounded_number_of_slices_at_once() {
     let mut model = warm_model(6, PlacementPolicy::default(), spread(1_000.0));
     let share = model.share_of(&back_end(0));
     model.drain(&back_end(0));
-    let first = model.plan(MANY);
+    let first = model.plan(NO_LIMIT);
     assert_eq!(
         first.len(),
         PlannerSettings::default().max_evacuations_per_back_end
@@ -112,9 +113,9 @@
 fn handover_is_cancelled_when_the_next_owner_begins_to_drain() {
     let mut model = warm_model(3, PlacementPolicy::default(), spread(1_000.0));
     model.drain(&back_end(0));
-    model.plan(MANY);
+    model.plan(NO_LIMIT);
     model.drain(&back_end(1));
-    let actions = model.plan(MANY);
+    let actions = model.plan(NO_LIMIT);
     let cancelled = actions
         .iter()
         .filter(|action| matches!(action, Action::CancelMove { .. }))
@@ -131,10 +132,10 @@
     model.open(&back_end(0), 1);
     model.drain(&back_end(0));
     model.service(&gallery(), 8, PlacementPolicy::default());
-    assert_eq!(model.plan(MANY), Vec::new());
+    assert_eq!(model.plan(NO_LIMIT), Vec::new());
     model.back_end(&back_end(1), "gallery", 2);
     model.open(&back_end(1), 1);
-    assert_eq!(model.plan(MANY).len(), 8);
+    assert_eq!(model.plan(NO_LIMIT).len(), 8);
 }
 
 #[test]
@@ -165,15 +166,15 @@
     model.back_end(&back_end(0), "gallery", 2);
     model.open(&back_end(0), 1);
     model.service(&gallery(), 4, PlacementPolicy::default());
-    let lost = model.planner.plan(model.now, MANY);
+    let lost = model.planner.plan(model.now, NO_LIMIT);
     assert_eq!(lost.len(), 4);
     let timeout = PlannerSettings::default().proposal_timeout;
     assert_eq!(
-        model.planner.plan(model.now + timeout / 2, MANY),
+        model.planner.plan(model.now + timeout / 2, NO_LIMIT),
         Vec::new()
     );
     assert_eq!(model.planner.unowned_slices(&gallery()), 4);
-    assert_eq!(model.planner.plan(model.now + timeout, MANY), lost);
+    assert_eq!(model.planner.plan(model.now + timeout, NO_LIMIT), lost);
 }
 
 #[test]
@@ -182,9 +183,9 @@
     model.back_end(&back_end(0), "gallery", 2);
     model.open(&back_end(0), 1);
     model.service(&gallery(), 4, PlacementPolicy::default());
-    let refused = model.planner.plan(model.now, MANY);
+    let refused = model.planner.plan(model.now, NO_LIMIT);
     model.planner.withdraw(&refused[2]);
-    assert_eq!(model.planner.plan(model.now, MANY), refused[2..3]);
+    assert_eq!(model.planner.plan(model.now, NO_LIMIT), refused[2..3]);
 }
 
 #[test]
@@ -197,13 +198,13 @@
     model.service(&gallery(), 6_000, PlacementPolicy::default());
     model.run(20);
     model.drain(&back_end(0));
-    // A quarter a round from 2,000 to 128, then 32 a round.
+    // A quarter per round from 2,000 to 128 slices, then 32 per round.
     model.run(10 + 4 + 1);
     assert!(model.owned_by(&back_end(0)).is_empty());
 }
 
 #[test]
-fn namespaces_never_mix() {
+fn slices_stay_within_their_namespace() {
     let mut model = Model::new();
     let theirs = ServiceId::new("kauri", "gallery");
     let their_back_end = BackEndId::new("kauri", "gallery-00");
@@ -242,16 +243,16 @@
 }
 
 #[test]
-fn back_end_that_does_not_answer_is_given_nothing_and_keeps_its_slices() {
+fn unreachable_back_end_receives_nothing_and_keeps_its_slices() {
     let mut model = warm_model(6, PlacementPolicy::default(), spread(600.0));
-    let silent = back_end(2);
-    let held = model.owned_by(&silent);
-    model.planner.set_reachable(&silent, false);
-    model.lose(&back_end(4));
+    let unreachable = back_end(2);
+    let held = model.owned_by(&unreachable);
+    model.planner.set_reachable(&unreachable, false);
+    model.end_session(&back_end(4));
     model.run(20);
-    assert_eq!(model.owned_by(&silent), held);
-    model.planner.set_reachable(&silent, true);
-    model.lose(&back_end(5));
+    assert_eq!(model.owned_by(&unreachable), held);
+    model.planner.set_reachable(&unreachable, true);
+    model.end_session(&back_end(5));
     model.run(20);
-    assert!(model.owned_by(&silent).len() > held.len());
+    assert!(model.owned_by(&unreachable).len() > held.len());
 }
--- a/crates/placement/tests/random_schedules.rs
+++ b/crates/placement/tests/random_schedules.rs
@@ -1,6 +1,6 @@
-//! Random changes by fixed seeds. The model asserts at each action that it
-//! fits the records, goes to an open session that is not draining, and stays
-//! within its namespace.
+//! Random changes with fixed seeds. The model asserts that each action matches
+//! the records, goes to an open session that is not draining, and stays within
+//! its namespace.
 
 mod common;
 
@@ -21,7 +21,7 @@
     model: Model,
     random: ChaCha8Rng,
     incarnation: u64,
-    /// Every change the planner saw, to feed another planner.
+    /// Label of each back end, to configure another planner.
     app_of: std::collections::BTreeMap<BackEndId, &'static str>,
 }
 
@@ -63,8 +63,8 @@
                 self.model.back_end(&id, app, 2);
             }
             2 if open => self.model.drain(&id),
-            3 if open => self.model.lose(&id),
-            4 => self.heat(),
+            3 if open => self.model.end_session(&id),
+            4 => self.heat_random_key(),
             _ if !open => {
                 self.incarnation += 1;
                 self.model.open(&id, self.incarnation);
@@ -73,7 +73,7 @@
         }
     }
 
-    fn heat(&mut self) {
+    fn heat_random_key(&mut self) {
         let point = Point(self.random.random());
         for traffic in self.model.traffic.values_mut() {
             traffic.hot.clear();
@@ -94,7 +94,7 @@
         }
     }
 
-    /// A planner that sees only the records as they are now.
+    /// Creates a planner that sees only the current records.
     fn fresh_planner(&self) -> Planner {
         let mut model = Model::new();
         for (id, app) in &self.app_of {
