--- a/crates/ownership/src/command.rs
+++ b/crates/ownership/src/command.rs
@@ -13,7 +13,7 @@
 )]
 pub struct LeaderTerm {
     /// Generation of the group. It increases whenever the group is founded
-    /// anew.
+    /// anew, for example from a checkpoint after a majority was lost.
     pub generation: Generation,
     /// Consensus term within that generation.
     pub term: u64,
@@ -53,7 +53,7 @@
     PutBackEnd(Box<BackEndRecord>),
     /// A back end was deleted.
     DeleteBackEnd {
-        /// Which one.
+        /// Identifier of the object.
         id: BackEndId,
         /// Version of the store at or after the deletion.
         resource_version: u64,
@@ -62,7 +62,7 @@
     PutService(Box<ServiceRecord>),
     /// A service was deleted.
     DeleteService {
-        /// Which one.
+        /// Identifier of the object.
         id: ServiceId,
         /// Version of the store at or after the deletion.
         resource_version: u64,
@@ -90,7 +90,7 @@
     /// Ends a session whose process is gone or whose last possible lease has
     /// expired.
     CloseSession {
-        /// Which session.
+        /// The session to close.
         session: SessionId,
         /// Revision at which the session opened. It distinguishes a session
         /// from a later one of the same process.
@@ -102,9 +102,9 @@
     MarkDraining(SessionId),
     /// Gives an unowned slice an owner.
     Assign {
-        /// Which service.
+        /// Service that the slice belongs to.
         service: ServiceId,
-        /// Which slice.
+        /// The slice to change.
         slice: Slice,
         /// The owner.
         to: SessionId,
@@ -113,9 +113,9 @@
     },
     /// Starts the handover of an owned slice.
     BeginMove {
-        /// Which service.
+        /// Service that the slice belongs to.
         service: ServiceId,
-        /// Which slice.
+        /// The slice to change.
         slice: Slice,
         /// The next owner.
         to: BackEndId,
@@ -124,38 +124,38 @@
     },
     /// Cancels a handover. The owner keeps the slice.
     CancelMove {
-        /// Which service.
+        /// Service that the slice belongs to.
         service: ServiceId,
-        /// Which slice.
+        /// The slice to change.
         slice: Slice,
         /// Epoch of the slice as the proposer saw it.
         expected_epoch: Epoch,
     },
     /// Completes a handover after the owner released the slice.
     CompleteMove {
-        /// Which service.
+        /// Service that the slice belongs to.
         service: ServiceId,
-        /// Which slice.
+        /// The slice to change.
         slice: Slice,
         /// The new owner.
         to: SessionId,
-        /// What the grantor saw.
+        /// State that the grantor relied on.
         evidence: SliceEvidence,
     },
     /// Removes the owner of a slice that it released without a next owner.
     Release {
-        /// Which service.
+        /// Service that the slice belongs to.
         service: ServiceId,
-        /// Which slice.
+        /// The slice to change.
         slice: Slice,
-        /// What the grantor saw.
+        /// State that the grantor relied on.
         evidence: SliceEvidence,
     },
     /// Splits a slice. Both parts keep the owner and the epoch.
     Split {
-        /// Which service.
+        /// Service that the slice belongs to.
         service: ServiceId,
-        /// Which slice.
+        /// The slice to change.
         slice: Slice,
         /// First point of the upper part.
         at: Point,
@@ -166,7 +166,7 @@
     /// epoch is kept if both had the same one; otherwise the merged slice gets
     /// a new epoch.
     Merge {
-        /// Which service.
+        /// Service that the slices belong to.
         service: ServiceId,
         /// The lower slice.
         first: Slice,
--- a/crates/ownership/src/grantor/back_end_state.rs
+++ b/crates/ownership/src/grantor/back_end_state.rs
@@ -16,8 +16,8 @@
     pub incarnation: Incarnation,
     /// The reading, by the holder's clock.
     pub holder_time: Timestamp,
-    /// When the response arrived, by the grantor's clock. The reading was taken
-    /// before.
+    /// Time at which the response arrived, by the grantor's clock. The reading
+    /// was taken before.
     pub received_at: Timestamp,
     /// The process announced that it is draining.
     pub draining: bool,
@@ -34,11 +34,12 @@
 #[derive(Clone, Debug)]
 pub(super) struct GrantedSession {
     pub id: SessionId,
+    /// Revision at which the session opened.
     pub opened: Revision,
     pub grants: SessionGrants,
 }
 
-/// One back end.
+/// State of one back end as far as the grantor knows it.
 #[derive(Clone, Debug)]
 pub(super) struct BackEndState {
     pub address: SocketAddr,
@@ -49,14 +50,15 @@
     /// Sequence number of the latest request that was answered.
     pub last_answered: u64,
     pub in_flight: Option<InFlightRequest>,
-    /// When the next request is due.
+    /// Time at which the next request is due.
     pub next_send: Timestamp,
     /// A change is waiting to be sent.
     pub has_changes: bool,
-    /// When the first unanswered request was sent.
+    /// Time at which the first unanswered request was sent.
     pub unanswered_since: Option<Timestamp>,
     /// The back end was reported as unreachable.
     pub reported_unreachable: bool,
+    /// Latest reading of the holder's clock.
     pub reading: Option<ClockReading>,
     /// Upper bound, by the grantor's clock, of the expiry of any lease that
     /// requests so far may have granted.
@@ -65,13 +67,13 @@
     /// Opening revision of the session whose closing was proposed. It is never
     /// renewed again.
     pub closing: Option<Revision>,
-    /// When a command about the session was last proposed.
+    /// Time at which a command about the session was last proposed.
     pub proposed_at: Option<Timestamp>,
     /// Slices that the back end is ready to own.
     pub ready: BTreeSet<Grant>,
     /// Slices withheld from the session whose release is not confirmed yet.
     pub withheld: BTreeSet<SliceKey>,
-    /// When this back end is scheduled.
+    /// Time at which this back end is scheduled.
     pub scheduled_at: Option<Timestamp>,
 }
 
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Requests that the next request is sent as soon as none is in flight.
+    /// Makes the next request due as soon as none is in flight.
     pub fn mark_changed(&mut self) {
         self.has_changes = true;
     }
--- a/crates/ownership/src/grantor/exchange.rs
+++ b/crates/ownership/src/grantor/exchange.rs
@@ -53,6 +53,8 @@
         }
     }
 
+    /// Sends a lease request. It carries a lease and grants if the process that
+    /// responded last has the open session, and is an inquiry otherwise.
     fn send_request(&mut self, now: Timestamp, id: &BackEndId, machine: &StateMachine) {
         let prepare = self.slices_to_prepare(id, machine);
         let interval = self.request_interval(id, &prepare);
@@ -130,6 +132,7 @@
         }
     }
 
+    /// Schedules a retry after a request that got no response.
     pub(super) fn on_request_failed(&mut self, now: Timestamp, id: &BackEndId, order: LeaseSequence) {
         let retry = self.settings.retry_interval;
         let Some(state) = self.back_ends.get_mut(id) else {
@@ -147,6 +150,7 @@
         self.reschedule(id);
     }
 
+    /// Processes the response of a back end.
     pub(super) fn on_response(
         &mut self,
         now: Timestamp,
@@ -158,7 +162,7 @@
         if !self.accept_response(from, &response) {
             return;
         }
-        let answering = SessionId {
+        let responder = SessionId {
             back_end: from.clone(),
             incarnation: response.incarnation,
         };
@@ -166,7 +170,7 @@
         if open.is_some_and(|open| open.incarnation > response.incarnation) {
             // An earlier process that still responds. It is not the one whose
             // lease counts, so its response says nothing about that one.
-            self.observe(Observation::StaleProcess(answering));
+            self.observe(Observation::StaleProcess(responder));
             self.reschedule(from);
             return;
         }
@@ -176,7 +180,7 @@
             report: response.load.clone(),
         });
         if let Some(held) = &response.held {
-            self.claims.record(&answering, held, machine);
+            self.claims.record(&responder, held, machine);
         }
         self.refresh_session(now, from, machine);
         self.process_reported_grants(now, from, &response, machine);
@@ -192,10 +196,10 @@
             return false;
         };
         let sequence = response.order.sequence;
-        let own =
+        let is_own =
             response.order == self.term.lease_sequence(sequence) && response.back_end == *from;
         let expected = state.first_sequence.max(state.last_answered + 1)..=state.sequence;
-        if !own || !expected.contains(&sequence) {
+        if !is_own || !expected.contains(&sequence) {
             return false;
         }
         state.last_answered = sequence;
@@ -204,6 +208,8 @@
         true
     }
 
+    /// Records that the process responded, and its clock reading unless a later
+    /// one is known.
     fn record_clock_reading(&mut self, now: Timestamp, from: &BackEndId, response: &LeaseResponse) {
         let Some(state) = self.back_ends.get_mut(from) else {
             return;
--- a/crates/ownership/src/grantor/handover.rs
+++ b/crates/ownership/src/grantor/handover.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Re-evaluates the slices of a service that are leaving their owners, or
-    /// must.
+    /// Re-evaluates the slices of a service that are withheld from their owners
+    /// or must leave them.
     pub(super) fn reevaluate_departing(
         &mut self,
         now: Timestamp,
@@ -93,11 +93,11 @@
     /// any time.
     fn drop_stale_withheld(&mut self, key: &SliceKey, must_leave: bool, machine: &StateMachine) {
         let present = machine.slice_revision(key);
-        let void = |withheld: &WithheldSlice| {
-            let needless = !must_leave && withheld.proposed_at.is_none();
-            needless || Some(withheld.revision) != present
+        let is_stale = |withheld: &WithheldSlice| {
+            let unneeded = !must_leave && withheld.proposed_at.is_none();
+            unneeded || Some(withheld.revision) != present
         };
-        if !self.withheld.get(key).is_some_and(void) {
+        if !self.withheld.get(key).is_some_and(is_stale) {
             return;
         }
         if let Some(withheld) = self.withheld.remove(key)
@@ -233,6 +233,7 @@
         })
     }
 
+    /// Returns whether the next owner is ready to own the slice.
     fn next_is_ready(&self, record: &SliceRecord) -> bool {
         let next = record.next.as_ref().and_then(|id| self.back_ends.get(id));
         next.is_some_and(|state| state.ready.contains(&grant_of(record)))
--- a/crates/ownership/src/grantor/message.rs
+++ b/crates/ownership/src/grantor/message.rs
@@ -76,7 +76,7 @@
     Propose(Command),
     /// A back end reported its load.
     Load {
-        /// Which back end.
+        /// The back end.
         back_end: BackEndId,
         /// The report.
         report: LoadReport,
@@ -85,9 +85,9 @@
     /// keeps what it owns until its lease expires, and should receive no slices
     /// meanwhile.
     Reachability {
-        /// Which back end.
+        /// The back end.
         back_end: BackEndId,
-        /// Whether it responds.
+        /// True if it responds.
         reachable: bool,
     },
     /// An event for the log.
--- a/crates/ownership/src/grantor/mod.rs
+++ b/crates/ownership/src/grantor/mod.rs
@@ -113,15 +113,15 @@
     }
 
     fn schedule_first_requests(&mut self, now: Timestamp, machine: &StateMachine) {
-        let wanted = machine
+        let managed = machine
             .back_ends()
             .filter(|record| is_managed(&record.id, machine));
-        let wanted: Vec<&BackEndRecord> = wanted.collect();
-        let known = u32::try_from(wanted.len().max(1)).unwrap_or(u32::MAX);
+        let managed: Vec<&BackEndRecord> = managed.collect();
+        let count = u32::try_from(managed.len().max(1)).unwrap_or(u32::MAX);
         let window = self.settings.timing.renewal() / FIRST_REQUEST_DIVISOR;
-        let gap = window / known;
+        let gap = window / count;
         let mut first = now;
-        for record in wanted {
+        for record in managed {
             let state = BackEndState::new(
                 record.spec.control_address,
                 first,
@@ -219,11 +219,11 @@
     /// no leader lease gives its back ends time to respond before it considers
     /// them lost.
     fn track_leadership(&mut self, now: Timestamp, leader_lease_valid: bool) {
-        let gap = now.since(self.last_step) > self.settings.timing.renewal();
+        let was_paused = now.since(self.last_step) > self.settings.timing.renewal();
         self.last_step = now;
         if !leader_lease_valid {
             self.active_since = None;
-        } else if gap || self.active_since.is_none() {
+        } else if was_paused || self.active_since.is_none() {
             self.active_since = Some(now);
         }
     }
--- a/crates/ownership/src/grantor/release.rs
+++ b/crates/ownership/src/grantor/release.rs
@@ -19,7 +19,9 @@
     pub revision: Revision,
     /// Number of the first state of the owner's grants without the slice.
     pub number: u64,
+    /// The owner confirmed that it no longer serves the slice.
     pub confirmed: bool,
+    /// Time at which the end of the handover was last proposed.
     pub proposed_at: Option<Timestamp>,
 }
 
@@ -70,13 +72,13 @@
             let Some(record) = machine.slice(key) else {
                 continue;
             };
-            let running = releasing.iter().any(|grant| {
+            let in_flight = releasing.iter().any(|grant| {
                 grant.service == record.service && grant.slice.overlaps(&record.slice)
             });
             let Some(withheld) = self.withheld.get_mut(key) else {
                 continue;
             };
-            if withheld.number <= number && !running && !withheld.confirmed {
+            if withheld.number <= number && !in_flight && !withheld.confirmed {
                 withheld.confirmed = true;
                 self.confirm_release(from, key);
             }
@@ -96,8 +98,8 @@
         }
     }
 
-    /// Proposes the new owner of a slice whose release is confirmed, or that it
-    /// has none.
+    /// Once the release is confirmed, proposes that the next owner takes over
+    /// the slice, or that the slice becomes unowned if there is none.
     pub(super) fn propose_handover_end(
         &mut self,
         now: Timestamp,
@@ -109,8 +111,8 @@
         let Some(withheld) = self.withheld.get_mut(key) else {
             return;
         };
-        let awaited = withheld.proposed_at.is_some_and(|at| now < at + retry);
-        if !withheld.confirmed || awaited {
+        let is_pending = withheld.proposed_at.is_some_and(|at| now < at + retry);
+        if !withheld.confirmed || is_pending {
             return;
         }
         withheld.proposed_at = Some(now);
--- a/crates/ownership/src/grantor/sessions.rs
+++ b/crates/ownership/src/grantor/sessions.rs
@@ -145,8 +145,8 @@
         let Some(state) = self.back_ends.get_mut(id) else {
             return;
         };
-        let answers = state.incarnation() == Some(record.id.incarnation);
-        if !self.term_begun || !answers || state.closing.is_some() {
+        let has_responded = state.incarnation() == Some(record.id.incarnation);
+        if !self.term_begun || !has_responded || state.closing.is_some() {
             return;
         }
         self.latest_number = number;
@@ -237,22 +237,23 @@
         };
         // A leader that was paused sends another request before it concludes
         // anything.
-        let silent_since = state.unanswered_since.zip(self.active_since);
-        let silent = silent_since.is_some_and(|(asked, active)| now >= asked.max(active) + renewal);
+        let unanswered = state.unanswered_since.zip(self.active_since);
+        let unresponsive =
+            unanswered.is_some_and(|(sent, active)| now >= sent.max(active) + renewal);
         let lease_expiry_bound = state.lease_expiry_bound;
         let closing = state.closing.is_some();
         let proposed_at = state.proposed_at;
-        if silent {
+        if unresponsive {
             self.report_reachability(id, false);
         }
         // Exclusive ownership: no lease that any leader gave can still be
         // valid.
-        let lapsed = now >= lease_expiry_bound;
+        let leases_expired = now >= lease_expiry_bound;
         // A close that was proposed is proposed again until it is applied, even
         // if the process responds again, because the session is not renewed any
         // more.
-        let over = closing || (silent && lapsed);
-        if !self.term_begun || !over || self.is_proposal_pending(proposed_at, now) {
+        let must_close = closing || (unresponsive && leases_expired);
+        if !self.term_begun || !must_close || self.is_proposal_pending(proposed_at, now) {
             return;
         }
         let session = open.id.clone();
--- a/crates/ownership/src/machine/entries.rs
+++ b/crates/ownership/src/machine/entries.rs
@@ -49,7 +49,7 @@
     pub slices: BTreeMap<Point, SliceEntry>,
     /// Number of slices that have an owner.
     pub owned: usize,
-    /// Whether any slice was ever assigned.
+    /// True if any slice was ever assigned.
     pub used: bool,
     /// Back ends that the selector selects.
     pub eligible: BTreeSet<BackEndId>,
--- a/crates/ownership/src/machine/mod.rs
+++ b/crates/ownership/src/machine/mod.rs
@@ -45,8 +45,8 @@
     group: GroupId,
     revision: Revision,
     term: LeaderTerm,
-    /// Set after a new founding, while leases of the earlier generation may
-    /// still be valid.
+    /// Set after a new founding of the group, while leases of the earlier
+    /// generation may still be valid.
     recovering: bool,
     services: BTreeMap<ServiceId, ServiceEntry>,
     back_ends: BTreeMap<BackEndId, BackEndEntry>,
--- a/crates/ownership/tests/grantor/harness.rs
+++ b/crates/ownership/tests/grantor/harness.rs
@@ -39,11 +39,11 @@
     pub unreachable: BTreeSet<SocketAddr>,
     /// Back ends whose responses are lost.
     pub responses_lost: BTreeSet<SocketAddr>,
-    /// Whether holders become ready as soon as they are asked to prepare.
+    /// True if holders become ready as soon as they are asked to prepare.
     pub marks_ready: bool,
-    /// Whether proposals are lost instead of committed.
+    /// True if proposals are lost instead of committed.
     pub loses_proposals: bool,
-    /// Whether unowned slices are assigned to eligible sessions.
+    /// True if unowned slices are assigned to eligible sessions.
     pub assigns: bool,
     /// Reachability reports, with their times.
     pub reachability: Vec<(u64, bool)>,
--- a/crates/ownership/tests/handover_model.rs
+++ b/crates/ownership/tests/handover_model.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// How often each action may still be taken.
+/// Number of times that each action may still be taken.
 #[derive(Clone, Debug)]
 struct Budget {
     begin: u8,
--- a/crates/ownership/tests/simulation/faults.rs
+++ b/crates/ownership/tests/simulation/faults.rs
@@ -268,7 +268,8 @@
     world.at(time, Event::Commit);
 }
 
-/// Whether the leader's last proposals are in the next one's log is random.
+/// Loses the leader while commits are stalled. Its last proposals may or may
+/// not be in the next leader's log.
 fn lose_leader_while_stalled(world: &mut World) {
     stall_commits(world);
     let leader = world.leader();
--- a/crates/ownership/tests/simulation/router.rs
+++ b/crates/ownership/tests/simulation/router.rs
@@ -9,7 +9,7 @@
     pub term: LeaderTerm,
     pub machine: StateMachine,
     pub grantor: Grantor,
-    /// Whether the leader lease is valid.
+    /// True if the leader lease is valid.
     pub lease_valid: bool,
     /// Real time until which the router is frozen.
     pub frozen_until: u64,
--- a/crates/ownership/tests/simulation/world.rs
+++ b/crates/ownership/tests/simulation/world.rs
@@ -78,28 +78,34 @@
 
 pub struct World {
     pub random: ChaCha8Rng,
+    /// Real time in microseconds.
     pub real: u64,
+    /// Events by real time, and in the order of scheduling.
     events: BTreeMap<(u64, u64), Event>,
     scheduled: u64,
     pub timing: Timing,
     pub network_faults: NetworkFaults,
+    /// Every router that was elected. The last one leads.
     pub routers: Vec<Router>,
     /// State after all committed entries.
     pub committed: StateMachine,
     pub checkpoint: StateMachine,
     pub generation: Generation,
     index: u64,
+    /// Entries that are appended to the log but not committed.
     pub uncommitted: VecDeque<Command>,
     /// Number of uncommitted entries that earlier leaders proposed.
     inherited: usize,
     pub processes: Vec<Process>,
-    /// Highest epoch of each process, by key.
+    /// Highest epoch under which each process could have an effect, by key.
     pub highest: BTreeMap<Point, BTreeMap<Incarnation, Epoch>>,
     pub electing: bool,
     /// No entry commits before this real time.
     pub stalled_until: u64,
+    /// True if all faults have ended.
     pub repaired: bool,
     pub service: ServiceId,
+    /// Number of times that a process could have an effect on a checked key.
     pub effect_checks: u64,
     pub observations: BTreeMap<String, u64>,
     incarnations: u64,
--- a/crates/placement/src/action.rs
+++ b/crates/placement/src/action.rs
@@ -10,9 +10,9 @@
 pub enum Action {
     /// Assign an unowned slice to an owner.
     Assign {
-        /// Which service.
+        /// Service that the slice belongs to.
         service: ServiceId,
-        /// Which slice.
+        /// The slice to change.
         slice: Slice,
         /// The owner.
         to: SessionId,
@@ -21,9 +21,9 @@
     },
     /// Start the handover of an owned slice.
     BeginMove {
-        /// Which service.
+        /// Service that the slice belongs to.
         service: ServiceId,
-        /// Which slice.
+        /// The slice to change.
         slice: Slice,
         /// The next owner.
         to: BackEndId,
@@ -32,18 +32,18 @@
     },
     /// Cancel a handover whose next owner may no longer receive the slice.
     CancelMove {
-        /// Which service.
+        /// Service that the slice belongs to.
         service: ServiceId,
-        /// Which slice.
+        /// The slice to change.
         slice: Slice,
         /// Epoch of the slice as seen.
         expected_epoch: Epoch,
     },
     /// Split a slice. Both parts keep their owner.
     Split {
-        /// Which service.
+        /// Service that the slice belongs to.
         service: ServiceId,
-        /// Which slice.
+        /// The slice to change.
         slice: Slice,
         /// First point of the upper part.
         at: Point,
@@ -52,7 +52,7 @@
     },
     /// Merge two adjacent slices of one owner.
     Merge {
-        /// Which service.
+        /// Service that the slices belong to.
         service: ServiceId,
         /// The lower slice.
         first: Slice,
--- a/crates/placement/src/allocation.rs
+++ b/crates/placement/src/allocation.rs
@@ -19,7 +19,7 @@
     pub outbound: Weight,
     /// Number of those.
     pub outbound_count: usize,
-    /// Whether the back end has reported its load since it first had slices.
+    /// True if the back end has reported its load since it first had slices.
     pub has_reported: bool,
     /// Owned slices in ascending order of rate per key.
     by_density: BTreeSet<(u64, Point)>,
--- a/crates/placement/src/assign.rs
+++ b/crates/placement/src/assign.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Proposes an owner for one slice. Returns false if there is no receiver.
+/// Proposes an owner for one slice. Returns false if no receiver can take it.
 fn assign(
     state: &mut ServiceState,
     first: Point,
--- a/crates/placement/src/balance.rs
+++ b/crates/placement/src/balance.rs
@@ -41,11 +41,12 @@
 /// Balancing state of one service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BalanceState {
-    /// When the next check is due.
+    /// Time at which the next check is due.
     pub next_check: Option<Timestamp>,
-    /// Since when the service has been out of balance, until balancing starts.
+    /// Time since which the service has been out of balance, until balancing
+    /// starts.
     out_of_balance_since: Option<Timestamp>,
-    /// Whether slices are being moved for balance.
+    /// True if slices are being moved for balance.
     active: bool,
     /// Time of the first load report.
     measured_since: Option<Timestamp>,
@@ -140,7 +141,7 @@
     floor: f64,
     context: &mut PlanContext<'_>,
 ) -> bool {
-    let Some(to) = loads.idlest().cloned() else {
+    let Some(to) = loads.least_loaded().cloned() else {
         return false;
     };
     let donors = loads.busiest_above(floor, MAX_DONORS);
@@ -152,7 +153,7 @@
                 };
                 let weight = slice.weight(first);
                 state.begin_budgeted_move(first, &from.id, &to.id, context);
-                loads.shift(&from.id, &to.id, weight);
+                loads.apply_move(&from.id, &to.id, weight);
                 return true;
             }
             Choice::TooHot(first) => {
--- a/crates/placement/src/candidates.rs
+++ b/crates/placement/src/candidates.rs
@@ -102,6 +102,7 @@
         self.members.insert(Arc::clone(id), member);
     }
 
+    /// Returns the sort key of a receiver by load.
     fn rank(&self, id: &Arc<BackEndId>, member: &Member) -> Rank {
         let load = self.scale.load(member.weight) / member.slots;
         (
--- a/crates/placement/src/directory.rs
+++ b/crates/placement/src/directory.rs
@@ -12,7 +12,7 @@
 pub(crate) struct BackEndEntry {
     pub id: Arc<BackEndId>,
     pub record: Option<Box<BackEndRecord>>,
-    /// Whether it responds to the leader. One that does not receives no slices,
+    /// True if it responds to the leader. One that does not receives no slices,
     /// and keeps what it owns until its session ends.
     pub reachable: bool,
     sessions: BTreeMap<Incarnation, Session>,
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct OpenSession {
     pub id: SessionId,
-    /// When this planner first saw it.
+    /// Time at which this planner first saw it.
     pub first_seen: Timestamp,
 }
 
--- a/crates/placement/src/load_reports.rs
+++ b/crates/placement/src/load_reports.rs
@@ -18,7 +18,7 @@
 const PLAUSIBLE_MEAN_RATIO: f64 = 2.0;
 /// Sample limit in requests per second.
 const PLAUSIBLE_RATE: f64 = 50.0;
-/// Maximum interval between reports that is taken into account.
+/// Longer intervals between reports are treated as this one.
 const MAX_INTERVAL: Duration = Duration::from_secs(5);
 /// Rates below this many micro-requests per second count as 0.
 const NEGLIGIBLE_RATE: u64 = 10_000;
--- a/crates/placement/src/loads.rs
+++ b/crates/placement/src/loads.rs
@@ -12,6 +12,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Loads {
     pub scale: LoadScale,
+    /// Mean load per slot over all receivers.
     pub mean: f64,
     /// Standard deviation of one back end's measured load, relative to the
     /// mean.
@@ -85,10 +86,11 @@
             .map_or(1.0, |busiest| busiest.load / self.mean)
     }
 
-    /// Returns how far the lowest load is below the mean, relative to the mean.
+    /// Returns how far the load of the least loaded reachable receiver is below
+    /// the mean, relative to the mean.
     pub(crate) fn shortfall(&self) -> f64 {
-        self.idlest()
-            .map_or(0.0, |idlest| 1.0 - idlest.load / self.mean)
+        self.least_loaded()
+            .map_or(0.0, |least_loaded| 1.0 - least_loaded.load / self.mean)
     }
 
     /// Returns the number of receivers.
@@ -108,12 +110,12 @@
     }
 
     /// Returns the least loaded reachable receiver.
-    pub(crate) fn idlest(&self) -> Option<&ReceiverLoad> {
+    pub(crate) fn least_loaded(&self) -> Option<&ReceiverLoad> {
         self.members.iter().rev().find(|member| member.reachable)
     }
 
     /// Applies a move to the loads and sorts again.
-    pub(crate) fn shift(&mut self, from: &BackEndId, to: &BackEndId, weight: Weight) {
+    pub(crate) fn apply_move(&mut self, from: &BackEndId, to: &BackEndId, weight: Weight) {
         let load = self.scale.load(weight);
         for member in &mut self.members {
             if *member.id == *from {
--- a/crates/placement/src/merge.rs
+++ b/crates/placement/src/merge.rs
@@ -80,13 +80,13 @@
         .find(|(first, second)| may_merge(state, *first, *second, target_load, loads, context));
     match pair {
         Some((first, second)) => propose_merge(state, first, second, context),
-        None => move_next_to_neighbour(state, fragment, target_load, loads, context),
+        None => move_to_owner_of_neighbour(state, fragment, target_load, loads, context),
     }
 }
 
 /// Moves a cold fragment to the owner of its shorter adjacent slice, so that
 /// they can be merged later.
-fn move_next_to_neighbour(
+fn move_to_owner_of_neighbour(
     state: &mut ServiceState,
     fragment: Point,
     target_load: f64,
--- a/crates/placement/src/planner.rs
+++ b/crates/placement/src/planner.rs
@@ -11,7 +11,7 @@
 use crate::balance::check_balance;
 use crate::directory::Directory;
 use crate::evacuate::{cancel_invalid_moves, evacuate};
-use crate::selection::Selection;
+use crate::selection::SelectionIndex;
 use crate::service::ServiceState;
 use crate::settings::PlannerSettings;
 use crate::work_counters::WorkCounters;
@@ -22,7 +22,7 @@
     pub(crate) settings: PlannerSettings,
     pub(crate) services: BTreeMap<Arc<ServiceId>, ServiceState>,
     pub(crate) directory: Directory,
-    pub(crate) selection: Selection,
+    pub(crate) selection: SelectionIndex,
     /// Latest time seen.
     pub(crate) now: Timestamp,
     /// Services in which something changed since they were last planned.
@@ -74,7 +74,7 @@
             settings,
             services: BTreeMap::new(),
             directory: Directory::default(),
-            selection: Selection::default(),
+            selection: SelectionIndex::default(),
             now: Timestamp::ZERO,
             dirty: BTreeSet::new(),
             checks: BTreeSet::new(),
@@ -200,20 +200,21 @@
         self.dirty.remove(&id);
     }
 
+    /// Removes expired proposals and marks their services dirty.
     fn expire_proposals(&mut self) {
-        while let Some((until, service, first)) = self.expiries.pop_first() {
-            if until > self.now {
-                self.expiries.insert((until, service, first));
+        while let Some((expires_at, service, first)) = self.expiries.pop_first() {
+            if expires_at > self.now {
+                self.expiries.insert((expires_at, service, first));
                 return;
             }
             let Some(state) = self.services.get_mut(&service) else {
                 continue;
             };
-            let lapsed = state
+            let expired = state
                 .pending
                 .get(&first)
                 .is_some_and(|pending| pending.expires_at <= self.now);
-            if lapsed {
+            if expired {
                 state.remove_proposal(first);
                 self.mark_dirty(&service);
             }
@@ -263,6 +264,8 @@
         after.chain(before).cloned().collect()
     }
 
+    /// Cancels invalid moves, assigns unowned slices and begins evacuations of one
+    /// service. Returns the number of actions proposed.
     fn plan_service(
         &mut self,
         service: &Arc<ServiceId>,
@@ -276,6 +279,7 @@
         })
     }
 
+    /// Runs the balance checks that are due.
     fn plan_balance(&mut self, actions: &mut Vec<Action>, max_actions: usize) {
         let mut due = Vec::new();
         while let Some((at, service)) = self.checks.pop_first() {
--- a/crates/placement/src/selection.rs
+++ b/crates/placement/src/selection.rs
@@ -8,11 +8,11 @@
 
 /// Services by the back ends that their selectors match.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Selection {
+pub(crate) struct SelectionIndex {
     by_back_end: BTreeMap<BackEndId, BTreeSet<Arc<ServiceId>>>,
 }
 
-impl Selection {
+impl SelectionIndex {
     /// Returns the services that select the back end, in order.
     pub(crate) fn services_of(&self, back_end: &BackEndId) -> Vec<Arc<ServiceId>> {
         let services = self.by_back_end.get(back_end);
--- a/crates/placement/src/service.rs
+++ b/crates/placement/src/service.rs
@@ -21,9 +21,9 @@
     pub session: SessionId,
     /// Number of requests that it processes concurrently, at least 1.
     pub slots: u32,
-    /// When its session was first seen.
+    /// Time at which its session was first seen.
     pub first_seen: Timestamp,
-    /// Whether it responds to the leader.
+    /// True if it responds to the leader.
     pub reachable: bool,
 }
 
@@ -127,9 +127,9 @@
 
     /// Updates whether the back end is an owner that may not keep its slices.
     pub(crate) fn refresh_ineligible_owner(&mut self, id: &BackEndId) {
-        let leaves = !self.receivers.contains_key(id);
+        let ineligible = !self.receivers.contains_key(id);
         match self.allocations.get_key_value(id) {
-            Some((shared, allocation)) if leaves && allocation.count() > 0 => {
+            Some((shared, allocation)) if ineligible && allocation.count() > 0 => {
                 self.ineligible_owners.insert(Arc::clone(shared));
             }
             _ => {
@@ -168,6 +168,7 @@
         LoadScale::new(self.table.total())
     }
 
+    /// Returns the allocation of a back end, creating an empty one if needed.
     pub(crate) fn allocation(&mut self, id: &Arc<BackEndId>) -> &mut Allocation {
         self.allocations.entry(Arc::clone(id)).or_default()
     }
--- a/crates/placement/src/slice_changes.rs
+++ b/crates/placement/src/slice_changes.rs
@@ -14,14 +14,14 @@
     pub(crate) fn put_slice(
         &mut self,
         record: &SliceRecord,
-        share: impl Fn(&BackEndId) -> Arc<BackEndId>,
+        shared_id: impl Fn(&BackEndId) -> Arc<BackEndId>,
         now: Timestamp,
     ) {
         let slice = record.slice;
         let old = self.detach(slice.first);
         let old_load = old.as_ref().map(|old| (old.last, old.load));
         let owner = record.owner.as_ref().map(|session| Owner {
-            back_end: share(&session.back_end),
+            back_end: shared_id(&session.back_end),
             incarnation: session.incarnation,
         });
         let changed = old
@@ -46,8 +46,8 @@
             epoch: record.epoch,
             owner,
             previous,
-            next: record.next.as_ref().map(share),
-            load: self.table.carry_load(slice, old_load),
+            next: record.next.as_ref().map(shared_id),
+            load: self.table.load_after_change(slice, old_load),
             changed_at,
             moved_at,
         };
--- a/crates/placement/src/slices.rs
+++ b/crates/placement/src/slices.rs
@@ -18,10 +18,10 @@
     pub previous: Option<Arc<BackEndId>>,
     pub next: Option<Arc<BackEndId>>,
     pub load: SliceLoad,
-    /// When its owner or bounds last changed.
+    /// Time at which its owner or bounds last changed.
     pub changed_at: Timestamp,
-    /// When the slice was last taken from an owner. [`Timestamp::ZERO`] if
-    /// never.
+    /// Time at which the slice was last taken from an owner.
+    /// [`Timestamp::ZERO`] if never.
     pub moved_at: Timestamp,
 }
 
@@ -46,7 +46,8 @@
 /// Number of reports after which the rate estimated at a split counts as
 /// measured.
 const MIN_SAMPLES: u32 = 3;
-/// Fraction of a slice's rate at which a single key makes the slice hot.
+/// Minimum fraction of a slice's rate at which a single key counts as making
+/// the slice hot.
 const SINGLE_KEY_RATIO: f64 = 0.75;
 
 impl SliceState {
@@ -190,7 +191,7 @@
     /// Returns the load of a slice that now has the bounds `slice`. `old` is
     /// its former last point and load. The load of a part that was split off is
     /// stored until the record of that part arrives.
-    pub(crate) fn carry_load(
+    pub(crate) fn load_after_change(
         &mut self,
         slice: Slice,
         old: Option<(Point, SliceLoad)>,
--- a/crates/placement/src/split.rs
+++ b/crates/placement/src/split.rs
@@ -13,8 +13,9 @@
 /// A service is split into at most this many times its usual number of slices.
 const MAX_SLICE_GROWTH: usize = 8;
 
-/// Splits a hot slice next to its hottest key, repeatedly down to that one key.
-/// Returns whether a split was proposed.
+/// Splits a hot slice beside its hottest key, so that repeated splits isolate
+/// that key. Without such a key the slice is halved. Returns whether a split
+/// was proposed.
 pub(crate) fn split_hot(
     state: &mut ServiceState,
     first: Point,
--- a/crates/placement/src/transfers.rs
+++ b/crates/placement/src/transfers.rs
@@ -83,6 +83,7 @@
         }
     }
 
+    /// Reverts [`Self::add_transfer`].
     pub(crate) fn remove_transfer(&mut self, transfer: &Transfer) {
         self.allocation(&transfer.to)
             .remove_inbound(transfer.weight);
