--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -41,7 +41,7 @@
             if id == self.identity.id {
                 return Some(self.clock);
             }
-            leader.followers.get(&id)?.acknowledged
+            leader.followers.get(&id)?.acked_sent_at
         })
     }
 
@@ -59,7 +59,7 @@
         let Some(progress) = leader.followers.get(&id) else {
             return false;
         };
-        progress.since >= since || progress.acknowledged >= Some(since)
+        progress.tracked_since >= since || progress.acked_sent_at >= Some(since)
     }
 
     /// Whether this node has promised not to help elect another leader yet.
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -41,6 +41,6 @@
 pub use message::{AppendOutcome, Body, Message, Outgoing};
 pub use node::Node;
 pub use progress::{Progress, ReplicationState};
-pub use ready::{Committed, Ready, Restored};
+pub use ready::{CommittedEntry, Ready, RestoredState};
 pub use role::Role;
 pub use settings::Settings;
--- a/crates/consensus/src/member_change.rs
+++ b/crates/consensus/src/member_change.rs
@@ -26,7 +26,7 @@
         change: MemberChange,
     ) -> Result<u64, ProposeError> {
         self.check_may_propose(now)?;
-        if !self.term_start_committed() {
+        if !self.has_committed_in_term() {
             return Err(ProposeError::TermNotCommitted);
         }
         if self.log.members_index() > self.commit_index {
@@ -82,7 +82,7 @@
             return false;
         };
         let since = self.clock - self.settings.timing.election_max();
-        let answers = progress.acknowledged >= Some(since);
+        let answers = progress.acked_sent_at >= Some(since);
         let streams = matches!(progress.state, ReplicationState::Replicate { .. });
         let lag = self.log.last_index() - progress.match_index;
         answers && streams && lag <= self.settings.max_batch_entries as u64
--- a/crates/consensus/src/members.rs
+++ b/crates/consensus/src/members.rs
@@ -37,7 +37,7 @@
     }
 
     /// Number of voters that make a quorum: more than half.
-    pub fn quorum(&self) -> usize {
+    pub fn quorum_size(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
@@ -74,13 +74,13 @@
         }
         let mut values: Vec<Option<T>> = self.voters.keys().map(|id| value(*id)).collect();
         values.sort_unstable();
-        values[self.voters.len() - self.quorum()]
+        values[self.voters.len() - self.quorum_size()]
     }
 
     /// Whether the voters for which `agrees` holds are a quorum.
     pub fn has_quorum(&self, agrees: impl Fn(RouterId) -> bool) -> bool {
         let count = self.voters.keys().filter(|id| agrees(**id)).count();
-        !self.voters.is_empty() && count >= self.quorum()
+        !self.voters.is_empty() && count >= self.quorum_size()
     }
 }
 
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -91,7 +91,7 @@
     /// Founds the group in a new generation, with this router as the only
     /// voter, and leads it at once. `snapshot` is recovered state of the
     /// application; [`Node::ready`] hands it out as state to restore.
-    pub fn found(
+    pub fn bootstrap(
         settings: Settings,
         identity: RouterIdentity,
         generation: Generation,
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -10,7 +10,7 @@
     /// One message at a time, until it is known where the logs agree.
     Probe {
         /// A message has been sent and is not answered.
-        awaiting: bool,
+        awaiting_response: bool,
     },
     /// Many messages at a time, without waiting for answers.
     Replicate {
@@ -36,9 +36,9 @@
     /// How entries are sent.
     pub state: ReplicationState,
     /// When the latest message that it answered in this term was sent.
-    pub acknowledged: Option<Timestamp>,
+    pub acked_sent_at: Option<Timestamp>,
     /// When the leader began to track it.
-    pub since: Timestamp,
+    pub tracked_since: Timestamp,
     /// Highest commit index it was sent.
     pub commit_sent: u64,
 }
@@ -49,26 +49,28 @@
         Progress {
             match_index: 0,
             next_index,
-            state: ReplicationState::Probe { awaiting: false },
-            acknowledged: None,
-            since: now,
+            state: ReplicationState::Probe {
+                awaiting_response: false,
+            },
+            acked_sent_at: None,
+            tracked_since: now,
             commit_sent: 0,
         }
     }
 
     /// Whether a message may be sent now.
-    pub fn may_send(&self, max_in_flight: usize) -> bool {
+    pub fn can_send(&self, max_in_flight: usize) -> bool {
         match &self.state {
-            ReplicationState::Probe { awaiting } => !awaiting,
+            ReplicationState::Probe { awaiting_response } => !awaiting_response,
             ReplicationState::Replicate { in_flight } => in_flight.len() < max_in_flight.max(1),
             ReplicationState::Snapshot { .. } => false,
         }
     }
 
     /// Records that entries up to `last_index` were sent.
-    pub fn sent_entries(&mut self, last_index: u64) {
+    pub fn record_sent_entries(&mut self, last_index: u64) {
         match &mut self.state {
-            ReplicationState::Probe { awaiting } => *awaiting = true,
+            ReplicationState::Probe { awaiting_response } => *awaiting_response = true,
             ReplicationState::Replicate { in_flight } => {
                 if last_index >= self.next_index {
                     in_flight.push_back(last_index);
@@ -80,7 +82,7 @@
     }
 
     /// Records that a snapshot up to `index` was sent.
-    pub fn sent_snapshot(&mut self, index: u64, now: Timestamp) {
+    pub fn record_sent_snapshot(&mut self, index: u64, now: Timestamp) {
         self.state = ReplicationState::Snapshot {
             index,
             sent_at: now,
@@ -88,13 +90,13 @@
     }
 
     /// Records an answer to a message sent at `sent_at`.
-    pub fn answered(&mut self, sent_at: Timestamp) {
-        self.acknowledged = self.acknowledged.max(Some(sent_at));
+    pub fn record_answer(&mut self, sent_at: Timestamp) {
+        self.acked_sent_at = self.acked_sent_at.max(Some(sent_at));
     }
 
     /// Records that the logs agree up to `match_index`. Returns whether that
     /// is news.
-    pub fn accepted(&mut self, match_index: u64) -> bool {
+    pub fn record_accepted(&mut self, match_index: u64) -> bool {
         let news = match_index > self.match_index;
         self.match_index = self.match_index.max(match_index);
         self.next_index = self.next_index.max(self.match_index + 1);
@@ -113,7 +115,7 @@
 
     /// Records that the follower has no entry at `rejected_index`; probing
     /// continues after `agreed_index`. Returns whether that is news.
-    pub fn rejected(&mut self, rejected_index: u64, agreed_index: u64) -> bool {
+    pub fn record_rejected(&mut self, rejected_index: u64, agreed_index: u64) -> bool {
         let stale = match &self.state {
             ReplicationState::Probe { .. } => rejected_index != self.next_index - 1,
             ReplicationState::Replicate { .. } => rejected_index <= self.match_index,
@@ -123,20 +125,22 @@
             return false;
         }
         let next = (agreed_index + 1).min(rejected_index);
-        self.probe(next);
+        self.start_probing(next);
         true
     }
 
     /// Starts probing at `next_index`, not before what is known to agree.
-    pub fn probe(&mut self, next_index: u64) {
+    pub fn start_probing(&mut self, next_index: u64) {
         self.next_index = next_index.max(self.match_index + 1);
-        self.state = ReplicationState::Probe { awaiting: false };
+        self.state = ReplicationState::Probe {
+            awaiting_response: false,
+        };
     }
 
     /// Lets one more message pass: the answer to an earlier one may be lost.
-    pub fn resume(&mut self, max_in_flight: usize) {
+    pub fn allow_one_more(&mut self, max_in_flight: usize) {
         match &mut self.state {
-            ReplicationState::Probe { awaiting } => *awaiting = false,
+            ReplicationState::Probe { awaiting_response } => *awaiting_response = false,
             ReplicationState::Replicate { in_flight } => {
                 if in_flight.len() >= max_in_flight.max(1) {
                     in_flight.pop_front();
--- a/crates/consensus/src/ready.rs
+++ b/crates/consensus/src/ready.rs
@@ -13,9 +13,9 @@
     pub messages: Vec<Outgoing<C, S>>,
     /// State with which the application replaces its own, before it applies
     /// `committed`.
-    pub restore: Option<Restored<S>>,
+    pub restore: Option<RestoredState<S>>,
     /// Entries to apply, in order, each handed out once.
-    pub committed: Vec<Committed<C>>,
+    pub committed: Vec<CommittedEntry<C>>,
     /// The log has grown past the threshold: the application should call
     /// [`Node::compact`]. Set until it does.
     pub snapshot_wanted: bool,
@@ -23,7 +23,7 @@
 
 /// State of the application at a revision.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Restored<S> {
+pub struct RestoredState<S> {
     /// Revision that the state covers.
     pub revision: Revision,
     /// The state.
@@ -32,11 +32,11 @@
 
 /// A committed entry: it survives every loss that leaves a majority.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Committed<C> {
+pub struct CommittedEntry<C> {
     /// Position in the group's history.
     pub revision: Revision,
     /// Content.
-    pub entry: Payload<C>,
+    pub payload: Payload<C>,
 }
 
 impl<C: Clone, S: Clone> Node<C, S> {
@@ -52,27 +52,27 @@
         }
     }
 
-    fn take_restore(&mut self) -> Option<Restored<S>> {
+    fn take_restore(&mut self) -> Option<RestoredState<S>> {
         if !std::mem::take(&mut self.restore_pending) {
             return None;
         }
         let snapshot = self.log.snapshot();
-        Some(Restored {
+        Some(RestoredState {
             revision: Revision::new(self.generation, snapshot.index),
             snapshot: snapshot.state.clone()?,
         })
     }
 
-    fn take_committed(&mut self) -> Vec<Committed<C>> {
+    fn take_committed(&mut self) -> Vec<CommittedEntry<C>> {
         let generation = self.generation;
         let count = usize::try_from(self.commit_index - self.delivered_index).unwrap_or(usize::MAX);
         let entries = self.log.entries_from(self.delivered_index + 1, count);
         self.delivered_index = self.commit_index;
         entries
             .into_iter()
-            .map(|entry| Committed {
+            .map(|entry| CommittedEntry {
                 revision: Revision::new(generation, entry.index),
-                entry: entry.payload,
+                payload: entry.payload,
             })
             .collect()
     }
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -45,9 +45,11 @@
         };
         for progress in leader.followers.values_mut() {
             let streams = matches!(progress.state, ReplicationState::Replicate { .. });
-            if streams && progress.acknowledged < Some(since) {
-                progress.probe(progress.match_index + 1);
-                progress.state = ReplicationState::Probe { awaiting: true };
+            if streams && progress.acked_sent_at < Some(since) {
+                progress.start_probing(progress.match_index + 1);
+                progress.state = ReplicationState::Probe {
+                    awaiting_response: true,
+                };
             }
         }
     }
@@ -103,7 +105,7 @@
         let Some(progress) = self.follower(id) else {
             return false;
         };
-        if !progress.may_send(max_in_flight) {
+        if !progress.can_send(max_in_flight) {
             return false;
         }
         let probing = matches!(progress.state, ReplicationState::Probe { .. });
@@ -133,7 +135,7 @@
             commit_index,
         };
         if let Some(progress) = self.follower_mut(id) {
-            progress.sent_entries(last_index);
+            progress.record_sent_entries(last_index);
             progress.commit_sent = progress.commit_sent.max(commit_index);
         }
         self.send_to_member(id, append);
@@ -143,7 +145,7 @@
         let clock = self.clock;
         let snapshot = self.log.snapshot().clone();
         if let Some(progress) = self.follower_mut(id) {
-            progress.sent_snapshot(snapshot.index, clock);
+            progress.record_sent_snapshot(snapshot.index, clock);
         }
         let body = Body::Snapshot {
             sent_at: clock,
@@ -167,8 +169,8 @@
                 let Some(progress) = self.follower_mut(from) else {
                     return;
                 };
-                progress.answered(echo);
-                if progress.accepted(match_index) {
+                progress.record_answer(echo);
+                if progress.record_accepted(match_index) {
                     self.advance_commit();
                     self.hand_over_when_caught_up();
                 }
@@ -181,8 +183,8 @@
             } => {
                 let (agreed_index, _) = self.log.agreement_hint(hint_index, hint_term);
                 if let Some(progress) = self.follower_mut(from) {
-                    progress.answered(echo);
-                    progress.rejected(previous_index, agreed_index);
+                    progress.record_answer(echo);
+                    progress.record_rejected(previous_index, agreed_index);
                 }
             }
         }
@@ -199,13 +201,13 @@
         let Some(progress) = self.follower_mut(from) else {
             return;
         };
-        progress.answered(echo);
+        progress.record_answer(echo);
         if let ReplicationState::Snapshot { sent_at, .. } = progress.state
             && clock >= sent_at + retry
         {
-            progress.probe(progress.match_index + 1);
+            progress.start_probing(progress.match_index + 1);
         }
-        progress.resume(max_in_flight);
+        progress.allow_one_more(max_in_flight);
         let behind = progress.match_index < last_index;
         if behind {
             self.send_append(from, true);
@@ -251,7 +253,7 @@
         let since = self.clock - self.settings.timing.election_max();
         let mut voters = Vec::new();
         for (id, progress) in self.progress() {
-            let answers = progress.acknowledged >= Some(since);
+            let answers = progress.acked_sent_at >= Some(since);
             if let Some(identity) = self.members().voters.get(&id)
                 && answers
             {
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -97,7 +97,7 @@
     /// Whether this node leads and has committed an entry of its own term. It
     /// then holds everything that earlier leaders committed, so reads and
     /// grants may be based on its state.
-    pub fn term_start_committed(&self) -> bool {
+    pub fn has_committed_in_term(&self) -> bool {
         self.leader_state()
             .is_some_and(|leader| leader.term_start_index <= self.commit_index)
     }
--- a/crates/consensus/tests/consensus/checker.rs
+++ b/crates/consensus/tests/consensus/checker.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
-use threadledge_consensus::{Committed, Node, Payload, Role};
+use threadledge_consensus::{CommittedEntry, Node, Payload, Role};
 use threadledge_types::RouterId;
 
 /// State of the test application: how many commands it applied, and a digest
@@ -87,13 +87,13 @@
     }
 
     /// Checks an entry that was handed out, and `state` after it.
-    pub fn check_committed(&mut self, entry: &Committed<u64>, state: Digest) {
+    pub fn check_committed(&mut self, entry: &CommittedEntry<u64>, state: Digest) {
         let index = entry.revision.index;
         let first = self
             .committed
             .entry(index)
-            .or_insert_with(|| entry.entry.clone());
-        assert_eq!(*first, entry.entry, "two entries committed at {index}");
+            .or_insert_with(|| entry.payload.clone());
+        assert_eq!(*first, entry.payload, "two entries committed at {index}");
         self.check_state(index, state);
     }
 
--- a/crates/consensus/tests/consensus/cluster.rs
+++ b/crates/consensus/tests/consensus/cluster.rs
@@ -149,7 +149,7 @@
 
     pub fn found(&mut self, generation: Generation, state: Option<Digest>) -> RouterId {
         self.start(|settings, identity, now| {
-            TestNode::found(settings, identity, generation, state, now)
+            TestNode::bootstrap(settings, identity, generation, state, now)
         })
     }
 
@@ -379,7 +379,7 @@
             checker.check_state(index, process.state);
         }
         for committed in &ready.committed {
-            if let Payload::Command(command) = committed.entry {
+            if let Payload::Command(command) = committed.payload {
                 process.state.apply(command);
             }
             checker.check_committed(committed, process.state);
--- a/crates/consensus/tests/consensus/elections.rs
+++ b/crates/consensus/tests/consensus/elections.rs
@@ -10,7 +10,7 @@
     let id = cluster.found(threadledge_types::Generation(3), None);
     let index = cluster.propose(7);
     assert_eq!(cluster.node(id).commit_index(), index);
-    assert!(cluster.node(id).term_start_committed());
+    assert!(cluster.node(id).has_committed_in_term());
     assert_eq!(cluster.processes[&id].state.applied, 1);
 }
 
--- a/crates/consensus/tests/consensus/explorer.rs
+++ b/crates/consensus/tests/consensus/explorer.rs
@@ -66,7 +66,7 @@
             },
             ..Settings::default()
         };
-        let founder = TestNode::found(settings.clone(), identity(1), Generation(1), None, NOW);
+        let founder = TestNode::bootstrap(settings.clone(), identity(1), Generation(1), None, NOW);
         let joiners = (2..=3).map(|id| TestNode::join(settings.clone(), identity(id), NOW));
         let mut world = World {
             nodes: std::iter::once(founder)
@@ -210,7 +210,7 @@
                 .push((fingerprint(&(to, &message)), to, message));
         }
         for committed in &ready.committed {
-            let value = match committed.entry {
+            let value = match committed.payload {
                 Payload::Command(command) => command,
                 Payload::Empty | Payload::Members(_) => 0,
             };
--- a/crates/consensus/tests/consensus/replication.rs
+++ b/crates/consensus/tests/consensus/replication.rs
@@ -66,7 +66,7 @@
     };
     let now = Timestamp::ZERO;
     let bound = settings.max_log_entries();
-    let mut node = TestNode::found(settings, identity(1), Default::default(), None, now);
+    let mut node = TestNode::bootstrap(settings, identity(1), Default::default(), None, now);
     let taken = (0..).take_while(|command| node.propose(now, *command).is_ok());
     assert!(taken.count() < bound);
     assert!(node.ready().snapshot_wanted);
--- a/crates/consensus/tests/consensus/transfers.rs
+++ b/crates/consensus/tests/consensus/transfers.rs
@@ -34,7 +34,7 @@
     let refused = cluster.with(old, |node, now| node.propose(now, 2));
     assert_eq!(refused, Err(ProposeError::Transferring));
     let waited = cluster.run_until(SECOND, |cluster| {
-        cluster.node(target).role() == Role::Leader && cluster.node(target).term_start_committed()
+        cluster.node(target).role() == Role::Leader && cluster.node(target).has_committed_in_term()
     });
     assert!(waited <= 30 * MILLISECOND, "took {waited}");
     assert!(cluster.node(target).commit_index() > index);
--- a/crates/control/src/group_member.rs
+++ b/crates/control/src/group_member.rs
@@ -1,7 +1,7 @@
 //! This router's place in its group: the replicated log and the state that
 //! the log's commands build.
 
-use threadledge_consensus::{Committed, Message, Node, Outgoing, Payload, Settings};
+use threadledge_consensus::{CommittedEntry, Message, Node, Outgoing, Payload, Settings};
 use threadledge_ownership::{Command, Snapshot, StateMachine};
 use threadledge_types::records::{RecordChange, RecordDelta};
 use threadledge_types::{Generation, GroupId, Revision, RouterId, RouterIdentity, Timestamp};
@@ -87,7 +87,7 @@
     ) -> Self {
         let machine = StateMachine::new(settings.group);
         GroupMember {
-            node: Node::found(settings, identity, generation, recovered, now),
+            node: Node::bootstrap(settings, identity, generation, recovered, now),
             machine,
             applied_index: 0,
         }
@@ -135,7 +135,7 @@
 
     /// Whether everything committed is applied and this router leads.
     pub fn is_serving_leader(&self) -> bool {
-        self.node.term_start_committed() && self.applied_index >= self.node.commit_index()
+        self.node.has_committed_in_term() && self.applied_index >= self.node.commit_index()
     }
 
     /// Takes a message of another member.
@@ -173,9 +173,9 @@
         drained
     }
 
-    fn apply(&mut self, committed: Committed<Command>) -> Advance {
+    fn apply(&mut self, committed: CommittedEntry<Command>) -> Advance {
         self.applied_index = committed.revision.index;
-        let changes = match &committed.entry {
+        let changes = match &committed.payload {
             Payload::Command(command) => self.machine.apply(committed.revision, command).changes,
             Payload::Empty | Payload::Members(_) => Vec::new(),
         };
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use threadledge_consensus::{MemberChange, Node};
-use threadledge_membership::group_members::{self, GroupStep};
+use threadledge_membership::group_members::{self, GroupChange};
 use threadledge_membership::{Member, Membership};
 use threadledge_ownership::grantor::{Grantor, GrantorInput, GrantorOutput, GrantorSettings};
 use threadledge_ownership::{Command, LeaderTerm, Snapshot};
@@ -312,10 +312,10 @@
         leader: Some(node.identity().id),
     };
     let known: Vec<&Member> = membership.members().collect();
-    match group_members::next_step(&view, known.iter().copied(), settings.group_size) {
-        GroupStep::Add(identity) => changes.push(MemberChange::AddLearner(identity)),
-        GroupStep::Remove(id) => changes.push(MemberChange::Remove(id)),
-        GroupStep::None => {}
+    match group_members::next_change(&view, known.iter().copied(), settings.group_size) {
+        GroupChange::Add(identity) => changes.push(MemberChange::AddLearner(identity)),
+        GroupChange::Remove(id) => changes.push(MemberChange::Remove(id)),
+        GroupChange::None => {}
     }
     changes
 }
--- a/crates/membership/src/group_members.rs
+++ b/crates/membership/src/group_members.rs
@@ -13,7 +13,7 @@
 
 /// The next change to a group's membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum GroupStep {
+pub enum GroupChange {
     /// Add this router, as a learner that becomes a voter once it caught up.
     Add(RouterIdentity),
     /// Remove this router.
@@ -40,11 +40,11 @@
 /// A voter that is dead or leaving is replaced: first another router is
 /// added, then it is removed. A voter that is not among `members` counts as
 /// dead.
-pub fn next_step<'a>(
+pub fn next_change<'a>(
     group: &'a GroupView,
     members: impl IntoIterator<Item = &'a Member>,
     target_size: usize,
-) -> GroupStep {
+) -> GroupChange {
     let situation = Situation::new(group, members, target_size);
     if !group.learners.is_empty() {
         // One change at a time: the learner first becomes a voter or goes.
@@ -52,14 +52,14 @@
     }
     if !situation.has_quorum() {
         // No change could be committed.
-        return GroupStep::None;
+        return GroupChange::None;
     }
     situation
         .remove_surplus()
         .or_else(|| situation.add_missing())
         .or_else(|| situation.add_for_zones())
         .or_else(|| situation.remove_without_replacement())
-        .unwrap_or(GroupStep::None)
+        .unwrap_or(GroupChange::None)
 }
 
 /// How a voter stands.
@@ -120,14 +120,14 @@
         self.able_voters() >= quorum(self.group.voters.len())
     }
 
-    fn remove_lost_learner(&self) -> GroupStep {
+    fn remove_lost_learner(&self) -> GroupChange {
         let mut learners = self.group.learners.iter();
         let lost = learners.find(|id| self.standing(**id) != Standing::Living);
-        lost.map_or(GroupStep::None, |id| GroupStep::Remove(*id))
+        lost.map_or(GroupChange::None, |id| GroupChange::Remove(*id))
     }
 
     /// A group above its target size gives up its worst voter.
-    fn remove_surplus(&self) -> Option<GroupStep> {
+    fn remove_surplus(&self) -> Option<GroupChange> {
         if self.group.voters.len() <= self.target_size {
             return None;
         }
@@ -143,26 +143,26 @@
 
     /// A group without enough living voters takes another router, even if
     /// that makes it larger than its target until the lost one is removed.
-    fn add_missing(&self) -> Option<GroupStep> {
+    fn add_missing(&self) -> Option<GroupChange> {
         if self.count(Standing::Living) >= self.target_size {
             return None;
         }
         let candidate = self.best_candidate()?;
-        Some(GroupStep::Add(candidate.identity.clone()))
+        Some(GroupChange::Add(candidate.identity.clone()))
     }
 
     /// A zone without a voter gets one when another zone has several.
-    fn add_for_zones(&self) -> Option<GroupStep> {
+    fn add_for_zones(&self) -> Option<GroupChange> {
         let crowded = self.zones.values().any(|voters| *voters > 1);
         let candidate = self.best_candidate()?;
         let zone_is_empty = self.zone_load(&candidate.identity.zone) == 0;
-        (crowded && zone_is_empty).then(|| GroupStep::Add(candidate.identity.clone()))
+        (crowded && zone_is_empty).then(|| GroupChange::Add(candidate.identity.clone()))
     }
 
     /// Nobody can replace a lost voter. One that leaves is removed if the
     /// group bears it, so that its going costs no quorum. One that is dead
     /// stays unless the group bears more losses without it: it may return.
-    fn remove_without_replacement(&self) -> Option<GroupStep> {
+    fn remove_without_replacement(&self) -> Option<GroupChange> {
         let worst = self.worst_voter()?;
         let size = self.group.voters.len();
         match self.standing(worst) {
@@ -174,13 +174,13 @@
     }
 
     /// Invariant: a removal leaves at least a quorum of living voters.
-    fn remove(&self, id: RouterId) -> Option<GroupStep> {
+    fn remove(&self, id: RouterId) -> Option<GroupChange> {
         let remaining_size = self.group.voters.len().checked_sub(1)?;
         let others = self.group.voters.iter().filter(|voter| **voter != id);
         let able = others
             .filter(|voter| self.standing(**voter) != Standing::Dead)
             .count();
-        (remaining_size > 0 && able >= quorum(remaining_size)).then_some(GroupStep::Remove(id))
+        (remaining_size > 0 && able >= quorum(remaining_size)).then_some(GroupChange::Remove(id))
     }
 
     /// The voter to give up first: a dead one, then one that leaves, then one
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -32,6 +32,6 @@
 pub use machines::{Machine, MachineList, MachineState};
 pub use member::{Member, MemberState};
 pub use membership::{DownReason, Input, Membership, Output};
-pub use message::{Digest, MemberUpdate, Message, MessageBody, Refutation};
+pub use message::{MemberDigest, MemberUpdate, Message, MessageBody, RefutationNumber};
 pub use proof::DeathProof;
 pub use settings::Settings;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use threadledge_types::RouterIdentity;
 
-use crate::message::Refutation;
+use crate::message::RefutationNumber;
 
 /// State of a router as this one sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -28,5 +28,5 @@
     pub state: MemberState,
     /// How often the router contradicted a suspicion; of two claims about
     /// it, the one with the higher number counts.
-    pub refutation: Refutation,
+    pub refutation: RefutationNumber,
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -12,7 +12,7 @@
 use crate::machine_view::MachineView;
 use crate::machines::MachineList;
 use crate::member::{Member, MemberState};
-use crate::message::{MemberUpdate, Message, MessageBody, Refutation};
+use crate::message::{MemberUpdate, Message, MessageBody, RefutationNumber};
 use crate::prober::Prober;
 use crate::proof::DeathProof;
 use crate::settings::Settings;
@@ -83,7 +83,7 @@
 pub struct Membership {
     pub(crate) settings: Settings,
     pub(crate) own: RouterIdentity,
-    pub(crate) refutation: Refutation,
+    pub(crate) refutation: RefutationNumber,
     pub(crate) leaving: bool,
     pub(crate) table: MemberTable,
     pub(crate) suspicions: Suspicions,
@@ -107,7 +107,7 @@
         let random = ChaCha8Rng::seed_from_u64(settings.seed ^ identity.id.0);
         Membership {
             own: identity.clone(),
-            refutation: Refutation::default(),
+            refutation: RefutationNumber::default(),
             leaving: false,
             table: MemberTable::new(identity.clone(), now),
             suspicions: Suspicions::default(),
@@ -198,12 +198,12 @@
             return;
         }
         self.leaving = true;
-        self.raise_refutation(Refutation(self.refutation.0 + 1));
+        self.raise_refutation(RefutationNumber(self.refutation.0 + 1));
         self.send_gossip(outputs);
     }
 
     /// Takes a higher number for this router and tells everyone.
-    pub(crate) fn raise_refutation(&mut self, refutation: Refutation) {
+    pub(crate) fn raise_refutation(&mut self, refutation: RefutationNumber) {
         self.refutation = refutation;
         self.table.refute(self.own.id, refutation);
         if let Some(record) = self.table.get_mut(self.own.id) {
--- a/crates/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -8,7 +8,7 @@
 
 use crate::member::MemberState;
 use crate::membership::{DownReason, Membership, Output};
-use crate::message::{MemberUpdate, Refutation};
+use crate::message::{MemberUpdate, RefutationNumber};
 use crate::proof::DeathProof;
 
 /// Whether a claim that changed the table is passed on to others.
@@ -81,7 +81,7 @@
             MemberUpdate::Alive { .. } | MemberUpdate::Leaving { .. } => return,
         };
         if claimed >= self.refutation {
-            self.raise_refutation(Refutation(claimed.0.saturating_add(1)));
+            self.raise_refutation(RefutationNumber(claimed.0.saturating_add(1)));
             self.next_gossip_at = now;
         }
     }
@@ -90,7 +90,7 @@
         &mut self,
         now: Timestamp,
         identity: &RouterIdentity,
-        refutation: Refutation,
+        refutation: RefutationNumber,
         outputs: &mut Vec<Output>,
     ) -> bool {
         if !self.admits(identity) {
@@ -118,7 +118,7 @@
         &mut self,
         now: Timestamp,
         identity: &RouterIdentity,
-        refutation: Refutation,
+        refutation: RefutationNumber,
         outputs: &mut Vec<Output>,
     ) -> bool {
         let alive = self.merge_alive(now, identity, refutation, outputs);
@@ -141,7 +141,7 @@
         &mut self,
         now: Timestamp,
         id: RouterId,
-        refutation: Refutation,
+        refutation: RefutationNumber,
         by: RouterId,
         outputs: &mut Vec<Output>,
     ) -> bool {
@@ -174,7 +174,7 @@
         &mut self,
         now: Timestamp,
         id: RouterId,
-        refutation: Refutation,
+        refutation: RefutationNumber,
         reason: DownReason,
         outputs: &mut Vec<Output>,
     ) -> bool {
@@ -216,7 +216,7 @@
         &mut self,
         now: Timestamp,
         identity: &RouterIdentity,
-        refutation: Refutation,
+        refutation: RefutationNumber,
         outputs: &mut Vec<Output>,
     ) {
         self.supersede(now, identity, outputs);
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -9,7 +9,7 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct Refutation(pub u32);
+pub struct RefutationNumber(pub u32);
 
 /// One message; its size is bounded by
 /// [`Settings::max_piggyback`](crate::Settings::max_piggyback) and the bound
@@ -20,7 +20,7 @@
     /// The sender.
     pub from: RouterIdentity,
     /// The sender's own number.
-    pub refutation: Refutation,
+    pub refutation: RefutationNumber,
     /// The sender is about to stop.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub leaving: bool,
@@ -81,7 +81,7 @@
         /// Buckets that differ and are listed; none when the tables agree.
         buckets: Vec<u8>,
         /// The sender's members in these buckets.
-        entries: Vec<Digest>,
+        entries: Vec<MemberDigest>,
     },
     /// Asks for the identities of members that the sender lacks; its updates
     /// tell what the receiver lacks and are not passed on.
@@ -93,12 +93,12 @@
 
 /// One member as listed when tables are compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Digest {
+pub struct MemberDigest {
     /// The member.
     pub id: RouterId,
     /// Its number, as far as the sender knows.
     #[serde(rename = "r")]
-    pub refutation: Refutation,
+    pub refutation: RefutationNumber,
 }
 
 /// One piece of news about a member.
@@ -110,14 +110,14 @@
         /// The member.
         identity: RouterIdentity,
         /// Its number.
-        refutation: Refutation,
+        refutation: RefutationNumber,
     },
     /// `by` got no answer from it.
     Suspect {
         /// The member.
         id: RouterId,
         /// Its number at the time.
-        refutation: Refutation,
+        refutation: RefutationNumber,
         /// Who suspects it.
         by: RouterId,
     },
@@ -126,14 +126,14 @@
         /// The member.
         identity: RouterIdentity,
         /// Its number.
-        refutation: Refutation,
+        refutation: RefutationNumber,
     },
     /// It did not contradict in time.
     Dead {
         /// The member.
         id: RouterId,
         /// Its number at the time.
-        refutation: Refutation,
+        refutation: RefutationNumber,
     },
 }
 
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -199,8 +199,8 @@
         let identity = &record.member.identity;
         if self.machines.lists(identity) {
             // An entry may belong to an earlier machine of the same name, if
-            // the list lags; see `Settings::list_lag`.
-            if now.since(record.known_since) >= self.settings.list_lag {
+            // the list lags; see `Settings::max_list_lag`.
+            if now.since(record.known_since) >= self.settings.max_list_lag {
                 record.listed = Some(version);
             }
         } else if let Some(listed) = record.listed
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -34,11 +34,11 @@
     /// How long a dead member is remembered.
     pub dead_retention: Duration,
     /// Most dead members remembered.
-    pub max_dead: usize,
+    pub max_dead_members: usize,
     /// Longest lag of the platform's machine list. A list counts as listing a
     /// router only when read this long after the router became known, so that
     /// an entry of an earlier machine of the same name is not taken for it.
-    pub list_lag: Duration,
+    pub max_list_lag: Duration,
     /// Seed of all random choices.
     pub seed: u64,
 }
@@ -57,8 +57,8 @@
             sync_interval: Duration::from_secs(2),
             pause_threshold: Duration::from_millis(300),
             dead_retention: Duration::from_secs(3_600),
-            max_dead: 4_096,
-            list_lag: Duration::from_secs(60),
+            max_dead_members: 4_096,
+            max_list_lag: Duration::from_secs(60),
             seed: 0,
         }
     }
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -9,7 +9,7 @@
 use threadledge_types::{RouterId, Timestamp};
 
 use crate::membership::{Membership, Output};
-use crate::message::{Digest, MemberUpdate, Message, MessageBody};
+use crate::message::{MemberDigest, MemberUpdate, Message, MessageBody};
 use crate::table::BUCKETS;
 
 /// Most members listed in one answer, unless a single bucket has more.
@@ -124,13 +124,16 @@
             hashes.get(index) != own_hashes.get(index)
         });
         let mut buckets = Vec::new();
-        let mut entries: Vec<Digest> = Vec::new();
+        let mut entries: Vec<MemberDigest> = Vec::new();
         for bucket in differing {
-            let listed = self.table.bucket_members(bucket).map(|record| Digest {
-                id: record.member.identity.id,
-                refutation: record.member.refutation,
-            });
-            let listed: Vec<Digest> = listed.collect();
+            let listed = self
+                .table
+                .bucket_members(bucket)
+                .map(|record| MemberDigest {
+                    id: record.member.identity.id,
+                    refutation: record.member.refutation,
+                });
+            let listed: Vec<MemberDigest> = listed.collect();
             if !buckets.is_empty() && entries.len() + listed.len() > MAX_DIGEST_ENTRIES {
                 break;
             }
@@ -145,7 +148,7 @@
         now: Timestamp,
         from: &Message,
         buckets: &[u8],
-        entries: &[Digest],
+        entries: &[MemberDigest],
         outputs: &mut Vec<Output>,
     ) {
         let mut ids = Vec::new();
@@ -198,13 +201,13 @@
     }
 
     /// What a router that listed `entry` lacks about that member.
-    fn update_if_newer(&self, entry: Digest) -> Option<MemberUpdate> {
+    fn update_if_newer(&self, entry: MemberDigest) -> Option<MemberUpdate> {
         let record = self.table.get(entry.id)?;
         let newer = record.is_dead() || record.member.refutation > entry.refutation;
         newer.then(|| self.current_update(entry.id)).flatten()
     }
 
-    fn members_missing_in(&self, bucket: u8, entries: &[Digest]) -> Vec<MemberUpdate> {
+    fn members_missing_in(&self, bucket: u8, entries: &[MemberDigest]) -> Vec<MemberUpdate> {
         let members = self.table.bucket_members(bucket);
         members
             .map(|record| record.member.identity.id)
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::member::{Member, MemberState};
-use crate::message::{Digest, Refutation};
+use crate::message::{MemberDigest, RefutationNumber};
 use crate::proof::DeathProof;
 use crate::roster::Roster;
 
@@ -73,7 +73,7 @@
             dead: BTreeSet::new(),
             buckets: (0..BUCKETS).map(|_| Bucket::default()).collect(),
         };
-        table.insert(now, own, Refutation::default());
+        table.insert(now, own, RefutationNumber::default());
         table
     }
 
@@ -114,7 +114,7 @@
         &mut self,
         now: Timestamp,
         identity: RouterIdentity,
-        refutation: Refutation,
+        refutation: RefutationNumber,
     ) {
         let id = identity.id;
         self.by_machine.insert(identity.machine.clone(), id);
@@ -137,7 +137,7 @@
     }
 
     /// Raises a member's number; a dead member lives again.
-    pub(crate) fn refute(&mut self, id: RouterId, refutation: Refutation) {
+    pub(crate) fn refute(&mut self, id: RouterId, refutation: RefutationNumber) {
         let Some(record) = self.records.get_mut(&id) else {
             return;
         };
@@ -154,7 +154,7 @@
     }
 
     /// Marks a member as dead.
-    pub(crate) fn bury(&mut self, now: Timestamp, id: RouterId, refutation: Refutation) {
+    pub(crate) fn bury(&mut self, now: Timestamp, id: RouterId, refutation: RefutationNumber) {
         let Some(record) = self.records.get_mut(&id) else {
             return;
         };
@@ -170,10 +170,10 @@
     }
 
     /// Forgets members dead since before `since`, and the oldest ones beyond
-    /// `max_dead`.
-    pub(crate) fn forget_dead(&mut self, since: Timestamp, max_dead: usize) {
+    /// `max_dead_members`.
+    pub(crate) fn forget_dead(&mut self, since: Timestamp, max_dead_members: usize) {
         while let Some(&(died_at, id)) = self.dead.first() {
-            if died_at >= since && self.dead.len() <= max_dead {
+            if died_at >= since && self.dead.len() <= max_dead_members {
                 return;
             }
             self.dead.pop_first();
@@ -216,20 +216,20 @@
         }
     }
 
-    fn enter_living(&mut self, id: RouterId, refutation: Refutation) {
+    fn enter_living(&mut self, id: RouterId, refutation: RefutationNumber) {
         if id != self.own {
             self.roster.insert(id);
         }
         let bucket = &mut self.buckets[bucket_of(id)];
         bucket.ids.insert(id);
-        bucket.hash ^= digest_hash(Digest { id, refutation });
+        bucket.hash ^= digest_hash(MemberDigest { id, refutation });
     }
 
-    fn leave_living(&mut self, id: RouterId, refutation: Refutation) {
+    fn leave_living(&mut self, id: RouterId, refutation: RefutationNumber) {
         self.roster.remove(id);
         let bucket = &mut self.buckets[bucket_of(id)];
         bucket.ids.remove(&id);
-        bucket.hash ^= digest_hash(Digest { id, refutation });
+        bucket.hash ^= digest_hash(MemberDigest { id, refutation });
     }
 }
 
@@ -238,7 +238,7 @@
     (hash % u64::from(BUCKETS)) as usize
 }
 
-fn digest_hash(digest: Digest) -> u64 {
+fn digest_hash(digest: MemberDigest) -> u64 {
     let mut bytes = [0; 12];
     bytes[..8].copy_from_slice(&digest.id.0.to_be_bytes());
     bytes[8..].copy_from_slice(&digest.refutation.0.to_be_bytes());
--- a/crates/membership/src/timers.rs
+++ b/crates/membership/src/timers.rs
@@ -220,10 +220,11 @@
         let retention = self.settings.dead_retention;
         if now.since(Timestamp::ZERO) >= retention {
             let since = now - retention;
-            self.table.forget_dead(since, self.settings.max_dead);
+            self.table
+                .forget_dead(since, self.settings.max_dead_members);
         } else {
             self.table
-                .forget_dead(Timestamp::ZERO, self.settings.max_dead);
+                .forget_dead(Timestamp::ZERO, self.settings.max_dead_members);
         }
     }
 
--- a/crates/membership/tests/discovery.rs
+++ b/crates/membership/tests/discovery.rs
@@ -5,12 +5,12 @@
 use support::*;
 use threadledge_membership::{
     DeathProof, DownReason, Input, MachineList, MachineState, MemberState, Membership, Message,
-    MessageBody, Output, Refutation, Settings,
+    MessageBody, Output, RefutationNumber, Settings,
 };
 
 fn without_lag() -> Settings {
     Settings {
-        list_lag: millis(0),
+        max_list_lag: millis(0),
         ..Settings::default()
     }
 }
@@ -162,7 +162,7 @@
 fn dead_members_are_forgotten_in_time_and_number() {
     let settings = Settings {
         dead_retention: seconds(20),
-        max_dead: 3,
+        max_dead_members: 3,
         ..Settings::default()
     };
     let mut network = Network::new(30, settings, 8);
@@ -213,7 +213,7 @@
     assert_eq!(network.hosts[0].core.alive().count(), 2);
     let message = Message {
         from: outside.identity().clone(),
-        refutation: Refutation::default(),
+        refutation: RefutationNumber::default(),
         leaving: false,
         body: MessageBody::Ping { sequence: 1 },
         updates: Vec::new(),
--- a/crates/membership/tests/group_members.rs
+++ b/crates/membership/tests/group_members.rs
@@ -7,8 +7,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use support::identity;
-use threadledge_membership::group_members::{GroupStep, GroupView, next_step};
-use threadledge_membership::{Member, MemberState, Refutation};
+use threadledge_membership::group_members::{GroupChange, GroupView, next_change};
+use threadledge_membership::{Member, MemberState, RefutationNumber};
 use threadledge_types::{RouterId, ZoneName};
 
 /// Living routers on the machines `0..count`; machine `n` stands in zone
@@ -17,7 +17,7 @@
     let member = |host| Member {
         identity: identity(host, 1),
         state: MemberState::Alive,
-        refutation: Refutation::default(),
+        refutation: RefutationNumber::default(),
     };
     (0..count).map(member).collect()
 }
@@ -38,15 +38,15 @@
 /// voter at once.
 fn settle(group: &mut GroupView, members: &[Member], target: usize) -> usize {
     for steps in 0..50 {
-        match next_step(group, members, target) {
-            GroupStep::Add(identity) => {
+        match next_change(group, members, target) {
+            GroupChange::Add(identity) => {
                 assert!(group.voters.insert(identity.id), "added twice");
             }
-            GroupStep::Remove(id) => {
+            GroupChange::Remove(id) => {
                 assert_ne!(Some(id), group.leader);
                 assert!(group.voters.remove(&id));
             }
-            GroupStep::None => return steps,
+            GroupChange::None => return steps,
         }
     }
     panic!("the group never settles: {group:?}");
@@ -75,12 +75,12 @@
     let mut members = living(12);
     members[1].state = MemberState::Dead;
     let mut group = group(&[0, 1, 2]);
-    let GroupStep::Add(added) = next_step(&group, &members, 3) else {
+    let GroupChange::Add(added) = next_change(&group, &members, 3) else {
         panic!("no addition");
     };
     assert_eq!(added.zone, identity(1, 1).zone);
     group.voters.insert(added.id);
-    assert_eq!(next_step(&group, &members, 3), GroupStep::Remove(id(1)));
+    assert_eq!(next_change(&group, &members, 3), GroupChange::Remove(id(1)));
 }
 
 #[test]
@@ -88,7 +88,7 @@
     let mut members = living(12);
     members[2].state = MemberState::Suspect;
     let mut group = group(&[0, 1, 2]);
-    assert_eq!(next_step(&group, &members, 3), GroupStep::None);
+    assert_eq!(next_change(&group, &members, 3), GroupChange::None);
     members[2].state = MemberState::Leaving;
     settle(&mut group, &members, 3);
     assert!(!group.voters.contains(&id(2)));
@@ -100,9 +100,9 @@
     let mut members = living(12);
     let mut group = group(&[0]);
     group.learners.insert(id(4));
-    assert_eq!(next_step(&group, &members, 3), GroupStep::None);
+    assert_eq!(next_change(&group, &members, 3), GroupChange::None);
     members[4].state = MemberState::Dead;
-    assert_eq!(next_step(&group, &members, 3), GroupStep::Remove(id(4)));
+    assert_eq!(next_change(&group, &members, 3), GroupChange::Remove(id(4)));
 }
 
 #[test]
@@ -110,22 +110,28 @@
     let mut members = living(12);
     members[1].state = MemberState::Dead;
     members[2].state = MemberState::Dead;
-    assert_eq!(next_step(&group(&[0, 1, 2]), &members, 3), GroupStep::None);
+    assert_eq!(
+        next_change(&group(&[0, 1, 2]), &members, 3),
+        GroupChange::None
+    );
 }
 
 #[test]
 fn the_last_two_let_one_of_them_leave_without_losing_the_quorum() {
     let mut members = living(2);
     members[1].state = MemberState::Leaving;
-    let step = next_step(&group(&[0, 1]), &members, 3);
-    assert_eq!(step, GroupStep::Remove(id(1)));
+    let step = next_change(&group(&[0, 1]), &members, 3);
+    assert_eq!(step, GroupChange::Remove(id(1)));
 }
 
 #[test]
 fn a_dead_voter_that_nobody_replaces_stays_while_it_may_return() {
     let mut members = living(3);
     members[2].state = MemberState::Dead;
-    assert_eq!(next_step(&group(&[0, 1, 2]), &members, 3), GroupStep::None);
+    assert_eq!(
+        next_change(&group(&[0, 1, 2]), &members, 3),
+        GroupChange::None
+    );
 }
 
 #[test]
@@ -170,7 +176,7 @@
             group.leader = leader;
             let able = group.voters.iter().filter(|id| is_able(id)).count();
             if 2 * able <= group.voters.len() {
-                assert_eq!(next_step(&group, &members, target), GroupStep::None);
+                assert_eq!(next_change(&group, &members, target), GroupChange::None);
                 break;
             }
             settle(&mut group, &members, target);
--- a/crates/membership/tests/schedules.rs
+++ b/crates/membership/tests/schedules.rs
@@ -87,7 +87,7 @@
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         // Longer than any list lags in the schedule.
         let settings = Settings {
-            list_lag: seconds(10),
+            max_list_lag: seconds(10),
             ..Settings::default()
         };
         let mut network = Network::new(HOSTS, settings, seed);
