--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,8 +1,9 @@
-//! Campaigning and voting.
+//! Leader election.
 //!
-//! At most one leader is elected in a term, because each member votes once a
-//! term and a quorum is needed. Only a candidate whose log covers the voter's
-//! is voted for, so that every leader holds all committed entries.
+//! At most one leader is elected per term, because each member votes once per
+//! term and a candidate needs a quorum. A voter votes only for a candidate whose
+//! log is at least as up to date as its own, so that every leader holds all
+//! committed entries.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +15,7 @@
 use crate::node::{LeaderState, Node, State};
 use crate::progress::Progress;
 
-/// What a candidate asks, as received.
+/// Fields of a received `VoteRequest` message.
 pub(crate) struct VoteRequest {
     pub(crate) campaign_term: u64,
     pub(crate) pre_vote: bool,
@@ -24,14 +25,14 @@
 }
 
 impl<C: Clone, S: Clone> Node<C, S> {
-    /// Campaigns if the election timeout has passed.
-    pub(crate) fn tick_follower(&mut self) {
+    /// Starts a pre-vote if the election timeout has passed.
+    pub(crate) fn tick_election(&mut self) {
         if self.may_campaign() && self.clock >= self.timer.deadline() {
             self.start_pre_vote();
         }
     }
 
-    /// Whether this node may become a candidate.
+    /// Returns whether this node may become a candidate.
     pub(crate) fn may_campaign(&self) -> bool {
         let electing = matches!(
             self.state,
@@ -40,8 +41,9 @@
         electing && self.is_electable()
     }
 
-    /// Asks whether an election could succeed, without raising the term: a
-    /// member that was cut off disturbs nobody when it comes back.
+    /// Starts a pre-vote, which asks whether an election could succeed without
+    /// raising the term. A member that was partitioned therefore does not depose
+    /// the leader when it returns.
     fn start_pre_vote(&mut self) {
         self.timer.restart(self.clock);
         self.leader = None;
@@ -54,21 +56,22 @@
         self.request_votes(self.term + 1, true, false);
     }
 
-    /// Raises the term and asks for votes. `transfer` says that the leader
-    /// asked for it.
+    /// Raises the term and requests votes. `transfer` is set if the leader asked
+    /// this node to campaign.
     pub(crate) fn start_election(&mut self, transfer: bool) {
         self.enter_term(self.term + 1);
         self.timer.restart(self.clock);
         self.voted_for = Some(self.identity.id);
         let granted = BTreeSet::from([self.identity.id]);
         if is_quorum(self.members(), &granted) {
-            self.lead(Payload::Empty);
+            self.become_leader(Payload::Empty);
             return;
         }
         self.state = State::Candidate { granted };
         self.request_votes(self.term, false, transfer);
     }
 
+    /// Sends a vote request to every other voter.
     fn request_votes(&mut self, campaign_term: u64, pre_vote: bool, transfer: bool) {
         let last_index = self.log.last_index();
         let last_term = self.log.last_term();
@@ -88,9 +91,9 @@
         }
     }
 
-    /// Becomes leader and appends `payload`, the first entry of the term: its
-    /// commit commits all that came before.
-    pub(crate) fn lead(&mut self, payload: Payload<C>) {
+    /// Becomes leader and appends `payload` as the first entry of the term, whose
+    /// commit also commits all entries before it.
+    pub(crate) fn become_leader(&mut self, payload: Payload<C>) {
         let next_index = self.log.last_index() + 1;
         let followers: BTreeMap<RouterId, Progress> = self
             .members()
@@ -105,22 +108,23 @@
             removed: None,
             heartbeat_due: self.clock + self.settings.timing.heartbeat(),
             transfer: None,
-            transfers_started: 0,
-            transfers_cancelled: 0,
+            last_transfer: 0,
+            last_cancelled: 0,
         }));
         self.leader = Some(self.identity.clone());
         self.append(payload);
     }
 
-    /// Gives up leadership or a campaign, within the term.
+    /// Gives up leadership or a campaign and stays in the current term.
     pub(crate) fn step_down(&mut self) {
         self.state = State::Follower;
         self.leader = None;
         self.timer.restart(self.clock);
     }
 
-    /// Goes on to `term` as a follower of nobody yet. What was promised to an
-    /// earlier leader (`heard_leader_at`) stays in force.
+    /// Enters `term` as a follower without a known leader. The promise to
+    /// withhold votes after hearing from an earlier leader
+    /// (`last_leader_contact`) stays in force.
     pub(crate) fn enter_term(&mut self, term: u64) {
         debug_assert!(term > self.term);
         self.term = term;
@@ -135,31 +139,32 @@
         }
     }
 
-    /// Answers a candidate.
+    /// Handles a vote request or pre-vote request.
     ///
-    /// A learner votes too when asked: a candidate asks only its voters, and
-    /// the entry that made the learner a voter may be on its way. Without that
-    /// vote, the loss of one leader could leave a group of four without a
-    /// quorum for good. A node that no leader of this generation contacted
-    /// never gets here.
+    /// A learner also votes when asked: a candidate asks only the voters in its
+    /// own log, so the entry that promoted the learner may still be in transit.
+    /// Without that vote, the loss of one leader could leave a group of four
+    /// permanently without a quorum. Nodes that no leader of this generation has
+    /// contacted are filtered out before.
     pub(crate) fn handle_vote_request(
         &mut self,
         term: u64,
         candidate: RouterIdentity,
         request: VoteRequest,
     ) {
-        if request.pre_vote && self.tell_removed(&candidate, request.last_index) {
+        if request.pre_vote && self.notify_if_removed(&candidate, request.last_index) {
             return;
         }
-        if self.is_bound_to_leader() && !request.transfer {
-            // Keeps the leader's lease: neither the vote nor the term moves.
+        if self.withholds_votes() && !request.transfer {
+            // The leader's lease rests on this: neither vote nor term changes.
             if request.pre_vote {
                 self.answer_candidate(candidate, &request, false);
             }
             return;
         }
         if request.pre_vote {
-            let granted = request.campaign_term > self.term && self.is_covered_by(&request);
+            let granted =
+                request.campaign_term > self.term && self.is_candidate_up_to_date(&request);
             self.answer_candidate(candidate, &request, granted);
             return;
         }
@@ -177,14 +182,16 @@
         self.answer_candidate(candidate, &request, granted);
     }
 
+    /// Returns whether this node can vote for `candidate` in the current term.
     fn may_vote_for(&self, candidate: RouterId, request: &VoteRequest) -> bool {
         let free = self.voted_for.is_none_or(|voted| voted == candidate);
-        free && self.is_covered_by(request)
+        free && self.is_candidate_up_to_date(request)
     }
 
-    fn is_covered_by(&self, request: &VoteRequest) -> bool {
+    /// Returns whether the candidate's log is at least as up to date as this one.
+    fn is_candidate_up_to_date(&self, request: &VoteRequest) -> bool {
         self.log
-            .is_covered_by(request.last_index, request.last_term)
+            .is_up_to_date(request.last_index, request.last_term)
     }
 
     fn answer_candidate(&mut self, to: RouterIdentity, request: &VoteRequest, granted: bool) {
@@ -196,7 +203,8 @@
         self.send(to, answer);
     }
 
-    /// Counts a vote.
+    /// Counts a vote or pre-vote, and goes on to the next stage of the election
+    /// once a quorum has granted it.
     pub(crate) fn handle_vote_response(
         &mut self,
         from: RouterId,
@@ -221,11 +229,12 @@
         if pre_vote {
             self.start_election(false);
         } else {
-            self.lead(Payload::Empty);
+            self.become_leader(Payload::Empty);
         }
     }
 }
 
+/// Returns whether the voters in `granted` form a quorum of `members`.
 fn is_quorum(members: &Members, granted: &BTreeSet<RouterId>) -> bool {
     members.has_quorum(|id| granted.contains(&id))
 }
--- a/crates/consensus/src/entry.rs
+++ b/crates/consensus/src/entry.rs
@@ -7,22 +7,23 @@
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Hash, Serialize, Deserialize)]
 pub struct Entry<C> {
-    /// Position in the log; the first is 1.
+    /// Position in the log, starting at 1.
     pub index: u64,
     /// Term of the leader that appended it.
     pub term: u64,
-    /// Content.
+    /// Content of the entry.
     pub payload: Payload<C>,
 }
 
-/// Content of an entry.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Payload<C> {
-    /// Nothing: appended by each new leader to commit what came before.
+    /// No content. Every new leader appends such an entry, whose commit also
+    /// commits all entries before it.
     Empty,
-    /// A command of the application.
+    /// Application command.
     Command(C),
-    /// The members of the group from this entry on.
+    /// Members of the group from this entry on.
     Members(Members),
 }
--- a/crates/consensus/src/follower.rs
+++ b/crates/consensus/src/follower.rs
@@ -1,4 +1,4 @@
-//! What a follower does with a leader's messages.
+//! Handling of the leader's messages by a follower.
 
 use threadledge_types::{RouterIdentity, Timestamp};
 
@@ -7,7 +7,7 @@
 use crate::message::{AppendOutcome, Body};
 use crate::node::{Node, State};
 
-/// An append message, as received.
+/// Fields of a received `Append` message.
 pub(crate) struct Append<C> {
     pub(crate) sent_at: Timestamp,
     pub(crate) previous_index: u64,
@@ -17,9 +17,10 @@
 }
 
 impl<C: Clone, S: Clone> Node<C, S> {
-    /// Records that the leader of the current term was heard from. Returns
-    /// false if this node leads the term itself, which no correct peer causes.
-    pub(crate) fn follow(&mut self, leader: &RouterIdentity) -> bool {
+    /// Becomes a follower of `leader`, the leader of the current term, and
+    /// restarts the election timer. Returns false if this node itself leads the
+    /// term, which cannot happen if all peers are correct.
+    pub(crate) fn follow_leader(&mut self, leader: &RouterIdentity) -> bool {
         if matches!(self.state, State::Leader(_)) {
             return false;
         }
@@ -27,7 +28,7 @@
         if self.leader.as_ref() != Some(leader) {
             self.leader = Some(leader.clone());
         }
-        self.heard_leader_at = Some(self.clock);
+        self.last_leader_contact = Some(self.clock);
         self.timer.restart(self.clock);
         true
     }
@@ -39,7 +40,7 @@
         commit_index: u64,
         cancelled_transfer: u64,
     ) {
-        if !self.follow(&leader) {
+        if !self.follow_leader(&leader) {
             return;
         }
         self.cancelled_transfer = self.cancelled_transfer.max(cancelled_transfer);
@@ -48,18 +49,19 @@
     }
 
     pub(crate) fn handle_append(&mut self, leader: RouterIdentity, append: Append<C>) {
-        if !self.follow(&leader) {
+        if !self.follow_leader(&leader) {
             return;
         }
         let echo = append.sent_at;
-        let outcome = self.take_entries(append);
+        let outcome = self.append_entries(append);
         self.send(leader, Body::AppendResponse { echo, outcome });
     }
 
-    fn take_entries(&mut self, append: Append<C>) -> AppendOutcome {
+    /// Appends the entries of a message whose previous entry matches this log.
+    fn append_entries(&mut self, append: Append<C>) -> AppendOutcome {
         if append.previous_index < self.commit_index {
-            // An old message: what is committed agrees with every leader, and
-            // is never overwritten.
+            // Outdated message: committed entries match every leader's log and
+            // are never overwritten.
             return AppendOutcome::Accepted {
                 match_index: self.commit_index,
             };
@@ -67,7 +69,7 @@
         if self.log.term_at(append.previous_index) != Some(append.previous_term) {
             let (hint_index, hint_term) = self
                 .log
-                .agreement_hint(append.previous_index, append.previous_term);
+                .find_conflict_by_term(append.previous_index, append.previous_term);
             return AppendOutcome::Rejected {
                 previous_index: append.previous_index,
                 hint_index,
@@ -76,7 +78,7 @@
         }
         let mut match_index = append.previous_index;
         for entry in append.entries {
-            if entry.index != match_index + 1 || !self.take_entry(entry) {
+            if entry.index != match_index + 1 || !self.append_entry(entry) {
                 break;
             }
             match_index += 1;
@@ -85,13 +87,13 @@
         AppendOutcome::Accepted { match_index }
     }
 
-    /// Adds one entry whose predecessor agrees with the leader's log. Returns
-    /// whether the log now holds it.
-    fn take_entry(&mut self, entry: Entry<C>) -> bool {
+    /// Appends an entry whose predecessor matches the leader's log, replacing
+    /// conflicting entries. Returns whether the log now holds the entry.
+    fn append_entry(&mut self, entry: Entry<C>) -> bool {
         if self.log.term_at(entry.index) == Some(entry.term) {
             return true;
         }
-        // `take_entries` compares only from the commit index on.
+        // `append_entries` accepts only entries after the commit index.
         debug_assert!(entry.index > self.commit_index);
         if self.log.last_index() >= entry.index {
             self.log.truncate_from(entry.index);
@@ -103,7 +105,7 @@
         true
     }
 
-    /// Moves the commit index on; it never goes back.
+    /// Raises the commit index to `index`. It never goes back.
     fn commit_up_to(&mut self, index: u64) {
         self.commit_index = self.commit_index.max(index);
     }
@@ -114,16 +116,19 @@
         sent_at: Timestamp,
         snapshot: Snapshot<S>,
     ) {
-        if !self.follow(&leader) {
+        if !self.follow_leader(&leader) {
             return;
         }
-        let match_index = self.take_snapshot(snapshot);
+        let match_index = self.install_snapshot(snapshot);
         let outcome = AppendOutcome::Accepted { match_index };
         let echo = sent_at;
         self.send(leader, Body::AppendResponse { echo, outcome });
     }
 
-    fn take_snapshot(&mut self, snapshot: Snapshot<S>) -> u64 {
+    /// Replaces the log by `snapshot` if that is ahead of the commit index and the
+    /// log does not already hold its last entry. Returns the index up to which
+    /// this log matches the leader's.
+    fn install_snapshot(&mut self, snapshot: Snapshot<S>) -> u64 {
         let index = snapshot.index;
         if index <= self.commit_index || snapshot.state.is_none() {
             return self.commit_index;
--- a/crates/consensus/src/generation.rs
+++ b/crates/consensus/src/generation.rs
@@ -1,9 +1,9 @@
-//! Generations: foundings of the group.
+//! Generations of a group.
 //!
-//! A group that lost its majority is founded again, with the next generation,
-//! by a conditional write outside this crate. The members of the generation
-//! before must not go on: whoever learns of a higher generation retires and
-//! never votes again.
+//! A group that lost its majority is founded again as the next generation, by a
+//! conditional write outside this crate. Members of an earlier generation must
+//! not continue: a node that learns of a higher generation retires and never
+//! votes again.
 
 use threadledge_types::{Generation, RouterIdentity, Timestamp};
 
@@ -11,20 +11,22 @@
 use crate::node::{Node, State};
 
 impl<C: Clone, S: Clone> Node<C, S> {
-    /// Whether the node takes part in the message's generation; joins it if
-    /// the node waits and a leader speaks.
-    pub(crate) fn admit(&mut self, message: &Message<C, S>) -> bool {
+    /// Compares the message's generation with the node's own and returns
+    /// whether the message should be handled. A joining node adopts the
+    /// generation of the first leader that contacts it; a member of an older
+    /// generation retires; a sender of an older generation is told so.
+    pub(crate) fn accept_generation(&mut self, message: &Message<C, S>) -> bool {
         match &self.state {
             State::Joining => self.join_generation(message),
-            State::Retired { by } => {
-                let by = *by;
-                if message.generation < by {
-                    self.tell_stale_generation(message, by);
+            State::Retired { newer } => {
+                let newer = *newer;
+                if message.generation < newer {
+                    self.send_stale_generation(message, newer);
                 }
                 false
             }
             _ if message.generation < self.generation => {
-                self.tell_stale_generation(message, self.generation);
+                self.send_stale_generation(message, self.generation);
                 false
             }
             _ if message.generation > self.generation => {
@@ -35,32 +37,35 @@
         }
     }
 
-    /// Ends this node's part in its generation, because the group was founded
-    /// again as generation `by`. Also for an owner that learns of the founding
-    /// from elsewhere. A `by` that is not higher changes nothing.
-    pub fn retire(&mut self, by: Generation) {
+    /// Retires this node because the group was founded again as generation
+    /// `newer`. The owner calls this when it learns of the founding by other
+    /// means than a message. Has no effect unless `newer` is higher than the
+    /// node's generation.
+    pub fn retire(&mut self, newer: Generation) {
         let retired = matches!(self.state, State::Retired { .. });
-        if by > self.generation && !retired {
-            self.state = State::Retired { by };
+        if newer > self.generation && !retired {
+            self.state = State::Retired { newer };
             self.leader = None;
         }
     }
 
-    /// A node that waits to be added to the generation which retired this one,
-    /// or to a later one; `None` unless this node has retired.
+    /// Returns a node that waits to be added to the generation that retired
+    /// this one, or to a later one. Returns `None` unless this node has retired.
     ///
-    /// It must be used in place of [`Node::join`] while the process lives: a
-    /// new node under the same router id that joined the *old* generation
-    /// again could vote twice in it.
+    /// Within the same process, this must be used instead of [`Node::join`]: a
+    /// new node with the same router id could join the *old* generation again
+    /// and vote twice in it.
     pub fn rejoin(&self, now: Timestamp) -> Option<Self> {
-        let State::Retired { by } = self.state else {
+        let State::Retired { newer } = self.state else {
             return None;
         };
         let mut node = Node::join(self.settings.clone(), self.identity.clone(), now);
-        node.generation_floor = Generation(by.0.saturating_sub(1));
+        node.generation_floor = Generation(newer.0.saturating_sub(1));
         Some(node)
     }
 
+    /// Joins the message's generation if a leader sent it and the generation is
+    /// above the floor. Returns whether it did.
     fn join_generation(&mut self, message: &Message<C, S>) -> bool {
         let from_leader = message.body.is_from_leader();
         if !from_leader || message.generation <= self.generation_floor {
@@ -72,8 +77,9 @@
         true
     }
 
-    /// Tells the sender that its generation is over. Hints are not answered.
-    fn tell_stale_generation(&mut self, message: &Message<C, S>, generation: Generation) {
+    /// Tells the sender that its generation is outdated. `StaleGeneration` itself
+    /// is never answered, so two nodes cannot exchange it endlessly.
+    fn send_stale_generation(&mut self, message: &Message<C, S>, generation: Generation) {
         if matches!(message.body, Body::StaleGeneration) {
             return;
         }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,15 +1,14 @@
-//! The replicated log of one group of routers, without I/O.
+//! Raft consensus for one group of routers, without I/O.
 //!
-//! The algorithm is Raft with pre-vote, leader leases, learners, single-step
-//! membership change and leadership transfer. Everything is held in memory: a
-//! process that restarts is a new member with another [`RouterId`], never the
-//! old one with amnesia, so a vote or an acknowledgement is kept for as long as
-//! the member that gave it exists.
+//! The implementation covers pre-vote, leader leases, learners, single-step
+//! membership changes and leadership transfer. All state is held in memory. A
+//! process that restarts joins as a new member with another [`RouterId`], so a
+//! member never forgets a vote or an acknowledgement that it gave.
 //!
-//! [`Node`] is stepped by its owner: [`Node::tick`], [`Node::step`] and
-//! [`Node::propose`] take the current time, and [`Node::ready`] hands out what
-//! has to be sent and applied. The design and its invariants are described in
-//! `docs/design/0002-consensus.md`.
+//! The owner drives a [`Node`] by calling [`Node::tick`], [`Node::step`] and
+//! [`Node::propose`] with the current time, and then [`Node::ready`], which
+//! returns the messages to send and the entries to apply.
+//! `docs/design/0002-consensus.md` describes the design and its invariants.
 //!
 //! [`RouterId`]: threadledge_types::RouterId
 
--- a/crates/consensus/src/member_change.rs
+++ b/crates/consensus/src/member_change.rs
@@ -1,11 +1,11 @@
-//! Changing the members, one at a time.
+//! Single-step membership changes.
 //!
-//! A change is in force on each node as soon as its log holds the entry. Two
-//! neighbouring configurations have overlapping quorums, so a change needs no
-//! joint phase, provided that the next one begins only when the last one is
-//! committed, and that the leader has committed an entry of its own term
-//! first (otherwise two leaders may change the same configuration in two
-//! ways, and their quorums need not overlap).
+//! A change takes effect on each node as soon as its log holds the entry.
+//! Successive configurations have overlapping quorums, so a change needs no
+//! joint consensus. This requires that a change starts only after the previous
+//! one is committed, and that the leader has first committed an entry of its
+//! own term. Otherwise two leaders could change the same configuration in
+//! different ways, and the resulting quorums need not overlap.
 
 use threadledge_types::{RouterId, RouterIdentity, Timestamp};
 
@@ -17,28 +17,29 @@
 use crate::progress::{Progress, ReplicationState};
 
 impl<C: Clone, S: Clone> Node<C, S> {
-    /// Appends a member change to the log if this node leads and the change
-    /// is possible now. It is done when [`Node::ready`] hands out the members
-    /// at the index returned.
+    /// Appends a member change to the log and returns the index of its entry.
+    /// Fails if this node does not lead or the change is not possible now. The
+    /// change is complete when [`Node::ready`] returns the entry as committed.
     pub fn propose_member_change(
         &mut self,
         now: Timestamp,
         change: MemberChange,
     ) -> Result<u64, ProposeError> {
-        self.check_may_propose(now)?;
+        self.check_can_propose(now)?;
         if !self.has_committed_in_term() {
             return Err(ProposeError::TermNotCommitted);
         }
         if self.log.members_index() > self.commit_index {
             return Err(ProposeError::MemberChangeInProgress);
         }
-        let members = self.changed_members(&change)?;
+        let members = self.members_after(&change)?;
         self.track_change(&change);
         let index = self.append(Payload::Members(members));
         Ok(index)
     }
 
-    fn changed_members(&self, change: &MemberChange) -> Result<Members, ProposeError> {
+    /// Returns the member list that results from `change`.
+    fn members_after(&self, change: &MemberChange) -> Result<Members, ProposeError> {
         let mut members = self.members().clone();
         match change {
             MemberChange::AddLearner(identity) => {
@@ -69,27 +70,30 @@
                 members.voters.remove(id);
             }
         }
-        if !self.would_have_quorum(&members) {
+        if !self.has_responsive_quorum(&members) {
             return Err(ProposeError::WouldLoseQuorum);
         }
         Ok(members)
     }
 
-    /// Whether a learner answers and lacks no more than one message's worth of
-    /// entries. A voter that lags further would hold up commits.
+    /// Returns whether a learner is responsive and lacks at most one append
+    /// message's worth of entries. A voter that lags further would delay
+    /// commits.
     fn has_caught_up(&self, id: RouterId) -> bool {
         let Some(progress) = self.follower(id) else {
             return false;
         };
         let since = self.clock - self.settings.timing.election_max();
-        let answers = progress.acked_sent_at >= Some(since);
-        let streams = matches!(progress.state, ReplicationState::Replicate { .. });
+        let is_responsive = progress.acked_sent_at >= Some(since);
+        let is_replicating = matches!(progress.state, ReplicationState::Replicate { .. });
         let lag = self.log.last_index() - progress.match_index;
-        answers && streams && lag <= self.settings.max_batch_entries as u64
+        is_responsive && is_replicating && lag <= self.settings.max_batch_entries as u64
     }
 
-    fn would_have_quorum(&self, members: &Members) -> bool {
-        let answering = self.answering_voters();
+    /// Returns whether the responsive voters among `members` form a quorum. This
+    /// node and newly promoted voters count as responsive.
+    fn has_responsive_quorum(&self, members: &Members) -> bool {
+        let answering = self.responsive_voters();
         members.has_quorum(|id| {
             id == self.identity.id
                 || members.is_voter(id) && !self.members().is_voter(id)
@@ -97,7 +101,7 @@
         })
     }
 
-    /// Begins or ends tracking of the member that changes.
+    /// Starts or stops tracking the replication progress of the changed member.
     fn track_change(&mut self, change: &MemberChange) {
         let clock = self.clock;
         let index = self.log.last_index() + 1;
@@ -118,13 +122,13 @@
         }
     }
 
-    /// Ends a removal once it is committed: tells the member that was taken
-    /// out, or steps down if it was this node.
-    pub(crate) fn members_committed(&mut self) {
+    /// Completes a removal that has been committed: notifies the removed member,
+    /// or steps down if this node was removed.
+    pub(crate) fn on_members_committed(&mut self) {
         let commit_index = self.commit_index;
         let settled = self.log.members_index() <= commit_index;
         if settled && !self.members().contains(self.identity.id) {
-            self.leave();
+            self.step_down_after_removal();
             return;
         }
         let Some(leader) = self.leader_state_mut() else {
@@ -139,23 +143,28 @@
         self.send(removed, Body::NotMember { members_index });
     }
 
-    /// Steps down after this node's removal and asks the best follower to
-    /// lead, which saves the election timeout.
-    fn leave(&mut self) {
+    /// Steps down after this node's removal and asks the most caught-up voter to
+    /// campaign, so that the group does not wait for an election timeout.
+    fn step_down_after_removal(&mut self) {
         self.flush();
-        let successor = self.best_successor();
+        let successor = self.most_caught_up_voter();
         let transfer = self
             .leader_state()
-            .map_or(1, |leader| leader.transfers_started + 1);
+            .map_or(1, |leader| leader.last_transfer + 1);
         self.step_down();
         if let Some(identity) = successor {
             self.send(identity, Body::TimeoutNow { transfer });
         }
     }
 
-    /// Tells a candidate that it was taken out, if a committed entry that it
-    /// lacks says so. Keeps removed members from campaigning for ever.
-    pub(crate) fn tell_removed(&mut self, candidate: &RouterIdentity, last_index: u64) -> bool {
+    /// Tells a candidate that it was removed, if a committed entry that the
+    /// candidate lacks says so, and returns whether it did. Without this, a
+    /// removed member would campaign forever.
+    pub(crate) fn notify_if_removed(
+        &mut self,
+        candidate: &RouterIdentity,
+        last_index: u64,
+    ) -> bool {
         let (members_index, members) = self.log.members_at(self.commit_index);
         let listed = members.contains(candidate.id) || self.members().contains(candidate.id);
         if members.is_empty() || listed || members_index <= last_index {
@@ -165,8 +174,8 @@
         true
     }
 
-    /// Stops campaigning on being told of the removal. A leader that adds the
-    /// node again wakes it by its first message.
+    /// Stops campaigning because this node was removed. If a leader adds the
+    /// node again, its first message makes the node a follower.
     pub(crate) fn handle_not_member(&mut self, members_index: u64) {
         let leads = matches!(self.state, State::Leader(_));
         if !leads && members_index > self.log.last_index() {
--- a/crates/consensus/src/members.rs
+++ b/crates/consensus/src/members.rs
@@ -1,4 +1,4 @@
-//! The members of a group and the changes that can be made to them.
+//! Members of a group and changes to them.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -6,68 +6,68 @@
 use serde::{Deserialize, Serialize};
 use threadledge_types::{RouterId, RouterIdentity};
 
-/// The members of a group.
+/// Members of a group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
-    /// Members that vote and count for a quorum.
+    /// Members that vote and count towards a quorum.
     pub voters: BTreeMap<RouterId, RouterIdentity>,
     /// Members that only receive the log.
     pub learners: BTreeMap<RouterId, RouterIdentity>,
 }
 
-/// One change of the members. Single changes only: the quorums of two
-/// configurations that differ by one voter always overlap.
+/// Change of a single member. Only one member changes at a time, because the
+/// quorums of two configurations that differ by one voter always overlap.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberChange {
     /// Adds a router that receives the log without voting.
     AddLearner(RouterIdentity),
-    /// Makes a learner that has caught up a voter.
+    /// Turns a learner that has caught up into a voter.
     Promote(RouterId),
-    /// Takes out a voter or a learner.
+    /// Removes a voter or a learner.
     Remove(RouterId),
 }
 
 impl Members {
-    /// A group with one voter.
+    /// Creates the member list of a group with one voter.
     pub fn single(identity: RouterIdentity) -> Self {
         let mut members = Members::default();
         members.voters.insert(identity.id, identity);
         members
     }
 
-    /// Number of voters that make a quorum: more than half.
+    /// Returns the number of voters in a quorum: more than half of all voters.
     pub fn quorum_size(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether `id` votes.
+    /// Returns whether `id` is a voter.
     pub fn is_voter(&self, id: RouterId) -> bool {
         self.voters.contains_key(&id)
     }
 
-    /// Whether `id` is a voter or a learner.
+    /// Returns whether `id` is a voter or a learner.
     pub fn contains(&self, id: RouterId) -> bool {
         self.is_voter(id) || self.learners.contains_key(&id)
     }
 
-    /// Identity of the member `id`.
+    /// Returns the identity of member `id`.
     pub fn identity(&self, id: RouterId) -> Option<&RouterIdentity> {
         self.voters.get(&id).or_else(|| self.learners.get(&id))
     }
 
-    /// Every member, voters first.
+    /// Iterates over all members, voters first.
     pub fn iter(&self) -> impl Iterator<Item = &RouterIdentity> {
         self.voters.values().chain(self.learners.values())
     }
 
-    /// Whether there is no member.
+    /// Returns whether there are no members.
     pub fn is_empty(&self) -> bool {
         self.voters.is_empty() && self.learners.is_empty()
     }
 
-    /// The largest value that a quorum of the voters reaches or exceeds.
-    /// `value` gives each voter's; `None` counts as below every value.
+    /// Returns the largest value that a quorum of voters reaches or exceeds.
+    /// `value` returns the value of one voter; `None` is below every value.
     pub fn quorum_value<T: Ord + Copy>(&self, value: impl Fn(RouterId) -> Option<T>) -> Option<T> {
         if self.voters.is_empty() {
             return None;
@@ -77,14 +77,14 @@
         values[self.voters.len() - self.quorum_size()]
     }
 
-    /// Whether the voters for which `agrees` holds are a quorum.
+    /// Returns whether the voters for which `agrees` is true form a quorum.
     pub fn has_quorum(&self, agrees: impl Fn(RouterId) -> bool) -> bool {
         let count = self.voters.keys().filter(|id| agrees(**id)).count();
         !self.voters.is_empty() && count >= self.quorum_size()
     }
 }
 
-/// Hashes the identifiers only: a router's identity never changes.
+/// Hashes only the router ids: a router's identity never changes.
 impl Hash for Members {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         self.voters.len().hash(hasher);
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -6,124 +6,125 @@
 use crate::entry::Entry;
 use crate::log::Snapshot;
 
-/// One message between two nodes.
+/// Message from one node to another.
 #[derive(Clone, Debug, PartialEq, Hash, Serialize, Deserialize)]
 pub struct Message<C, S> {
-    /// Group of the sender. A node ignores other groups' messages.
+    /// Group of the sender. A node ignores messages of other groups.
     pub group: GroupId,
-    /// Founding of the group that the sender belongs to.
+    /// Generation that the sender belongs to.
     pub generation: Generation,
     /// Current term of the sender.
     pub term: u64,
-    /// The sender, so that a node that knows no members can answer.
+    /// Identity of the sender, so that a node without a member list can answer.
     pub sender: RouterIdentity,
-    /// Content.
+    /// Content of the message.
     pub body: Body<C, S>,
 }
 
 /// Content of a message.
 ///
-/// A leader's `sent_at` is a reading of its own clock and is echoed in the
-/// answer: it is how the leader knows when the message that was answered left,
-/// which is what its lease is counted from.
+/// `sent_at` is a reading of the leader's clock, which the follower echoes in
+/// its response. The leader counts its lease from the send time of the messages
+/// that were answered.
 #[derive(Clone, Debug, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Body<C, S> {
-    /// Asks for a vote, or whether one would be given.
+    /// Requests a vote or, as a pre-vote, asks whether it would be granted.
     VoteRequest {
         /// Term that the candidate campaigns for.
         campaign_term: u64,
-        /// Only asks; nothing is promised by the answer.
+        /// Pre-vote: the response does not bind the voter.
         pre_vote: bool,
-        /// The leader itself asked the candidate to campaign, and has given up
-        /// its lease.
+        /// The leader asked the candidate to campaign and has given up its
+        /// lease.
         transfer: bool,
-        /// Last index of the candidate's log.
+        /// Index of the last entry in the candidate's log.
         last_index: u64,
         /// Term of that entry.
         last_term: u64,
     },
-    /// Answers a vote request.
+    /// Response to `VoteRequest`.
     VoteResponse {
         /// Term that the candidate campaigned for.
         campaign_term: u64,
-        /// Whether it was a pre-vote.
+        /// Whether the request was a pre-vote.
         pre_vote: bool,
-        /// Whether the vote was given.
+        /// Whether the vote was granted.
         granted: bool,
     },
-    /// Entries that follow `previous_index`; none to pass on a commit index
-    /// or to probe.
+    /// Entries after `previous_index`. Empty if the leader only probes the
+    /// follower or sends a new commit index.
     Append {
-        /// Leader's clock when it sent this.
+        /// Leader's clock when it sent the message.
         sent_at: Timestamp,
         /// Index before the first entry.
         previous_index: u64,
         /// Term of the entry at that index.
         previous_term: u64,
-        /// The entries.
+        /// Entries to append.
         entries: Vec<Entry<C>>,
         /// Leader's commit index.
         commit_index: u64,
     },
-    /// Answers `Append` and `Snapshot`.
+    /// Response to `Append` and `Snapshot`.
     AppendResponse {
-        /// `sent_at` of the message answered.
+        /// `sent_at` of the message that is answered.
         echo: Timestamp,
-        /// Whether the entries were taken.
+        /// Whether the follower accepted the message.
         outcome: AppendOutcome,
     },
-    /// Keeps leadership.
+    /// Asserts leadership and keeps followers from campaigning.
     Heartbeat {
-        /// Leader's clock when it sent this.
+        /// Leader's clock when it sent the message.
         sent_at: Timestamp,
-        /// Leader's commit index, no higher than what the follower is known
-        /// to have.
+        /// Leader's commit index, but at most the highest index that the
+        /// follower is known to hold.
         commit_index: u64,
-        /// Transfers of this term up to this number have been called off.
+        /// Highest number of a transfer cancelled in this term; all transfers
+        /// up to it are cancelled.
         cancelled_transfer: u64,
     },
-    /// Answers `Heartbeat`.
+    /// Response to `Heartbeat`.
     HeartbeatResponse {
-        /// `sent_at` of the heartbeat answered.
+        /// `sent_at` of the heartbeat that is answered.
         echo: Timestamp,
     },
-    /// State of the application, for a follower that needs entries which have
-    /// been dropped from the log.
+    /// Application state for a follower that needs entries which are no longer
+    /// in the leader's log.
     Snapshot {
-        /// Leader's clock when it sent this.
+        /// Leader's clock when it sent the message.
         sent_at: Timestamp,
-        /// The snapshot.
+        /// Snapshot to install.
         snapshot: Snapshot<S>,
     },
-    /// Asks the receiver to campaign at once.
+    /// Asks the receiver to campaign immediately.
     TimeoutNow {
-        /// Number of the transfer within the term.
+        /// Number of the leadership transfer within the term.
         transfer: u64,
     },
-    /// The receiver's term is over; the message's term is higher.
+    /// The receiver's term is outdated; the message carries a higher one.
     StaleTerm,
-    /// The receiver's generation is over; the message's generation is higher.
+    /// The receiver's generation is outdated; the message carries a higher one.
     StaleGeneration,
-    /// The receiver was taken out of the group.
+    /// The receiver was removed from the group.
     NotMember {
-        /// Index of the committed entry that lists the members without it.
+        /// Index of the committed member list that no longer includes it.
         members_index: u64,
     },
 }
 
-/// What a follower did with appended entries.
+/// Result of an append or snapshot message on the follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AppendOutcome {
-    /// Its log agrees with the leader's up to here.
+    /// The follower's log agrees with the leader's up to `match_index`.
     Accepted {
-        /// Last index known to agree.
+        /// Highest index at which the logs are known to agree.
         match_index: u64,
     },
-    /// Its log does not hold the entry before the first one sent.
+    /// The follower's log does not hold the entry at `previous_index`.
     Rejected {
-        /// `previous_index` of the message answered.
+        /// `previous_index` of the rejected message.
         previous_index: u64,
         /// Highest index at which the logs may agree.
         hint_index: u64,
@@ -132,17 +133,17 @@
     },
 }
 
-/// A message and whom it goes to.
+/// Message with its receiver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outgoing<C, S> {
-    /// Receiver.
+    /// Router to send the message to.
     pub to: RouterIdentity,
-    /// The message.
+    /// Message to send.
     pub message: Message<C, S>,
 }
 
 impl<C, S> Body<C, S> {
-    /// Whether only a leader sends such a message.
+    /// Returns whether only leaders send this kind of message.
     pub(crate) fn is_from_leader(&self) -> bool {
         matches!(
             self,
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,50 +1,51 @@
-//! What a leader knows of one follower.
+//! Replication progress of one follower, as tracked by the leader.
 
 use std::collections::VecDeque;
 
 use threadledge_types::Timestamp;
 
-/// How entries are sent to a follower.
+/// Mode in which entries are sent to a follower.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ReplicationState {
-    /// One message at a time, until it is known where the logs agree.
+    /// One message at a time, until the leader knows where the logs agree.
     Probe {
-        /// A message has been sent and is not answered.
+        /// Whether a message has been sent and not yet answered.
         awaiting_response: bool,
     },
-    /// Many messages at a time, without waiting for answers.
+    /// Pipelined messages, sent without waiting for responses.
     Replicate {
-        /// Last index of each message not answered, oldest first.
+        /// Last entry index of each unanswered message, oldest first.
         in_flight: VecDeque<u64>,
     },
-    /// A snapshot is on its way.
+    /// A snapshot was sent and is not yet acknowledged.
     Snapshot {
-        /// Last index the snapshot covers.
+        /// Index of the last entry that the snapshot includes.
         index: u64,
-        /// When it was sent.
+        /// When the snapshot was sent.
         sent_at: Timestamp,
     },
 }
 
-/// What a leader knows of one follower.
+/// Replication progress of one follower, as tracked by the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Progress {
-    /// Highest index known to agree with the leader's log.
+    /// Highest index at which the follower's log is known to match the leader's.
     pub match_index: u64,
-    /// Next index to send.
+    /// Index of the next entry to send.
     pub next_index: u64,
-    /// How entries are sent.
+    /// Mode in which entries are sent.
     pub state: ReplicationState,
-    /// When the latest message that it answered in this term was sent.
+    /// Send time of the latest message that the follower answered in this term.
     pub acked_sent_at: Option<Timestamp>,
-    /// When the leader began to track it.
+    /// When the leader started to track the follower.
     pub tracked_since: Timestamp,
-    /// Highest commit index it was sent.
+    /// Highest commit index sent to the follower.
     pub commit_sent: u64,
 }
 
 impl Progress {
-    /// A follower of which nothing is known; probing begins at `next_index`.
+    /// Creates the progress of a follower with an unknown log. Probing starts at
+    /// `next_index`.
     pub fn new(next_index: u64, now: Timestamp) -> Self {
         Progress {
             match_index: 0,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Whether a message may be sent now.
+    /// Returns whether an append message can be sent now.
     pub fn can_send(&self, max_in_flight: usize) -> bool {
         match &self.state {
             ReplicationState::Probe { awaiting_response } => !awaiting_response,
@@ -89,15 +90,15 @@
         };
     }
 
-    /// Records an answer to a message sent at `sent_at`.
+    /// Records a response to a message sent at `sent_at`.
     pub fn record_answer(&mut self, sent_at: Timestamp) {
         self.acked_sent_at = self.acked_sent_at.max(Some(sent_at));
     }
 
-    /// Records that the logs agree up to `match_index`. Returns whether that
-    /// is news.
+    /// Records that the logs agree up to `match_index`. Returns whether this
+    /// raises the known match index.
     pub fn record_accepted(&mut self, match_index: u64) -> bool {
-        let news = match_index > self.match_index;
+        let is_new = match_index > self.match_index;
         self.match_index = self.match_index.max(match_index);
         self.next_index = self.next_index.max(self.match_index + 1);
         let agreed = self.match_index;
@@ -108,13 +109,14 @@
                 }
             }
             ReplicationState::Snapshot { index, .. } if agreed < *index => {}
-            _ => self.replicate(),
+            _ => self.start_replicating(),
         }
-        news
+        is_new
     }
 
-    /// Records that the follower has no entry at `rejected_index`; probing
-    /// continues after `agreed_index`. Returns whether that is news.
+    /// Records that the follower's log does not match at `rejected_index`, and
+    /// continues probing after `agreed_index`. Returns false if the rejection is
+    /// stale.
     pub fn record_rejected(&mut self, rejected_index: u64, agreed_index: u64) -> bool {
         let stale = match &self.state {
             ReplicationState::Probe { .. } => rejected_index != self.next_index - 1,
@@ -129,7 +131,7 @@
         true
     }
 
-    /// Starts probing at `next_index`, not before what is known to agree.
+    /// Starts probing at `next_index`, or after `match_index` if that is higher.
     pub fn start_probing(&mut self, next_index: u64) {
         self.next_index = next_index.max(self.match_index + 1);
         self.state = ReplicationState::Probe {
@@ -137,7 +139,8 @@
         };
     }
 
-    /// Lets one more message pass: the answer to an earlier one may be lost.
+    /// Allows one more message to be sent, because an earlier message or its
+    /// response may be lost.
     pub fn allow_one_more(&mut self, max_in_flight: usize) {
         match &mut self.state {
             ReplicationState::Probe { awaiting_response } => *awaiting_response = false,
@@ -150,7 +153,7 @@
         }
     }
 
-    fn replicate(&mut self) {
+    fn start_replicating(&mut self) {
         self.next_index = self.match_index + 1;
         self.state = ReplicationState::Replicate {
             in_flight: VecDeque::new(),
--- a/crates/consensus/src/ready.rs
+++ b/crates/consensus/src/ready.rs
@@ -1,4 +1,4 @@
-//! What the owner of a node has to carry out.
+//! Work that a node hands to its owner.
 
 use threadledge_types::Revision;
 
@@ -6,41 +6,42 @@
 use crate::message::Outgoing;
 use crate::node::Node;
 
-/// What the owner of a node has to carry out, in the order of the fields.
+/// Work that the owner of a node has to do, in the order of the fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ready<C, S> {
-    /// Messages to send; each may be lost.
+    /// Messages to send. Delivery need not be reliable.
     pub messages: Vec<Outgoing<C, S>>,
-    /// State with which the application replaces its own, before it applies
-    /// `committed`.
+    /// State that replaces the application's state before `committed` is
+    /// applied.
     pub restore: Option<RestoredState<S>>,
-    /// Entries to apply, in order, each handed out once.
+    /// Committed entries to apply, in order. Each is handed out once.
     pub committed: Vec<CommittedEntry<C>>,
-    /// The log has grown past the threshold: the application should call
-    /// [`Node::compact`]. Set until it does.
+    /// Set while the log exceeds the compaction threshold; the application
+    /// should call [`Node::compact`].
     pub snapshot_wanted: bool,
 }
 
-/// State of the application at a revision.
+/// Application state restored from a snapshot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RestoredState<S> {
-    /// Revision that the state covers.
+    /// Revision of the last entry that the state includes.
     pub revision: Revision,
-    /// The state.
+    /// Application state.
     pub snapshot: S,
 }
 
-/// A committed entry: it survives every loss that leaves a majority.
+/// Committed entry. It is not lost as long as a majority of the voters remains.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CommittedEntry<C> {
-    /// Position in the group's history.
+    /// Generation and index of the entry.
     pub revision: Revision,
-    /// Content.
+    /// Content of the entry.
     pub payload: Payload<C>,
 }
 
 impl<C: Clone, S: Clone> Node<C, S> {
-    /// Hands out what has to be carried out since the last call.
+    /// Returns the messages, entries and state that have accumulated since the
+    /// last call.
     pub fn ready(&mut self) -> Ready<C, S> {
         self.flush();
         let restore = self.take_restore();
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,4 +1,4 @@
-//! What a leader does to bring its followers' logs to its own, and to commit.
+//! Replication and commit on the leader.
 
 use threadledge_types::{RouterId, RouterIdentity, Timestamp};
 
@@ -7,7 +7,8 @@
 use crate::progress::{Progress, ReplicationState};
 
 impl<C: Clone, S: Clone> Node<C, S> {
-    /// Heartbeats, the quorum check and the deadlines of a leader.
+    /// Runs the leader's periodic work: the quorum check, the transfer deadline
+    /// and heartbeats.
     pub(crate) fn tick_leader(&mut self) {
         self.check_quorum();
         self.tick_transfer();
@@ -24,28 +25,28 @@
         self.broadcast_heartbeat();
     }
 
-    /// Steps down when no quorum answers any more, so that callers learn of
-    /// it and turn to the next leader.
+    /// Steps down if no quorum has answered within the longest election timeout,
+    /// so that callers notice and look for the next leader.
     pub(crate) fn check_quorum(&mut self) {
         let since = self.clock - self.settings.timing.election_max();
         let Some(leader) = self.leader_state() else {
             return;
         };
-        if !self.quorum_answered_since(leader, since) {
+        if !self.is_quorum_active_since(leader, since) {
             self.step_down();
         }
     }
 
-    /// Sends no more than one message at a time to followers that do not
-    /// answer.
+    /// Switches unresponsive followers to probing, so that each is sent only one
+    /// message at a time.
     fn probe_silent_followers(&mut self) {
         let since = self.clock - self.settings.timing.election_max();
         let Some(leader) = self.leader_state_mut() else {
             return;
         };
         for progress in leader.followers.values_mut() {
-            let streams = matches!(progress.state, ReplicationState::Replicate { .. });
-            if streams && progress.acked_sent_at < Some(since) {
+            let is_replicating = matches!(progress.state, ReplicationState::Replicate { .. });
+            if is_replicating && progress.acked_sent_at < Some(since) {
                 progress.start_probing(progress.match_index + 1);
                 progress.state = ReplicationState::Probe {
                     awaiting_response: true,
@@ -54,16 +55,17 @@
         }
     }
 
+    /// Sends a heartbeat to every follower.
     fn broadcast_heartbeat(&mut self) {
         let commit_index = self.commit_index;
         let sent_at = self.clock;
         let Some(leader) = self.leader_state_mut() else {
             return;
         };
-        let cancelled_transfer = leader.transfers_cancelled;
+        let cancelled_transfer = leader.last_cancelled;
         let mut heartbeats = Vec::with_capacity(leader.followers.len());
         for (id, progress) in &mut leader.followers {
-            // Only up to what the follower is known to share with this log.
+            // At most the highest index at which the logs are known to agree.
             let shared = commit_index.min(progress.match_index);
             progress.commit_sent = progress.commit_sent.max(shared);
             heartbeats.push((*id, shared));
@@ -78,14 +80,15 @@
         }
     }
 
+    /// Sends a message to member `id`, if it is in the member list.
     pub(crate) fn send_to_member(&mut self, id: RouterId, body: Body<C, S>) {
         if let Some(identity) = self.members().identity(id).cloned() {
             self.send(identity, body);
         }
     }
 
-    /// Sends each follower what it lacks, as far as its window allows. Called
-    /// once for all that was proposed since the last call, so that proposals
+    /// Sends each follower the entries that it lacks, as far as its window
+    /// allows. Runs once for all proposals since the last call, so that they
     /// share messages.
     pub(crate) fn flush(&mut self) {
         let Some(leader) = self.leader_state() else {
@@ -97,9 +100,10 @@
         }
     }
 
-    /// Sends one message to a follower: entries, a commit index, or a
-    /// snapshot. With `probe`, sends an empty one if there is nothing else, to
-    /// find out whether earlier ones arrived. Returns whether one was sent.
+    /// Sends one message with entries, a new commit index or a snapshot to a
+    /// follower. If there is nothing to send and `probe` is set, sends an empty
+    /// message to find out whether earlier ones arrived. Returns whether a
+    /// message was sent.
     fn send_append(&mut self, id: RouterId, probe: bool) -> bool {
         let max_in_flight = self.settings.max_in_flight_batches;
         let Some(progress) = self.follower(id) else {
@@ -172,7 +176,7 @@
                 progress.record_answer(echo);
                 if progress.record_accepted(match_index) {
                     self.advance_commit();
-                    self.hand_over_when_caught_up();
+                    self.request_campaign_if_caught_up();
                 }
             }
             AppendOutcome::Accepted { .. } => {}
@@ -181,7 +185,7 @@
                 hint_index,
                 hint_term,
             } => {
-                let (agreed_index, _) = self.log.agreement_hint(hint_index, hint_term);
+                let (agreed_index, _) = self.log.find_conflict_by_term(hint_index, hint_term);
                 if let Some(progress) = self.follower_mut(from) {
                     progress.record_answer(echo);
                     progress.record_rejected(previous_index, agreed_index);
@@ -215,10 +219,11 @@
         self.confirm_cancelled_transfer(from, echo);
     }
 
-    /// Commits what a quorum of the newest members holds, if the last of it is
-    /// of the current term. Entries of earlier terms are committed only by
-    /// one of the current term after them: on their own, even when a quorum
-    /// holds them, a later leader may still overwrite them.
+    /// Advances the commit index to the highest entry that a quorum of the newest
+    /// member list holds, if that entry is of the current term. Entries of
+    /// earlier terms are committed only together with a later entry of the
+    /// current term: on their own, a later leader may still overwrite them, even
+    /// if a quorum holds them.
     pub(crate) fn advance_commit(&mut self) {
         let State::Leader(leader) = &self.state else {
             return;
@@ -235,10 +240,11 @@
         };
         if index > self.commit_index && self.log.term_at(index) == Some(self.term) {
             self.commit_index = index;
-            self.members_committed();
+            self.on_members_committed();
         }
     }
 
+    /// Returns the progress of follower `id`, if this node leads and tracks it.
     pub(crate) fn follower(&self, id: RouterId) -> Option<&Progress> {
         self.leader_state()?.followers.get(&id)
     }
@@ -247,15 +253,15 @@
         self.leader_state_mut()?.followers.get_mut(&id)
     }
 
-    /// The voters other than this node that answered within the longest
-    /// election timeout, with what is known of them.
-    pub(crate) fn answering_voters(&self) -> Vec<(RouterIdentity, u64)> {
+    /// Returns the voters other than this node that answered a message sent
+    /// within the longest election timeout, with their match indices.
+    pub(crate) fn responsive_voters(&self) -> Vec<(RouterIdentity, u64)> {
         let since = self.clock - self.settings.timing.election_max();
         let mut voters = Vec::new();
         for (id, progress) in self.progress() {
-            let answers = progress.acked_sent_at >= Some(since);
+            let is_responsive = progress.acked_sent_at >= Some(since);
             if let Some(identity) = self.members().voters.get(&id)
-                && answers
+                && is_responsive
             {
                 voters.push((identity.clone(), progress.match_index));
             }
--- a/crates/consensus/src/role.rs
+++ b/crates/consensus/src/role.rs
@@ -1,26 +1,26 @@
-//! What a node is at the moment, as its owner sees it.
+//! Role of a node, as reported to its owner.
 
 use std::fmt;
 
-/// What a node is at the moment.
+/// Current role of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Role {
-    /// Waits for a leader of some generation to contact it.
+    /// Has not been contacted by any leader yet.
     Joining,
-    /// Receives the log, but neither counts for a quorum nor campaigns.
+    /// Receives the log, but neither counts towards a quorum nor campaigns.
     Learner,
-    /// Voter that follows.
+    /// Voter that follows a leader or waits for one.
     Follower,
-    /// Voter that asks whether an election could succeed.
+    /// Voter that runs a pre-vote to find out whether it could win an election.
     PreCandidate,
-    /// Voter that asks for votes.
+    /// Voter that requests votes.
     Candidate,
-    /// Leads the current term.
+    /// Leader of the current term.
     Leader,
-    /// Was taken out of the group.
+    /// Was removed from the group.
     Removed,
-    /// The group was founded again without this node's history; it takes no
-    /// part any more.
+    /// Belongs to a generation that a newer one has replaced; the node no
+    /// longer takes part.
     Retired,
 }
 
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -1,47 +1,51 @@
-//! Settings of one node.
+//! Settings of a consensus node.
 
 use threadledge_types::{GroupId, Timing};
 
-/// Default bound on the entries of one append message.
+/// Default maximum number of entries in one append message.
 const DEFAULT_MAX_BATCH_ENTRIES: usize = 256;
-/// Default bound on unanswered append messages to one follower.
+/// Default maximum number of unanswered append messages per follower.
 const DEFAULT_MAX_IN_FLIGHT_BATCHES: usize = 16;
-/// Default bound on entries that are proposed and not yet committed.
+/// Default maximum number of entries that are proposed but not yet committed.
 const DEFAULT_MAX_UNCOMMITTED_ENTRIES: usize = 4_096;
-/// Default number of applied entries after which a snapshot is asked for.
+/// Default number of applied entries after which the log should be compacted.
 const DEFAULT_COMPACTION_THRESHOLD: usize = 8_192;
-/// Default number of entries kept before the snapshot for slow followers.
+/// Default number of entries before the snapshot that are kept for slow
+/// followers.
 const DEFAULT_RETAINED_ENTRIES: usize = 1_024;
-/// Default time after which an unanswered snapshot is sent again.
+/// Default time after which an unacknowledged snapshot is sent again, in
+/// milliseconds.
 const DEFAULT_SNAPSHOT_RETRY_MS: u64 = 2_000;
 
-/// How many compaction thresholds the log may grow to before proposals are
-/// refused, for an application that does not compact.
-const LOG_LIMIT_IN_THRESHOLDS: usize = 4;
+/// Multiple of the compaction threshold to which the log may grow before
+/// proposals are refused. Bounds the log of an application that never compacts.
+const MAX_LOG_THRESHOLDS: usize = 4;
 
-/// Settings of one node.
+/// Settings of a consensus node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Group whose log this is. Messages of other groups are ignored.
+    /// Group that the node belongs to. Messages of other groups are ignored.
     pub group: GroupId,
-    /// Election, heartbeat and lease durations; the same on every member.
+    /// Election, heartbeat and lease durations. Must be the same on every member.
     pub timing: Timing,
-    /// Seed of the election timeouts; should differ between members.
+    /// Seed of the random election timeouts. Should differ between members.
     pub seed: u64,
-    /// Most entries in one append message.
+    /// Maximum number of entries in one append message.
     pub max_batch_entries: usize,
-    /// Most append messages to one follower that wait for an answer.
+    /// Maximum number of unanswered append messages per follower.
     pub max_in_flight_batches: usize,
-    /// Most entries that wait for commit; further proposals are refused.
+    /// Maximum number of uncommitted entries; further proposals are refused.
     pub max_uncommitted_entries: usize,
-    /// Applied entries after which [`Ready::snapshot_wanted`] is set.
+    /// Number of entries applied since the last snapshot after which
+    /// [`Ready::snapshot_wanted`] is set.
     ///
     /// [`Ready::snapshot_wanted`]: crate::Ready::snapshot_wanted
     pub compaction_threshold: usize,
-    /// Entries kept before the snapshot, so that a follower which lags a
-    /// little is not sent a whole snapshot.
+    /// Number of entries before the snapshot that are kept, so that a follower
+    /// that lags slightly does not need the whole snapshot.
     pub retained_entries: usize,
-    /// Time after which an unanswered snapshot is sent again, in milliseconds.
+    /// Time after which an unacknowledged snapshot is sent again, in
+    /// milliseconds.
     pub snapshot_retry_ms: u64,
 }
 
@@ -62,9 +66,10 @@
 }
 
 impl Settings {
-    /// Most entries the log holds, whatever the application does.
+    /// Maximum number of entries that the log holds, even if the application
+    /// never compacts it.
     pub fn max_log_entries(&self) -> usize {
-        let thresholds = self.compaction_threshold.max(1) * LOG_LIMIT_IN_THRESHOLDS;
+        let thresholds = self.compaction_threshold.max(1) * MAX_LOG_THRESHOLDS;
         thresholds + self.retained_entries + self.max_uncommitted_entries
     }
 }
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -1,4 +1,4 @@
-//! What the owner of a node can read from it.
+//! Read access to the state of a node.
 
 use std::hash::{Hash, Hasher};
 
@@ -12,17 +12,17 @@
 use crate::settings::Settings;
 
 impl<C, S> Node<C, S> {
-    /// This router.
+    /// Returns the identity of this router.
     pub fn identity(&self) -> &RouterIdentity {
         &self.identity
     }
 
-    /// The settings.
+    /// Returns the settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// What the node is at the moment.
+    /// Returns the current role.
     pub fn role(&self) -> Role {
         match &self.state {
             State::Joining => Role::Joining,
@@ -37,9 +37,9 @@
         }
     }
 
-    /// Whether this node may lead: it is a voter by its log, or its removal is
-    /// not committed yet. In the second case it may be the only one whose log
-    /// covers the others', so that no one else can be elected.
+    /// Returns whether this node may be elected: it is a voter according to its
+    /// log, or its removal is not committed yet. In the second case its log may
+    /// be the only one that is up to date, so that no other node can be elected.
     pub(crate) fn is_electable(&self) -> bool {
         let id = self.identity.id;
         let (_, committed) = self.log.members_at(self.commit_index);
@@ -47,62 +47,64 @@
         self.members().is_voter(id) || removal_pending && committed.is_voter(id)
     }
 
-    /// Whether a committed entry lists the members without this node.
+    /// Returns whether a committed entry removed this node from the group.
     fn was_removed(&self) -> bool {
         let (_, members) = self.log.members_at(self.commit_index);
         let known = !members.is_empty() && !self.members().is_empty();
         known && !members.contains(self.identity.id) && !self.members().contains(self.identity.id)
     }
 
-    /// The leader of the current term, when known.
+    /// Returns the leader of the current term, if known.
     pub fn leader(&self) -> Option<&RouterIdentity> {
         self.leader.as_ref()
     }
 
-    /// The current term.
+    /// Returns the current term.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// Whom this node voted for in the current term.
+    /// Returns the candidate that this node voted for in the current term.
     pub fn voted_for(&self) -> Option<RouterId> {
         self.voted_for
     }
 
-    /// Founding of the group that the node belongs to; 0 before it does.
+    /// Returns the generation that the node belongs to, or 0 if it has not joined
+    /// one.
     pub fn generation(&self) -> Generation {
         self.generation
     }
 
-    /// Highest index known to be committed. Never goes back.
+    /// Returns the highest index known to be committed. It never goes back.
     pub fn commit_index(&self) -> u64 {
         self.commit_index
     }
 
-    /// The members after the last entry of the log.
+    /// Returns the members after the last entry of the log, committed or not.
     pub fn members(&self) -> &Members {
         self.log.members()
     }
 
-    /// The log.
+    /// Returns the log.
     pub fn log(&self) -> &Log<C, S> {
         &self.log
     }
 
-    /// When this node was elected in the current term, if it leads.
+    /// Returns when this node was elected, if it leads.
     pub fn elected_at(&self) -> Option<Timestamp> {
         self.leader_state().map(|leader| leader.elected_at)
     }
 
-    /// Whether this node leads and has committed an entry of its own term. It
-    /// then holds everything that earlier leaders committed, so reads and
-    /// grants may be based on its state.
+    /// Returns whether this node leads and has committed an entry of its own
+    /// term. Its state then includes everything that earlier leaders committed,
+    /// so reads and grants can be based on it.
     pub fn has_committed_in_term(&self) -> bool {
         self.leader_state()
             .is_some_and(|leader| leader.term_start_index <= self.commit_index)
     }
 
-    /// What the leader knows of each other member; empty on other nodes.
+    /// Iterates over the replication progress of each follower. Empty unless this
+    /// node leads.
     pub fn progress(&self) -> impl Iterator<Item = (RouterId, &Progress)> {
         self.leader_state()
             .into_iter()
@@ -125,9 +127,9 @@
     }
 }
 
-/// Hashes all that decides what the node does next, apart from its settings
-/// and the timeouts it has yet to draw: for tools that explore states and skip
-/// those they have seen.
+/// Hashes everything that determines the node's further behaviour, except its
+/// settings and future random timeouts. Meant for tools that explore the state
+/// space and skip states that they have seen.
 impl<C: Hash, S: Hash> Hash for Node<C, S> {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         self.identity.id.hash(hasher);
@@ -142,7 +144,7 @@
         self.state.hash(hasher);
         let leader = self.leader.as_ref().map(|leader| leader.id);
         leader.hash(hasher);
-        self.heard_leader_at.hash(hasher);
+        self.last_leader_contact.hash(hasher);
         self.cancelled_transfer.hash(hasher);
         self.timer.deadline().hash(hasher);
         self.clock.hash(hasher);
--- a/crates/consensus/src/step.rs
+++ b/crates/consensus/src/step.rs
@@ -1,4 +1,4 @@
-//! Inputs: the passing of time, and messages.
+//! Inputs of a node: time and messages.
 
 use threadledge_types::{RouterId, RouterIdentity, Timestamp};
 
@@ -8,20 +8,21 @@
 use crate::node::{Node, State};
 
 impl<C: Clone, S: Clone> Node<C, S> {
-    /// Lets time pass. To be called at [`Node::next_wakeup`] or earlier.
+    /// Advances the clock and runs what is due. Call this at
+    /// [`Node::next_wakeup`] or earlier.
     pub fn tick(&mut self, now: Timestamp) {
-        self.observe(now);
+        self.advance_clock(now);
         match self.state {
             State::Leader(_) => self.tick_leader(),
             State::Joining | State::Removed | State::Retired { .. } => {}
             State::Follower | State::PreCandidate { .. } | State::Candidate { .. } => {
-                self.tick_follower();
+                self.tick_election();
             }
         }
     }
 
-    /// When [`Node::tick`] has something to do at the latest, if nothing else
-    /// happens before.
+    /// Returns the time by which [`Node::tick`] must be called if there is no
+    /// other input before.
     pub fn next_wakeup(&self, now: Timestamp) -> Timestamp {
         self.deadline().max(now)
     }
@@ -37,27 +38,28 @@
         Timestamp::from_micros(u64::MAX)
     }
 
-    /// Takes a message in. Late, repeated, reordered and foreign messages are
-    /// harmless.
+    /// Handles a message. Late, duplicated and reordered messages are harmless,
+    /// and messages of other groups are ignored.
     pub fn step(&mut self, now: Timestamp, from: RouterId, message: Message<C, S>) {
-        self.observe(now);
+        self.advance_clock(now);
         let own = from == self.identity.id;
         if own || from != message.sender.id || message.group != self.settings.group {
             return;
         }
-        if !self.admit(&message) {
+        if !self.accept_generation(&message) {
             return;
         }
-        self.take(message);
+        self.dispatch(message);
     }
 
-    /// Takes in a message of this node's group and generation.
-    fn take(&mut self, message: Message<C, S>) {
+    /// Handles a message of this node's group and generation.
+    fn dispatch(&mut self, message: Message<C, S>) {
         let Message {
             term, sender, body, ..
         } = message;
         match body {
-            // Handles terms itself: a request may have to leave the term as is.
+            // Vote requests handle terms themselves, because a request must not
+            // change the term while this node withholds its vote.
             Body::VoteRequest {
                 campaign_term,
                 pre_vote,
@@ -74,7 +76,7 @@
                 };
                 self.handle_vote_request(term, sender, request);
             }
-            // A pre-vote may come from a voter of a lower term.
+            // The response to a pre-vote may come from a voter of a lower term.
             Body::VoteResponse {
                 campaign_term,
                 pre_vote,
@@ -87,12 +89,12 @@
                 }
             }
             Body::NotMember { members_index } => self.handle_not_member(members_index),
-            body => self.take_in_term(term, sender, body),
+            body => self.dispatch_in_term(term, sender, body),
         }
     }
 
-    /// Takes in a message that counts only in the term it was sent in.
-    fn take_in_term(&mut self, term: u64, sender: RouterIdentity, body: Body<C, S>) {
+    /// Handles a message that is valid only in the term in which it was sent.
+    fn dispatch_in_term(&mut self, term: u64, sender: RouterIdentity, body: Body<C, S>) {
         if term < self.term {
             if body.is_from_leader() {
                 self.send(sender, Body::StaleTerm);
@@ -132,7 +134,8 @@
                 self.handle_snapshot(sender, sent_at, snapshot);
             }
             Body::TimeoutNow { transfer } => self.handle_timeout_now(&sender, transfer),
-            // Terms and generations were compared before.
+            // Already handled: terms and generations were compared above, and
+            // the other messages were dispatched before.
             Body::StaleTerm
             | Body::StaleGeneration
             | Body::VoteRequest { .. }
--- a/crates/consensus/src/transfer.rs
+++ b/crates/consensus/src/transfer.rs
@@ -1,10 +1,10 @@
-//! Handing leadership over.
+//! Leadership transfer.
 //!
-//! The next leader is elected without waiting for the voters' promises to run
-//! out, so the present leader gives up its lease before it asks the target to
-//! campaign. If the transfer is called off, the lease returns only once the
-//! target has confirmed that it will ignore the request: the request may be
-//! delayed by any time.
+//! The target of a transfer is elected without waiting until the voters' promises
+//! to the current leader expire. The current leader therefore gives up its lease
+//! before it asks the target to campaign. If the transfer is cancelled, the
+//! leader regains its lease only after the target has confirmed that it will
+//! ignore the request, because the request may be delayed arbitrarily.
 
 use threadledge_types::{RouterId, RouterIdentity, Timestamp};
 
@@ -12,53 +12,55 @@
 use crate::message::Body;
 use crate::node::{Node, State};
 
-/// A transfer of leadership, as the leader sees it.
+/// Leadership transfer in progress, as tracked by the leader.
 #[derive(Clone, Debug, PartialEq, Hash)]
 pub(crate) struct Transfer {
     target: RouterId,
     number: u64,
     deadline: Timestamp,
-    phase: Phase,
+    phase: TransferPhase,
 }
 
+/// Phase of a leadership transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Hash)]
-enum Phase {
-    /// The target lacks entries.
+enum TransferPhase {
+    /// The target still lacks entries.
     CatchingUp,
     /// The target was asked to campaign.
-    Asked,
-    /// Called off after the target was asked.
+    CampaignRequested,
+    /// The transfer was cancelled after the target was asked to campaign.
     Cancelled { at: Timestamp },
 }
 
 impl Transfer {
-    /// Whether proposals have to wait for it.
-    pub(crate) fn is_active(&self) -> bool {
-        !matches!(self.phase, Phase::Cancelled { .. })
+    /// Returns whether proposals must be refused because of the transfer.
+    pub(crate) fn blocks_proposals(&self) -> bool {
+        !matches!(self.phase, TransferPhase::Cancelled { .. })
     }
 
-    /// Whether another leader may be elected at any moment because of it.
+    /// Returns whether another leader may be elected at any moment because of the
+    /// transfer, so that this node's lease is void.
     pub(crate) fn voids_lease(&self) -> bool {
-        !matches!(self.phase, Phase::CatchingUp)
+        !matches!(self.phase, TransferPhase::CatchingUp)
     }
 
-    /// When the leader has to look at it again.
+    /// Returns when the current phase times out.
     pub(crate) fn deadline(&self) -> Timestamp {
         self.deadline
     }
 }
 
 impl<C: Clone, S: Clone> Node<C, S> {
-    /// Starts handing leadership to voter `to`, or to the voter that has most
-    /// of the log. Returns the target. Proposals are refused until the target
-    /// leads; if it does not within the shortest election timeout, the
-    /// transfer is called off and this node goes on leading.
+    /// Starts a transfer of leadership to voter `to`, or to the most caught-up
+    /// voter if `to` is `None`. Returns the target. Proposals are refused until
+    /// the target leads. If it does not within the shortest election timeout, the
+    /// transfer is cancelled and this node continues to lead.
     pub fn transfer_leadership(
         &mut self,
         now: Timestamp,
         to: Option<RouterId>,
     ) -> Result<RouterId, ProposeError> {
-        self.check_may_propose(now)?;
+        self.check_can_propose(now)?;
         let target = self.transfer_target(to)?;
         let deadline = self.clock + self.settings.timing.election_min();
         let Some(leader) = self.leader_state_mut() else {
@@ -67,20 +69,21 @@
         if leader.transfer.is_some() {
             return Err(ProposeError::Transferring);
         }
-        leader.transfers_started += 1;
+        leader.last_transfer += 1;
         leader.transfer = Some(Transfer {
             target,
-            number: leader.transfers_started,
+            number: leader.last_transfer,
             deadline,
-            phase: Phase::CatchingUp,
+            phase: TransferPhase::CatchingUp,
         });
-        self.hand_over_when_caught_up();
+        self.request_campaign_if_caught_up();
         Ok(target)
     }
 
+    /// Returns the voter to transfer leadership to.
     fn transfer_target(&self, to: Option<RouterId>) -> Result<RouterId, ProposeError> {
         let Some(id) = to else {
-            let best = self.best_successor();
+            let best = self.most_caught_up_voter();
             return best
                 .map(|identity| identity.id)
                 .ok_or(ProposeError::NoTransferTarget);
@@ -88,21 +91,21 @@
         if !self.members().is_voter(id) {
             return Err(ProposeError::UnknownMember(id));
         }
-        let answers = self
-            .answering_voters()
+        let is_responsive = self
+            .responsive_voters()
             .iter()
             .any(|(voter, _)| voter.id == id);
-        if answers {
+        if is_responsive {
             Ok(id)
         } else {
             Err(ProposeError::NoTransferTarget)
         }
     }
 
-    /// The answering voter that has most of the log.
-    pub(crate) fn best_successor(&self) -> Option<RouterIdentity> {
+    /// Returns the responsive voter with the highest match index.
+    pub(crate) fn most_caught_up_voter(&self) -> Option<RouterIdentity> {
         let mut best: Option<(RouterIdentity, u64)> = None;
-        for (voter, match_index) in self.answering_voters() {
+        for (voter, match_index) in self.responsive_voters() {
             let better = best.as_ref().is_none_or(|(_, most)| match_index > *most);
             if better {
                 best = Some((voter, match_index));
@@ -111,8 +114,8 @@
         best.map(|(voter, _)| voter)
     }
 
-    /// Asks the target to campaign once it holds the whole log.
-    pub(crate) fn hand_over_when_caught_up(&mut self) {
+    /// Asks the target of the transfer to campaign, if it holds the whole log.
+    pub(crate) fn request_campaign_if_caught_up(&mut self) {
         let last_index = self.log.last_index();
         let Some(leader) = self.leader_state_mut() else {
             return;
@@ -124,11 +127,11 @@
             .followers
             .get(&transfer.target)
             .is_some_and(|progress| progress.match_index == last_index);
-        if transfer.phase != Phase::CatchingUp || !caught_up {
+        if transfer.phase != TransferPhase::CatchingUp || !caught_up {
             return;
         }
         // From here on `voids_lease` holds.
-        transfer.phase = Phase::Asked;
+        transfer.phase = TransferPhase::CampaignRequested;
         let target = transfer.target;
         let body = Body::TimeoutNow {
             transfer: transfer.number,
@@ -136,11 +139,12 @@
         self.send_to_member(target, body);
     }
 
-    /// Calls a transfer off at its deadline. If the target then does not
-    /// confirm, steps down: in a later term the request is void.
+    /// Cancels a transfer at its deadline. If the target does not confirm the
+    /// cancellation in time, steps down, because the request is void in a later
+    /// term.
     pub(crate) fn tick_transfer(&mut self) {
         let clock = self.clock;
-        let patience = self.settings.timing.election_max();
+        let timeout = self.settings.timing.election_max();
         let Some(leader) = self.leader_state_mut() else {
             return;
         };
@@ -151,42 +155,42 @@
             return;
         }
         match transfer.phase {
-            Phase::CatchingUp => leader.transfer = None,
-            Phase::Asked => {
-                transfer.phase = Phase::Cancelled { at: clock };
-                transfer.deadline = clock + patience;
-                leader.transfers_cancelled = transfer.number;
+            TransferPhase::CatchingUp => leader.transfer = None,
+            TransferPhase::CampaignRequested => {
+                transfer.phase = TransferPhase::Cancelled { at: clock };
+                transfer.deadline = clock + timeout;
+                leader.last_cancelled = transfer.number;
                 leader.heartbeat_due = clock;
             }
-            Phase::Cancelled { .. } => self.step_down(),
+            TransferPhase::Cancelled { .. } => self.step_down(),
         }
     }
 
-    /// Takes the lease back when the target answers a heartbeat that told it
-    /// of the cancellation: it is still in this term, so it has not
-    /// campaigned, and it will not.
+    /// Ends a cancelled transfer, which restores the lease, if the target answers
+    /// a heartbeat that carried the cancellation. The target is then still in
+    /// this term, so it has not campaigned and will not do so.
     pub(crate) fn confirm_cancelled_transfer(&mut self, from: RouterId, echo: Timestamp) {
         let Some(leader) = self.leader_state_mut() else {
             return;
         };
         let confirmed = leader.transfer.as_ref().is_some_and(|transfer| {
-            let told = matches!(transfer.phase, Phase::Cancelled { at } if echo >= at);
-            transfer.target == from && told
+            let notified = matches!(transfer.phase, TransferPhase::Cancelled { at } if echo >= at);
+            transfer.target == from && notified
         });
         if confirmed {
             leader.transfer = None;
         }
     }
 
-    /// Campaigns because the leader asked for it.
+    /// Starts an election because the leader asked this node to campaign.
     pub(crate) fn handle_timeout_now(&mut self, sender: &RouterIdentity, transfer: u64) {
-        let of_leader = self
+        let from_leader = self
             .leader
             .as_ref()
             .is_none_or(|leader| leader.id == sender.id);
-        let called_off = transfer <= self.cancelled_transfer;
+        let cancelled = transfer <= self.cancelled_transfer;
         let leads = matches!(self.state, State::Leader(_) | State::Candidate { .. });
-        if of_leader && !called_off && !leads && self.may_campaign() {
+        if from_leader && !cancelled && !leads && self.may_campaign() {
             self.start_election(true);
         }
     }
