--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,4 +1,4 @@
-//! News waiting to be passed on.
+//! Queue of member updates to be gossiped.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -7,24 +7,25 @@
 
 use crate::message::MemberUpdate;
 
-/// What an update that carries an identity counts, relative to one that names
-/// an id only.
+/// Weight of an update that carries an identity, relative to one that only names
+/// an id.
 const IDENTITY_WEIGHT: usize = 4;
 
-/// Updates that were sent less often come first; of those, the newest.
+/// Sort key of a queued update: those sent least often come first, and the newest
+/// first among those.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     transmissions: usize,
-    number: Reverse<u64>,
+    order: Reverse<u64>,
 }
 
-/// News waiting to be passed on, one update for each member, so that the
-/// queue is bounded by the number of members.
+/// Queue of updates to be gossiped. It holds one update per member, so its size is
+/// bounded by the number of members.
 #[derive(Debug, Default)]
 pub(crate) struct GossipQueue {
     by_rank: BTreeMap<Rank, MemberUpdate>,
     ranks: BTreeMap<RouterId, Rank>,
-    next_number: u64,
+    next_order: u64,
 }
 
 impl GossipQueue {
@@ -32,7 +33,7 @@
         self.by_rank.is_empty()
     }
 
-    /// Adds news, in place of what was to be told about the same member.
+    /// Queues an update and replaces any queued update about the same member.
     pub(crate) fn push(&mut self, update: MemberUpdate) {
         let subject = update.subject();
         if let Some(rank) = self.ranks.remove(&subject) {
@@ -40,17 +41,17 @@
         }
         let rank = Rank {
             transmissions: 0,
-            number: Reverse(self.next_number),
+            order: Reverse(self.next_order),
         };
-        self.next_number += 1;
+        self.next_order += 1;
         self.ranks.insert(subject, rank);
         self.by_rank.insert(rank, update);
     }
 
-    /// Takes updates for one message. Each is dropped from the queue once it
-    /// was taken `limit` times.
+    /// Returns updates for one message. An update leaves the queue after it was
+    /// taken `limit` times.
     pub(crate) fn take(&mut self, max_updates: usize, limit: usize) -> Vec<MemberUpdate> {
-        let ranks = self.choose(max_updates * IDENTITY_WEIGHT);
+        let ranks = self.select(max_updates * IDENTITY_WEIGHT);
         let mut taken = Vec::with_capacity(ranks.len());
         for rank in ranks {
             let Some(update) = self.by_rank.remove(&rank) else {
@@ -62,19 +63,21 @@
         taken
     }
 
-    fn choose(&self, mut budget: usize) -> Vec<Rank> {
-        let mut chosen = Vec::new();
+    /// Returns the first updates in rank order whose weights fit into `budget`.
+    fn select(&self, mut budget: usize) -> Vec<Rank> {
+        let mut selected = Vec::new();
         for (rank, update) in &self.by_rank {
             let weight = weight(update);
             if weight > budget {
                 break;
             }
             budget -= weight;
-            chosen.push(*rank);
+            selected.push(*rank);
         }
-        chosen
+        selected
     }
 
+    /// Returns a sent update to the queue unless it was sent `limit` times.
     fn reinsert(&mut self, mut rank: Rank, update: &MemberUpdate, limit: usize) {
         rank.transmissions += 1;
         if rank.transmissions >= limit {
--- a/crates/membership/src/group_members.rs
+++ b/crates/membership/src/group_members.rs
@@ -1,8 +1,8 @@
-//! Who should belong to a consensus group.
+//! Selection of the members of a consensus group.
 //!
-//! The choice is a function of what is known now, so that it can be made anew
-//! by whichever router leads. It names one change at a time and never one
-//! that would leave fewer living voters than a quorum.
+//! The selection depends only on the current group and members, so any router
+//! that becomes leader can continue it. It returns one change at a time, and
+//! never one that would leave fewer voters able to vote than a quorum.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,197 +11,205 @@
 
 use crate::member::{Member, MemberState};
 
-/// The next change to a group's membership.
+/// Next change to the members of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GroupChange {
-    /// Add this router, as a learner that becomes a voter once it caught up.
+    /// Add this router as a learner, to become a voter once it has caught up.
     Add(RouterIdentity),
     /// Remove this router.
     Remove(RouterId),
-    /// Nothing to change now.
+    /// No change is needed or possible now.
     None,
 }
 
-/// A group as it stands.
+/// Current members of a group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GroupView {
-    /// Its voters.
+    /// Voters of the group.
     pub voters: BTreeSet<RouterId>,
-    /// Its learners, on their way to become voters.
+    /// Learners, which are to become voters.
     pub learners: BTreeSet<RouterId>,
-    /// The leader, who asks. It is never removed: a leader that leaves first
-    /// hands leadership over, and the next leader removes it.
+    /// Leader of the group, which asks for the change. It is never removed: a
+    /// leader that leaves first transfers leadership, and the next leader removes
+    /// it.
     pub leader: Option<RouterId>,
 }
 
-/// The next change that brings `group` closer to `target_size` living voters
-/// spread over zones. `members` are all members known.
+/// Returns the next change that brings `group` closer to `target_size` living
+/// voters spread over the zones. `members` are all known members.
 ///
-/// A voter that is dead or leaving is replaced: first another router is
-/// added, then it is removed. A voter that is not among `members` counts as
-/// dead.
+/// A dead or leaving voter is replaced: another router is added before the voter
+/// is removed. A voter that is not in `members` counts as dead.
 pub fn next_change<'a>(
     group: &'a GroupView,
     members: impl IntoIterator<Item = &'a Member>,
     target_size: usize,
 ) -> GroupChange {
-    let situation = Situation::new(group, members, target_size);
+    let planner = Planner::new(group, members, target_size);
     if !group.learners.is_empty() {
-        // One change at a time: the learner first becomes a voter or goes.
-        return situation.remove_lost_learner();
+        // Only one change at a time: first the learner becomes a voter or is
+        // removed.
+        return planner.remove_lost_learner();
     }
-    if !situation.has_quorum() {
-        // No change could be committed.
+    if !planner.has_quorum() {
+        // Without a quorum, no change can be committed.
         return GroupChange::None;
     }
-    situation
+    planner
         .remove_surplus()
-        .or_else(|| situation.add_missing())
-        .or_else(|| situation.add_for_zones())
-        .or_else(|| situation.remove_without_replacement())
+        .or_else(|| planner.add_missing())
+        .or_else(|| planner.add_for_empty_zone())
+        .or_else(|| planner.remove_without_replacement())
         .unwrap_or(GroupChange::None)
 }
 
-/// How a voter stands.
+/// State of a voter, with the first to be removed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Standing {
+enum VoterState {
     Dead,
     Leaving,
     Living,
 }
 
-struct Situation<'a> {
+/// Inputs of the selection of the next change.
+struct Planner<'a> {
     group: &'a GroupView,
     target_size: usize,
     members: BTreeMap<RouterId, &'a Member>,
-    /// Living voters of each zone.
+    /// Number of living voters in each zone.
     zones: BTreeMap<&'a ZoneName, usize>,
 }
 
-impl<'a> Situation<'a> {
+impl<'a> Planner<'a> {
     fn new(
         group: &'a GroupView,
         members: impl IntoIterator<Item = &'a Member>,
         target_size: usize,
     ) -> Self {
         let members = members.into_iter();
-        let mut situation = Situation {
+        let mut planner = Planner {
             group,
             target_size: target_size.max(1),
             members: members.map(|m| (m.identity.id, m)).collect(),
             zones: BTreeMap::new(),
         };
-        situation.zones = situation.living_voters_by_zone();
-        situation
+        planner.zones = planner.count_living_by_zone();
+        planner
     }
 
-    fn standing(&self, id: RouterId) -> Standing {
+    fn voter_state(&self, id: RouterId) -> VoterState {
         match self.members.get(&id).map(|member| member.state) {
-            Some(MemberState::Alive | MemberState::Suspect) => Standing::Living,
-            Some(MemberState::Leaving) => Standing::Leaving,
-            Some(MemberState::Dead) | None => Standing::Dead,
+            Some(MemberState::Alive | MemberState::Suspect) => VoterState::Living,
+            Some(MemberState::Leaving) => VoterState::Leaving,
+            Some(MemberState::Dead) | None => VoterState::Dead,
         }
     }
 
-    /// Voters that can vote now; one that leaves still can.
-    fn able_voters(&self) -> usize {
+    /// Returns the number of voters that can vote. A leaving voter still can.
+    fn voting_count(&self) -> usize {
         let voters = self.group.voters.iter();
         voters
-            .filter(|id| self.standing(**id) != Standing::Dead)
+            .filter(|id| self.voter_state(**id) != VoterState::Dead)
             .count()
     }
 
-    fn count(&self, standing: Standing) -> usize {
+    /// Returns the number of voters in a state.
+    fn count(&self, voter_state: VoterState) -> usize {
         let voters = self.group.voters.iter();
-        voters.filter(|id| self.standing(**id) == standing).count()
+        voters
+            .filter(|id| self.voter_state(**id) == voter_state)
+            .count()
     }
 
     fn has_quorum(&self) -> bool {
-        self.able_voters() >= quorum(self.group.voters.len())
+        self.voting_count() >= quorum(self.group.voters.len())
     }
 
     fn remove_lost_learner(&self) -> GroupChange {
         let mut learners = self.group.learners.iter();
-        let lost = learners.find(|id| self.standing(**id) != Standing::Living);
+        let lost = learners.find(|id| self.voter_state(**id) != VoterState::Living);
         lost.map_or(GroupChange::None, |id| GroupChange::Remove(*id))
     }
 
-    /// A group above its target size gives up its worst voter.
+    /// Removes a voter from a group that is above its target size.
     fn remove_surplus(&self) -> Option<GroupChange> {
         if self.group.voters.len() <= self.target_size {
             return None;
         }
-        let worst = self.worst_voter()?;
-        let living = self.count(Standing::Living);
-        if self.standing(worst) == Standing::Living && living <= self.target_size {
-            // The surplus is the leader, which leaves and cannot be removed
-            // yet. A living voter given up for it would only be added again.
+        let worst = self.removal_candidate()?;
+        let living = self.count(VoterState::Living);
+        if self.voter_state(worst) == VoterState::Living && living <= self.target_size {
+            // The surplus voter is the leader, which is leaving and cannot be
+            // removed yet. If a living voter were removed instead, it would only
+            // be added again.
             return None;
         }
         self.remove(worst)
     }
 
-    /// A group without enough living voters takes another router, even if
-    /// that makes it larger than its target until the lost one is removed.
+    /// Adds a router to a group without enough living voters, even if the group
+    /// then exceeds its target size until the lost voter is removed.
     fn add_missing(&self) -> Option<GroupChange> {
-        if self.count(Standing::Living) >= self.target_size {
+        if self.count(VoterState::Living) >= self.target_size {
             return None;
         }
-        let candidate = self.best_candidate()?;
+        let candidate = self.addition_candidate()?;
         Some(GroupChange::Add(candidate.identity.clone()))
     }
 
-    /// A zone without a voter gets one when another zone has several.
-    fn add_for_zones(&self) -> Option<GroupChange> {
-        let crowded = self.zones.values().any(|voters| *voters > 1);
-        let candidate = self.best_candidate()?;
+    /// Adds a voter in a zone without one if another zone has several.
+    fn add_for_empty_zone(&self) -> Option<GroupChange> {
+        let is_uneven = self.zones.values().any(|voters| *voters > 1);
+        let candidate = self.addition_candidate()?;
         let zone_is_empty = self.zone_load(&candidate.identity.zone) == 0;
-        (crowded && zone_is_empty).then(|| GroupChange::Add(candidate.identity.clone()))
+        (is_uneven && zone_is_empty).then(|| GroupChange::Add(candidate.identity.clone()))
     }
 
-    /// Nobody can replace a lost voter. One that leaves is removed if the
-    /// group bears it, so that its going costs no quorum. One that is dead
-    /// stays unless the group bears more losses without it: it may return.
+    /// Removes a lost voter that no router can replace. A leaving voter is removed
+    /// if the others still form a quorum, so that its departure does not cost the
+    /// quorum. A dead voter may return, so it is removed only if the group
+    /// tolerates more losses without it, which is when the quorum becomes smaller.
     fn remove_without_replacement(&self) -> Option<GroupChange> {
-        let worst = self.worst_voter()?;
+        let worst = self.removal_candidate()?;
         let size = self.group.voters.len();
-        match self.standing(worst) {
-            Standing::Living => None,
-            Standing::Leaving => self.remove(worst),
-            Standing::Dead if quorum(size - 1) < quorum(size) => self.remove(worst),
-            Standing::Dead => None,
+        match self.voter_state(worst) {
+            VoterState::Living => None,
+            VoterState::Leaving => self.remove(worst),
+            VoterState::Dead if quorum(size - 1) < quorum(size) => self.remove(worst),
+            VoterState::Dead => None,
         }
     }
 
-    /// Invariant: a removal leaves at least a quorum of living voters.
+    /// Returns the removal of a voter, if the remaining voters that can vote are at
+    /// least a quorum. No change may break this invariant.
     fn remove(&self, id: RouterId) -> Option<GroupChange> {
         let remaining_size = self.group.voters.len().checked_sub(1)?;
         let others = self.group.voters.iter().filter(|voter| **voter != id);
         let able = others
-            .filter(|voter| self.standing(**voter) != Standing::Dead)
+            .filter(|voter| self.voter_state(**voter) != VoterState::Dead)
             .count();
         (remaining_size > 0 && able >= quorum(remaining_size)).then_some(GroupChange::Remove(id))
     }
 
-    /// The voter to give up first: a dead one, then one that leaves, then one
-    /// of the most crowded zone. Never the leader.
-    fn worst_voter(&self) -> Option<RouterId> {
+    /// Returns the voter to remove first: a dead one, then a leaving one, then one in
+    /// the zone with the most living voters. Never returns the leader.
+    fn removal_candidate(&self) -> Option<RouterId> {
         let voters = self.group.voters.iter().copied();
         voters
             .filter(|id| Some(*id) != self.group.leader)
             .min_by_key(|id| {
-                let crowd = self
+                let load = self
                     .members
                     .get(id)
                     .map(|m| self.zone_load(&m.identity.zone));
-                let crowd = std::cmp::Reverse(crowd.unwrap_or(0));
-                (self.standing(*id), crowd, hash(*id))
+                let load = std::cmp::Reverse(load.unwrap_or(0));
+                (self.voter_state(*id), load, hash(*id))
             })
     }
 
-    /// The router to add first: one of the zone with the fewest living
+    /// Returns the router to add first: one in the zone with the fewest living
     /// voters.
-    fn best_candidate(&self) -> Option<&'a Member> {
+    fn addition_candidate(&self) -> Option<&'a Member> {
         let members = self.members.values().copied();
         members
             .filter(|member| member.state == MemberState::Alive)
@@ -216,10 +224,10 @@
         self.zones.get(zone).copied().unwrap_or(0)
     }
 
-    fn living_voters_by_zone(&self) -> BTreeMap<&'a ZoneName, usize> {
+    fn count_living_by_zone(&self) -> BTreeMap<&'a ZoneName, usize> {
         let mut zones = BTreeMap::new();
         for id in &self.group.voters {
-            if self.standing(*id) != Standing::Living {
+            if self.voter_state(*id) != VoterState::Living {
                 continue;
             }
             if let Some(member) = self.members.get(id) {
@@ -230,7 +238,7 @@
     }
 }
 
-/// Votes needed in a group of this size.
+/// Returns the number of votes needed in a group of `size` voters.
 fn quorum(size: usize) -> usize {
     size / 2 + 1
 }
--- a/crates/membership/src/health.rs
+++ b/crates/membership/src/health.rs
@@ -1,27 +1,28 @@
-//! How well this router itself keeps up.
+//! Local health score of this router.
 
-/// Highest score; timeouts are then this many times longer, plus once.
+/// Maximum score. Timeouts are multiplied by the score plus one.
 const MAX_SCORE: u32 = 8;
 
-/// Evidence that this router is slow or badly connected. The worse it is, the
-/// longer it waits before it blames others ("local health" of Lifeguard).
+/// Score that rises with evidence that this router is slow or poorly connected
+/// ("local health" in Lifeguard). The higher it is, the longer this router waits
+/// before it suspects others.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LocalHealth {
     score: u32,
 }
 
 impl LocalHealth {
-    /// Something that others cannot be blamed for went wrong.
+    /// Raises the score after a failure that may be this router's own.
     pub(crate) fn worsen(&mut self, by: u32) {
         self.score = (self.score + by).min(MAX_SCORE);
     }
 
-    /// A probe went well.
+    /// Lowers the score after a successful probe.
     pub(crate) fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// By how much timeouts are lengthened.
+    /// Returns the factor by which timeouts are multiplied.
     pub(crate) fn multiplier(&self) -> u32 {
         self.score + 1
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,12 +1,12 @@
-//! Which routers of a region are alive.
+//! Membership and failure detection among the routers of a region.
 //!
-//! [`Membership`] is a pure core: it is stepped with time and [`Input`]s and
-//! returns [`Output`]s. It detects failures in the manner of SWIM with the
-//! extensions of Lifeguard, finds routers by the platform's machine list and
-//! by each other, and says when a router is provably gone.
+//! [`Membership`] performs no I/O: its owner steps it with the current time and
+//! [`Input`]s, and it returns [`Output`]s. It detects failures with SWIM and its
+//! Lifeguard extensions, discovers routers through the platform's machine list
+//! and through gossip, and reports when a router process is provably gone.
 //!
-//! [`tree`] places routers in the fan-out tree by which records spread, and
-//! [`group_members`] chooses who belongs to a consensus group.
+//! [`tree`] computes the fan-out tree through which records are distributed, and
+//! [`group_members`] chooses the members of a consensus group.
 
 mod gossip;
 mod health;
@@ -16,10 +16,10 @@
 mod membership;
 mod merge;
 mod message;
+mod peer_set;
 mod prober;
 mod proof;
 mod receive;
-mod roster;
 mod settings;
 mod suspicion;
 mod sync;
--- a/crates/membership/src/machine_view.rs
+++ b/crates/membership/src/machine_view.rs
@@ -1,4 +1,4 @@
-//! The latest machine list as far as it concerns this router's region.
+//! Machines of this router's region, from the latest machine list.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,27 +8,28 @@
 
 use crate::machines::{Machine, MachineList, MachineState};
 
-/// The machines of this router's region, and which of them have no router
-/// that is known to live.
+/// Machines of this router's region, and those among them without a router that
+/// is known to be alive.
 #[derive(Debug)]
 pub(crate) struct MachineView {
     own: RouterIdentity,
     version: Option<u64>,
     machines: BTreeMap<MachineName, Machine>,
-    unseen: BTreeMap<MachineName, SocketAddr>,
-    /// The unseen machine contacted last. Every router begins at its own
-    /// name, so that they do not all call on the same one.
+    /// Machines without a router that is known to be alive.
+    unreached: BTreeMap<MachineName, SocketAddr>,
+    /// Unreached machine contacted last. Every router starts at its own name, so
+    /// that they do not all contact the same machine.
     cursor: MachineName,
 }
 
-/// How a list compares with the one held.
+/// Version of a list relative to the one held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ListAge {
-    /// Its version is lower: it lags.
+pub(crate) enum VersionOrder {
+    /// Lower version: the list lags.
     Older,
-    /// It is the same list, read again.
+    /// Same version, read again.
     Same,
-    /// It is a later list.
+    /// Higher version.
     Newer,
 }
 
@@ -39,7 +40,7 @@
             own,
             version: None,
             machines: BTreeMap::new(),
-            unseen: BTreeMap::new(),
+            unreached: BTreeMap::new(),
         }
     }
 
@@ -47,17 +48,17 @@
         self.version
     }
 
-    pub(crate) fn age_of(&self, list: &MachineList) -> ListAge {
+    pub(crate) fn compare_version(&self, list: &MachineList) -> VersionOrder {
         match self.version {
-            Some(version) if list.version < version => ListAge::Older,
-            Some(version) if list.version == version => ListAge::Same,
-            _ => ListAge::Newer,
+            Some(version) if list.version < version => VersionOrder::Older,
+            Some(version) if list.version == version => VersionOrder::Same,
+            _ => VersionOrder::Newer,
         }
     }
 
-    /// Takes a newer list. `is_seen` tells whether a router on a machine is
-    /// known to live.
-    pub(crate) fn replace(&mut self, list: MachineList, is_seen: impl Fn(&MachineName) -> bool) {
+    /// Replaces the list by a newer one. `is_reached` returns whether a router on
+    /// the named machine is known to be alive.
+    pub(crate) fn replace(&mut self, list: MachineList, is_reached: impl Fn(&MachineName) -> bool) {
         self.version = Some(list.version);
         self.machines = list
             .machines
@@ -65,49 +66,49 @@
             .filter(|machine| machine.region == self.own.region)
             .map(|machine| (machine.name.clone(), machine))
             .collect();
-        self.unseen = self
+        self.unreached = self
             .machines
             .values()
-            .filter(|machine| machine.name != self.own.machine && !is_seen(&machine.name))
+            .filter(|machine| machine.name != self.own.machine && !is_reached(&machine.name))
             .map(|machine| (machine.name.clone(), machine.peer_address))
             .collect();
     }
 
-    /// Whether the list has the machine of `identity`, at its address.
+    /// Returns whether the list includes the machine of `identity` at its address.
     pub(crate) fn lists(&self, identity: &RouterIdentity) -> bool {
         let machine = self.machines.get(&identity.machine);
         machine.is_some_and(|machine| machine.peer_address == identity.peer_address)
     }
 
-    /// Whether the list has a machine of this name.
+    /// Returns whether the list includes a machine with this name.
     pub(crate) fn has_name(&self, name: &MachineName) -> bool {
         self.machines.contains_key(name)
     }
 
-    /// Whether the list has the machine of `identity` as leaving.
+    /// Returns whether the list marks the machine of `identity` as leaving.
     pub(crate) fn lists_leaving(&self, identity: &RouterIdentity) -> bool {
         let machine = self.machines.get(&identity.machine);
         self.lists(identity)
             && machine.is_some_and(|machine| machine.state == MachineState::Leaving)
     }
 
-    /// A router on this machine lives.
-    pub(crate) fn seen(&mut self, name: &MachineName) {
-        self.unseen.remove(name);
+    /// Records that a router on this machine is alive.
+    pub(crate) fn mark_reached(&mut self, name: &MachineName) {
+        self.unreached.remove(name);
     }
 
-    /// No router on this machine is known to live any more.
-    pub(crate) fn lost(&mut self, name: &MachineName) {
+    /// Records that no router on this machine is known to be alive.
+    pub(crate) fn mark_unreached(&mut self, name: &MachineName) {
         if let Some(machine) = self.machines.get(name) {
-            self.unseen.insert(name.clone(), machine.peer_address);
+            self.unreached.insert(name.clone(), machine.peer_address);
         }
     }
 
-    /// The next machine to be contacted, each in turn.
-    pub(crate) fn next_unseen(&mut self) -> Option<SocketAddr> {
+    /// Returns the address of the next unreached machine, in turn.
+    pub(crate) fn next_unreached(&mut self) -> Option<SocketAddr> {
         let after = (Excluded(self.cursor.clone()), Unbounded);
-        let next = self.unseen.range(after).next();
-        let (name, address) = next.or_else(|| self.unseen.iter().next())?;
+        let next = self.unreached.range(after).next();
+        let (name, address) = next.or_else(|| self.unreached.iter().next())?;
         let address = *address;
         self.cursor = name.clone();
         Some(address)
--- a/crates/membership/src/machines.rs
+++ b/crates/membership/src/machines.rs
@@ -1,44 +1,44 @@
-//! The platform's list of machines, as `GET /machines` returns it.
+//! Platform's list of machines, as returned by `GET /machines`.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use threadledge_types::{MachineName, RegionName, ZoneName};
 
-/// One version of the platform's list of machines. It may lag behind the
-/// machines themselves.
+/// Version of the platform's list of machines. The list may lag behind the
+/// actual machines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct MachineList {
-    /// Grows with every change of the list.
+    /// Version number, which grows with every change of the list.
     pub version: u64,
-    /// The machines of every region, live and leaving.
+    /// Machines of all regions, live and leaving.
     pub machines: Vec<Machine>,
 }
 
-/// One machine that runs a router.
+/// Machine that runs a router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Machine {
-    /// Its name; a replacement may come under the same name.
+    /// Name of the machine. A replacement may have the same name.
     pub name: MachineName,
-    /// Its region.
+    /// Region of the machine.
     pub region: RegionName,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: ZoneName,
-    /// Address on which other routers reach its router.
+    /// Address at which other routers reach the router on this machine.
     pub peer_address: SocketAddr,
-    /// Whether it stays.
+    /// Whether the machine stays or is about to be removed.
     pub state: MachineState,
 }
 
-/// Whether a machine stays.
+/// State of a machine in the platform's list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum MachineState {
-    /// It stays.
+    /// The machine stays.
     #[default]
     Live,
-    /// It is about to go.
+    /// The machine is about to be removed.
     Leaving,
 }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,32 +1,32 @@
-//! What is known about one router.
+//! Members as seen by this router.
 
 use serde::{Deserialize, Serialize};
 use threadledge_types::RouterIdentity;
 
 use crate::message::RefutationNumber;
 
-/// State of a router as this one sees it.
+/// State of a router as seen by this router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum MemberState {
-    /// It answers.
+    /// The router answers.
     Alive,
-    /// It did not answer and has not yet contradicted.
+    /// The router did not answer and has not refuted the suspicion yet.
     Suspect,
-    /// It announced that it stops.
+    /// The router announced that it stops, or its machine is listed as leaving.
     Leaving,
-    /// It did not contradict in time, left, or is provably gone.
+    /// The router did not refute a suspicion in time, left, or is provably gone.
     Dead,
 }
 
-/// One router.
+/// Router with its state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The process.
+    /// Identity of the router process.
     pub identity: RouterIdentity,
-    /// State in the eyes of this router.
+    /// State as seen by this router.
     pub state: MemberState,
-    /// How often the router contradicted a suspicion; of two claims about
-    /// it, the one with the higher number counts.
+    /// Refutation number of the router. Of two claims about it, the one with the
+    /// higher number takes precedence.
     pub refutation: RefutationNumber,
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The steppable core of failure detection.
+//! Membership state machine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,68 +17,71 @@
 use crate::proof::DeathProof;
 use crate::settings::Settings;
 use crate::suspicion::Suspicions;
-use crate::sync::SyncRound;
+use crate::sync::SyncSchedule;
 use crate::table::MemberTable;
 
-/// A small group suspects as long as one of this power of ten.
-const LEAST_SUSPICION_DIGITS: f64 = 2.0;
+/// Minimum base-10 logarithm of the member count in the suspicion timeout. Smaller
+/// groups use the timeout of a group of 100.
+const MIN_SUSPICION_DIGITS: f64 = 2.0;
 
-/// What a [`Membership`] is stepped with.
+/// Input of [`Membership::step`].
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Time has passed.
     Tick,
-    /// Another router sent a message.
+    /// A message from another router arrived.
     Message {
-        /// The message.
+        /// Received message.
         message: Box<Message>,
     },
-    /// The platform's machine list was read. Reading the same version again
-    /// counts as well: it shows that the list still stands.
+    /// The platform's machine list was read. Reading the same version again also
+    /// counts, because it shows that the list is still current.
     MachineList(MachineList),
     /// This router is about to stop.
     Leave,
 }
 
-/// What a [`Membership`] asks for or reports.
+/// Action or event returned by [`Membership::step`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send a message. It may be lost.
+    /// A message has to be sent. Delivery need not be reliable.
     Send {
-        /// Where to.
+        /// Address to send to.
         to: SocketAddr,
-        /// Which router is meant, if known.
+        /// Intended receiver, if known.
         to_id: Option<RouterId>,
-        /// The message.
+        /// Message to send.
         message: Box<Message>,
     },
-    /// A router is alive that was not so before.
+    /// A router is alive that was not known to be alive before.
     MemberUp(RouterIdentity),
-    /// A router did not answer; it may be slow.
+    /// A router did not answer. It may only be slow.
     MemberSuspect(RouterId),
-    /// A router is taken for dead.
+    /// A router is considered dead.
     MemberDown(RouterId, DownReason),
-    /// A router announced that it stops, or the platform says so.
+    /// A router announced that it stops, or the platform lists its machine as
+    /// leaving.
     MemberLeaving(RouterId),
 }
 
-/// Why a router is taken for dead.
+/// Reason why a router is considered dead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DownReason {
-    /// A suspicion was not contradicted in time. The router may still run.
+    /// A suspicion was not refuted in time. The router may still run.
     Unresponsive,
-    /// It announced that it stops, and then fell silent.
+    /// The router announced that it stops and then no longer answered.
     Left,
-    /// A later process answered on its machine.
+    /// A later process answered on the same machine.
     Superseded,
-    /// It fell silent, and the platform took its machine off the list.
+    /// The router no longer answered, and the platform removed its machine from
+    /// the list.
     RemovedFromList,
 }
 
-/// Failure detection as seen by one router.
+/// Membership and failure detection as seen by one router.
 ///
-/// Suspicion says whom to rely on, never who is certainly gone: for that
-/// there is [`Membership::death_proof`].
+/// Member states show which routers to rely on, not which ones have certainly
+/// ended. Only [`Membership::death_proof`] shows that.
 #[derive(Debug)]
 pub struct Membership {
     pub(crate) settings: Settings,
@@ -91,8 +94,8 @@
     pub(crate) prober: Prober,
     pub(crate) health: LocalHealth,
     pub(crate) machines: MachineView,
-    pub(crate) sync: SyncRound,
-    pub(crate) random: ChaCha8Rng,
+    pub(crate) sync: SyncSchedule,
+    pub(crate) rng: ChaCha8Rng,
     pub(crate) next_gossip_at: Timestamp,
     pub(crate) next_contact_at: Timestamp,
     pub(crate) contact_count: usize,
@@ -100,11 +103,11 @@
 }
 
 impl Membership {
-    /// A membership that knows only `identity`, this router.
+    /// Creates a membership that knows only this router, `identity`.
     pub fn new(settings: Settings, identity: RouterIdentity, now: Timestamp) -> Self {
-        // Every router has the same settings; its id keeps their choices
-        // apart.
-        let random = ChaCha8Rng::seed_from_u64(settings.seed ^ identity.id.0);
+        // All routers have the same settings; the id makes their random choices
+        // differ.
+        let rng = ChaCha8Rng::seed_from_u64(settings.seed ^ identity.id.0);
         Membership {
             own: identity.clone(),
             refutation: RefutationNumber::default(),
@@ -115,8 +118,8 @@
             prober: Prober::new(now),
             health: LocalHealth::default(),
             machines: MachineView::new(identity),
-            sync: SyncRound::new(now),
-            random,
+            sync: SyncSchedule::new(now),
+            rng,
             next_gossip_at: now,
             next_contact_at: now,
             contact_count: 0,
@@ -125,14 +128,14 @@
         }
     }
 
-    /// Takes one input at `now` and returns what follows from it.
+    /// Handles one input at `now`, runs due timers and returns the outputs.
     pub fn step(&mut self, now: Timestamp, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
-        self.notice_pause(now);
+        self.detect_pause(now);
         match input {
             Input::Tick => {}
-            Input::Message { message } => self.receive(now, *message, &mut outputs),
-            Input::MachineList(list) => self.take_machine_list(now, list, &mut outputs),
+            Input::Message { message } => self.handle_message(now, *message, &mut outputs),
+            Input::MachineList(list) => self.apply_machine_list(now, list, &mut outputs),
             Input::Leave => self.leave(&mut outputs),
         }
         self.run_timers(now, &mut outputs);
@@ -140,33 +143,33 @@
         outputs
     }
 
-    /// Every member known, this router and remembered dead ones included, in
-    /// the order of their ids.
+    /// Iterates over all known members in the order of their ids, including this
+    /// router and remembered dead members.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.table.iter().map(|record| &record.member)
     }
 
-    /// One member.
+    /// Returns the member `id`, if known.
     pub fn member(&self, id: RouterId) -> Option<&Member> {
         self.table.get(id).map(|record| &record.member)
     }
 
-    /// The members that are alive or merely suspect, this router included, in
-    /// the order of their ids.
+    /// Iterates over the members that are alive or suspect in the order of their
+    /// ids, including this router.
     pub fn alive(&self) -> impl Iterator<Item = &Member> {
         self.members()
             .filter(|member| matches!(member.state, MemberState::Alive | MemberState::Suspect))
     }
 
-    /// This router.
+    /// Returns the identity of this router.
     pub fn identity(&self) -> &RouterIdentity {
         &self.own
     }
 
-    /// Evidence that the process `id` is gone for good, if there is any.
+    /// Returns proof that the process `id` has ended for good, if there is any.
     ///
-    /// Suspicion is no such evidence. A router that was taken off the machine
-    /// list counts only once it fell silent as well.
+    /// Suspicion is no proof. Removal from the machine list counts only once the
+    /// router no longer answers as well.
     pub fn death_proof(&self, id: RouterId) -> Option<DeathProof> {
         let record = self.table.get(id)?;
         if !record.is_dead() {
@@ -175,24 +178,25 @@
         record.proof.clone()
     }
 
-    /// When [`Membership::step`] wants to be called next, at the latest. A
-    /// call that comes much later counts as a pause of this router.
+    /// Returns the time by which [`Membership::step`] must be called again. A call
+    /// that comes much later is treated as a pause of this router.
     pub fn next_wakeup(&self) -> Timestamp {
         self.next_wakeup
     }
 
-    /// A step that comes long after it was asked for shows that this process
-    /// was paused. What it did not hear meanwhile says nothing about others,
-    /// so every wait begins anew.
-    fn notice_pause(&mut self, now: Timestamp) {
+    /// Detects that this process was paused, because this step comes long after
+    /// the requested time. Messages missed in between are no evidence against
+    /// others, so all probes and suspicions start over.
+    fn detect_pause(&mut self, now: Timestamp) {
         if now.since(self.next_wakeup) <= self.settings.pause_threshold {
             return;
         }
-        self.prober.abandon(now);
+        self.prober.reset(now);
         self.suspicions.restart_all(now);
         self.health.worsen(2);
     }
 
+    /// Announces to other routers that this router is about to stop.
     fn leave(&mut self, outputs: &mut Vec<Output>) {
         if self.leaving {
             return;
@@ -202,10 +206,10 @@
         self.send_gossip(outputs);
     }
 
-    /// Takes a higher number for this router and tells everyone.
+    /// Sets a higher refutation number for this router and gossips it.
     pub(crate) fn raise_refutation(&mut self, refutation: RefutationNumber) {
         self.refutation = refutation;
-        self.table.refute(self.own.id, refutation);
+        self.table.set_refutation(self.own.id, refutation);
         if let Some(record) = self.table.get_mut(self.own.id) {
             record.announced_leaving = self.leaving;
             record.member.state = if self.leaving {
@@ -228,22 +232,22 @@
         });
     }
 
-    /// How many times an update is sent on.
+    /// Returns the number of times that an update is sent.
     pub(crate) fn retransmissions(&self) -> usize {
         let digits = (self.table.living_count() as f64 + 1.0).log10().ceil();
         self.settings.retransmit_multiplier * (digits as usize).max(1)
     }
 
-    /// Least length of a suspicion.
-    pub(crate) fn shortest_suspicion(&self) -> Duration {
+    /// Returns the minimum suspicion timeout.
+    pub(crate) fn min_suspicion(&self) -> Duration {
         let digits = (self.table.living_count() as f64).log10();
-        let digits = digits.max(LEAST_SUSPICION_DIGITS);
+        let digits = digits.max(MIN_SUSPICION_DIGITS);
         let intervals = self.settings.suspicion_multiplier * digits;
         let length = self.settings.probe_interval.mul_f64(intervals);
         length * self.health.multiplier()
     }
 
-    /// Sends a message, with news if there are any.
+    /// Sends a message with queued updates, if there are any.
     pub(crate) fn send(
         &mut self,
         to: SocketAddr,
@@ -256,7 +260,7 @@
         self.send_with(to, to_id, body, updates, outputs);
     }
 
-    /// Sends a message with these updates.
+    /// Sends a message with the given updates.
     pub(crate) fn send_with(
         &mut self,
         to: SocketAddr,
--- a/crates/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -1,7 +1,7 @@
-//! Merging claims about members into the table.
+//! Merging of claims about members into the table.
 //!
-//! Of two claims about a member, the one with the higher refutation number
-//! counts; at the same number, dead outranks suspect, and suspect outranks
+//! Of two claims about a member, the one with the higher refutation number takes
+//! precedence. With equal numbers, dead overrides suspect, and suspect overrides
 //! alive. Only the member itself raises its number.
 
 use threadledge_types::{RouterId, RouterIdentity, Timestamp};
@@ -11,24 +11,25 @@
 use crate::message::{MemberUpdate, RefutationNumber};
 use crate::proof::DeathProof;
 
-/// Whether a claim that changed the table is passed on to others.
+/// Whether a claim that changed the table is gossiped further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum PassOn {
+pub(crate) enum Forward {
     Yes,
     No,
 }
 
 impl Membership {
-    /// Merges one claim.
+    /// Merges a claim into the table, and gossips it if it is new and `forward`
+    /// allows it.
     pub(crate) fn merge(
         &mut self,
         now: Timestamp,
         update: MemberUpdate,
-        pass_on: PassOn,
+        forward: Forward,
         outputs: &mut Vec<Output>,
     ) {
         if update.subject() == self.own.id {
-            self.contradict(now, &update);
+            self.refute(now, &update);
             return;
         }
         let changed = match &update {
@@ -47,12 +48,12 @@
                 self.merge_dead(now, *id, *refutation, DownReason::Unresponsive, outputs)
             }
         };
-        if changed && pass_on == PassOn::Yes {
+        if changed && forward == Forward::Yes {
             self.gossip.push(update);
         }
     }
 
-    /// The claim that describes what is known about a member.
+    /// Returns a claim with the current state of a member.
     pub(crate) fn current_update(&self, id: RouterId) -> Option<MemberUpdate> {
         let record = self.table.get(id)?;
         let identity = record.member.identity.clone();
@@ -72,8 +73,9 @@
         })
     }
 
-    /// Someone claims that this router is suspect or dead: it is not.
-    fn contradict(&mut self, now: Timestamp, update: &MemberUpdate) {
+    /// Refutes a claim that this router is suspect or dead, by gossiping a higher
+    /// refutation number.
+    fn refute(&mut self, now: Timestamp, update: &MemberUpdate) {
         let claimed = match update {
             MemberUpdate::Suspect { refutation, .. } | MemberUpdate::Dead { refutation, .. } => {
                 *refutation
@@ -86,6 +88,7 @@
         }
     }
 
+    /// Merges the claim that a member is alive. Returns whether it was new.
     pub(crate) fn merge_alive(
         &mut self,
         now: Timestamp,
@@ -93,7 +96,7 @@
         refutation: RefutationNumber,
         outputs: &mut Vec<Output>,
     ) -> bool {
-        if !self.admits(identity) {
+        if !self.accepts_identity(identity) {
             return false;
         }
         let Some(record) = self.table.get(identity.id) else {
@@ -104,16 +107,17 @@
             return false;
         }
         let was_dead = record.is_dead();
-        self.table.refute(identity.id, refutation);
+        self.table.set_refutation(identity.id, refutation);
         self.suspicions.clear(identity.id);
         self.set_living_state(identity.id);
         if was_dead {
-            self.machines.seen(&identity.machine);
+            self.machines.mark_reached(&identity.machine);
             outputs.push(Output::MemberUp(identity.clone()));
         }
         true
     }
 
+    /// Merges the claim that a member is leaving. Returns whether it was new.
     fn merge_leaving(
         &mut self,
         now: Timestamp,
@@ -137,6 +141,8 @@
         true
     }
 
+    /// Merges the claim of router `by` that a member is suspect. Returns whether it
+    /// was new.
     pub(crate) fn merge_suspect(
         &mut self,
         now: Timestamp,
@@ -152,13 +158,13 @@
             return false;
         }
         if refutation > record.member.refutation {
-            // It contradicted before, which did not arrive here.
-            self.table.refute(id, refutation);
+            // The member refuted an earlier claim, but that did not arrive here.
+            self.table.set_refutation(id, refutation);
             self.suspicions.clear(id);
         }
         let begins = !self.suspicions.contains(id);
-        let shortest = self.shortest_suspicion();
-        let news = self.suspicions.accuse(now, id, by, shortest);
+        let min_timeout = self.min_suspicion();
+        let is_new = self.suspicions.add_report(now, id, by, min_timeout);
         self.set_living_state(id);
         if begins
             && self
@@ -167,9 +173,10 @@
         {
             outputs.push(Output::MemberSuspect(id));
         }
-        news
+        is_new
     }
 
+    /// Merges the claim that a member is dead. Returns whether it was new.
     pub(crate) fn merge_dead(
         &mut self,
         now: Timestamp,
@@ -190,21 +197,21 @@
             _ => reason,
         };
         let machine = record.member.identity.machine.clone();
-        self.table.bury(now, id, refutation);
+        self.table.mark_dead(now, id, refutation);
         self.suspicions.clear(id);
         if reason != DownReason::Superseded {
-            self.machines.lost(&machine);
+            self.machines.mark_unreached(&machine);
         }
         outputs.push(Output::MemberDown(id, reason));
         true
     }
 
-    /// Whether a claim that `identity` lives is taken at all.
-    fn admits(&self, identity: &RouterIdentity) -> bool {
-        // A process of an earlier life is gone, whatever old claims say. Once
-        // the later one is dead, a process that came after it may have a lower
-        // number, if the wall clock was set back in between.
-        let latest = self.table.on_machine(&identity.machine);
+    /// Returns whether a claim that `identity` is alive can be accepted.
+    fn accepts_identity(&self, identity: &RouterIdentity) -> bool {
+        // An earlier process on the same machine is gone, whatever old claims
+        // say. Once the later one is dead, its successor may have a lower
+        // incarnation, if the wall clock was set back in between.
+        let latest = self.table.latest_on_machine(&identity.machine);
         let outdated = latest.is_some_and(|latest| {
             let later = latest.member.identity.incarnation >= identity.incarnation;
             latest.member.identity.id != identity.id && later && !latest.is_dead()
@@ -212,6 +219,7 @@
         identity.region == self.own.region && !outdated
     }
 
+    /// Adds a member that was not known before.
     fn add(
         &mut self,
         now: Timestamp,
@@ -221,7 +229,7 @@
     ) {
         self.supersede(now, identity, outputs);
         self.table.insert(now, identity.clone(), refutation);
-        self.machines.seen(&identity.machine);
+        self.machines.mark_reached(&identity.machine);
         let listed_leaving = self.machines.lists_leaving(identity);
         if let Some(record) = self.table.get_mut(identity.id) {
             record.listed_leaving = listed_leaving;
@@ -233,10 +241,10 @@
         }
     }
 
-    /// A later process lives on the machine of an earlier one: the earlier
-    /// one is gone for good.
+    /// Marks an earlier process on the machine of `successor` as gone for good, with
+    /// the successor as proof.
     fn supersede(&mut self, now: Timestamp, successor: &RouterIdentity, outputs: &mut Vec<Output>) {
-        let Some(earlier) = self.table.on_machine(&successor.machine) else {
+        let Some(earlier) = self.table.latest_on_machine(&successor.machine) else {
             return;
         };
         let id = earlier.member.identity.id;
@@ -255,7 +263,7 @@
         }
     }
 
-    /// Sets the state of a member that is not dead.
+    /// Recomputes the state of a member that is not dead.
     pub(crate) fn set_living_state(&mut self, id: RouterId) {
         let suspect = self.suspicions.contains(id);
         let Some(record) = self.table.get_mut(id) else {
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,55 +1,56 @@
-//! Messages between the membership cores of two routers.
+//! Messages exchanged for membership and failure detection.
 
 use serde::{Deserialize, Serialize};
 use threadledge_types::{RouterId, RouterIdentity};
 
-/// How often a router contradicted claims that it is suspect or dead. Only
-/// the router itself raises its number.
+/// Refutation number of a router, called the incarnation number in SWIM. It
+/// orders claims about the router. Only the router itself raises it, to refute
+/// claims that it is suspect or dead.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct RefutationNumber(pub u32);
 
-/// One message; its size is bounded by
-/// [`Settings::max_piggyback`](crate::Settings::max_piggyback) and the bound
-/// of each body.
+/// Message between two routers. Its size is bounded by
+/// [`Settings::max_piggyback`](crate::Settings::max_piggyback) and by the limit
+/// of each kind of body.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Message {
-    /// The sender.
+    /// Identity of the sender.
     pub from: RouterIdentity,
-    /// The sender's own number.
+    /// Refutation number of the sender.
     pub refutation: RefutationNumber,
-    /// The sender is about to stop.
+    /// Whether the sender is about to stop.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub leaving: bool,
-    /// What the message is for.
+    /// Content of the message.
     pub body: MessageBody,
-    /// News about members.
+    /// Updates about members.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub updates: Vec<MemberUpdate>,
 }
 
-/// What a message is for.
+/// Content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum MessageBody {
-    /// Asks for an [`MessageBody::Ack`].
+    /// Requests a [`MessageBody::Ack`].
     Ping {
         /// Chosen by the sender, echoed in the answer.
         sequence: u64,
     },
-    /// Answers a ping.
+    /// Response to a ping.
     Ack {
-        /// Number of the ping.
+        /// Sequence number of the ping.
         sequence: u64,
     },
-    /// Asks the receiver to ping `target` and to pass its answer on.
+    /// Asks the receiver to ping `target` and to report the result.
     PingRequest {
         /// Chosen by the sender, echoed in the answer.
         sequence: u64,
-        /// Whom to ping.
+        /// Router to ping.
         target: RouterIdentity,
     },
     /// The target of a ping request answered.
@@ -57,88 +58,89 @@
         /// Number of the ping request.
         sequence: u64,
     },
-    /// The target of a ping request did not answer; shows its sender that it
-    /// can itself be reached.
+    /// The target of a ping request did not answer. It also shows the requester
+    /// that the requester itself can be reached.
     IndirectNack {
         /// Number of the ping request.
         sequence: u64,
     },
-    /// Carries news only.
+    /// Carries only updates.
     Gossip,
-    /// Carries updates that answer a comparison of tables; they are no news
-    /// to others and are not passed on.
+    /// Carries updates that result from a table comparison. Other routers know
+    /// them already, so they are not gossiped further.
     SyncUpdates,
     /// Offers to compare member tables.
     SyncOffer {
-        /// Bucket from which the receiver looks for differences.
+        /// Bucket at which the receiver starts to look for differences.
         start: u8,
         /// Short hash of each of the sender's buckets.
         hashes: Vec<u16>,
     },
-    /// Answers an offer: the sender's members in the buckets that differ, as
-    /// far as they fit.
+    /// Response to an offer: the sender's members in the buckets that differ, up
+    /// to a size limit.
     SyncDigest {
-        /// Buckets that differ and are listed; none when the tables agree.
+        /// Buckets that differ and are listed. Empty if the tables agree.
         buckets: Vec<u8>,
-        /// The sender's members in these buckets.
+        /// Members in these buckets that the sender knows.
         entries: Vec<MemberDigest>,
     },
-    /// Asks for the identities of members that the sender lacks; its updates
-    /// tell what the receiver lacks and are not passed on.
+    /// Requests the identities of members that the sender lacks. The updates of
+    /// the message are those that the receiver lacks; they are not gossiped
+    /// further.
     SyncWanted {
-        /// The members.
+        /// Members to send.
         ids: Vec<RouterId>,
     },
 }
 
-/// One member as listed when tables are compared.
+/// Member entry used to compare member tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberDigest {
-    /// The member.
+    /// Router id of the member.
     pub id: RouterId,
-    /// Its number, as far as the sender knows.
+    /// Refutation number of the member as known to the sender.
     #[serde(rename = "r")]
     pub refutation: RefutationNumber,
 }
 
-/// One piece of news about a member.
+/// Claim about the state of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum MemberUpdate {
-    /// It is alive.
+    /// The member is alive.
     Alive {
-        /// The member.
+        /// Member that the update is about.
         identity: RouterIdentity,
-        /// Its number.
+        /// Refutation number of the member.
         refutation: RefutationNumber,
     },
-    /// `by` got no answer from it.
+    /// The member did not answer `by`.
     Suspect {
-        /// The member.
+        /// Member that the update is about.
         id: RouterId,
-        /// Its number at the time.
+        /// Refutation number to which the claim applies.
         refutation: RefutationNumber,
-        /// Who suspects it.
+        /// Router that suspects the member.
         by: RouterId,
     },
-    /// It announced that it stops.
+    /// The member announced that it stops.
     Leaving {
-        /// The member.
+        /// Member that the update is about.
         identity: RouterIdentity,
-        /// Its number.
+        /// Refutation number of the member.
         refutation: RefutationNumber,
     },
-    /// It did not contradict in time.
+    /// The member did not refute a suspicion in time.
     Dead {
-        /// The member.
+        /// Member that the update is about.
         id: RouterId,
-        /// Its number at the time.
+        /// Refutation number to which the claim applies.
         refutation: RefutationNumber,
     },
 }
 
 impl MemberUpdate {
-    /// The member that the update is about.
+    /// Returns the member that the update is about.
     pub fn subject(&self) -> RouterId {
         match self {
             MemberUpdate::Alive { identity, .. } | MemberUpdate::Leaving { identity, .. } => {
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/peer_set.rs
@@ -1,4 +1,4 @@
-//! The routers that may be probed or gossiped with, for random choice.
+//! Routers that can be probed or gossiped with, for random selection.
 
 use std::collections::BTreeMap;
 
@@ -6,18 +6,19 @@
 use rand_chacha::ChaCha8Rng;
 use threadledge_types::RouterId;
 
-/// A set that yields its elements in a random order, each once a round, and
-/// random samples; every operation costs the same at any size, up to a
-/// logarithm.
+/// Set of routers that supports iteration in random order, with each element
+/// once per round, and random sampling. The cost of each operation grows at most
+/// with the logarithm of the size.
 #[derive(Debug, Default)]
-pub(crate) struct Roster {
+pub(crate) struct PeerSet {
     order: Vec<RouterId>,
     positions: BTreeMap<RouterId, usize>,
-    /// Elements before this place had their turn in this round.
+    /// Number of elements at the start of `order` that were returned in this
+    /// round.
     visited: usize,
 }
 
-impl Roster {
+impl PeerSet {
     pub(crate) fn len(&self) -> usize {
         self.order.len()
     }
@@ -45,30 +46,31 @@
         self.positions.remove(&id);
     }
 
-    /// The next element of this round, in random order.
-    pub(crate) fn next(&mut self, random: &mut ChaCha8Rng) -> Option<RouterId> {
+    /// Returns the next element of this round, in random order. Starts a new round
+    /// after the last element.
+    pub(crate) fn next(&mut self, rng: &mut ChaCha8Rng) -> Option<RouterId> {
         if self.order.is_empty() {
             return None;
         }
         if self.visited >= self.order.len() {
             self.visited = 0;
         }
-        let chosen = random.random_range(self.visited..self.order.len());
+        let chosen = rng.random_range(self.visited..self.order.len());
         self.swap(chosen, self.visited);
         let id = self.order[self.visited];
         self.visited += 1;
         Some(id)
     }
 
-    /// Up to `count` different random elements, none of them `except`.
+    /// Returns up to `count` distinct random elements other than `except`.
     pub(crate) fn sample(
         &self,
-        random: &mut ChaCha8Rng,
+        rng: &mut ChaCha8Rng,
         count: usize,
         except: Option<RouterId>,
     ) -> Vec<RouterId> {
         let wanted = (count + 1).min(self.order.len());
-        let mut chosen: Vec<RouterId> = rand::seq::index::sample(random, self.order.len(), wanted)
+        let mut chosen: Vec<RouterId> = rand::seq::index::sample(rng, self.order.len(), wanted)
             .iter()
             .map(|index| self.order[index])
             .filter(|id| Some(*id) != except)
--- a/crates/membership/src/prober.rs
+++ b/crates/membership/src/prober.rs
@@ -1,4 +1,4 @@
-//! The probe under way, and probes made for others.
+//! Probes of other routers, made for this router or on behalf of others.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,69 +6,73 @@
 
 use threadledge_types::{RouterId, Timestamp};
 
-/// Most probes made for others at once; further requests are not answered.
-const MAX_RELAYS: usize = 64;
+/// Maximum number of concurrent probes on behalf of others. Further requests are
+/// not answered.
+const MAX_INDIRECT_PROBES: usize = 64;
 
-/// A probe of one router by this one.
+/// Probe of another router by this one.
 #[derive(Debug)]
 pub(crate) struct Probe {
     pub(crate) target: RouterId,
     sequence: u64,
-    /// When others are asked to probe as well; `None` once they were.
+    /// When other routers are asked for indirect probes; `None` after they were.
     indirect_at: Option<Timestamp>,
-    /// When the probe has failed.
+    /// When the probe fails.
     fails_at: Timestamp,
-    relays_asked: usize,
-    /// Relays that got no answer either.
-    refusals: Vec<RouterId>,
+    /// Number of routers asked for indirect probes.
+    helpers: usize,
+    /// Routers whose indirect probe got no answer either.
+    nacks: Vec<RouterId>,
 }
 
 impl Probe {
-    /// Whether nobody who was asked for help answered at all. Then the fault
-    /// may be here. One answer shows that this router can be reached; that
-    /// others are silent may mean that many failed at once.
+    /// Returns whether none of the routers asked for indirect probes answered at
+    /// all, in which case the fault may be here. A single answer shows that this
+    /// router can be reached; the others may not answer because many routers
+    /// failed at once.
     pub(crate) fn is_isolated(&self) -> bool {
-        self.relays_asked > 0 && self.refusals.is_empty()
+        self.helpers > 0 && self.nacks.is_empty()
     }
 
-    /// Relays that got no answer either: each is independent evidence.
-    pub(crate) fn refusals(&self) -> &[RouterId] {
-        &self.refusals
+    /// Returns the routers whose indirect probe got no answer either. Each is
+    /// independent evidence.
+    pub(crate) fn nacks(&self) -> &[RouterId] {
+        &self.nacks
     }
 }
 
-/// A probe made for another router.
+/// Probe made on behalf of another router.
 #[derive(Debug)]
-struct Relay {
+struct IndirectProbe {
     target: RouterId,
-    request: RelayRequest,
+    request: IndirectRequest,
     ends_at: Timestamp,
 }
 
-/// Whom to tell how a probe made for it ended.
+/// Router that requested an indirect probe, to be told the result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct RelayRequest {
+pub(crate) struct IndirectRequest {
     pub(crate) requester: RouterId,
     pub(crate) address: SocketAddr,
     pub(crate) sequence: u64,
 }
 
-/// What a probe needs next.
+/// Next step of a probe.
 #[derive(Debug)]
 pub(crate) enum ProbeStep {
-    /// Ask others to probe this router.
-    AskOthers(RouterId, u64),
+    /// Ask other routers to probe this target; with the sequence number.
+    RequestIndirect(RouterId, u64),
     /// The probe failed.
     Failed(Probe),
 }
 
-/// The probe under way, and probes made for others.
+/// Current probe of this router, and indirect probes on behalf of others.
 #[derive(Debug)]
 pub(crate) struct Prober {
     sequence: u64,
     probe: Option<Probe>,
     next_probe_at: Timestamp,
-    relays: BTreeMap<u64, Relay>,
+    indirect_probes: BTreeMap<u64, IndirectProbe>,
 }
 
 impl Prober {
@@ -77,7 +81,7 @@
             sequence: 0,
             probe: None,
             next_probe_at: now,
-            relays: BTreeMap::new(),
+            indirect_probes: BTreeMap::new(),
         }
     }
 
@@ -86,12 +90,12 @@
         self.sequence
     }
 
-    /// Whether the next probe is due.
+    /// Returns whether the next probe is due.
     pub(crate) fn is_due(&self, now: Timestamp) -> bool {
         self.probe.is_none() && now >= self.next_probe_at
     }
 
-    /// Begins a probe and returns its number.
+    /// Starts a probe and returns its sequence number.
     pub(crate) fn begin(
         &mut self,
         now: Timestamp,
@@ -105,113 +109,125 @@
             sequence,
             indirect_at: Some(now + timeout),
             fails_at: now + interval,
-            relays_asked: 0,
-            refusals: Vec::new(),
+            helpers: 0,
+            nacks: Vec::new(),
         });
         self.next_probe_at = now + interval;
         sequence
     }
 
-    /// Nobody can be probed; look again after `interval`.
+    /// Delays the next probe by `interval`, because no member can be probed now.
     pub(crate) fn skip(&mut self, now: Timestamp, interval: Duration) {
         self.next_probe_at = now + interval;
     }
 
-    /// Drops everything under way: this router was paused.
-    pub(crate) fn abandon(&mut self, now: Timestamp) {
+    /// Abandons all probes, because this router was paused.
+    pub(crate) fn reset(&mut self, now: Timestamp) {
         self.probe = None;
-        self.relays.clear();
+        self.indirect_probes.clear();
         self.next_probe_at = now;
     }
 
-    pub(crate) fn asked_relays(&mut self, count: usize) {
+    /// Records the number of routers asked for indirect probes.
+    pub(crate) fn record_helpers(&mut self, count: usize) {
         if let Some(probe) = &mut self.probe {
-            probe.relays_asked = count;
+            probe.helpers = count;
         }
     }
 
-    /// Takes an answer of `from` and returns whether it ends the probe of it.
-    pub(crate) fn acknowledged(&mut self, from: RouterId, sequence: u64) -> bool {
+    /// Handles an ack of `from` and returns whether it ends the current probe.
+    pub(crate) fn on_ack(&mut self, from: RouterId, sequence: u64) -> bool {
         self.probe
             .take_if(|probe| probe.sequence == sequence && probe.target == from)
             .is_some()
     }
 
-    /// Takes the good news of a relay and returns whether it ends the probe.
-    pub(crate) fn relay_acknowledged(&mut self, sequence: u64) -> bool {
+    /// Handles the ack of an indirect probe and returns whether it ends the current
+    /// probe.
+    pub(crate) fn on_indirect_ack(&mut self, sequence: u64) -> bool {
         self.probe
             .take_if(|probe| probe.sequence == sequence)
             .is_some()
     }
 
-    /// A relay got no answer either, but itself is there.
-    pub(crate) fn relay_refused(&mut self, relay: RouterId, sequence: u64) {
+    /// Records that the indirect probe by `helper` got no answer either.
+    pub(crate) fn on_indirect_nack(&mut self, helper: RouterId, sequence: u64) {
         if let Some(probe) = &mut self.probe
             && probe.sequence == sequence
-            && !probe.refusals.contains(&relay)
+            && !probe.nacks.contains(&helper)
         {
-            probe.refusals.push(relay);
+            probe.nacks.push(helper);
         }
     }
 
-    /// What the probe under way needs now.
+    /// Returns the next step of the current probe, if one is due.
     pub(crate) fn advance(&mut self, now: Timestamp) -> Option<ProbeStep> {
         let probe = self.probe.as_mut()?;
         if now >= probe.fails_at {
             return self.probe.take().map(ProbeStep::Failed);
         }
         let due = probe.indirect_at.take_if(|at| now >= *at);
-        due.map(|_| ProbeStep::AskOthers(probe.target, probe.sequence))
+        due.map(|_| ProbeStep::RequestIndirect(probe.target, probe.sequence))
     }
 
-    /// Begins a probe for another router and returns its number, or `None`
-    /// when too many are under way.
-    pub(crate) fn begin_relay(
+    /// Starts a probe on behalf of another router and returns its sequence number,
+    /// or `None` if too many are in progress.
+    pub(crate) fn begin_indirect(
         &mut self,
         target: RouterId,
-        request: RelayRequest,
+        request: IndirectRequest,
         ends_at: Timestamp,
     ) -> Option<u64> {
-        if self.relays.len() >= MAX_RELAYS {
+        if self.indirect_probes.len() >= MAX_INDIRECT_PROBES {
             return None;
         }
         let sequence = self.next_sequence();
-        let relay = Relay {
+        let indirect = IndirectProbe {
             target,
             request,
             ends_at,
         };
-        self.relays.insert(sequence, relay);
+        self.indirect_probes.insert(sequence, indirect);
         Some(sequence)
     }
 
-    /// Takes an answer of `from` to a probe made for another router.
-    pub(crate) fn end_relay(&mut self, from: RouterId, sequence: u64) -> Option<RelayRequest> {
-        let relay = self.relays.get(&sequence)?;
-        if relay.target != from {
+    /// Handles an ack of `from`. Returns the request if the ack ends an indirect
+    /// probe.
+    pub(crate) fn finish_indirect(
+        &mut self,
+        from: RouterId,
+        sequence: u64,
+    ) -> Option<IndirectRequest> {
+        let indirect = self.indirect_probes.get(&sequence)?;
+        if indirect.target != from {
             return None;
         }
-        self.relays.remove(&sequence).map(|relay| relay.request)
+        self.indirect_probes
+            .remove(&sequence)
+            .map(|indirect| indirect.request)
     }
 
-    /// Takes one probe made for another router that got no answer in time.
-    pub(crate) fn take_expired_relay(&mut self, now: Timestamp) -> Option<RelayRequest> {
-        // All relays last equally long, so the one with the lowest number
-        // ends first.
-        let (&sequence, relay) = self.relays.first_key_value()?;
-        if now < relay.ends_at {
+    /// Removes an indirect probe that got no answer in time and returns its request.
+    pub(crate) fn pop_expired_indirect(&mut self, now: Timestamp) -> Option<IndirectRequest> {
+        // All indirect probes have the same timeout, so the one with the lowest
+        // sequence number expires first.
+        let (&sequence, indirect) = self.indirect_probes.first_key_value()?;
+        if now < indirect.ends_at {
             return None;
         }
-        self.relays.remove(&sequence).map(|relay| relay.request)
+        self.indirect_probes
+            .remove(&sequence)
+            .map(|indirect| indirect.request)
     }
 
-    /// When [`Prober::advance`] or a new probe is due.
+    /// Returns when [`Prober::advance`], a new probe or the expiry of an indirect
+    /// probe is due.
     pub(crate) fn next_wakeup(&self) -> Timestamp {
         let probe = match &self.probe {
             Some(probe) => probe.indirect_at.unwrap_or(probe.fails_at),
             None => self.next_probe_at,
         };
-        let relay = self.relays.first_key_value();
-        relay.map_or(probe, |(_, relay)| relay.ends_at.min(probe))
+        let indirect = self.indirect_probes.first_key_value();
+        indirect.map_or(probe, |(_, indirect)| indirect.ends_at.min(probe))
     }
 }
--- a/crates/membership/src/proof.rs
+++ b/crates/membership/src/proof.rs
@@ -1,29 +1,29 @@
-//! Evidence that a router process is gone for good.
+//! Proof that a router process has ended for good.
 
 use serde::{Deserialize, Serialize};
 use threadledge_types::{Incarnation, MachineName, RouterId};
 
-/// Why a router process certainly runs no more. Suspicion, however long, is
-/// never a proof.
+/// Proof that a router process no longer runs. A suspicion is never a proof,
+/// however long it lasts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DeathProof {
     /// A later process answered on the same machine.
     LaterIncarnation {
-        /// The machine.
+        /// Machine of both processes.
         machine: MachineName,
-        /// The process that answered.
+        /// Process that answered.
         successor: RouterId,
-        /// Its incarnation, higher than that of the dead one.
+        /// Incarnation of that process, higher than that of the dead one.
         incarnation: Incarnation,
     },
-    /// The platform listed the machine and later listed it no more.
+    /// The platform listed the machine and later no longer did.
     RemovedFromList {
-        /// The machine.
+        /// Machine of the process.
         machine: MachineName,
-        /// Version of the list that had the machine.
+        /// Version of a list that included the machine.
         listed: u64,
-        /// Later version that lacks it.
+        /// Later version that does not include it.
         missing: u64,
     },
 }
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -1,18 +1,20 @@
-//! Taking messages and machine lists.
+//! Handling of messages and machine lists.
 
 use threadledge_types::{RouterId, Timestamp};
 
-use crate::machine_view::ListAge;
+use crate::machine_view::VersionOrder;
 use crate::machines::MachineList;
 use crate::member::MemberState;
 use crate::membership::{Membership, Output};
-use crate::merge::PassOn;
+use crate::merge::Forward;
 use crate::message::{MemberUpdate, Message, MessageBody};
-use crate::prober::RelayRequest;
+use crate::prober::IndirectRequest;
 use crate::proof::DeathProof;
 
 impl Membership {
-    pub(crate) fn receive(
+    /// Merges the updates of a message and acts on its body. Messages from other
+    /// regions and from superseded processes are ignored.
+    pub(crate) fn handle_message(
         &mut self,
         now: Timestamp,
         mut message: Message,
@@ -29,20 +31,21 @@
         {
             return;
         }
-        let pass_on = match message.body {
-            MessageBody::SyncWanted { .. } | MessageBody::SyncUpdates => PassOn::No,
-            _ => PassOn::Yes,
+        let forward = match message.body {
+            MessageBody::SyncWanted { .. } | MessageBody::SyncUpdates => Forward::No,
+            _ => Forward::Yes,
         };
         let updates = std::mem::take(&mut message.updates);
         let subjects: Vec<RouterId> = updates.iter().map(MemberUpdate::subject).collect();
         for update in updates {
-            self.merge(now, update, pass_on, outputs);
+            self.merge(now, update, forward, outputs);
         }
-        self.take_body(now, &message, &subjects, outputs);
+        self.handle_body(now, &message, &subjects, outputs);
         self.notify_suspect(&message, outputs);
     }
 
-    /// A message shows that its sender lives, under the number it states.
+    /// Records the sender of a message as alive or leaving, with the refutation
+    /// number that the message states.
     fn observe_sender(&mut self, now: Timestamp, message: &Message, outputs: &mut Vec<Output>) {
         let identity = message.from.clone();
         let refutation = message.refutation;
@@ -57,12 +60,12 @@
                 refutation,
             }
         };
-        self.merge(now, update, PassOn::Yes, outputs);
+        self.merge(now, update, Forward::Yes, outputs);
     }
 
-    /// Tells a sender that it is taken for suspect or dead here, so that it
-    /// can contradict at once. A message alone does not clear it: it may have
-    /// been under way for long.
+    /// Tells a sender that it is suspect or dead here, so that it can refute this
+    /// immediately. The message alone does not clear the sender, because it may
+    /// have been in transit for a long time.
     fn notify_suspect(&mut self, message: &Message, outputs: &mut Vec<Output>) {
         let id = message.from.id;
         let Some(record) = self.table.get(id) else {
@@ -87,9 +90,9 @@
         );
     }
 
-    /// Acts on the body of a message whose updates, about `subjects`, are
-    /// merged.
-    fn take_body(
+    /// Acts on the body of a message. Its updates, which are about `subjects`, have
+    /// been merged before.
+    fn handle_body(
         &mut self,
         now: Timestamp,
         message: &Message,
@@ -101,45 +104,47 @@
                 let sequence = *sequence;
                 self.reply(message, MessageBody::Ack { sequence }, outputs);
             }
-            MessageBody::Ack { sequence } => self.take_ack(message.from.id, *sequence, outputs),
+            MessageBody::Ack { sequence } => self.handle_ack(message.from.id, *sequence, outputs),
             MessageBody::PingRequest { sequence, target } => {
-                let request = RelayRequest {
+                let request = IndirectRequest {
                     requester: message.from.id,
                     address: message.from.peer_address,
                     sequence: *sequence,
                 };
                 let ends_at = now + self.settings.probe_timeout;
-                if let Some(sequence) = self.prober.begin_relay(target.id, request, ends_at) {
+                if let Some(sequence) = self.prober.begin_indirect(target.id, request, ends_at) {
                     let to = target.peer_address;
                     self.send(to, Some(target.id), MessageBody::Ping { sequence }, outputs);
                 }
             }
             MessageBody::IndirectAck { sequence } => {
-                if self.prober.relay_acknowledged(*sequence) {
+                if self.prober.on_indirect_ack(*sequence) {
                     self.health.improve();
                 }
             }
             MessageBody::IndirectNack { sequence } => {
-                self.prober.relay_refused(message.from.id, *sequence);
+                self.prober.on_indirect_nack(message.from.id, *sequence);
             }
             MessageBody::Gossip | MessageBody::SyncUpdates => {}
             MessageBody::SyncOffer { start, hashes } => {
-                self.answer_offer(message, *start, hashes, outputs);
+                self.handle_sync_offer(message, *start, hashes, outputs);
             }
             MessageBody::SyncDigest { buckets, entries } => {
-                self.take_digest(now, message, buckets, entries, outputs);
+                self.handle_sync_digest(now, message, buckets, entries, outputs);
             }
             MessageBody::SyncWanted { ids } => {
-                self.answer_wanted(message, ids, subjects, outputs);
+                self.handle_sync_wanted(message, ids, subjects, outputs);
             }
         }
     }
 
-    fn take_ack(&mut self, from: RouterId, sequence: u64, outputs: &mut Vec<Output>) {
-        if self.prober.acknowledged(from, sequence) {
+    /// Ends the probe that an ack answers. If the probe was made for another
+    /// router, passes the ack on to it.
+    fn handle_ack(&mut self, from: RouterId, sequence: u64, outputs: &mut Vec<Output>) {
+        if self.prober.on_ack(from, sequence) {
             self.health.improve();
         }
-        if let Some(request) = self.prober.end_relay(from, sequence) {
+        if let Some(request) = self.prober.finish_indirect(from, sequence) {
             let body = MessageBody::IndirectAck {
                 sequence: request.sequence,
             };
@@ -147,6 +152,7 @@
         }
     }
 
+    /// Sends a message to the sender of `message`.
     pub(crate) fn reply(
         &mut self,
         message: &Message,
@@ -157,22 +163,22 @@
         self.send(to, Some(message.from.id), body, outputs);
     }
 
-    /// Takes a list that was read. One with a lower version lags and is
-    /// ignored.
-    pub(crate) fn take_machine_list(
+    /// Applies a machine list that was read. A list with a lower version lags and
+    /// is ignored.
+    pub(crate) fn apply_machine_list(
         &mut self,
         now: Timestamp,
         list: MachineList,
         outputs: &mut Vec<Output>,
     ) {
-        match self.machines.age_of(&list) {
-            ListAge::Older => return,
-            ListAge::Same => {}
-            ListAge::Newer => {
+        match self.machines.compare_version(&list) {
+            VersionOrder::Older => return,
+            VersionOrder::Same => {}
+            VersionOrder::Newer => {
                 let table = &self.table;
                 self.machines.replace(list, |name| {
                     table
-                        .on_machine(name)
+                        .latest_on_machine(name)
                         .is_some_and(|record| !record.is_dead())
                 });
             }
@@ -182,11 +188,13 @@
         };
         let ids: Vec<RouterId> = self.members().map(|member| member.identity.id).collect();
         for id in ids {
-            self.compare_with_list(now, id, version, outputs);
+            self.check_against_list(now, id, version, outputs);
         }
     }
 
-    fn compare_with_list(
+    /// Updates what the machine list shows about a member: whether it is listed,
+    /// whether it was removed, and whether it is leaving.
+    fn check_against_list(
         &mut self,
         now: Timestamp,
         id: RouterId,
@@ -198,8 +206,8 @@
         };
         let identity = &record.member.identity;
         if self.machines.lists(identity) {
-            // An entry may belong to an earlier machine of the same name, if
-            // the list lags; see `Settings::max_list_lag`.
+            // If the list lags, the entry may belong to an earlier machine with
+            // the same name; see `Settings::max_list_lag`.
             if now.since(record.known_since) >= self.settings.max_list_lag {
                 record.listed = Some(version);
             }
@@ -218,20 +226,26 @@
         let changed = record.listed_leaving != leaving && !record.is_dead();
         record.listed_leaving = leaving;
         if changed && id != self.own.id {
-            let was = record.member.state;
+            let previous = record.member.state;
             self.set_living_state(id);
-            self.report_leaving_change(id, was, outputs);
+            self.report_leaving_change(id, previous, outputs);
         }
     }
 
-    fn report_leaving_change(&self, id: RouterId, was: MemberState, outputs: &mut Vec<Output>) {
+    /// Reports that a member started to leave or no longer leaves.
+    fn report_leaving_change(
+        &self,
+        id: RouterId,
+        previous: MemberState,
+        outputs: &mut Vec<Output>,
+    ) {
         let Some(member) = self.member(id) else {
             return;
         };
-        if was != MemberState::Leaving && member.state == MemberState::Leaving {
+        if previous != MemberState::Leaving && member.state == MemberState::Leaving {
             outputs.push(Output::MemberLeaving(id));
         }
-        if was == MemberState::Leaving && member.state != MemberState::Leaving {
+        if previous == MemberState::Leaving && member.state != MemberState::Leaving {
             outputs.push(Output::MemberUp(member.identity.clone()));
         }
     }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -2,42 +2,44 @@
 
 use std::time::Duration;
 
-/// Settings of failure detection. The defaults make a crashed router dead in
-/// the eyes of all others about 2 s later, at 2,200 routers.
+/// Settings of failure detection. With the defaults and 2,200 routers, all
+/// others consider a crashed router dead about 2 s after the crash.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Interval at which this router probes one other.
+    /// Interval at which this router probes one other router.
     pub probe_interval: Duration,
-    /// How long a probe waits for its answer before others are asked to probe
-    /// as well; shorter than `probe_interval`.
+    /// Time that a probe waits for an answer before other routers are asked for
+    /// indirect probes. Shorter than `probe_interval`.
     pub probe_timeout: Duration,
-    /// How many others are asked to probe a router that did not answer.
+    /// Number of routers asked to probe a router that did not answer.
     pub indirect_probes: usize,
-    /// Least length of a suspicion in probe intervals, for each power of ten
-    /// of the number of members and at least for two.
+    /// Minimum suspicion timeout in probe intervals per power of ten of the
+    /// member count. At least two powers of ten are counted.
     pub suspicion_multiplier: f64,
-    /// How many routers each round of gossip goes to.
+    /// Number of routers to which each round of gossip is sent.
     pub gossip_fanout: usize,
-    /// Interval between rounds of gossip; a round without news sends nothing.
+    /// Interval between rounds of gossip. A round without updates sends nothing.
     pub gossip_interval: Duration,
-    /// Most updates carried by one message.
+    /// Maximum number of updates with an identity carried by one message. Updates
+    /// that only name an id count a quarter.
     pub max_piggyback: usize,
-    /// How many times an update is sent on, for each power of ten of the
-    /// number of members.
+    /// Number of times that an update is sent, per power of ten of the member
+    /// count.
     pub retransmit_multiplier: usize,
-    /// Interval at which one part of the member table is compared with that
-    /// of another router.
+    /// Interval at which the member table is compared with that of another
+    /// router.
     pub sync_interval: Duration,
-    /// A step that comes this much later than asked for is a pause of this
-    /// router: what it missed says nothing about others.
+    /// If a step comes later than requested by more than this, this router was
+    /// paused, and messages missed in between are no evidence against others.
     pub pause_threshold: Duration,
-    /// How long a dead member is remembered.
+    /// Time for which a dead member is remembered.
     pub dead_retention: Duration,
-    /// Most dead members remembered.
+    /// Maximum number of dead members remembered.
     pub max_dead_members: usize,
-    /// Longest lag of the platform's machine list. A list counts as listing a
-    /// router only when read this long after the router became known, so that
-    /// an entry of an earlier machine of the same name is not taken for it.
+    /// Maximum lag of the platform's machine list. A list counts as evidence that
+    /// a router is listed only if it was read at least this long after the
+    /// router became known. Otherwise the entry could belong to an earlier
+    /// machine with the same name.
     pub max_list_lag: Duration,
     /// Seed of all random choices.
     pub seed: u64,
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,57 +1,59 @@
-//! Suspicions that run until they are contradicted or confirmed by time.
+//! Suspicions that are pending until they are refuted or expire.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use threadledge_types::{RouterId, Timestamp};
 
-/// This many independent accusers shorten a suspicion to its least length.
-const ACCUSERS_FOR_SHORTEST: usize = 3;
-/// A suspicion with one accuser lasts this many times its least length.
-const LONGEST_FACTOR: f64 = 1.5;
-
-/// A suspicion that others brought lasts this many times as long here. Those
-/// who saw the failure themselves decide first: a contradiction has to reach
-/// only them in time, not every last router.
-const HEARSAY_FACTOR: f64 = 2.0;
-/// After this many times its length, a suspicion that others brought is
-/// checked here: by then their news of the end should have arrived.
+/// Number of independent reporters that reduces a suspicion to its minimum timeout.
+const REPORTERS_FOR_MIN: usize = 3;
+/// Timeout of a suspicion with one reporter, as a multiple of the minimum.
+const MAX_FACTOR: f64 = 1.5;
+
+/// Factor by which the timeout is longer for a suspicion that only others
+/// reported. Routers that observed the failure themselves decide first, so a
+/// refutation has to reach only them in time, not every router.
+const REPORTED_FACTOR: f64 = 2.0;
+/// Multiple of its timeout after which this router pings a suspect that others
+/// reported. By then, their gossip about the outcome should have arrived.
 const CHECK_FACTOR: f64 = 1.5;
 
-/// One member under suspicion.
+/// Pending suspicion of one member.
 #[derive(Debug)]
 struct Suspicion {
     began_at: Timestamp,
-    shortest: Duration,
-    accusers: BTreeSet<RouterId>,
+    min_timeout: Duration,
+    reporters: BTreeSet<RouterId>,
     deadline: Timestamp,
-    /// This router is itself an accuser.
-    first_hand: bool,
-    /// When the member is told, or told again, that it is suspect here.
+    /// Whether this router observed the failure itself.
+    observed: bool,
+    /// When the member is next told that it is suspect here.
     reminder_at: Timestamp,
 }
 
 impl Suspicion {
-    /// Each further accuser shortens the suspicion, the first ones most.
-    fn length(&self) -> Duration {
-        let further = self.accusers.len().saturating_sub(1) as f64;
-        let most = (ACCUSERS_FOR_SHORTEST - 1) as f64;
-        let share = ((further + 1.0).ln() / (most + 1.0).ln()).min(1.0);
-        let factor = LONGEST_FACTOR - (LONGEST_FACTOR - 1.0) * share;
-        self.shortest.mul_f64(factor)
+    /// Returns the timeout. Each additional reporter shortens it, the first ones
+    /// most.
+    fn timeout(&self) -> Duration {
+        let additional = self.reporters.len().saturating_sub(1) as f64;
+        let needed = (REPORTERS_FOR_MIN - 1) as f64;
+        let share = ((additional + 1.0).ln() / (needed + 1.0).ln()).min(1.0);
+        let factor = MAX_FACTOR - (MAX_FACTOR - 1.0) * share;
+        self.min_timeout.mul_f64(factor)
     }
 
     fn deadline(&self) -> Timestamp {
-        let factor = if self.first_hand { 1.0 } else { HEARSAY_FACTOR };
-        self.began_at + self.length().mul_f64(factor)
+        let factor = if self.observed { 1.0 } else { REPORTED_FACTOR };
+        self.began_at + self.timeout().mul_f64(factor)
     }
 
+    /// Returns when the suspect is pinged for the first time.
     fn first_check(&self) -> Timestamp {
-        self.began_at + self.length().mul_f64(CHECK_FACTOR)
+        self.began_at + self.timeout().mul_f64(CHECK_FACTOR)
     }
 }
 
-/// All members under suspicion, in the order in which they run out.
+/// Pending suspicions, indexed by member, deadline and next reminder.
 #[derive(Debug, Default)]
 pub(crate) struct Suspicions {
     by_id: BTreeMap<RouterId, Suspicion>,
@@ -64,49 +66,50 @@
         self.by_id.contains_key(&id)
     }
 
-    /// Begins a suspicion, or adds an accuser to the one that runs. Returns
-    /// whether the accuser is news.
-    pub(crate) fn accuse(
+    /// Starts a suspicion, or adds a reporter to the pending one. Returns whether
+    /// the reporter is new.
+    pub(crate) fn add_report(
         &mut self,
         now: Timestamp,
         id: RouterId,
-        accuser: RouterId,
-        shortest: Duration,
+        reporter: RouterId,
+        min_timeout: Duration,
     ) -> bool {
         let suspicion = self.by_id.entry(id).or_insert_with(|| Suspicion {
             began_at: now,
-            shortest,
-            accusers: BTreeSet::new(),
+            min_timeout,
+            reporters: BTreeSet::new(),
             deadline: Timestamp::ZERO,
-            first_hand: false,
+            observed: false,
             reminder_at: Timestamp::ZERO,
         });
-        if suspicion.accusers.len() >= ACCUSERS_FOR_SHORTEST {
+        if suspicion.reporters.len() >= REPORTERS_FOR_MIN {
             return false;
         }
-        let news = suspicion.accusers.insert(accuser);
-        if news {
+        let is_new = suspicion.reporters.insert(reporter);
+        if is_new {
             let check_at = suspicion.first_check();
             self.reschedule(id, Some(check_at));
         }
-        news
+        is_new
     }
 
-    /// Notes that this router itself saw the failure: it decides early.
-    pub(crate) fn saw_failure(&mut self, id: RouterId) {
+    /// Records that this router observed the failure itself, which shortens the
+    /// timeout here.
+    pub(crate) fn mark_observed(&mut self, id: RouterId) {
         if let Some(suspicion) = self.by_id.get_mut(&id) {
-            suspicion.first_hand = true;
+            suspicion.observed = true;
             self.reschedule(id, None);
         }
     }
 
-    /// Notes that the member was told, and is to be told again at `at`.
-    pub(crate) fn remind_at(&mut self, id: RouterId, at: Timestamp) {
+    /// Schedules the next reminder to the member.
+    pub(crate) fn schedule_reminder(&mut self, id: RouterId, at: Timestamp) {
         self.reschedule(id, Some(at));
     }
 
-    /// Takes one member that is to be told again.
-    pub(crate) fn take_reminder(&mut self, now: Timestamp) -> Option<RouterId> {
+    /// Returns a member whose reminder is due, and removes the reminder.
+    pub(crate) fn pop_reminder(&mut self, now: Timestamp) -> Option<RouterId> {
         let (at, id) = *self.reminders.first()?;
         if now < at {
             return None;
@@ -115,7 +118,7 @@
         Some(id)
     }
 
-    /// Ends a suspicion without effect.
+    /// Removes a suspicion.
     pub(crate) fn clear(&mut self, id: RouterId) {
         let Some(suspicion) = self.by_id.remove(&id) else {
             return;
@@ -124,6 +127,7 @@
         self.reminders.remove(&(suspicion.reminder_at, id));
     }
 
+    /// Recomputes the deadline of a suspicion, and sets its reminder if one is given.
     fn reschedule(&mut self, id: RouterId, reminder_at: Option<Timestamp>) {
         let Some(suspicion) = self.by_id.get_mut(&id) else {
             return;
@@ -138,8 +142,8 @@
         }
     }
 
-    /// Takes one member whose suspicion ran out.
-    pub(crate) fn take_expired(&mut self, now: Timestamp) -> Option<RouterId> {
+    /// Returns a member whose suspicion has expired, and removes the suspicion.
+    pub(crate) fn pop_expired(&mut self, now: Timestamp) -> Option<RouterId> {
         let (deadline, id) = *self.by_deadline.first()?;
         if now < deadline {
             return None;
@@ -148,8 +152,8 @@
         Some(id)
     }
 
-    /// Begins every suspicion anew: this router was paused, and what it did
-    /// not hear meanwhile says nothing about others.
+    /// Restarts all suspicions, because this router was paused and messages missed
+    /// in between are no evidence against others.
     pub(crate) fn restart_all(&mut self, now: Timestamp) {
         let ids: Vec<RouterId> = self.by_id.keys().copied().collect();
         for id in ids {
@@ -160,7 +164,7 @@
         }
     }
 
-    /// When the next suspicion runs out or the next reminder is due.
+    /// Returns when the next suspicion expires or the next reminder is due.
     pub(crate) fn next_wakeup(&self) -> Option<Timestamp> {
         let deadline = self.by_deadline.first().map(|(at, _)| *at);
         let reminder = self.reminders.first().map(|(at, _)| *at);
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -1,8 +1,8 @@
-//! Comparing member tables by the hashes of their buckets.
+//! Anti-entropy: comparison of member tables by the hashes of their buckets.
 //!
-//! Gossip reaches nearly every router; this brings the rest, and everything to
-//! a router that joins. An offer names the hashes of all buckets, so that one
-//! exchange finds a difference wherever it is.
+//! Gossip reaches nearly every router. The comparison transfers what gossip
+//! missed, and the whole table to a router that joins. An offer contains the
+//! hashes of all buckets, so one exchange finds any difference.
 
 use std::time::Duration;
 
@@ -12,38 +12,41 @@
 use crate::message::{MemberDigest, MemberUpdate, Message, MessageBody};
 use crate::table::BUCKETS;
 
-/// Most members listed in one answer, unless a single bucket has more.
+/// Maximum number of members listed in one digest, unless a single bucket has
+/// more.
 const MAX_DIGEST_ENTRIES: usize = 256;
-/// Most identities in one answer; a later comparison brings more.
+/// Maximum number of updates in one message, and of identities requested. Later
+/// comparisons transfer the rest.
 const MAX_SYNC_UPDATES: usize = 24;
-/// Interval between comparisons while joining.
+/// Interval between comparisons while this router joins.
 const JOIN_INTERVAL: Duration = Duration::from_millis(25);
-/// How many comparisons are made at that pace.
+/// Number of comparisons made at the join interval.
 const JOIN_COMPARISONS: u32 = 256;
 /// Interval between comparisons while the table is known to lack members.
 const REPAIR_INTERVAL: Duration = Duration::from_millis(250);
 
-/// When tables are compared next.
+/// Schedule of table comparisons.
 #[derive(Debug)]
-pub(crate) struct SyncRound {
+pub(crate) struct SyncSchedule {
+    /// Bucket at which the last comparison started.
     start: u8,
     next_at: Timestamp,
-    /// The latest comparison, if answered, showed that nothing is lacking.
+    /// The latest answered comparison found no missing members.
     complete: bool,
-    /// Comparisons left at the pace of joining.
-    quick_left: u32,
-    /// Number of members when these were last allotted.
-    allotted_at_count: usize,
+    /// Number of comparisons left at the join interval.
+    fast_rounds: u32,
+    /// Member count when `fast_rounds` was last reset.
+    baseline_count: usize,
 }
 
-impl SyncRound {
+impl SyncSchedule {
     pub(crate) fn new(now: Timestamp) -> Self {
-        SyncRound {
+        SyncSchedule {
             start: 0,
             next_at: now,
             complete: false,
-            quick_left: JOIN_COMPARISONS,
-            allotted_at_count: 1,
+            fast_rounds: JOIN_COMPARISONS,
+            baseline_count: 1,
         }
     }
 
@@ -51,66 +54,69 @@
         self.next_at
     }
 
-    /// The bucket to start from, if it is time for a comparison.
+    /// Returns the bucket to start from if a comparison is due, and schedules the
+    /// next one.
     fn take_due(&mut self, now: Timestamp, interval: Duration) -> Option<u8> {
         if now < self.next_at {
             return None;
         }
-        self.next_at = now + self.pace(interval);
+        self.next_at = now + self.next_interval(interval);
         self.start = (self.start + 1) % BUCKETS;
         Some(self.start)
     }
 
-    fn pace(&mut self, interval: Duration) -> Duration {
+    /// Returns the time until the next comparison and counts it.
+    fn next_interval(&mut self, interval: Duration) -> Duration {
         if self.complete {
             return interval;
         }
-        if self.quick_left == 0 {
+        if self.fast_rounds == 0 {
             return REPAIR_INTERVAL.min(interval);
         }
-        self.quick_left -= 1;
+        self.fast_rounds -= 1;
         JOIN_INTERVAL
     }
 
-    /// Goes on at the pace of joining when the number of members has doubled:
-    /// when many join at once, early comparisons are made between tables that
-    /// both know little.
-    fn note_count(&mut self, count: usize) {
-        if count >= 2 * self.allotted_at_count {
-            self.allotted_at_count = count;
+    /// Returns to the join interval when the member count has doubled. When many
+    /// routers join at once, early comparisons are between tables that both know
+    /// few members.
+    fn on_member_count(&mut self, count: usize) {
+        if count >= 2 * self.baseline_count {
+            self.baseline_count = count;
             self.complete = false;
-            self.quick_left = JOIN_COMPARISONS;
+            self.fast_rounds = JOIN_COMPARISONS;
         }
     }
 
-    /// Notes whether an answer named members that are lacking here.
-    fn compared(&mut self, now: Timestamp, lacking: bool) {
-        self.complete = !lacking;
-        if lacking {
+    /// Records whether an answer named members that are missing here.
+    fn on_compared(&mut self, now: Timestamp, has_missing: bool) {
+        self.complete = !has_missing;
+        if has_missing {
             self.next_at = self.next_at.min(now + REPAIR_INTERVAL);
         }
     }
 }
 
 impl Membership {
-    /// Offers a comparison to a random member, if it is time.
+    /// Offers a comparison to a random member if one is due.
     pub(crate) fn run_sync(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
-        if self.table.roster().len() == 0 {
+        if self.table.live_peers().len() == 0 {
             return;
         }
-        self.sync.note_count(self.table.living_count());
+        self.sync.on_member_count(self.table.living_count());
         let Some(start) = self.sync.take_due(now, self.settings.sync_interval) else {
             return;
         };
         let hashes = self.table.bucket_hashes();
-        let partners = self.table.roster().sample(&mut self.random, 1, None);
+        let partners = self.table.live_peers().sample(&mut self.rng, 1, None);
         for partner in partners {
             let hashes = hashes.clone();
             self.send_to_member(partner, MessageBody::SyncOffer { start, hashes }, outputs);
         }
     }
 
-    pub(crate) fn answer_offer(
+    /// Answers an offer with a digest of the buckets whose hashes differ.
+    pub(crate) fn handle_sync_offer(
         &mut self,
         from: &Message,
         start: u8,
@@ -143,7 +149,9 @@
         self.reply(from, MessageBody::SyncDigest { buckets, entries }, outputs);
     }
 
-    pub(crate) fn take_digest(
+    /// Requests members that are missing here and sends updates that the sender
+    /// lacks.
+    pub(crate) fn handle_sync_digest(
         &mut self,
         now: Timestamp,
         from: &Message,
@@ -163,7 +171,7 @@
         for bucket in buckets {
             updates.extend(self.members_missing_in(*bucket, entries));
         }
-        self.sync.compared(now, !ids.is_empty());
+        self.sync.on_compared(now, !ids.is_empty());
         ids.truncate(MAX_SYNC_UPDATES);
         updates.truncate(MAX_SYNC_UPDATES);
         if ids.is_empty() && updates.is_empty() {
@@ -174,16 +182,16 @@
         self.send_with(to, to_id, body, updates, outputs);
     }
 
-    /// Sends what was asked for, and what is known better about the members
-    /// that the message told of: those it takes for living and that are dead.
-    pub(crate) fn answer_wanted(
+    /// Sends the requested members, and the dead ones among `subjects`, the members
+    /// that the message listed as living.
+    pub(crate) fn handle_sync_wanted(
         &mut self,
         from: &Message,
         ids: &[RouterId],
-        told: &[RouterId],
+        subjects: &[RouterId],
         outputs: &mut Vec<Output>,
     ) {
-        let dead = told.iter().filter(|id| {
+        let dead = subjects.iter().filter(|id| {
             let record = self.table.get(**id);
             record.is_some_and(|record| record.is_dead())
         });
@@ -200,13 +208,14 @@
         self.send_with(to, to_id, MessageBody::SyncUpdates, updates, outputs);
     }
 
-    /// What a router that listed `entry` lacks about that member.
+    /// Returns an update if this router knows more about a member than `entry` says.
     fn update_if_newer(&self, entry: MemberDigest) -> Option<MemberUpdate> {
         let record = self.table.get(entry.id)?;
         let newer = record.is_dead() || record.member.refutation > entry.refutation;
         newer.then(|| self.current_update(entry.id)).flatten()
     }
 
+    /// Returns updates for the living members of a bucket that are not in `entries`.
     fn members_missing_in(&self, bucket: u8, entries: &[MemberDigest]) -> Vec<MemberUpdate> {
         let members = self.table.bucket_members(bucket);
         members
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of members with its indices.
+//! Member table with its indices.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,29 +7,29 @@
 
 use crate::member::{Member, MemberState};
 use crate::message::{MemberDigest, RefutationNumber};
+use crate::peer_set::PeerSet;
 use crate::proof::DeathProof;
-use crate::roster::Roster;
 
-/// Number of parts in which two tables are compared.
+/// Number of buckets in which two tables are compared.
 pub(crate) const BUCKETS: u8 = 64;
 
-/// A member and the evidence about it.
+/// Member with the evidence about it.
 #[derive(Debug)]
-pub(crate) struct Record {
+pub(crate) struct MemberRecord {
     pub(crate) member: Member,
-    /// The router itself said that it stops.
+    /// The router itself announced that it stops.
     pub(crate) announced_leaving: bool,
-    /// The platform says that its machine goes.
+    /// The platform lists its machine as leaving.
     pub(crate) listed_leaving: bool,
     pub(crate) known_since: Timestamp,
-    /// Version of the machine list that had its machine, read long enough
-    /// after the router became known.
+    /// Latest version of the machine list that included its machine and was read
+    /// at least `max_list_lag` after the router became known.
     pub(crate) listed: Option<u64>,
     pub(crate) proof: Option<DeathProof>,
     died_at: Option<Timestamp>,
 }
 
-impl Record {
+impl MemberRecord {
     pub(crate) fn is_dead(&self) -> bool {
         self.member.state == MemberState::Dead
     }
@@ -38,27 +38,29 @@
         self.announced_leaving || self.listed_leaving
     }
 
+    /// Returns whether a later process is proven to run on the same machine.
     pub(crate) fn is_superseded(&self) -> bool {
         matches!(self.proof, Some(DeathProof::LaterIncarnation { .. }))
     }
 }
 
-/// The members of one of the parts.
+/// Living members of one bucket.
 #[derive(Debug, Default)]
 struct Bucket {
     ids: BTreeSet<RouterId>,
+    /// XOR of the hashes of the members and their refutation numbers.
     hash: u64,
 }
 
-/// Every member known, this router included. Dead ones are bounded in time
-/// and number.
+/// All known members, including this router. Dead members are limited in age and
+/// number.
 #[derive(Debug)]
 pub(crate) struct MemberTable {
     own: RouterId,
-    records: BTreeMap<RouterId, Record>,
-    /// The latest life known on each machine.
+    records: BTreeMap<RouterId, MemberRecord>,
+    /// Latest router process known on each machine.
     by_machine: BTreeMap<MachineName, RouterId>,
-    roster: Roster,
+    live_peers: PeerSet,
     dead: BTreeSet<(Timestamp, RouterId)>,
     buckets: Vec<Bucket>,
 }
@@ -69,7 +71,7 @@
             own: own.id,
             records: BTreeMap::new(),
             by_machine: BTreeMap::new(),
-            roster: Roster::default(),
+            live_peers: PeerSet::default(),
             dead: BTreeSet::new(),
             buckets: (0..BUCKETS).map(|_| Bucket::default()).collect(),
         };
@@ -77,39 +79,40 @@
         table
     }
 
-    pub(crate) fn get(&self, id: RouterId) -> Option<&Record> {
+    pub(crate) fn get(&self, id: RouterId) -> Option<&MemberRecord> {
         self.records.get(&id)
     }
 
-    /// For changes that touch neither refutation nor death.
-    pub(crate) fn get_mut(&mut self, id: RouterId) -> Option<&mut Record> {
+    /// Returns a record for changes that affect neither its refutation number nor
+    /// whether it is dead; the indices depend on both.
+    pub(crate) fn get_mut(&mut self, id: RouterId) -> Option<&mut MemberRecord> {
         self.records.get_mut(&id)
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = &Record> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records.values()
     }
 
-    /// The latest life known on a machine.
-    pub(crate) fn on_machine(&self, machine: &MachineName) -> Option<&Record> {
+    /// Returns the latest router process known on a machine.
+    pub(crate) fn latest_on_machine(&self, machine: &MachineName) -> Option<&MemberRecord> {
         self.records.get(self.by_machine.get(machine)?)
     }
 
-    /// The routers other than this one that are not dead.
-    pub(crate) fn roster(&self) -> &Roster {
-        &self.roster
+    /// Returns the routers other than this one that are not dead.
+    pub(crate) fn live_peers(&self) -> &PeerSet {
+        &self.live_peers
     }
 
-    pub(crate) fn roster_mut(&mut self) -> &mut Roster {
-        &mut self.roster
+    pub(crate) fn live_peers_mut(&mut self) -> &mut PeerSet {
+        &mut self.live_peers
     }
 
-    /// Number of members that are not dead, this router included.
+    /// Returns the number of members that are not dead, including this router.
     pub(crate) fn living_count(&self) -> usize {
-        self.roster.len() + 1
+        self.live_peers.len() + 1
     }
 
-    /// Adds a member that is alive.
+    /// Adds a member as alive.
     pub(crate) fn insert(
         &mut self,
         now: Timestamp,
@@ -123,7 +126,7 @@
             state: MemberState::Alive,
             refutation,
         };
-        let record = Record {
+        let record = MemberRecord {
             member,
             announced_leaving: false,
             listed_leaving: false,
@@ -133,11 +136,12 @@
             died_at: None,
         };
         self.records.insert(id, record);
-        self.enter_living(id, refutation);
+        self.add_living(id, refutation);
     }
 
-    /// Raises a member's number; a dead member lives again.
-    pub(crate) fn refute(&mut self, id: RouterId, refutation: RefutationNumber) {
+    /// Sets a higher refutation number of a member. A dead member becomes alive
+    /// again.
+    pub(crate) fn set_refutation(&mut self, id: RouterId, refutation: RefutationNumber) {
         let Some(record) = self.records.get_mut(&id) else {
             return;
         };
@@ -148,13 +152,13 @@
             record.proof = None;
             self.dead.remove(&(died_at, id));
         } else {
-            self.leave_living(id, before);
+            self.remove_living(id, before);
         }
-        self.enter_living(id, refutation);
+        self.add_living(id, refutation);
     }
 
     /// Marks a member as dead.
-    pub(crate) fn bury(&mut self, now: Timestamp, id: RouterId, refutation: RefutationNumber) {
+    pub(crate) fn mark_dead(&mut self, now: Timestamp, id: RouterId, refutation: RefutationNumber) {
         let Some(record) = self.records.get_mut(&id) else {
             return;
         };
@@ -165,24 +169,25 @@
         record.member.refutation = refutation;
         record.member.state = MemberState::Dead;
         record.died_at = Some(now);
-        self.leave_living(id, before);
+        self.remove_living(id, before);
         self.dead.insert((now, id));
     }
 
-    /// Forgets members dead since before `since`, and the oldest ones beyond
-    /// `max_dead_members`.
-    pub(crate) fn forget_dead(&mut self, since: Timestamp, max_dead_members: usize) {
+    /// Removes members that died before `since`, and those that died first while
+    /// there are more than `max_dead_members`.
+    pub(crate) fn prune_dead(&mut self, since: Timestamp, max_dead_members: usize) {
         while let Some(&(died_at, id)) = self.dead.first() {
             if died_at >= since && self.dead.len() <= max_dead_members {
                 return;
             }
             self.dead.pop_first();
-            self.forget(id);
+            self.remove(id);
         }
     }
 
-    /// A dead member that may in truth live, the `number`th, counted around.
-    pub(crate) fn dead_at(&self, number: usize) -> Option<&Record> {
+    /// Returns the dead member at position `number`, modulo their count, unless it
+    /// was superseded. The member may in fact be alive.
+    pub(crate) fn nth_dead(&self, number: usize) -> Option<&MemberRecord> {
         let index = number.checked_rem(self.dead.len())?;
         let (_, id) = self.dead.iter().nth(index)?;
         self.records
@@ -190,9 +195,9 @@
             .filter(|record| !record.is_superseded())
     }
 
-    /// Short hash of each bucket over its living members and their numbers.
-    /// Two that differ agree by chance once in 65,536 times, and not for long,
-    /// because any change of the bucket changes both.
+    /// Returns a 16-bit hash of each bucket over its living members and their
+    /// refutation numbers. Two different buckets have equal hashes once in 65,536
+    /// cases, and not for long, because any change of the bucket changes both.
     pub(crate) fn bucket_hashes(&self) -> Vec<u16> {
         self.buckets
             .iter()
@@ -200,13 +205,13 @@
             .collect()
     }
 
-    /// The living members of a bucket.
-    pub(crate) fn bucket_members(&self, bucket: u8) -> impl Iterator<Item = &Record> {
+    /// Iterates over the living members of a bucket.
+    pub(crate) fn bucket_members(&self, bucket: u8) -> impl Iterator<Item = &MemberRecord> {
         let ids = self.buckets[usize::from(bucket % BUCKETS)].ids.iter();
         ids.filter_map(|id| self.records.get(id))
     }
 
-    fn forget(&mut self, id: RouterId) {
+    fn remove(&mut self, id: RouterId) {
         let Some(record) = self.records.remove(&id) else {
             return;
         };
@@ -216,24 +221,27 @@
         }
     }
 
-    fn enter_living(&mut self, id: RouterId, refutation: RefutationNumber) {
+    /// Adds a member that is not dead to the indices of living members.
+    fn add_living(&mut self, id: RouterId, refutation: RefutationNumber) {
         if id != self.own {
-            self.roster.insert(id);
+            self.live_peers.insert(id);
         }
-        let bucket = &mut self.buckets[bucket_of(id)];
+        let bucket = &mut self.buckets[bucket_index(id)];
         bucket.ids.insert(id);
         bucket.hash ^= digest_hash(MemberDigest { id, refutation });
     }
 
-    fn leave_living(&mut self, id: RouterId, refutation: RefutationNumber) {
-        self.roster.remove(id);
-        let bucket = &mut self.buckets[bucket_of(id)];
+    /// Removes a member from the indices of living members. `refutation` is the
+    /// number with which it was added.
+    fn remove_living(&mut self, id: RouterId, refutation: RefutationNumber) {
+        self.live_peers.remove(id);
+        let bucket = &mut self.buckets[bucket_index(id)];
         bucket.ids.remove(&id);
         bucket.hash ^= digest_hash(MemberDigest { id, refutation });
     }
 }
 
-fn bucket_of(id: RouterId) -> usize {
+fn bucket_index(id: RouterId) -> usize {
     let hash = xxh3_64(&id.0.to_be_bytes());
     (hash % u64::from(BUCKETS)) as usize
 }
--- a/crates/membership/src/timers.rs
+++ b/crates/membership/src/timers.rs
@@ -1,4 +1,4 @@
-//! What is due by time: probes, suspicions, gossip, contacts, forgetting.
+//! Periodic work: probes, suspicions, gossip, contacts and removal of dead members.
 
 use threadledge_types::{RouterId, Timestamp};
 
@@ -6,32 +6,34 @@
 use crate::message::{MemberUpdate, MessageBody};
 use crate::prober::{Probe, ProbeStep};
 
-/// Every so many contacts a dead member is tried in place of a machine of the
-/// list, so that a partition heals even without the list.
+/// Number of contact rounds after which a dead member is contacted as well, so
+/// that a partition heals even without the machine list.
 const DEAD_CONTACT_PERIOD: usize = 4;
 
-/// How much a probe in which nobody answered worsens this router's health.
+/// Amount by which a probe that nobody answered worsens the local health score.
 const ISOLATION_PENALTY: u32 = 2;
-/// Most suspects passed over in the search for a member to probe.
-const MAX_PASSED_OVER: usize = 8;
+/// Maximum number of suspects skipped in the search for a member to probe.
+const MAX_SKIPPED: usize = 8;
 
 impl Membership {
+    /// Runs all work that is due.
     pub(crate) fn run_timers(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
         self.run_probe(now, outputs);
-        self.run_relays(now, outputs);
+        self.expire_indirect_probes(now, outputs);
         self.run_suspicions(now, outputs);
         self.run_contacts(now, outputs);
         self.run_sync(now, outputs);
         self.run_gossip(now, outputs);
     }
 
+    /// Returns when the next work is due.
     pub(crate) fn compute_next_wakeup(&self, now: Timestamp) -> Timestamp {
         let mut next = self.prober.next_wakeup().min(self.next_contact_at);
         next = next.min(now + self.settings.probe_interval);
         if let Some(deadline) = self.suspicions.next_wakeup() {
             next = next.min(deadline);
         }
-        if self.table.roster().len() > 0 {
+        if self.table.live_peers().len() > 0 {
             next = next.min(self.sync.next_at());
             if !self.gossip.is_empty() {
                 next = next.min(self.next_gossip_at);
@@ -42,8 +44,8 @@
 
     fn run_probe(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
         match self.prober.advance(now) {
-            Some(ProbeStep::AskOthers(target, sequence)) => {
-                self.ask_others(target, sequence, outputs);
+            Some(ProbeStep::RequestIndirect(target, sequence)) => {
+                self.request_indirect_probes(target, sequence, outputs);
             }
             Some(ProbeStep::Failed(probe)) => self.probe_failed(now, &probe, outputs),
             None => {}
@@ -54,7 +56,7 @@
     }
 
     fn begin_probe(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
-        self.forget_dead(now);
+        self.prune_dead(now);
         let multiplier = self.health.multiplier();
         let interval = self.settings.probe_interval * multiplier;
         let Some(target) = self.next_target() else {
@@ -66,11 +68,12 @@
         self.send_to_member(target, MessageBody::Ping { sequence }, outputs);
     }
 
-    /// The next member to probe, in a random round. Suspects are passed over,
-    /// for they are asked already; this matters when many fail at once.
+    /// Returns the next member to probe, in random order. Suspects are skipped
+    /// because they are being pinged already, which matters when many fail at
+    /// once.
     fn next_target(&mut self) -> Option<RouterId> {
-        for _ in 0..MAX_PASSED_OVER {
-            let target = self.table.roster_mut().next(&mut self.random)?;
+        for _ in 0..MAX_SKIPPED {
+            let target = self.table.live_peers_mut().next(&mut self.rng)?;
             if !self.suspicions.contains(target) {
                 return Some(target);
             }
@@ -78,26 +81,33 @@
         None
     }
 
-    fn ask_others(&mut self, target: RouterId, sequence: u64, outputs: &mut Vec<Output>) {
+    /// Asks other members to probe a member that did not answer.
+    fn request_indirect_probes(
+        &mut self,
+        target: RouterId,
+        sequence: u64,
+        outputs: &mut Vec<Output>,
+    ) {
         let Some(record) = self.table.get(target) else {
             return;
         };
         let identity = record.member.identity.clone();
         let count = self.settings.indirect_probes;
-        let relays = self
+        let helpers = self
             .table
-            .roster()
-            .sample(&mut self.random, count, Some(target));
-        self.prober.asked_relays(relays.len());
-        // Once more directly as well: often just one message was lost.
+            .live_peers()
+            .sample(&mut self.rng, count, Some(target));
+        self.prober.record_helpers(helpers.len());
+        // Also ping directly again: often only a single message was lost.
         self.send_to_member(target, MessageBody::Ping { sequence }, outputs);
-        for relay in relays {
+        for helper in helpers {
             let target = identity.clone();
             let body = MessageBody::PingRequest { sequence, target };
-            self.send_to_member(relay, body, outputs);
+            self.send_to_member(helper, body, outputs);
         }
     }
 
+    /// Suspects the target of a failed probe.
     fn probe_failed(&mut self, now: Timestamp, probe: &Probe, outputs: &mut Vec<Output>) {
         if probe.is_isolated() {
             self.health.worsen(ISOLATION_PENALTY);
@@ -112,18 +122,18 @@
             let update = MemberUpdate::Suspect { id, refutation, by };
             self.gossip.push(update);
         }
-        let shortest = self.shortest_suspicion();
-        for relay in probe.refusals() {
-            self.suspicions.accuse(now, id, *relay, shortest);
+        let min_timeout = self.min_suspicion();
+        for helper in probe.nacks() {
+            self.suspicions.add_report(now, id, *helper, min_timeout);
         }
-        self.suspicions.saw_failure(id);
-        self.tell_suspect(now, id, outputs);
+        self.suspicions.mark_observed(id);
+        self.ping_suspect(now, id, outputs);
     }
 
-    /// Tells a member that it is suspect here, now and again later, so that
-    /// it can contradict in time if it lives. Its answer carries the
-    /// contradiction.
-    fn tell_suspect(&mut self, now: Timestamp, id: RouterId, outputs: &mut Vec<Output>) {
+    /// Tells a member that it is suspect here, and schedules a reminder, so that it
+    /// can refute the suspicion in time if it is alive. Its answer to the ping
+    /// carries the refutation.
+    fn ping_suspect(&mut self, now: Timestamp, id: RouterId, outputs: &mut Vec<Output>) {
         let Some(record) = self.table.get(id) else {
             return;
         };
@@ -135,11 +145,12 @@
         let body = MessageBody::Ping { sequence };
         self.send_with(to, Some(id), body, updates, outputs);
         let again_at = now + self.settings.probe_timeout / 2;
-        self.suspicions.remind_at(id, again_at);
+        self.suspicions.schedule_reminder(id, again_at);
     }
 
-    fn run_relays(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
-        while let Some(request) = self.prober.take_expired_relay(now) {
+    /// Reports indirect probes that got no answer in time to their requesters.
+    fn expire_indirect_probes(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
+        while let Some(request) = self.prober.pop_expired_indirect(now) {
             let body = MessageBody::IndirectNack {
                 sequence: request.sequence,
             };
@@ -147,11 +158,12 @@
         }
     }
 
+    /// Sends due reminders and marks members as dead whose suspicion expired.
     fn run_suspicions(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
-        while let Some(id) = self.suspicions.take_reminder(now) {
-            self.tell_suspect(now, id, outputs);
+        while let Some(id) = self.suspicions.pop_reminder(now) {
+            self.ping_suspect(now, id, outputs);
         }
-        while let Some(id) = self.suspicions.take_expired(now) {
+        while let Some(id) = self.suspicions.pop_expired(now) {
             let Some(record) = self.table.get(id) else {
                 continue;
             };
@@ -162,21 +174,21 @@
         }
     }
 
-    /// Calls on a machine of the list without a living router, or on a dead
-    /// member that may in truth live.
+    /// Pings listed machines without a router that is known to be alive, and
+    /// sometimes a dead member, which may in fact be alive.
     fn run_contacts(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
         if now < self.next_contact_at {
             return;
         }
         self.next_contact_at = now + self.settings.probe_interval;
         self.contact_count += 1;
-        let count = if self.table.roster().len() == 0 {
+        let count = if self.table.live_peers().len() == 0 {
             self.settings.gossip_fanout
         } else {
             1
         };
         for _ in 0..count {
-            if let Some(to) = self.machines.next_unseen() {
+            if let Some(to) = self.machines.next_unreached() {
                 let sequence = self.prober.next_sequence();
                 self.send(to, None, MessageBody::Ping { sequence }, outputs);
             }
@@ -186,9 +198,10 @@
         }
     }
 
+    /// Pings a dead member, each in turn.
     fn contact_dead(&mut self, outputs: &mut Vec<Output>) {
         let number = self.contact_count / DEAD_CONTACT_PERIOD;
-        let Some(record) = self.table.dead_at(number) else {
+        let Some(record) = self.table.nth_dead(number) else {
             return;
         };
         let to = record.member.identity.peer_address;
@@ -205,10 +218,10 @@
         self.send_gossip(outputs);
     }
 
-    /// Sends the same round of news to a few random members.
+    /// Sends queued updates to a few random members.
     pub(crate) fn send_gossip(&mut self, outputs: &mut Vec<Output>) {
         let fanout = self.settings.gossip_fanout;
-        let receivers = self.table.roster().sample(&mut self.random, fanout, None);
+        let receivers = self.table.live_peers().sample(&mut self.rng, fanout, None);
         for receiver in receivers {
             if !self.gossip.is_empty() {
                 self.send_to_member(receiver, MessageBody::Gossip, outputs);
@@ -216,19 +229,19 @@
         }
     }
 
-    fn forget_dead(&mut self, now: Timestamp) {
+    /// Removes dead members beyond the retention time and the maximum number.
+    fn prune_dead(&mut self, now: Timestamp) {
         let retention = self.settings.dead_retention;
         if now.since(Timestamp::ZERO) >= retention {
             let since = now - retention;
-            self.table
-                .forget_dead(since, self.settings.max_dead_members);
+            self.table.prune_dead(since, self.settings.max_dead_members);
         } else {
             self.table
-                .forget_dead(Timestamp::ZERO, self.settings.max_dead_members);
+                .prune_dead(Timestamp::ZERO, self.settings.max_dead_members);
         }
     }
 
-    /// Sends a message to a member, with news if there are any.
+    /// Sends a message to a member, with queued updates if there are any.
     pub(crate) fn send_to_member(
         &mut self,
         id: RouterId,
