--- a/crates/consensus/src/role.rs
+++ b/crates/consensus/src/role.rs
@@ -19,8 +19,8 @@
     Leader,
     /// Was removed from the group.
     Removed,
-    /// Belongs to a generation that a newer one has replaced; the node no
-    /// longer takes part.
+    /// The group was founded again as a newer generation without this node's
+    /// log; the node no longer takes part.
     Retired,
 }
 
--- a/crates/consensus/tests/consensus/arbitrary_input.rs
+++ b/crates/consensus/tests/consensus/arbitrary_input.rs
@@ -1,4 +1,4 @@
-//! Messages that no correct peer would send, in any order.
+//! Fuzz test with arbitrary messages, including those that no correct peer sends.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use threadledge_consensus::{AppendOutcome, Body, Entry, Payload, Snapshot};
@@ -8,7 +8,8 @@
 use crate::cluster::{Cluster, TestMessage, identity};
 
 const RUNS: u64 = 300;
-/// Random bytes of one run; arbtest takes the number from the seed's low half.
+/// Number of random bytes per run; arbtest takes it from the lower half of the
+/// seed.
 const RUN_BYTES: u64 = 4_096;
 
 fn number(input: &mut Unstructured<'_>) -> Result<u64> {
@@ -116,7 +117,7 @@
         let longest = now + node.settings().timing.leader_lease();
         assert!(
             node.leader_lease_until() <= longest,
-            "lease from the future"
+            "lease is longer than allowed"
         );
         vote = (node.term(), node.voted_for());
         commit_index = node.commit_index();
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn node_survives_arbitrary_messages_and_keeps_its_own_promises() {
+fn node_survives_arbitrary_messages_and_keeps_its_invariants() {
     let cluster = Cluster::with_voters(1, 3);
     for run in 0..RUNS {
         let seed = run << 32 | RUN_BYTES;
--- a/crates/consensus/tests/consensus/checker.rs
+++ b/crates/consensus/tests/consensus/checker.rs
@@ -1,4 +1,4 @@
-//! Invariants that are checked after every step of a run.
+//! Consensus invariants, checked after every step of a run.
 
 use std::collections::BTreeMap;
 
@@ -6,8 +6,8 @@
 use threadledge_consensus::{CommittedEntry, Node, Payload, Role};
 use threadledge_types::RouterId;
 
-/// State of the test application: how many commands it applied, and a digest
-/// of them in order.
+/// State of the test application: the number of applied commands and a hash of
+/// them that depends on their order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Digest {
     pub applied: u64,
@@ -23,16 +23,17 @@
 
 pub type TestNode = Node<u64, Digest>;
 
-/// What has been seen so far in one run of one generation.
+/// Observations in one generation of one run.
 #[derive(Clone, Debug, Default)]
 pub struct Checker {
     /// Leader of each term.
     pub leaders: BTreeMap<u64, RouterId>,
-    /// Committed entries by index, as first handed out.
+    /// Committed entries by index, as first returned by any node.
     pub committed: BTreeMap<u64, Payload<u64>>,
-    /// State of the application after each index, as first reached.
+    /// Application state after each index, as first reached by any node.
     states: BTreeMap<u64, Digest>,
-    /// Each entry ever logged, and the term of the one before it.
+    /// Every entry seen in a log by index and term, with the term of its
+    /// predecessor if known.
     logged: BTreeMap<(u64, u64), (Payload<u64>, Option<u64>)>,
     commit_indices: BTreeMap<RouterId, u64>,
 }
@@ -54,8 +55,9 @@
         }
     }
 
-    /// An index and a term name one entry and one predecessor in all logs; by
-    /// induction, logs that agree there agree in all before.
+    /// Checks the log matching property: an index and a term identify one entry and
+    /// one predecessor in all logs. By induction, logs that agree at an index agree
+    /// on all earlier entries.
     fn check_log_matching(&mut self, node: &TestNode) {
         let log = node.log();
         let unsettled = node.commit_index().max(log.first_index());
@@ -74,6 +76,7 @@
         }
     }
 
+    /// Checks that a new leader holds every committed entry.
     fn check_leader_completeness(&self, node: &TestNode) {
         for (index, payload) in &self.committed {
             let held = node.log().entry(*index).map(|entry| &entry.payload);
@@ -86,7 +89,7 @@
         }
     }
 
-    /// Checks an entry that was handed out, and `state` after it.
+    /// Checks a committed entry and the application state after it.
     pub fn check_committed(&mut self, entry: &CommittedEntry<u64>, state: Digest) {
         let index = entry.revision.index;
         let first = self
@@ -97,7 +100,7 @@
         self.check_state(index, state);
     }
 
-    /// Checks the state of an application at `index`.
+    /// Checks that all applications reach the same state at `index`.
     pub fn check_state(&mut self, index: u64, state: Digest) {
         let first = *self.states.entry(index).or_insert(state);
         assert_eq!(first, state, "two states at {index}");
--- a/crates/consensus/tests/consensus/cluster.rs
+++ b/crates/consensus/tests/consensus/cluster.rs
@@ -1,6 +1,6 @@
-//! Nodes on a simulated network with virtual time: messages are dropped,
-//! delayed, repeated and reordered, links cut, processes paused and lost, and
-//! each clock runs at its own rate. A seed fixes the whole run.
+//! Cluster of nodes on a simulated network in virtual time. Messages are dropped,
+//! delayed, duplicated and reordered, links are cut, processes are paused and
+//! killed, and each clock runs at its own rate. The seed determines the whole run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,11 +33,11 @@
     }
 }
 
-/// One process.
+/// Simulated process with one node.
 pub struct Process {
     pub node: TestNode,
     pub state: Digest,
-    /// Clock rate in parts of a thousand.
+    /// Clock rate in thousandths of the true rate.
     rate: u64,
     offset: u64,
     paused_until: u64,
@@ -49,41 +49,41 @@
         Timestamp::from_micros(self.offset + now * self.rate / 1_000)
     }
 
-    fn plan_wakeup(&mut self, now: u64) {
+    fn schedule_wakeup(&mut self, now: u64) {
         let local = self.node.next_wakeup(self.clock(now)).as_micros();
         let real = local.saturating_sub(self.offset).saturating_mul(1_000) / self.rate;
         self.wake_at = real.max(now) + 1;
     }
 }
 
-/// A message that was taken off the network.
+/// Message that was removed from the network.
 #[derive(Clone)]
-pub struct Delayed((RouterId, TestMessage));
+pub struct Intercepted((RouterId, TestMessage));
 
-impl Delayed {
+impl Intercepted {
     pub fn sender(&self) -> RouterId {
         self.0.1.sender.id
     }
 }
 
-/// How the network treats messages, in parts of a thousand and microseconds.
+/// Fault rates of the network, in thousandths, and its delay in microseconds.
 #[derive(Clone, Copy)]
 pub struct Faults {
     pub drop: u64,
     pub duplicate: u64,
-    pub longest_delay: u64,
-    /// Inputs after which the owner does not ask for what to carry out, but
-    /// only after a later one.
-    pub late_ready: u64,
+    pub max_delay: u64,
+    /// Share of inputs after which the owner does not call `ready`, but only after
+    /// a later input.
+    pub delayed_ready: u64,
 }
 
 const RELIABLE: Faults = Faults {
     drop: 0,
     duplicate: 0,
-    longest_delay: 2 * MILLISECOND,
-    late_ready: 0,
+    max_delay: 2 * MILLISECOND,
+    delayed_ready: 0,
 };
-const SHORTEST_DELAY: u64 = 500;
+const MIN_DELAY: u64 = 500;
 
 pub struct Cluster {
     pub now: u64,
@@ -91,14 +91,14 @@
     pub processes: BTreeMap<RouterId, Process>,
     pub checkers: BTreeMap<Generation, Checker>,
     pub faults: Faults,
-    /// Links that are cut, by sender and receiver.
-    pub cut: BTreeSet<(RouterId, RouterId)>,
-    /// Messages on their way, by time of arrival and a serial number.
+    /// Cut links, by sender and receiver.
+    pub cut_links: BTreeSet<(RouterId, RouterId)>,
+    /// Messages in transit, by time of arrival and serial number.
     pub in_flight: BTreeMap<(u64, u64), (RouterId, TestMessage)>,
-    /// Messages of these kinds are lost while the test says so.
-    pub lose: Option<fn(&TestMessage) -> bool>,
+    /// Messages for which the filter returns true are lost.
+    pub drop_filter: Option<fn(&TestMessage) -> bool>,
     pub messages_sent: u64,
-    generator: ChaCha8Rng,
+    rng: ChaCha8Rng,
     serial: u64,
     next_id: u64,
 }
@@ -120,20 +120,20 @@
             processes: BTreeMap::new(),
             checkers: BTreeMap::new(),
             faults: RELIABLE,
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             in_flight: BTreeMap::new(),
-            lose: None,
+            drop_filter: None,
             messages_sent: 0,
-            generator: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             serial: 0,
             next_id: 1,
         }
     }
 
-    /// A founded group that has grown to `voters` voters.
+    /// Founds a group and grows it to `voters` voters.
     pub fn with_voters(seed: u64, voters: usize) -> Self {
         let mut cluster = Cluster::new(seed);
-        cluster.found(Generation(1), None);
+        cluster.bootstrap(Generation(1), None);
         while cluster.leader().members().voters.len() < voters {
             let id = cluster.add_learner();
             cluster.promote(id);
@@ -142,12 +142,12 @@
         cluster
     }
 
-    /// A number below `bound`.
-    pub fn draw(&mut self, bound: u64) -> u64 {
-        self.generator.next_u64() % bound.max(1)
+    /// Returns a random number below `bound`.
+    pub fn random_below(&mut self, bound: u64) -> u64 {
+        self.rng.next_u64() % bound.max(1)
     }
 
-    pub fn found(&mut self, generation: Generation, state: Option<Digest>) -> RouterId {
+    pub fn bootstrap(&mut self, generation: Generation, state: Option<Digest>) -> RouterId {
         self.start(|settings, identity, now| {
             TestNode::bootstrap(settings, identity, generation, state, now)
         })
@@ -164,10 +164,10 @@
         let id = RouterId(self.next_id);
         self.next_id += 1;
         let drift = self.settings.timing.drift_percent * 10;
-        let rate = 1_000 + self.draw(drift + 1);
-        let offset = 100 * SECOND + self.draw(100 * SECOND);
+        let rate = 1_000 + self.random_below(drift + 1);
+        let offset = 100 * SECOND + self.random_below(100 * SECOND);
         let settings = Settings {
-            seed: self.generator.next_u64(),
+            seed: self.rng.next_u64(),
             ..self.settings.clone()
         };
         let clock = Timestamp::from_micros(offset + self.now * rate / 1_000);
@@ -180,7 +180,7 @@
             wake_at: self.now,
         };
         self.processes.insert(id, process);
-        self.settle(id);
+        self.process_ready(id);
         id
     }
 
@@ -188,21 +188,24 @@
         &self.processes[&id].node
     }
 
-    /// Calls `act` on a node with its clock, then carries out what it hands
-    /// out.
-    pub fn with<T>(&mut self, id: RouterId, act: impl FnOnce(&mut TestNode, Timestamp) -> T) -> T {
+    /// Calls `act` on a node with its clock, then processes its `Ready`.
+    pub fn with_node<T>(
+        &mut self,
+        id: RouterId,
+        act: impl FnOnce(&mut TestNode, Timestamp) -> T,
+    ) -> T {
         let now = self.now;
         let process = self.processes.get_mut(&id).expect("a running process");
         let clock = process.clock(now);
         let result = act(&mut process.node, clock);
-        process.plan_wakeup(now);
-        if self.draw(1_000) >= self.faults.late_ready {
-            self.settle(id);
+        process.schedule_wakeup(now);
+        if self.random_below(1_000) >= self.faults.delayed_ready {
+            self.process_ready(id);
         }
         result
     }
 
-    /// The leader of the highest term, if any node leads.
+    /// Returns the leader of the highest term, if any node leads.
     pub fn leader_id(&self) -> Option<RouterId> {
         let leaders = self.processes.values().map(|process| &process.node);
         leaders
@@ -217,14 +220,14 @@
 
     pub fn propose(&mut self, command: u64) -> u64 {
         let leader = self.leader_id().expect("a leader");
-        self.with(leader, |node, now| node.propose(now, command))
-            .expect("proposal is taken")
+        self.with_node(leader, |node, now| node.propose(now, command))
+            .expect("proposal is accepted")
     }
 
     pub fn change(&mut self, change: MemberChange) -> u64 {
         let leader = self.leader_id().expect("a leader");
-        self.with(leader, |node, now| node.propose_member_change(now, change))
-            .expect("member change is taken")
+        self.with_node(leader, |node, now| node.propose_member_change(now, change))
+            .expect("member change is accepted")
     }
 
     pub fn add_learner(&mut self) -> RouterId {
@@ -239,7 +242,7 @@
         self.run(SECOND / 2);
     }
 
-    /// Lets a process's clock run at `rate` thousandths from now on.
+    /// Sets the rate of a process's clock, in thousandths, from now on.
     pub fn set_clock_rate(&mut self, id: RouterId, rate: u64) {
         let now = self.now;
         let process = self.processes.get_mut(&id).expect("a running process");
@@ -248,22 +251,22 @@
         process.offset = reading - now * rate / 1_000;
     }
 
-    /// Takes the first message for which `wanted` holds off the network.
-    pub fn intercept(&mut self, wanted: impl Fn(RouterId, &TestMessage) -> bool) -> Delayed {
-        let mut on_their_way = self.in_flight.iter();
-        let found = on_their_way.find(|(_, (to, message))| wanted(*to, message));
-        let key = *found.expect("such a message on its way").0;
-        Delayed(self.in_flight.remove(&key).expect("the message"))
+    /// Removes the first message that matches `predicate` from the network.
+    pub fn intercept(&mut self, predicate: impl Fn(RouterId, &TestMessage) -> bool) -> Intercepted {
+        let mut in_flight = self.in_flight.iter();
+        let found = in_flight.find(|(_, (to, message))| predicate(*to, message));
+        let key = *found.expect("a matching message in transit").0;
+        Intercepted(self.in_flight.remove(&key).expect("the message"))
     }
 
-    /// Puts a message on the network again, to arrive at once.
-    pub fn release(&mut self, delayed: Delayed) {
+    /// Puts a message back on the network, to arrive immediately.
+    pub fn release(&mut self, delayed: Intercepted) {
         self.serial += 1;
         self.in_flight.insert((self.now, self.serial), delayed.0);
         self.run(MILLISECOND);
     }
 
-    /// Ends a process for good.
+    /// Ends a process permanently.
     pub fn kill(&mut self, id: RouterId) {
         self.processes.remove(&id);
     }
@@ -273,22 +276,23 @@
         process.paused_until = until;
     }
 
-    /// Cuts every link between `group` and the others.
+    /// Cuts all links between `group` and the other processes.
     pub fn isolate(&mut self, group: &[RouterId]) {
         let ids: Vec<RouterId> = self.processes.keys().copied().collect();
         for a in &ids {
             for b in &ids {
                 if group.contains(a) != group.contains(b) {
-                    self.cut.insert((*a, *b));
+                    self.cut_links.insert((*a, *b));
                 }
             }
         }
     }
 
+    /// Restores all links, the reliable network and paused processes.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.cut_links.clear();
         self.faults = RELIABLE;
-        self.lose = None;
+        self.drop_filter = None;
         for process in self.processes.values_mut() {
             process.paused_until = 0;
         }
@@ -302,17 +306,19 @@
         self.check_leases();
     }
 
-    /// Runs until `done` holds; fails after `limit`. Returns the time passed.
-    pub fn run_until(&mut self, limit: u64, done: impl Fn(&Cluster) -> bool) -> u64 {
+    /// Runs until `condition` is true and returns the time passed. Fails after
+    /// `limit`.
+    pub fn run_until(&mut self, limit: u64, condition: impl Fn(&Cluster) -> bool) -> u64 {
         let start = self.now;
-        while !done(self) {
+        while !condition(self) {
             assert!(self.now < start + limit, "not reached in time");
             self.run(MILLISECOND);
         }
         self.now - start
     }
 
-    /// Carries out the next event before `end`.
+    /// Executes the next event, unless it is after `end`. Returns whether there was
+    /// one.
     fn step(&mut self, end: u64) -> bool {
         let message = self.in_flight.keys().next().copied();
         let arrival = message.map_or(u64::MAX, |(at, _)| at);
@@ -330,7 +336,7 @@
             self.deliver(key);
         } else {
             self.now = self.now.max(wakeup.0);
-            self.with(wakeup.1, |node, now| node.tick(now));
+            self.with_node(wakeup.1, |node, now| node.tick(now));
         }
         self.check_leases();
         true
@@ -344,17 +350,17 @@
             return;
         };
         if process.paused_until > self.now {
-            // Waits in the paused process's receive buffer.
+            // The message waits in the receive buffer of the paused process.
             let resumed = (process.paused_until, key.1);
             self.in_flight.insert(resumed, (to, message));
             return;
         }
         let from = message.sender.id;
-        self.with(to, |node, now| node.step(now, from, message));
+        self.with_node(to, |node, now| node.step(now, from, message));
     }
 
-    /// Carries out what a node hands out, and checks it.
-    fn settle(&mut self, id: RouterId) {
+    /// Processes the `Ready` of a node and checks the invariants.
+    fn process_ready(&mut self, id: RouterId) {
         let now = self.now;
         let process = self.processes.get_mut(&id).expect("a running process");
         let ready = process.node.ready();
@@ -363,7 +369,7 @@
             self.transmit(id, outgoing.to.id, outgoing.message);
         }
         let process = self.processes.get_mut(&id).expect("a running process");
-        process.plan_wakeup(now);
+        process.schedule_wakeup(now);
         let checker = self.checkers.entry(process.node.generation()).or_default();
         checker.check_node(&process.node);
         let bound = self.settings.max_log_entries();
@@ -392,21 +398,24 @@
 
     fn transmit(&mut self, from: RouterId, to: RouterId, message: TestMessage) {
         self.messages_sent += 1;
-        let lost = self.lose.is_some_and(|lose| lose(&message));
-        if lost || self.cut.contains(&(from, to)) || self.draw(1_000) < self.faults.drop {
+        let lost = self.drop_filter.is_some_and(|filter| filter(&message));
+        if lost
+            || self.cut_links.contains(&(from, to))
+            || self.random_below(1_000) < self.faults.drop
+        {
             return;
         }
-        let copies = 1 + u64::from(self.draw(1_000) < self.faults.duplicate);
+        let copies = 1 + u64::from(self.random_below(1_000) < self.faults.duplicate);
         for _ in 0..copies {
-            let delay = SHORTEST_DELAY + self.draw(self.faults.longest_delay);
+            let delay = MIN_DELAY + self.random_below(self.faults.max_delay);
             self.serial += 1;
             let key = (self.now + delay, self.serial);
             self.in_flight.insert(key, (to, message.clone()));
         }
     }
 
-    /// At most one node of a generation holds the leader lease, by its own
-    /// clock, at this instant; a paused one counts.
+    /// Checks that at most one node of a generation holds the leader lease now by
+    /// its own clock. Paused nodes count.
     fn check_leases(&self) {
         let mut holders = BTreeSet::new();
         for process in self.processes.values() {
--- a/crates/consensus/tests/consensus/elections.rs
+++ b/crates/consensus/tests/consensus/elections.rs
@@ -1,4 +1,4 @@
-//! Elections.
+//! Tests of leader elections.
 
 use threadledge_consensus::{Body, Message, Role};
 
@@ -7,7 +7,7 @@
 #[test]
 fn founder_leads_alone_and_commits_at_once() {
     let mut cluster = Cluster::new(1);
-    let id = cluster.found(threadledge_types::Generation(3), None);
+    let id = cluster.bootstrap(threadledge_types::Generation(3), None);
     let index = cluster.propose(7);
     assert_eq!(cluster.node(id).commit_index(), index);
     assert!(cluster.node(id).has_committed_in_term());
@@ -22,7 +22,7 @@
     cluster.run(SECOND / 10);
     cluster.kill(old);
     let waited = cluster.run_until(3 * SECOND, |cluster| cluster.leader_id().is_some());
-    assert!(waited >= SECOND / 4, "elected before the lease ran out");
+    assert!(waited >= SECOND / 4, "elected before the lease expired");
     let index = cluster.propose(2);
     cluster.run(SECOND);
     for process in cluster.processes.values() {
@@ -36,7 +36,7 @@
 fn votes_of_another_campaign_do_not_count() {
     let mut cluster = Cluster::with_voters(3, 3);
     let old = cluster.leader_id().expect("a leader");
-    cluster.lose = Some(|it| {
+    cluster.drop_filter = Some(|it| {
         matches!(
             it.body,
             Body::VoteResponse {
--- a/crates/consensus/tests/consensus/explorer.rs
+++ b/crates/consensus/tests/consensus/explorer.rs
@@ -1,9 +1,9 @@
-//! Every order of deliveries, repetitions and timeouts on a small group, up to
-//! a depth. States that were seen before are not gone on from.
+//! Exhaustive exploration of a small group: every order of deliveries, duplicates
+//! and timeouts up to a given depth. States seen before are not explored again.
 //!
-//! Time stands still: with election timeouts of zero, a timeout may happen at
-//! any moment and no voter is bound by a promise, so the runs include all
-//! those that clocks would allow, except for the lease, which is not looked at.
+//! Time does not advance. With election timeouts of zero, a timeout can happen at
+//! any moment and no voter withholds its vote, so the exploration includes every
+//! order of events that clocks could produce. It does not check the lease.
 
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -17,23 +17,23 @@
 
 const NOW: Timestamp = Timestamp::ZERO;
 
-/// One state of the whole group.
+/// State of the whole group.
 #[derive(Clone)]
-struct World {
-    /// Each with its fingerprint.
+struct ClusterState {
+    /// Nodes with their fingerprints.
     nodes: Vec<(u64, Rc<TestNode>)>,
-    /// Each with its fingerprint and receiver.
+    /// Undelivered messages with their fingerprints and receivers.
     messages: Vec<(u64, RouterId, Rc<TestMessage>)>,
     checker: Rc<Checker>,
     budget: Budget,
 }
 
-/// What may still happen.
+/// Number of events of each kind that may still happen.
 #[derive(Clone, Hash)]
 struct Budget {
-    /// Election timeouts, which ask for pre-votes.
+    /// Election timeouts, which start pre-votes.
     timeouts: usize,
-    /// Requests of the leader to campaign at once, which skip the pre-vote.
+    /// Requests by the leader to campaign immediately, which skip the pre-vote.
     campaigns: usize,
     duplicates: usize,
     proposals: u64,
@@ -42,7 +42,7 @@
 
 #[derive(Clone)]
 enum Action {
-    Deliver { message: usize, again: bool },
+    Deliver { message: usize, duplicate: bool },
     Timeout { node: usize },
     Campaign { node: usize },
     Propose { node: usize },
@@ -55,8 +55,8 @@
     hasher.finish()
 }
 
-impl World {
-    /// Three nodes, of which the first leads and the first `voters` vote.
+impl ClusterState {
+    /// Creates three nodes, of which the first leads and the first `voters` vote.
     fn new(voters: u64, budget: Budget) -> Self {
         let settings = Settings {
             timing: Timing {
@@ -68,7 +68,7 @@
         };
         let founder = TestNode::bootstrap(settings.clone(), identity(1), Generation(1), None, NOW);
         let joiners = (2..=3).map(|id| TestNode::join(settings.clone(), identity(id), NOW));
-        let mut world = World {
+        let mut state = ClusterState {
             nodes: std::iter::once(founder)
                 .chain(joiners)
                 .map(|node| (0, Rc::new(node)))
@@ -78,34 +78,34 @@
             budget,
         };
         for id in 2..=3 {
-            world.change_and_settle(MemberChange::AddLearner(identity(id)));
+            state.change_and_deliver(MemberChange::AddLearner(identity(id)));
             if id <= voters {
-                world.change_and_settle(MemberChange::Promote(RouterId(id)));
+                state.change_and_deliver(MemberChange::Promote(RouterId(id)));
             }
         }
-        world
+        state
     }
 
-    /// Lets the leader step down, so that all three nodes may vote.
+    /// Makes the leader step down, so that all three nodes can vote.
     fn without_leader(mut self) -> Self {
         let mut newer = self.timeout_now(0);
         newer.sender = identity(2);
         newer.term += 1;
         newer.body = Body::StaleTerm;
         self.node(0).step(NOW, RouterId(2), newer);
-        self.settle(0);
+        self.process_ready(0);
         self
     }
 
-    fn change_and_settle(&mut self, change: MemberChange) {
+    fn change_and_deliver(&mut self, change: MemberChange) {
         self.node(0)
             .propose_member_change(NOW, change)
-            .expect("change is taken");
-        self.settle(0);
+            .expect("change is accepted");
+        self.process_ready(0);
         while !self.messages.is_empty() {
-            self.act(&Action::Deliver {
+            self.apply(&Action::Deliver {
                 message: 0,
-                again: false,
+                duplicate: false,
             });
         }
     }
@@ -129,38 +129,38 @@
     fn actions(&self) -> Vec<Action> {
         let mut actions = Vec::new();
         for message in 0..self.messages.len() {
-            let again = false;
-            actions.push(Action::Deliver { message, again });
+            let duplicate = false;
+            actions.push(Action::Deliver { message, duplicate });
             if self.budget.duplicates > 0 {
-                let again = true;
-                actions.push(Action::Deliver { message, again });
+                let duplicate = true;
+                actions.push(Action::Deliver { message, duplicate });
             }
         }
         for (node, (_, it)) in self.nodes.iter().enumerate() {
-            let leads = it.role() == Role::Leader;
-            if !leads && self.budget.timeouts > 0 {
+            let is_leader = it.role() == Role::Leader;
+            if !is_leader && self.budget.timeouts > 0 {
                 actions.push(Action::Timeout { node });
             }
-            if !leads && self.budget.campaigns > 0 {
+            if !is_leader && self.budget.campaigns > 0 {
                 actions.push(Action::Campaign { node });
             }
-            if leads && self.budget.proposals > 0 {
+            if is_leader && self.budget.proposals > 0 {
                 actions.push(Action::Propose { node });
             }
-            if leads && !self.budget.changes.is_empty() {
+            if is_leader && !self.budget.changes.is_empty() {
                 actions.push(Action::Change { node });
             }
         }
         actions
     }
 
-    /// Returns whether more came of it than the loss of a message: a message
-    /// that is never delivered stands for a lost one, so a delivery that
+    /// Applies an action and returns whether a node changed or sent anything. A
+    /// message that is never delivered represents a lost one, so a delivery that
     /// changes nothing leads to no new state.
-    fn act(&mut self, action: &Action) -> bool {
+    fn apply(&mut self, action: &Action) -> bool {
         let node = match action {
-            Action::Deliver { message, again } => {
-                let (_, to, message) = if *again {
+            Action::Deliver { message, duplicate } => {
+                let (_, to, message) = if *duplicate {
                     self.budget.duplicates -= 1;
                     self.messages[*message].clone()
                 } else {
@@ -196,12 +196,12 @@
                 *node
             }
         };
-        self.settle(node)
+        self.process_ready(node)
     }
 
-    /// Carries out what a node hands out, and checks it. Returns whether the
-    /// node changed or sent anything.
-    fn settle(&mut self, node: usize) -> bool {
+    /// Processes the node's [`Ready`](threadledge_consensus::Ready) and checks the
+    /// invariants. Returns whether the node changed or sent anything.
+    fn process_ready(&mut self, node: usize) -> bool {
         let ready = self.node(node).ready();
         let sends = !ready.messages.is_empty();
         for outgoing in ready.messages {
@@ -238,19 +238,19 @@
     }
 }
 
-/// Visits every state within `depth` actions, breadth first. Returns how many
-/// there are, and the most leaders that any of them has seen, the first
-/// included.
-fn explore(start: World, depth: usize) -> (usize, usize) {
+/// Visits every state within `depth` actions, breadth first. Returns the number
+/// of states and the highest number of leaders in the history of any of them,
+/// including the first leader.
+fn explore(start: ClusterState, depth: usize) -> (usize, usize) {
     let mut seen = HashSet::from([start.fingerprint()]);
-    let mut layer = vec![start];
+    let mut frontier = vec![start];
     let mut leaders = 0;
     for remaining in (0..depth).rev() {
         let mut next = Vec::new();
-        for world in &layer {
-            for action in world.actions() {
-                let mut reached = world.clone();
-                let changed = reached.act(&action);
+        for state in &frontier {
+            for action in state.actions() {
+                let mut reached = state.clone();
+                let changed = reached.apply(&action);
                 if changed && seen.insert(reached.fingerprint()) {
                     leaders = leaders.max(reached.checker.leaders.len());
                     if remaining > 0 {
@@ -259,7 +259,7 @@
                 }
             }
         }
-        layer = next;
+        frontier = next;
     }
     (seen.len(), leaders)
 }
@@ -273,12 +273,12 @@
         proposals: 0,
         changes: Vec::new(),
     };
-    let (states, leaders) = explore(World::new(3, budget), 10);
+    let (states, leaders) = explore(ClusterState::new(3, budget), 10);
     assert!(states > 1_000, "only {states} states");
     assert_eq!(leaders, 2);
 }
 
-/// A late answer to a pre-vote must not count as a vote.
+/// A late response to a pre-vote must not count as a vote.
 #[test]
 fn every_order_of_a_pre_vote_and_a_rival_election_is_safe() {
     let budget = Budget {
@@ -288,7 +288,7 @@
         proposals: 0,
         changes: Vec::new(),
     };
-    let start = World::new(3, budget).without_leader();
+    let start = ClusterState::new(3, budget).without_leader();
     let (states, leaders) = explore(start, 8);
     assert!(states > 5_000, "only {states} states");
     assert_eq!(leaders, 3);
@@ -303,7 +303,7 @@
         proposals: 1,
         changes: Vec::new(),
     };
-    let (states, leaders) = explore(World::new(3, budget), 8);
+    let (states, leaders) = explore(ClusterState::new(3, budget), 8);
     assert!(states > 5_000, "only {states} states");
     assert_eq!(leaders, 3);
 }
@@ -317,7 +317,7 @@
         proposals: 0,
         changes: vec![MemberChange::Promote(RouterId(3))],
     };
-    let (states, leaders) = explore(World::new(2, budget), 9);
+    let (states, leaders) = explore(ClusterState::new(2, budget), 9);
     assert!(states > 4_000, "only {states} states");
     assert_eq!(leaders, 3);
 }
@@ -331,7 +331,7 @@
         proposals: 0,
         changes: vec![MemberChange::Remove(RouterId(2))],
     };
-    let (states, leaders) = explore(World::new(3, budget), 7);
+    let (states, leaders) = explore(ClusterState::new(3, budget), 7);
     assert!(states > 5_000, "only {states} states");
     assert_eq!(leaders, 3);
 }
--- a/crates/consensus/tests/consensus/generations.rs
+++ b/crates/consensus/tests/consensus/generations.rs
@@ -1,4 +1,4 @@
-//! Foundings.
+//! Tests of generations and refounding.
 
 use threadledge_consensus::{Body, MemberChange, Role};
 use threadledge_types::{Generation, RouterId};
@@ -6,24 +6,24 @@
 use crate::checker::Digest;
 use crate::cluster::{Cluster, SECOND, identity};
 
-/// A group of generation 1, and a founder of generation 2 that adds a voter
-/// of the first.
-fn founded_again(seed: u64) -> (Cluster, RouterId, RouterId) {
+/// Creates a group of generation 1 and the founder of generation 2. Returns the
+/// founder and a voter of generation 1 for the founder to add.
+fn refounded(seed: u64) -> (Cluster, RouterId, RouterId) {
     let mut cluster = Cluster::with_voters(seed, 3);
     let voter = cluster.leader().progress().next().expect("a follower").0;
     let state = Digest {
         applied: 5,
         digest: 5,
     };
-    let founder = cluster.found(Generation(2), Some(state));
+    let founder = cluster.bootstrap(Generation(2), Some(state));
     cluster.run(SECOND / 10);
     (cluster, founder, voter)
 }
 
 #[test]
 fn member_that_learns_of_a_higher_generation_retires_and_never_votes() {
-    let (mut cluster, founder, voter) = founded_again(1);
-    cluster.with(founder, |node, now| {
+    let (mut cluster, founder, voter) = refounded(1);
+    cluster.with_node(founder, |node, now| {
         node.propose_member_change(now, MemberChange::AddLearner(identity(voter.0)))
             .expect("taken");
     });
@@ -31,7 +31,8 @@
     let old: Vec<RouterId> = (1..=3).map(RouterId).collect();
     assert_eq!(cluster.node(voter).role(), Role::Retired);
     let term = cluster.node(voter).term();
-    // The others learn of it from the retired member's answers.
+    // The other members learn of the new generation from the retired member's
+    // answers.
     cluster.run(3 * SECOND);
     for id in old {
         assert_eq!(cluster.node(id).role(), Role::Retired, "{id}");
@@ -43,11 +44,11 @@
 
 #[test]
 fn retired_member_rejoins_only_the_newer_generation() {
-    let (mut cluster, founder, voter) = founded_again(2);
+    let (mut cluster, founder, voter) = refounded(2);
     let process = cluster.processes.get_mut(&voter).expect("a process");
     let old_messages = process.node.clone();
     process.node.retire(Generation(2));
-    cluster.with(voter, |node, now| {
+    cluster.with_node(voter, |node, now| {
         *node = node.rejoin(now).expect("retired");
     });
     cluster.run(SECOND);
@@ -55,9 +56,9 @@
     assert_eq!(
         cluster.node(voter).role(),
         Role::Joining,
-        "old leader speaks"
+        "joined the old generation"
     );
-    cluster.with(founder, |node, now| {
+    cluster.with_node(founder, |node, now| {
         node.propose_member_change(now, MemberChange::AddLearner(identity(voter.0)))
             .expect("taken");
     });
@@ -72,7 +73,7 @@
 
 #[test]
 fn lower_generation_is_answered_with_a_hint() {
-    let (mut cluster, founder, _) = founded_again(3);
+    let (mut cluster, founder, _) = refounded(3);
     let old = RouterId(1);
     let message = threadledge_consensus::Message {
         group: cluster.settings.group,
--- a/crates/consensus/tests/consensus/main.rs
+++ b/crates/consensus/tests/consensus/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the replicated log in virtual time, with fixed seeds.
+//! Consensus tests in virtual time with fixed seeds.
 
 mod arbitrary_input;
 mod checker;
--- a/crates/consensus/tests/consensus/members.rs
+++ b/crates/consensus/tests/consensus/members.rs
@@ -1,4 +1,4 @@
-//! Member changes.
+//! Tests of member changes.
 
 use threadledge_consensus::{Body, MemberChange, ProposeError, Role};
 use threadledge_types::{Generation, RouterId};
@@ -7,7 +7,7 @@
 
 fn try_change(cluster: &mut Cluster, change: MemberChange) -> Result<u64, ProposeError> {
     let leader = cluster.leader_id().expect("a leader");
-    cluster.with(leader, |node, now| node.propose_member_change(now, change))
+    cluster.with_node(leader, |node, now| node.propose_member_change(now, change))
 }
 
 fn followers(cluster: &Cluster) -> Vec<RouterId> {
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn joiner_takes_no_part_until_a_leader_contacts_it() {
+fn joining_node_takes_no_part_until_a_leader_contacts_it() {
     let mut cluster = Cluster::with_voters(1, 3);
     let joiner = cluster.join();
     let sent = cluster.messages_sent;
@@ -33,7 +33,7 @@
         sender: identity(99),
         body: request,
     };
-    cluster.with(joiner, |node, now| node.step(now, RouterId(99), message));
+    cluster.with_node(joiner, |node, now| node.step(now, RouterId(99), message));
     assert_eq!(cluster.messages_sent, sent);
     assert_eq!(cluster.node(joiner).role(), Role::Joining);
     assert_eq!(cluster.node(joiner).voted_for(), None);
@@ -52,7 +52,7 @@
     cluster.run(5 * SECOND);
     assert_eq!(cluster.node(learner).role(), Role::Learner);
     assert_eq!(cluster.node(learner).commit_index(), commit);
-    assert_eq!(cluster.leader_id(), None, "leads without a quorum");
+    assert_eq!(cluster.leader_id(), None, "a leader without a quorum");
 }
 
 #[test]
@@ -74,7 +74,7 @@
 #[test]
 fn second_change_waits_for_the_first_and_for_an_entry_of_the_term() {
     let mut cluster = Cluster::with_voters(4, 3);
-    cluster.lose = Some(|message| matches!(message.body, Body::AppendResponse { .. }));
+    cluster.drop_filter = Some(|message| matches!(message.body, Body::AppendResponse { .. }));
     cluster.change(MemberChange::AddLearner(identity(90)));
     let refused = try_change(&mut cluster, MemberChange::AddLearner(identity(91)));
     assert_eq!(refused, Err(ProposeError::MemberChangeInProgress));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn changes_that_make_no_sense_are_refused_by_kind() {
+fn invalid_changes_are_refused_with_specific_errors() {
     let mut cluster = Cluster::with_voters(5, 3);
     let voter = followers(&cluster)[0];
     let unknown = RouterId(77);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn member_removed_while_cut_off_disturbs_nobody_when_it_returns() {
+fn member_removed_while_partitioned_does_not_depose_the_leader_when_it_returns() {
     let mut cluster = Cluster::with_voters(6, 3);
     let id = cluster.add_learner();
     cluster.promote(id);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn member_that_is_removed_is_told_at_once() {
+fn removed_member_is_notified_immediately() {
     let mut cluster = Cluster::with_voters(11, 3);
     let id = followers(&cluster)[0];
     cluster.change(MemberChange::Remove(id));
@@ -143,18 +143,18 @@
     assert_eq!(cluster.leader().members().voters.len(), 2);
 }
 
-/// The group has four voters by the log of one follower only. That follower
-/// needs three votes and gets them only if the promoted learner votes, which
-/// does not know of its promotion.
+/// Only one follower's log holds the promotion that makes four voters. That
+/// follower needs three votes, so it is elected only if the promoted learner
+/// votes, which does not know of its promotion yet.
 #[test]
-fn promoted_learner_that_does_not_know_it_yet_helps_elect_a_leader() {
+fn promoted_learner_votes_before_it_knows_of_its_promotion() {
     let mut cluster = Cluster::with_voters(8, 3);
     let learner = cluster.add_learner();
     let old = cluster.leader_id().expect("a leader");
     let voters = followers(&cluster);
     let informed = voters[0];
     for id in voters.into_iter().filter(|id| *id != informed) {
-        cluster.cut.insert((old, id));
+        cluster.cut_links.insert((old, id));
     }
     cluster.change(MemberChange::Promote(learner));
     cluster.run(5 * MILLISECOND);
@@ -167,7 +167,8 @@
     assert_eq!(cluster.node(learner).role(), Role::Follower);
 }
 
-/// The leader's own removal reached nobody; its log covers the others'.
+/// The leader's own removal reached no other member, so its log is more up to
+/// date than the others'.
 #[test]
 fn member_whose_removal_is_not_committed_still_campaigns() {
     let mut cluster = Cluster::with_voters(9, 3);
@@ -178,7 +179,11 @@
     assert_eq!(cluster.node(old).role(), Role::PreCandidate);
     cluster.heal();
     cluster.run(3 * SECOND);
-    assert_eq!(cluster.node(old).role(), Role::Follower, "entry was undone");
+    assert_eq!(
+        cluster.node(old).role(),
+        Role::Follower,
+        "removal was not overwritten"
+    );
     assert!(cluster.leader().members().is_voter(old));
 }
 
--- a/crates/consensus/tests/consensus/replication.rs
+++ b/crates/consensus/tests/consensus/replication.rs
@@ -1,4 +1,4 @@
-//! Replication, compaction and bounds.
+//! Tests of replication, compaction and limits.
 
 use threadledge_consensus::{Body, MemberChange, ProposeError, Role, Settings};
 use threadledge_types::{GroupId, RouterId, Timestamp};
@@ -31,7 +31,7 @@
     let mut cluster = Cluster::with_voters(2, 3);
     let leader = cluster.leader_id().expect("a leader");
     let sent = cluster.messages_sent;
-    cluster.with(leader, |node, now| {
+    cluster.with_node(leader, |node, now| {
         for command in 0..32 {
             node.propose(now, command).expect("taken");
         }
@@ -45,7 +45,7 @@
     let mut cluster = Cluster::with_voters(3, 3);
     let leader = cluster.leader_id().expect("a leader");
     let bound = cluster.settings.max_uncommitted_entries as u64;
-    let refused = cluster.with(leader, |node, now| {
+    let refused = cluster.with_node(leader, |node, now| {
         for command in 0..bound {
             node.propose(now, command).expect("taken");
         }
@@ -110,7 +110,7 @@
         cluster.propose(command);
         cluster.run(SECOND / 100);
     }
-    cluster.lose = Some(is_snapshot);
+    cluster.drop_filter = Some(is_snapshot);
     let id = cluster.add_learner();
     assert_eq!(cluster.node(id).commit_index(), 0);
     cluster.heal();
@@ -121,7 +121,7 @@
 #[test]
 fn lost_entries_are_found_by_the_next_heartbeats() {
     let mut cluster = Cluster::with_voters(6, 3);
-    cluster.lose = Some(|message| matches!(message.body, Body::Append { .. }));
+    cluster.drop_filter = Some(|message| matches!(message.body, Body::Append { .. }));
     let index = cluster.propose(1);
     cluster.run(SECOND / 100);
     cluster.heal();
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn silent_follower_is_sent_a_bounded_number_of_messages() {
+fn unresponsive_follower_is_sent_a_bounded_number_of_messages() {
     let mut cluster = Cluster::with_voters(7, 3);
     let id = follower(&cluster);
     cluster.pause(id, u64::MAX);
@@ -141,12 +141,12 @@
     }
     let sent = cluster.messages_sent - before;
     let window = cluster.settings.max_in_flight_batches as u64;
-    assert_eq!(sent, window, "only the answering follower's window");
+    assert_eq!(sent, window, "only the responsive follower's window");
 }
 
-/// A deposed leader holds many entries that no one else has, and lacks as many
-/// of another term. The leader that meets it was elected after those, and so
-/// begins to compare at the very end.
+/// A deposed leader holds many entries that no other member has, and lacks as
+/// many of a later term. The current leader was elected after those, so it starts
+/// to compare at the end of its log.
 #[test]
 fn conflicting_entries_are_replaced_within_few_messages() {
     let mut cluster = Cluster::with_voters(8, 3);
@@ -163,7 +163,7 @@
     cluster.run(SECOND);
     let second = cluster.leader_id().expect("a leader");
     cluster
-        .with(second, |node, now| node.transfer_leadership(now, None))
+        .with_node(second, |node, now| node.transfer_leadership(now, None))
         .expect("a target");
     cluster.run(SECOND);
     let leader = cluster.leader();
@@ -183,20 +183,20 @@
     assert_eq!(cluster.processes[&old].state.applied, 20);
 }
 
-/// Figure 8 of the Raft paper: an entry of an earlier term on a quorum may
-/// still be overwritten, so it is not committed by counting.
+/// Figure 8 of the Raft paper: an entry of an earlier term that a quorum holds
+/// can still be overwritten, so counting replicas must not commit it.
 #[test]
-fn entry_of_an_earlier_term_is_not_committed_by_counting() {
+fn entry_of_an_earlier_term_is_not_committed_by_counting_replicas() {
     let mut cluster = Cluster::with_voters(9, 3);
     let commit = cluster.leader().commit_index();
-    cluster.lose = Some(|message| matches!(message.body, Body::AppendResponse { .. }));
+    cluster.drop_filter = Some(|message| matches!(message.body, Body::AppendResponse { .. }));
     let index = cluster.propose(1);
     cluster.run(SECOND / 20);
     let old = cluster.leader_id().expect("a leader");
     cluster.kill(old);
-    cluster.lose = Some(|message| matches!(message.body, Body::Append { .. }));
+    cluster.drop_filter = Some(|message| matches!(message.body, Body::Append { .. }));
     cluster.run_until(3 * SECOND, |cluster| cluster.leader_id().is_some());
-    // The new leader's own entry is lost on the way, the old one is held by
+    // The new leader's own entry is lost in transit. The old entry is held by
     // both voters and acknowledged.
     let new = cluster.leader_id().expect("a leader");
     let mut others = cluster.processes.keys().copied();
@@ -233,7 +233,7 @@
         sender: identity(99),
         body: Body::StaleTerm,
     };
-    cluster.with(id, |node, now| node.step(now, RouterId(99), message));
+    cluster.with_node(id, |node, now| node.step(now, RouterId(99), message));
     assert!(cluster.node(id).term() < 90);
 }
 
@@ -254,8 +254,8 @@
     assert_eq!(decoded, *members);
 }
 
-/// An append may end before the receiver's log does; the rest of that log need
-/// not agree with the leader's.
+/// The entries of an append message may end before the receiver's log does. The
+/// rest of that log may differ from the leader's and must not be committed.
 #[test]
 fn follower_commits_nothing_that_it_has_not_compared() {
     let mut cluster = Cluster::with_voters(12, 3);
--- a/crates/consensus/tests/consensus/schedules.rs
+++ b/crates/consensus/tests/consensus/schedules.rs
@@ -1,6 +1,6 @@
-//! Random schedules of faults: each seed is one run, with the invariants
-//! checked after every step. Afterwards the faults end, and the group has to
-//! work again with all that was committed.
+//! Random fault schedules. Each seed is one run, and the invariants are checked
+//! after every step. At the end all faults are removed, and the group must
+//! commit again without having lost committed entries.
 
 use std::collections::BTreeSet;
 
@@ -9,21 +9,21 @@
 
 use crate::cluster::{Cluster, Faults, MILLISECOND, SECOND, identity};
 
-/// Runs of each test with three voters; half as many with five.
+/// Number of runs per test with three voters; half as many with five.
 const SEEDS: u64 = 50;
-/// Length of the faulty part of a run.
+/// Duration of the part of a run with faults.
 const DURATION: u64 = 8 * SECOND;
-/// Time between two faults or requests.
-const PACE: u64 = 50 * MILLISECOND;
+/// Mean time between two rounds of faults and proposals.
+const MEAN_INTERVAL: u64 = 50 * MILLISECOND;
 
-/// A run with faults, and an operator that replaces lost members.
+/// Run with random faults and proposals, in which lost members are replaced.
 struct Schedule {
     cluster: Cluster,
     voters: usize,
     next_command: u64,
-    /// Whether there are proposals. Without any, a member that is cut off
-    /// lacks no entries, so nothing but the lease keeps it from being elected.
-    busy: bool,
+    /// Whether proposals are made. Without them, a partitioned member lacks no
+    /// entries, so only the lease prevents its election.
+    proposing: bool,
 }
 
 impl Schedule {
@@ -32,90 +32,90 @@
             cluster: Cluster::with_voters(seed, voters),
             voters,
             next_command: 0,
-            busy: true,
+            proposing: true,
         }
     }
 
     fn run(&mut self) {
         let end = self.cluster.now + DURATION;
         while self.cluster.now < end {
-            self.disturb();
+            self.inject_fault();
             self.propose();
             self.replace_members();
-            let pause = self.cluster.draw(2 * PACE);
+            let pause = self.cluster.random_below(2 * MEAN_INTERVAL);
             self.cluster.run(pause);
         }
         self.recover();
     }
 
-    fn pick(&mut self) -> RouterId {
+    fn random_process(&mut self) -> RouterId {
         let ids: Vec<RouterId> = self.cluster.processes.keys().copied().collect();
-        let chosen = self.cluster.draw(ids.len() as u64);
+        let chosen = self.cluster.random_below(ids.len() as u64);
         ids[usize::try_from(chosen).expect("an index")]
     }
 
-    fn disturb(&mut self) {
-        let victim = self.pick();
+    fn inject_fault(&mut self) {
+        let victim = self.random_process();
         let cluster = &mut self.cluster;
-        match cluster.draw(40) {
-            0..=2 if survives_without(cluster, victim) => cluster.kill(victim),
+        match cluster.random_below(40) {
+            0..=2 if tolerates_loss_of(cluster, victim) => cluster.kill(victim),
             3..=5 => {
-                let until = cluster.now + cluster.draw(2 * SECOND);
+                let until = cluster.now + cluster.random_below(2 * SECOND);
                 cluster.pause(victim, until);
             }
             6 | 7 => cluster.isolate(&[victim]),
             8 => {
-                // One direction of one link.
-                let other = self.pick();
-                self.cluster.cut.insert((victim, other));
+                // Cut one direction of one link.
+                let other = self.random_process();
+                self.cluster.cut_links.insert((victim, other));
             }
-            9..=12 => cluster.cut.clear(),
+            9..=12 => cluster.cut_links.clear(),
             13 => {
                 cluster.faults = Faults {
-                    drop: cluster.draw(300),
-                    duplicate: cluster.draw(200),
-                    longest_delay: 1 + cluster.draw(300 * MILLISECOND),
-                    late_ready: cluster.draw(500),
+                    drop: cluster.random_below(300),
+                    duplicate: cluster.random_below(200),
+                    max_delay: 1 + cluster.random_below(300 * MILLISECOND),
+                    delayed_ready: cluster.random_below(500),
                 };
             }
             14 | 15 => cluster.heal(),
             16 | 17 => {
                 let _refused =
-                    cluster.with(victim, |node, now| node.transfer_leadership(now, None));
+                    cluster.with_node(victim, |node, now| node.transfer_leadership(now, None));
             }
             _ => {}
         }
     }
 
-    /// Proposes at every node that believes it leads.
+    /// Proposes commands at every node; only leaders accept them.
     fn propose(&mut self) {
-        if self.cluster.draw(20) == 0 {
-            self.busy = !self.busy;
+        if self.cluster.random_below(20) == 0 {
+            self.proposing = !self.proposing;
         }
-        if !self.busy {
+        if !self.proposing {
             return;
         }
         let ids: Vec<RouterId> = self.cluster.processes.keys().copied().collect();
         for id in ids {
-            for _ in 0..self.cluster.draw(4) {
+            for _ in 0..self.cluster.random_below(4) {
                 self.next_command += 1;
                 let command = self.next_command;
                 let _refused = self
                     .cluster
-                    .with(id, |node, now| node.propose(now, command));
+                    .with_node(id, |node, now| node.propose(now, command));
             }
         }
     }
 
-    /// Adds members in place of lost ones, and now and then of healthy ones.
-    /// Takes one out only while there is one more than needed.
+    /// Adds members to replace lost ones, and sometimes healthy ones. Removes a
+    /// member only while there is one more than needed.
     fn replace_members(&mut self) {
         let Some(leader) = self.cluster.leader_id() else {
             return;
         };
         let members = self.cluster.node(leader).members().clone();
         let lost = lost_members(&self.cluster, &members);
-        let renew = self.cluster.draw(20) == 0;
+        let renew = self.cluster.random_below(20) == 0;
         let spare = members.voters.len() > self.voters;
         let change = if let Some(learner) = members.learners.keys().next() {
             if lost.contains(learner) {
@@ -124,7 +124,7 @@
                 MemberChange::Promote(*learner)
             }
         } else if spare {
-            let any = self.pick();
+            let any = self.random_process();
             MemberChange::Remove(lost.first().copied().unwrap_or(any))
         } else if renew || !lost.is_empty() {
             let id = self.cluster.join();
@@ -134,14 +134,14 @@
         };
         let _refused = self
             .cluster
-            .with(leader, |node, now| node.propose_member_change(now, change));
+            .with_node(leader, |node, now| node.propose_member_change(now, change));
         self.end_idle_processes();
     }
 
-    /// Ends processes that no log lists: joiners that were never added, and
-    /// members that were taken out.
+    /// Sometimes ends the processes that are in no log's member list: joining nodes
+    /// that were never added and members that were removed.
     fn end_idle_processes(&mut self) {
-        if self.cluster.draw(10) != 0 {
+        if self.cluster.random_below(10) != 0 {
             return;
         }
         let mut listed = BTreeSet::new();
@@ -152,6 +152,7 @@
         self.cluster.processes.retain(|id, _| listed.contains(id));
     }
 
+    /// Removes all faults and checks that the group works again.
     fn recover(&mut self) {
         self.cluster.heal();
         self.cluster.run(5 * SECOND);
@@ -163,8 +164,12 @@
         for id in members.voters.keys() {
             if let Some(process) = self.cluster.processes.get(id) {
                 assert!(process.node.commit_index() >= index, "{id} lags");
-                let leads = Some(*id) == self.cluster.leader_id();
-                let role = if leads { Role::Leader } else { Role::Follower };
+                let is_leader = Some(*id) == self.cluster.leader_id();
+                let role = if is_leader {
+                    Role::Leader
+                } else {
+                    Role::Follower
+                };
                 assert_eq!(process.node.role(), role, "{id}");
             }
         }
@@ -177,9 +182,9 @@
         .collect()
 }
 
-/// Whether every member list in a log has a quorum of running voters without
-/// `victim`: its loss is then one that the group tolerates.
-fn survives_without(cluster: &Cluster, victim: RouterId) -> bool {
+/// Returns whether every node's member list has a quorum of running voters
+/// without `victim`, so that the group tolerates its loss.
+fn tolerates_loss_of(cluster: &Cluster, victim: RouterId) -> bool {
     let lists = cluster.processes.values().map(|it| it.node.members());
     lists
         .filter(|members| !members.is_empty())
@@ -218,7 +223,8 @@
     run_seeds(6_000, SEEDS / 2, 5);
 }
 
-/// One run may be quiet by chance, so this looks at several together.
+/// Checks that the schedules cover what they are meant to. A single run may have
+/// few events by chance, so several are counted together.
 #[test]
 fn schedules_reach_elections_replacements_and_snapshots() {
     const RUNS: usize = 5;
--- a/crates/membership/examples/detection.rs
+++ b/crates/membership/examples/detection.rs
@@ -1,6 +1,6 @@
-//! Prints, for several numbers of routers: how long a crash takes to be seen
-//! by the first and by the last router, and what each router sends while
-//! nothing happens. Arguments: numbers of routers.
+//! Measures failure detection in a simulated network. For each number of routers
+//! given as an argument, prints the join time, the traffic of an idle router, the
+//! time until all routers see a crash, and the effects of the loss of a zone.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -8,6 +8,7 @@
 use support::*;
 use threadledge_membership::{MemberState, Settings};
 
+/// Number of single crashes measured per network.
 const CRASHES: usize = 12;
 
 fn main() {
@@ -28,7 +29,7 @@
 fn measure(size: usize) {
     let mut network = Network::new(size, Settings::default(), 1);
     network.measure_bytes = true;
-    network.give_list(&list(1, 0..size));
+    network.apply_list(&list(1, 0..size));
     let joined = network.run_until(seconds(120), |network| network.all_see(size));
     let join_bytes = network.sent_bytes / size;
     network.run_for(seconds(60));
@@ -54,7 +55,8 @@
     measure_zone_loss(&mut network);
 }
 
-/// Loses one zone of three at once.
+/// Crashes all routers of one of the three zones at once and prints how long the
+/// others take to notice.
 fn measure_zone_loss(network: &mut Network) {
     let size = network.hosts.len();
     for host in (0..size).filter(|host| host % ZONES == 0) {
@@ -78,6 +80,7 @@
     );
 }
 
+/// Crashes a router and returns the milliseconds until all others see it dead.
 fn measure_crash(network: &mut Network, host: usize) -> u128 {
     let id = identity(host, 1).id;
     network.crash(host);
@@ -88,6 +91,7 @@
     took.map_or(u128::MAX, |took| took.as_millis())
 }
 
+/// Returns the number of reports that a running router is dead.
 fn false_deaths(network: &Network) -> usize {
     let downs = network.hosts.iter().flat_map(|host| &host.downs);
     downs
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -118,7 +118,7 @@
         Some(id)
     }
 
-    /// Removes a suspicion.
+    /// Removes a suspicion without any other effect.
     pub(crate) fn clear(&mut self, id: RouterId) {
         let Some(suspicion) = self.by_id.remove(&id) else {
             return;
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -15,8 +15,9 @@
 /// Maximum number of members listed in one digest, unless a single bucket has
 /// more.
 const MAX_DIGEST_ENTRIES: usize = 256;
-/// Maximum number of updates in one message, and of identities requested. Later
-/// comparisons transfer the rest.
+/// Maximum number of identities requested, and of updates sent with the request.
+/// The answer holds up to twice as many updates; later comparisons transfer the
+/// rest.
 const MAX_SYNC_UPDATES: usize = 24;
 /// Interval between comparisons while this router joins.
 const JOIN_INTERVAL: Duration = Duration::from_millis(25);
--- a/crates/membership/tests/detection.rs
+++ b/crates/membership/tests/detection.rs
@@ -1,4 +1,4 @@
-//! Detection of failures on a simulated network.
+//! Tests of failure detection on a simulated network.
 
 mod support;
 
@@ -7,19 +7,19 @@
 use support::*;
 use threadledge_membership::{DownReason, Input, MemberState, Settings};
 
-/// The longest that any router may take to see a crash.
+/// Maximum time until all routers consider a crashed router dead.
 const DETECTION_LIMIT: Duration = Duration::from_millis(3_500);
 
-fn introduced(count: usize, seed: u64) -> Network {
+fn joined_network(count: usize, seed: u64) -> Network {
     let mut network = Network::new(count, Settings::default(), seed);
-    network.introduce_all();
+    network.join_all();
     network
 }
 
 #[test]
 fn a_crash_is_seen_by_all_within_seconds() {
     for seed in 0..3 {
-        let mut network = introduced(80, seed);
+        let mut network = joined_network(80, seed);
         network.loss_percent = 2;
         network.crash(7);
         let id = identity(7, 1).id;
@@ -34,7 +34,7 @@
 #[test]
 fn a_zone_lost_at_once_is_seen_by_all_within_seconds() {
     for seed in 5..8 {
-        let mut network = introduced(60, seed);
+        let mut network = joined_network(60, seed);
         for host in (0..60).filter(|host| host % ZONES == 0) {
             network.crash(host);
         }
@@ -44,9 +44,9 @@
 }
 
 #[test]
-fn idling_costs_the_same_at_any_number_of_routers() {
+fn idle_traffic_per_router_does_not_depend_on_the_number_of_routers() {
     let bytes_per_second = [20, 80].map(|count| {
-        let mut network = introduced(count, 6);
+        let mut network = joined_network(count, 6);
         network.run_for(seconds(10));
         network.measure_bytes = true;
         network.run_for(seconds(20));
@@ -58,9 +58,9 @@
 }
 
 #[test]
-fn lost_messages_alone_kill_nobody() {
+fn message_loss_alone_declares_no_member_dead() {
     for loss_percent in [5, 15] {
-        let mut network = introduced(50, 11);
+        let mut network = joined_network(50, 11);
         network.loss_percent = loss_percent;
         network.run_for(seconds(30));
         assert_eq!(network.down_count(), 0, "loss {loss_percent}");
@@ -68,8 +68,8 @@
 }
 
 #[test]
-fn a_short_pause_is_not_death() {
-    let mut network = introduced(60, 21);
+fn a_briefly_paused_router_is_not_declared_dead() {
+    let mut network = joined_network(60, 21);
     for host in 0..20 {
         network.pause(host);
         network.run_for(millis(700));
@@ -82,15 +82,15 @@
 }
 
 #[test]
-fn a_long_paused_router_blames_nobody_and_returns() {
-    let mut network = introduced(60, 31);
+fn a_long_paused_router_declares_nobody_dead_and_is_alive_again() {
+    let mut network = joined_network(60, 31);
     let id = identity(3, 1).id;
     network.pause(3);
     network.run_for(seconds(6));
-    let others_see_it_dead = (0..60)
+    let is_dead_to_others = (0..60)
         .filter(|host| *host != 3)
         .all(|host| network.state_at(host, id) == Some(MemberState::Dead));
-    assert!(others_see_it_dead);
+    assert!(is_dead_to_others);
     network.resume(3);
     network.run_for(seconds(5));
     assert!(
@@ -102,8 +102,8 @@
 }
 
 #[test]
-fn a_suspicion_held_through_a_pause_begins_anew() {
-    let mut network = introduced(3, 32);
+fn a_suspicion_restarts_after_a_pause() {
+    let mut network = joined_network(3, 32);
     let id = identity(1, 1).id;
     network.pause(1);
     let suspected = network.run_until(seconds(3), |network| {
@@ -119,43 +119,43 @@
 }
 
 #[test]
-fn halves_of_a_partition_lose_and_find_each_other() {
-    let mut network = introduced(60, 41);
-    network.sides = (0..20).map(|host| (host, 1)).collect();
+fn sides_of_a_partition_lose_each_other_and_merge_again() {
+    let mut network = joined_network(60, 41);
+    network.partitions = (0..20).map(|host| (host, 1)).collect();
     network.run_for(seconds(20));
     assert_eq!(network.hosts[0].core.alive().count(), 20);
     assert_eq!(network.hosts[59].core.alive().count(), 40);
     for host in &network.hosts {
         let others = host.core.members().map(|member| member.identity.id);
         let proofs = others.filter_map(|id| host.core.death_proof(id));
-        assert_eq!(proofs.count(), 0, "suspicion is no proof");
+        assert_eq!(proofs.count(), 0, "suspicion is not a proof");
     }
-    network.sides.clear();
+    network.partitions.clear();
     let healed = network.run_until(seconds(30), |network| network.all_see(60));
     assert!(healed.is_some());
 }
 
 #[test]
 fn a_partition_heals_without_a_machine_list() {
-    let mut network = introduced(20, 42);
-    network.give_list(&list(2, []));
-    network.sides = (0..10).map(|host| (host, 1)).collect();
+    let mut network = joined_network(20, 42);
+    network.apply_list(&list(2, []));
+    network.partitions = (0..10).map(|host| (host, 1)).collect();
     network.run_for(seconds(10));
     assert!(network.all_see(10));
-    network.sides.clear();
+    network.partitions.clear();
     let healed = network.run_until(seconds(30), |network| network.all_see(20));
     assert!(healed.is_some());
 }
 
 #[test]
 fn a_leaving_router_is_known_to_leave_before_it_is_gone() {
-    let mut network = introduced(60, 51);
+    let mut network = joined_network(60, 51);
     let id = identity(9, 1).id;
     network.input(9, Input::Leave);
-    let told = network.run_until(seconds(2), |network| {
+    let announced = network.run_until(seconds(2), |network| {
         network.all_have(id, MemberState::Leaving)
     });
-    assert!(told.is_some());
+    assert!(announced.is_some());
     network.crash(9);
     network.run_for(seconds(5));
     assert!(network.all_have(id, MemberState::Dead));
@@ -164,10 +164,10 @@
 }
 
 #[test]
-fn one_way_loss_of_one_router_does_not_make_it_kill_the_others() {
-    let mut network = introduced(60, 61);
-    network.sides = [(5, 1)].into();
+fn an_isolated_router_does_not_declare_most_others_dead() {
+    let mut network = joined_network(60, 61);
+    network.partitions = [(5, 1)].into();
     network.run_for(seconds(4));
-    let blamed_by_the_cut_off = network.hosts[5].downs.len();
-    assert!(blamed_by_the_cut_off < 10, "{blamed_by_the_cut_off}");
+    let declared_dead = network.hosts[5].downs.len();
+    assert!(declared_dead < 10, "{declared_dead}");
 }
--- a/crates/membership/tests/discovery.rs
+++ b/crates/membership/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Finding routers, and the proofs that they are gone.
+//! Tests of discovery and of proofs that a router process is gone.
 
 mod support;
 
@@ -8,7 +8,7 @@
     MessageBody, Output, RefutationNumber, Settings,
 };
 
-fn without_lag() -> Settings {
+fn without_list_lag() -> Settings {
     Settings {
         max_list_lag: millis(0),
         ..Settings::default()
@@ -32,7 +32,7 @@
 fn a_router_that_joins_late_knows_all_and_is_known_soon() {
     let mut network = Network::new(100, Settings::default(), 2);
     network.crash(99);
-    network.give_list(&list(1, 0..99));
+    network.apply_list(&list(1, 0..99));
     network.run_for(seconds(10));
     network.restart(99, 1);
     network.input(99, Input::MachineList(list(1, 0..99)));
@@ -41,13 +41,13 @@
 }
 
 #[test]
-fn a_list_that_goes_back_or_away_loses_nobody() {
-    let mut network = Network::new(20, without_lag(), 3);
-    network.introduce_all();
-    network.give_list(&list(5, 0..20));
-    network.give_list(&list(4, 0..3));
+fn an_older_or_empty_list_removes_no_member() {
+    let mut network = Network::new(20, without_list_lag(), 3);
+    network.join_all();
+    network.apply_list(&list(5, 0..20));
+    network.apply_list(&list(4, 0..3));
     network.run_for(seconds(5));
-    network.give_list(&MachineList {
+    network.apply_list(&MachineList {
         version: 0,
         machines: Vec::new(),
     });
@@ -61,7 +61,7 @@
 #[test]
 fn a_later_process_on_the_machine_proves_the_earlier_one_dead() {
     let mut network = Network::new(30, Settings::default(), 4);
-    network.introduce_all();
+    network.join_all();
     network.crash(8);
     network.run_for(millis(50));
     network.restart(8, 2);
@@ -89,7 +89,7 @@
 #[test]
 fn a_process_started_with_the_clock_set_back_joins_and_proves_nothing() {
     let mut network = Network::new(10, Settings::default(), 12);
-    network.introduce_all();
+    network.join_all();
     network.restart(8, 9);
     network.input(8, Input::MachineList(list(1, 0..10)));
     network.run_for(seconds(3));
@@ -106,12 +106,12 @@
 
 #[test]
 fn removal_from_the_list_proves_death_only_of_a_silent_router_that_was_listed() {
-    let mut network = Network::new(20, without_lag(), 5);
-    network.introduce_all();
+    let mut network = Network::new(20, without_list_lag(), 5);
+    network.join_all();
     let id = identity(6, 1).id;
     let remaining = || (0..20).filter(|host| *host != 6);
-    network.give_list(&list(2, 0..20));
-    network.give_list(&list(3, remaining()));
+    network.apply_list(&list(2, 0..20));
+    network.apply_list(&list(3, remaining()));
     network.run_for(seconds(5));
     assert_eq!(network.state_at(0, id), Some(MemberState::Alive));
     assert_eq!(network.hosts[0].core.death_proof(id), None);
@@ -131,11 +131,11 @@
 #[test]
 fn a_router_never_listed_or_listed_within_the_lag_is_not_proved_dead() {
     let mut network = Network::new(10, Settings::default(), 6);
-    network.introduce_all();
+    network.join_all();
     let never_listed = identity(6, 1).id;
     let listed_too_soon = identity(5, 1).id;
-    network.give_list(&list(2, 0..6));
-    network.give_list(&list(3, 0..5));
+    network.apply_list(&list(2, 0..6));
+    network.apply_list(&list(3, 0..5));
     network.crash(5);
     network.crash(6);
     network.run_for(seconds(10));
@@ -146,27 +146,27 @@
 }
 
 #[test]
-fn a_machine_listed_as_leaving_is_leaving_until_the_list_takes_it_back() {
+fn a_machine_listed_as_leaving_is_leaving_until_it_is_listed_as_live() {
     let mut network = Network::new(10, Settings::default(), 7);
-    network.introduce_all();
+    network.join_all();
     let id = identity(4, 1).id;
     let mut leaving = list(2, 0..10);
     leaving.machines[4].state = MachineState::Leaving;
-    network.give_list(&leaving);
+    network.apply_list(&leaving);
     assert_eq!(network.state_at(0, id), Some(MemberState::Leaving));
-    network.give_list(&list(3, 0..10));
+    network.apply_list(&list(3, 0..10));
     assert_eq!(network.state_at(0, id), Some(MemberState::Alive));
 }
 
 #[test]
-fn dead_members_are_forgotten_in_time_and_number() {
+fn dead_members_are_limited_in_age_and_number() {
     let settings = Settings {
         dead_retention: seconds(20),
         max_dead_members: 3,
         ..Settings::default()
     };
     let mut network = Network::new(30, settings, 8);
-    network.introduce_all();
+    network.join_all();
     for host in 20..30 {
         network.crash(host);
     }
@@ -178,9 +178,9 @@
 }
 
 #[test]
-fn what_an_earlier_process_on_the_machine_sends_late_is_ignored() {
+fn late_messages_of_an_earlier_process_on_the_machine_are_ignored() {
     let mut network = Network::new(3, Settings::default(), 10);
-    network.introduce_all();
+    network.join_all();
     let outputs = network.hosts[2].core.step(network.now, Input::Leave);
     let late = outputs.into_iter().find_map(|output| match output {
         Output::Send { message, .. } => Some(message),
@@ -205,9 +205,9 @@
     network.input(1, Input::MachineList(both_regions));
     network.run_for(seconds(2));
     let now = network.now;
-    let mut stranger = identity(2, 1);
-    stranger.region = "nz-north".into();
-    let mut outside = Membership::new(Settings::default(), stranger, now);
+    let mut foreign = identity(2, 1);
+    foreign.region = "nz-north".into();
+    let mut outside = Membership::new(Settings::default(), foreign, now);
     let outputs = outside.step(now, Input::MachineList(list(1, [])));
     assert!(outputs.is_empty());
     assert_eq!(network.hosts[0].core.alive().count(), 2);
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Many membership cores on a simulated network in virtual time.
+//! Simulated network of many [`Membership`] instances in virtual time.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -28,13 +28,13 @@
     SocketAddr::from((ip, 7000))
 }
 
-/// The router on machine `host` in life `life`.
-pub fn identity(host: usize, life: u64) -> RouterIdentity {
+/// Returns the identity of a router process on machine `host`.
+pub fn identity(host: usize, incarnation: u64) -> RouterIdentity {
     let zone = ["a", "b", "c"][host % ZONES];
     RouterIdentity {
-        id: RouterId((life << 32) + host as u64 + 1),
+        id: RouterId((incarnation << 32) + host as u64 + 1),
         machine: format!("machine-{host}").as_str().into(),
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(incarnation),
         region: "luzon".into(),
         zone: zone.into(),
         peer_address: address(host),
@@ -53,6 +53,7 @@
     }
 }
 
+/// Returns a machine list with the machines of `hosts`.
 pub fn list(version: u64, hosts: impl IntoIterator<Item = usize>) -> MachineList {
     MachineList {
         version,
@@ -60,12 +61,15 @@
     }
 }
 
+/// Simulated router process.
 pub struct Host {
     pub core: Membership,
     pub running: bool,
-    /// Inputs that wait until the process goes on.
+    /// Messages that wait until the process resumes, if it is paused.
     paused: Option<Vec<Message>>,
+    /// Every `MemberDown` output, with the time at which it was returned.
     pub downs: Vec<(Timestamp, RouterId, DownReason)>,
+    /// Number of `MemberSuspect` outputs.
     pub suspects: usize,
     wake_scheduled: Option<Timestamp>,
 }
@@ -75,11 +79,14 @@
     Deliver { to: usize, message: Box<Message> },
 }
 
+/// Simulated network with its hosts and pending events.
 pub struct Network {
     pub now: Timestamp,
     pub hosts: Vec<Host>,
     pub settings: Settings,
-    pub sides: BTreeMap<usize, u8>,
+    /// Partition of each host; hosts without an entry form one partition. Messages
+    /// between partitions are lost.
+    pub partitions: BTreeMap<usize, u8>,
     pub loss_percent: u32,
     pub max_delay: Duration,
     pub measure_bytes: bool,
@@ -88,7 +95,7 @@
     pub sent_messages: usize,
     events: BTreeMap<(Timestamp, u64), Event>,
     event_number: u64,
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
 }
 
 impl Network {
@@ -98,7 +105,7 @@
             now: Timestamp::from_millis(5_000),
             hosts: Vec::new(),
             settings,
-            sides: BTreeMap::new(),
+            partitions: BTreeMap::new(),
             loss_percent: 0,
             max_delay: millis(3),
             measure_bytes: false,
@@ -107,7 +114,7 @@
             sent_messages: 0,
             events: BTreeMap::new(),
             event_number: 0,
-            random: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
         };
         for host in 0..count {
             let created = network.new_host(host, 1);
@@ -116,8 +123,8 @@
         network
     }
 
-    fn new_host(&self, host: usize, life: u64) -> Host {
-        let identity = identity(host, life);
+    fn new_host(&self, host: usize, incarnation: u64) -> Host {
+        let identity = identity(host, incarnation);
         Host {
             core: Membership::new(self.settings.clone(), identity, self.now),
             running: true,
@@ -128,15 +135,15 @@
         }
     }
 
-    pub fn give_list(&mut self, list: &MachineList) {
+    pub fn apply_list(&mut self, list: &MachineList) {
         for host in 0..self.hosts.len() {
             self.input(host, Input::MachineList(list.clone()));
         }
     }
 
-    /// Makes every router know every other, as after a long quiet time.
-    pub fn introduce_all(&mut self) {
-        self.give_list(&list(1, 0..self.hosts.len()));
+    /// Runs until every router knows all others and the network is quiet.
+    pub fn join_all(&mut self) {
+        self.apply_list(&list(1, 0..self.hosts.len()));
         let count = self.hosts.len();
         let joined = self.run_until(seconds(20), |network| network.all_see(count));
         assert!(joined.is_some(), "joining takes longer than expected");
@@ -147,8 +154,8 @@
         self.hosts[host].running = false;
     }
 
-    pub fn restart(&mut self, host: usize, life: u64) {
-        self.hosts[host] = self.new_host(host, life);
+    pub fn restart(&mut self, host: usize, incarnation: u64) {
+        self.hosts[host] = self.new_host(host, incarnation);
         self.input(host, Input::Tick);
     }
 
@@ -156,7 +163,8 @@
         self.hosts[host].paused = Some(Vec::new());
     }
 
-    /// The process goes on and takes what arrived meanwhile.
+    /// Resumes a paused process, which then handles the messages that arrived in
+    /// the meantime.
     pub fn resume(&mut self, host: usize) {
         let messages = self.hosts[host].paused.take().unwrap_or_default();
         self.input(host, Input::Tick);
@@ -170,7 +178,8 @@
         self.run_until(duration, |_| false);
     }
 
-    /// Runs until `done`, at most for `limit`; returns how long it took.
+    /// Runs until `done` is true and returns the time that it took, or `None` after
+    /// `limit`.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -178,13 +187,13 @@
     ) -> Option<Duration> {
         let began = self.now;
         let end = began + limit;
-        let mut next_look = began;
+        let mut next_check = began;
         loop {
-            if self.now >= next_look {
+            if self.now >= next_check {
                 if done(self) {
                     return Some(self.now.since(began));
                 }
-                next_look = self.now + millis(20);
+                next_check = self.now + millis(20);
             }
             match self.events.first_key_value() {
                 Some(((at, _), _)) if *at <= end => {}
@@ -200,7 +209,7 @@
         }
     }
 
-    /// Whether every running host sees exactly `count` living members.
+    /// Returns whether every running host sees exactly `count` living members.
     pub fn all_see(&self, count: usize) -> bool {
         let mut running = self.hosts.iter().filter(|host| host.running);
         running.all(|host| host.core.alive().count() == count)
@@ -211,7 +220,8 @@
         member.map(|member| member.state)
     }
 
-    /// Whether every running host other than `subject`'s has it in `state`.
+    /// Returns whether every running host except `subject` itself sees `subject` in
+    /// `state`.
     pub fn all_have(&self, subject: RouterId, state: MemberState) -> bool {
         (0..self.hosts.len())
             .filter(|host| self.hosts[*host].running)
@@ -231,7 +241,7 @@
             }
             Event::Deliver { to, message } => {
                 let from = message.from.peer_address;
-                if self.sides.get(&to) != self.sides.get(&host_at(from)) {
+                if self.partitions.get(&to) != self.partitions.get(&host_at(from)) {
                     return;
                 }
                 match &mut self.hosts[to].paused {
@@ -255,11 +265,11 @@
             self.schedule(wakeup, Event::Wake(host));
         }
         for output in outputs {
-            self.take_output(host, output);
+            self.handle_output(host, output);
         }
     }
 
-    fn take_output(&mut self, host: usize, output: Output) {
+    fn handle_output(&mut self, host: usize, output: Output) {
         match output {
             Output::Send { to, message, .. } => self.send(host_at(to), message),
             Output::MemberDown(id, reason) => {
@@ -278,17 +288,17 @@
             self.sent_bytes += bytes;
             self.sent_messages += 1;
         }
-        if self.random.random_range(0..100) < self.loss_percent || to >= self.hosts.len() {
+        if self.rng.random_range(0..100) < self.loss_percent || to >= self.hosts.len() {
             return;
         }
-        let copies = if self.random.random_range(0..100) == 0 {
+        let copies = if self.rng.random_range(0..100) == 0 {
             2
         } else {
             1
         };
         for _ in 0..copies {
             let max = self.max_delay.as_micros() as u64;
-            let delay = Duration::from_micros(self.random.random_range(max / 10..=max));
+            let delay = Duration::from_micros(self.rng.random_range(max / 10..=max));
             let message = message.clone();
             self.schedule(self.now + delay, Event::Deliver { to, message });
         }
--- a/crates/membership/tests/tree.rs
+++ b/crates/membership/tests/tree.rs
@@ -1,4 +1,4 @@
-//! The fan-out tree.
+//! Tests of the fan-out tree.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn one_router_less_leaves_candidates_that_still_live() {
+fn candidates_remain_after_the_loss_of_the_parent() {
     let alive = routers(300);
     let roots = [RouterId(1), RouterId(2), RouterId(3)];
     for own in alive.iter().skip(3).step_by(7) {
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_root_follows_the_other_roots_in_the_order_given() {
+fn candidates_of_a_root_are_the_other_roots_in_the_given_order() {
     let alive = routers(20);
     let roots = [RouterId(9), RouterId(4), RouterId(6)];
     let candidates = parent_candidates(RouterId(4), &roots, &alive, FANOUT);
