--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,9 +1,9 @@
 //! Leader election.
 //!
 //! At most one leader is elected per term, because each member votes once per
-//! term and a candidate needs a quorum. A voter votes only for a candidate whose
-//! log is at least as up to date as its own, so that every leader holds all
-//! committed entries.
+//! term and a candidate needs a quorum. A voter votes only for a candidate
+//! whose log is at least as up to date as its own, so that every leader holds
+//! all committed entries.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -42,8 +42,8 @@
     }
 
     /// Starts a pre-vote, which asks whether an election could succeed without
-    /// raising the term. A member that was partitioned therefore does not depose
-    /// the leader when it returns.
+    /// raising the term. A member that was partitioned therefore does not
+    /// depose the leader when it returns.
     fn start_pre_vote(&mut self) {
         self.timer.restart(self.clock);
         self.leader = None;
@@ -56,8 +56,8 @@
         self.request_votes(self.term + 1, true, false);
     }
 
-    /// Raises the term and requests votes. `transfer` is set if the leader asked
-    /// this node to campaign.
+    /// Raises the term and requests votes. `transfer` is set if the leader
+    /// asked this node to campaign.
     pub(crate) fn start_election(&mut self, transfer: bool) {
         self.enter_term(self.term + 1);
         self.timer.restart(self.clock);
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Becomes leader and appends `payload` as the first entry of the term, whose
-    /// commit also commits all entries before it.
+    /// Becomes leader and appends `payload` as the first entry of the term,
+    /// whose commit also commits all entries before it.
     pub(crate) fn become_leader(&mut self, payload: Payload<C>) {
         let next_index = self.log.last_index() + 1;
         let followers: BTreeMap<RouterId, Progress> = self
@@ -144,8 +144,8 @@
     /// A learner also votes when asked: a candidate asks only the voters in its
     /// own log, so the entry that promoted the learner may still be in transit.
     /// Without that vote, the loss of one leader could leave a group of four
-    /// permanently without a quorum. Nodes that no leader of this generation has
-    /// contacted are filtered out before.
+    /// permanently without a quorum. Nodes that no leader of this generation
+    /// has contacted are filtered out before.
     pub(crate) fn handle_vote_request(
         &mut self,
         term: u64,
@@ -188,7 +188,8 @@
         free && self.is_candidate_up_to_date(request)
     }
 
-    /// Returns whether the candidate's log is at least as up to date as this one.
+    /// Returns whether the candidate's log is at least as up to date as this
+    /// one.
     fn is_candidate_up_to_date(&self, request: &VoteRequest) -> bool {
         self.log
             .is_up_to_date(request.last_index, request.last_term)
--- a/crates/consensus/src/follower.rs
+++ b/crates/consensus/src/follower.rs
@@ -125,9 +125,9 @@
         self.send(leader, Body::AppendResponse { echo, outcome });
     }
 
-    /// Replaces the log by `snapshot` if that is ahead of the commit index and the
-    /// log does not already hold its last entry. Returns the index up to which
-    /// this log matches the leader's.
+    /// Replaces the log by `snapshot` if that is ahead of the commit index and
+    /// the log does not already hold its last entry. Returns the index up to
+    /// which this log matches the leader's.
     fn install_snapshot(&mut self, snapshot: Snapshot<S>) -> u64 {
         let index = snapshot.index;
         if index <= self.commit_index || snapshot.state.is_none() {
--- a/crates/consensus/src/generation.rs
+++ b/crates/consensus/src/generation.rs
@@ -50,7 +50,8 @@
     }
 
     /// Returns a node that waits to be added to the generation that retired
-    /// this one, or to a later one. Returns `None` unless this node has retired.
+    /// this one, or to a later one. Returns `None` unless this node has
+    /// retired.
     ///
     /// Within the same process, this must be used instead of [`Node::join`]: a
     /// new node with the same router id could join the *old* generation again
@@ -77,8 +78,8 @@
         true
     }
 
-    /// Tells the sender that its generation is outdated. `StaleGeneration` itself
-    /// is never answered, so two nodes cannot exchange it endlessly.
+    /// Tells the sender that its generation is outdated. `StaleGeneration`
+    /// itself is never answered, so two nodes cannot exchange it endlessly.
     fn send_stale_generation(&mut self, message: &Message<C, S>, generation: Generation) {
         if matches!(message.body, Body::StaleGeneration) {
             return;
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Returns the latest time such that a quorum answered messages sent then or
-    /// later. The quorum is taken from the newest member list in the log. A
+    /// Returns the latest time such that a quorum answered messages sent then
+    /// or later. The quorum is taken from the newest member list in the log. A
     /// candidate whose log is one member change behind needs a quorum that
     /// overlaps with it; a candidate that is further behind lacks a committed
     /// entry and cannot be elected.
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -24,7 +24,8 @@
 
 /// Log of a node.
 ///
-/// Index 0 denotes the position before the first entry and matches in every log.
+/// Index 0 denotes the position before the first entry and matches in every
+/// log.
 #[derive(Clone, Debug, PartialEq, Hash)]
 pub struct Log<C, S> {
     snapshot: Snapshot<S>,
@@ -145,9 +146,9 @@
         (last_term, last_index) >= (self.last_term(), self.last_index())
     }
 
-    /// Returns the highest index up to `index` whose entry has a term of at most
-    /// `term`, and the term of that entry. Lets the comparison of two logs skip
-    /// whole terms instead of single entries.
+    /// Returns the highest index up to `index` whose entry has a term of at
+    /// most `term`, and the term of that entry. Lets the comparison of two logs
+    /// skip whole terms instead of single entries.
     pub(crate) fn find_conflict_by_term(&self, index: u64, term: u64) -> (u64, u64) {
         let mut index = index.min(self.last_index());
         loop {
--- a/crates/consensus/src/member_change.rs
+++ b/crates/consensus/src/member_change.rs
@@ -90,8 +90,8 @@
         is_responsive && is_replicating && lag <= self.settings.max_batch_entries as u64
     }
 
-    /// Returns whether the responsive voters among `members` form a quorum. This
-    /// node and newly promoted voters count as responsive.
+    /// Returns whether the responsive voters among `members` form a quorum.
+    /// This node and newly promoted voters count as responsive.
     fn has_responsive_quorum(&self, members: &Members) -> bool {
         let answering = self.responsive_voters();
         members.has_quorum(|id| {
@@ -122,12 +122,12 @@
         }
     }
 
-    /// Completes a removal that has been committed: notifies the removed member,
-    /// or steps down if this node was removed.
+    /// Completes a removal that has been committed: notifies the removed
+    /// member, or steps down if this node was removed.
     pub(crate) fn on_members_committed(&mut self) {
         let commit_index = self.commit_index;
-        let settled = self.log.members_index() <= commit_index;
-        if settled && !self.members().contains(self.identity.id) {
+        let is_committed = self.log.members_index() <= commit_index;
+        if is_committed && !self.members().contains(self.identity.id) {
             self.step_down_after_removal();
             return;
         }
@@ -143,8 +143,8 @@
         self.send(removed, Body::NotMember { members_index });
     }
 
-    /// Steps down after this node's removal and asks the most caught-up voter to
-    /// campaign, so that the group does not wait for an election timeout.
+    /// Steps down after this node's removal and asks the most caught-up voter
+    /// to campaign, so that the group does not wait for an election timeout.
     fn step_down_after_removal(&mut self) {
         self.flush();
         let successor = self.most_caught_up_voter();
@@ -177,8 +177,8 @@
     /// Stops campaigning because this node was removed. If a leader adds the
     /// node again, its first message makes the node a follower.
     pub(crate) fn handle_not_member(&mut self, members_index: u64) {
-        let leads = matches!(self.state, State::Leader(_));
-        if !leads && members_index > self.log.last_index() {
+        let is_leader = matches!(self.state, State::Leader(_));
+        if !is_leader && members_index > self.log.last_index() {
             self.state = State::Removed;
             self.leader = None;
         }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -77,7 +77,8 @@
     /// Index of the entry appended when this node was elected.
     pub(crate) term_start_index: u64,
     pub(crate) followers: BTreeMap<RouterId, Progress>,
-    /// Member whose removal is not committed yet, with the index of the removal.
+    /// Member whose removal is not committed yet, with the index of the
+    /// removal.
     pub(crate) removed: Option<(u64, RouterIdentity)>,
     pub(crate) heartbeat_due: Timestamp,
     pub(crate) transfer: Option<Transfer>,
@@ -180,9 +181,9 @@
             || self.log.len() >= self.settings.max_log_entries()
     }
 
-    /// Returns an error if this node cannot accept proposals at `now`. Checks the
-    /// quorum as well, so that a leader that was paused steps down here instead
-    /// of accepting proposals until its next tick.
+    /// Returns an error if this node cannot accept proposals at `now`. Checks
+    /// the quorum as well, so that a leader that was paused steps down here
+    /// instead of accepting proposals until its next tick.
     pub(crate) fn check_can_propose(&mut self, now: Timestamp) -> Result<(), ProposeError> {
         self.advance_clock(now);
         self.check_quorum();
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -29,7 +29,8 @@
 /// Replication progress of one follower, as tracked by the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Progress {
-    /// Highest index at which the follower's log is known to match the leader's.
+    /// Highest index at which the follower's log is known to match the
+    /// leader's.
     pub match_index: u64,
     /// Index of the next entry to send.
     pub next_index: u64,
@@ -44,8 +45,8 @@
 }
 
 impl Progress {
-    /// Creates the progress of a follower with an unknown log. Probing starts at
-    /// `next_index`.
+    /// Creates the progress of a follower with an unknown log. Probing starts
+    /// at `next_index`.
     pub fn new(next_index: u64, now: Timestamp) -> Self {
         Progress {
             match_index: 0,
@@ -115,8 +116,8 @@
     }
 
     /// Records that the follower's log does not match at `rejected_index`, and
-    /// continues probing after `agreed_index`. Returns false if the rejection is
-    /// stale.
+    /// continues probing after `agreed_index`. Returns false if the rejection
+    /// is stale.
     pub fn record_rejected(&mut self, rejected_index: u64, agreed_index: u64) -> bool {
         let stale = match &self.state {
             ReplicationState::Probe { .. } => rejected_index != self.next_index - 1,
@@ -131,7 +132,8 @@
         true
     }
 
-    /// Starts probing at `next_index`, or after `match_index` if that is higher.
+    /// Starts probing at `next_index`, or after `match_index` if that is
+    /// higher.
     pub fn start_probing(&mut self, next_index: u64) {
         self.next_index = next_index.max(self.match_index + 1);
         self.state = ReplicationState::Probe {
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -21,12 +21,12 @@
             return;
         }
         leader.heartbeat_due = clock + interval;
-        self.probe_silent_followers();
+        self.probe_unresponsive_followers();
         self.broadcast_heartbeat();
     }
 
-    /// Steps down if no quorum has answered within the longest election timeout,
-    /// so that callers notice and look for the next leader.
+    /// Steps down if no quorum has answered within the longest election
+    /// timeout, so that callers notice and look for the next leader.
     pub(crate) fn check_quorum(&mut self) {
         let since = self.clock - self.settings.timing.election_max();
         let Some(leader) = self.leader_state() else {
@@ -37,9 +37,9 @@
         }
     }
 
-    /// Switches unresponsive followers to probing, so that each is sent only one
-    /// message at a time.
-    fn probe_silent_followers(&mut self) {
+    /// Switches unresponsive followers to probing, so that each is sent only
+    /// one message at a time.
+    fn probe_unresponsive_followers(&mut self) {
         let since = self.clock - self.settings.timing.election_max();
         let Some(leader) = self.leader_state_mut() else {
             return;
@@ -219,23 +219,23 @@
         self.confirm_cancelled_transfer(from, echo);
     }
 
-    /// Advances the commit index to the highest entry that a quorum of the newest
-    /// member list holds, if that entry is of the current term. Entries of
-    /// earlier terms are committed only together with a later entry of the
-    /// current term: on their own, a later leader may still overwrite them, even
-    /// if a quorum holds them.
+    /// Advances the commit index to the highest entry that a quorum of the
+    /// newest member list holds, if that entry is of the current term. Entries
+    /// of earlier terms are committed only together with a later entry of the
+    /// current term: on their own, a later leader may still overwrite them,
+    /// even if a quorum holds them.
     pub(crate) fn advance_commit(&mut self) {
         let State::Leader(leader) = &self.state else {
             return;
         };
         let last_index = self.log.last_index();
-        let held = self.members().quorum_value(|id| {
+        let quorum_index = self.members().quorum_value(|id| {
             if id == self.identity.id {
                 return Some(last_index);
             }
             leader.followers.get(&id).map(|it| it.match_index)
         });
-        let Some(index) = held else {
+        let Some(index) = quorum_index else {
             return;
         };
         if index > self.commit_index && self.log.term_at(index) == Some(self.term) {
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -26,7 +26,8 @@
 pub struct Settings {
     /// Group that the node belongs to. Messages of other groups are ignored.
     pub group: GroupId,
-    /// Election, heartbeat and lease durations. Must be the same on every member.
+    /// Election, heartbeat and lease durations. Must be the same on every
+    /// member.
     pub timing: Timing,
     /// Seed of the random election timeouts. Should differ between members.
     pub seed: u64,
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -39,7 +39,8 @@
 
     /// Returns whether this node may be elected: it is a voter according to its
     /// log, or its removal is not committed yet. In the second case its log may
-    /// be the only one that is up to date, so that no other node can be elected.
+    /// be the only one that is up to date, so that no other node can be
+    /// elected.
     pub(crate) fn is_electable(&self) -> bool {
         let id = self.identity.id;
         let (_, committed) = self.log.members_at(self.commit_index);
@@ -69,8 +70,8 @@
         self.voted_for
     }
 
-    /// Returns the generation that the node belongs to, or 0 if it has not joined
-    /// one.
+    /// Returns the generation that the node belongs to, or 0 if it has not
+    /// joined one.
     pub fn generation(&self) -> Generation {
         self.generation
     }
@@ -103,8 +104,8 @@
             .is_some_and(|leader| leader.term_start_index <= self.commit_index)
     }
 
-    /// Iterates over the replication progress of each follower. Empty unless this
-    /// node leads.
+    /// Iterates over the replication progress of each follower. Empty unless
+    /// this node leads.
     pub fn progress(&self) -> impl Iterator<Item = (RouterId, &Progress)> {
         self.leader_state()
             .into_iter()
--- a/crates/consensus/src/transfer.rs
+++ b/crates/consensus/src/transfer.rs
@@ -1,10 +1,11 @@
 //! Leadership transfer.
 //!
-//! The target of a transfer is elected without waiting until the voters' promises
-//! to the current leader expire. The current leader therefore gives up its lease
-//! before it asks the target to campaign. If the transfer is cancelled, the
-//! leader regains its lease only after the target has confirmed that it will
-//! ignore the request, because the request may be delayed arbitrarily.
+//! The target of a transfer is elected without waiting until the voters'
+//! promises to the current leader expire. The current leader therefore gives up
+//! its lease before it asks the target to campaign. If the transfer is
+//! cancelled, the leader regains its lease only after the target has confirmed
+//! that it will ignore the request, because the request may be delayed
+//! arbitrarily.
 
 use threadledge_types::{RouterId, RouterIdentity, Timestamp};
 
@@ -38,8 +39,8 @@
         !matches!(self.phase, TransferPhase::Cancelled { .. })
     }
 
-    /// Returns whether another leader may be elected at any moment because of the
-    /// transfer, so that this node's lease is void.
+    /// Returns whether another leader may be elected at any moment because of
+    /// the transfer, so that this node's lease is void.
     pub(crate) fn voids_lease(&self) -> bool {
         !matches!(self.phase, TransferPhase::CatchingUp)
     }
@@ -53,8 +54,8 @@
 impl<C: Clone, S: Clone> Node<C, S> {
     /// Starts a transfer of leadership to voter `to`, or to the most caught-up
     /// voter if `to` is `None`. Returns the target. Proposals are refused until
-    /// the target leads. If it does not within the shortest election timeout, the
-    /// transfer is cancelled and this node continues to lead.
+    /// the target leads. If it does not within the shortest election timeout,
+    /// the transfer is cancelled and this node continues to lead.
     pub fn transfer_leadership(
         &mut self,
         now: Timestamp,
@@ -166,9 +167,9 @@
         }
     }
 
-    /// Ends a cancelled transfer, which restores the lease, if the target answers
-    /// a heartbeat that carried the cancellation. The target is then still in
-    /// this term, so it has not campaigned and will not do so.
+    /// Ends a cancelled transfer, which restores the lease, if the target
+    /// answers a heartbeat that carried the cancellation. The target is then
+    /// still in this term, so it has not campaigned and will not do so.
     pub(crate) fn confirm_cancelled_transfer(&mut self, from: RouterId, echo: Timestamp) {
         let Some(leader) = self.leader_state_mut() else {
             return;
@@ -189,8 +190,8 @@
             .as_ref()
             .is_none_or(|leader| leader.id == sender.id);
         let cancelled = transfer <= self.cancelled_transfer;
-        let leads = matches!(self.state, State::Leader(_) | State::Candidate { .. });
-        if from_leader && !cancelled && !leads && self.may_campaign() {
+        let leads_or_campaigns = matches!(self.state, State::Leader(_) | State::Candidate { .. });
+        if from_leader && !cancelled && !leads_or_campaigns && self.may_campaign() {
             self.start_election(true);
         }
     }
--- a/crates/consensus/tests/consensus/arbitrary_input.rs
+++ b/crates/consensus/tests/consensus/arbitrary_input.rs
@@ -1,4 +1,5 @@
-//! Fuzz test with arbitrary messages, including those that no correct peer sends.
+//! Fuzz test with arbitrary messages, including those that no correct peer
+//! sends.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use threadledge_consensus::{AppendOutcome, Body, Entry, Payload, Snapshot};
--- a/crates/consensus/tests/consensus/checker.rs
+++ b/crates/consensus/tests/consensus/checker.rs
@@ -55,9 +55,9 @@
         }
     }
 
-    /// Checks the log matching property: an index and a term identify one entry and
-    /// one predecessor in all logs. By induction, logs that agree at an index agree
-    /// on all earlier entries.
+    /// Checks the log matching property: an index and a term identify one entry
+    /// and one predecessor in all logs. By induction, logs that agree at an
+    /// index agree on all earlier entries.
     fn check_log_matching(&mut self, node: &TestNode) {
         let log = node.log();
         let unsettled = node.commit_index().max(log.first_index());
--- a/crates/consensus/tests/consensus/cluster.rs
+++ b/crates/consensus/tests/consensus/cluster.rs
@@ -1,6 +1,7 @@
-//! Cluster of nodes on a simulated network in virtual time. Messages are dropped,
-//! delayed, duplicated and reordered, links are cut, processes are paused and
-//! killed, and each clock runs at its own rate. The seed determines the whole run.
+//! Cluster of nodes on a simulated network in virtual time. Messages are
+//! dropped, delayed, duplicated and reordered, links are cut, processes are
+//! paused and killed, and each clock runs at its own rate. The seed determines
+//! the whole run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -72,8 +73,8 @@
     pub drop: u64,
     pub duplicate: u64,
     pub max_delay: u64,
-    /// Share of inputs after which the owner does not call `ready`, but only after
-    /// a later input.
+    /// Share of inputs after which the owner does not call `ready`, but only
+    /// after a later input.
     pub delayed_ready: u64,
 }
 
@@ -317,8 +318,8 @@
         self.now - start
     }
 
-    /// Executes the next event, unless it is after `end`. Returns whether there was
-    /// one.
+    /// Executes the next event, unless it is after `end`. Returns whether there
+    /// was one.
     fn step(&mut self, end: u64) -> bool {
         let message = self.in_flight.keys().next().copied();
         let arrival = message.map_or(u64::MAX, |(at, _)| at);
@@ -414,8 +415,8 @@
         }
     }
 
-    /// Checks that at most one node of a generation holds the leader lease now by
-    /// its own clock. Paused nodes count.
+    /// Checks that at most one node of a generation holds the leader lease now
+    /// by its own clock. Paused nodes count.
     fn check_leases(&self) {
         let mut holders = BTreeSet::new();
         for process in self.processes.values() {
--- a/crates/consensus/tests/consensus/explorer.rs
+++ b/crates/consensus/tests/consensus/explorer.rs
@@ -1,9 +1,11 @@
-//! Exhaustive exploration of a small group: every order of deliveries, duplicates
-//! and timeouts up to a given depth. States seen before are not explored again.
+//! Exhaustive exploration of a small group: every order of deliveries,
+//! duplicates and timeouts up to a given depth. States seen before are not
+//! explored again.
 //!
-//! Time does not advance. With election timeouts of zero, a timeout can happen at
-//! any moment and no voter withholds its vote, so the exploration includes every
-//! order of events that clocks could produce. It does not check the lease.
+//! Time does not advance. With election timeouts of zero, a timeout can happen
+//! at any moment and no voter withholds its vote, so the exploration includes
+//! every order of events that clocks could produce. It does not check the
+//! lease.
 
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -56,7 +58,8 @@
 }
 
 impl ClusterState {
-    /// Creates three nodes, of which the first leads and the first `voters` vote.
+    /// Creates three nodes, of which the first leads and the first `voters`
+    /// vote.
     fn new(voters: u64, budget: Budget) -> Self {
         let settings = Settings {
             timing: Timing {
@@ -155,8 +158,8 @@
     }
 
     /// Applies an action and returns whether a node changed or sent anything. A
-    /// message that is never delivered represents a lost one, so a delivery that
-    /// changes nothing leads to no new state.
+    /// message that is never delivered represents a lost one, so a delivery
+    /// that changes nothing leads to no new state.
     fn apply(&mut self, action: &Action) -> bool {
         let node = match action {
             Action::Deliver { message, duplicate } => {
@@ -199,8 +202,8 @@
         self.process_ready(node)
     }
 
-    /// Processes the node's [`Ready`](threadledge_consensus::Ready) and checks the
-    /// invariants. Returns whether the node changed or sent anything.
+    /// Processes the node's [`Ready`](threadledge_consensus::Ready) and checks
+    /// the invariants. Returns whether the node changed or sent anything.
     fn process_ready(&mut self, node: usize) -> bool {
         let ready = self.node(node).ready();
         let sends = !ready.messages.is_empty();
--- a/crates/consensus/tests/consensus/replication.rs
+++ b/crates/consensus/tests/consensus/replication.rs
@@ -145,8 +145,8 @@
 }
 
 /// A deposed leader holds many entries that no other member has, and lacks as
-/// many of a later term. The current leader was elected after those, so it starts
-/// to compare at the end of its log.
+/// many of a later term. The current leader was elected after those, so it
+/// starts to compare at the end of its log.
 #[test]
 fn conflicting_entries_are_replaced_within_few_messages() {
     let mut cluster = Cluster::with_voters(8, 3);
--- a/crates/consensus/tests/consensus/schedules.rs
+++ b/crates/consensus/tests/consensus/schedules.rs
@@ -138,8 +138,8 @@
         self.end_idle_processes();
     }
 
-    /// Sometimes ends the processes that are in no log's member list: joining nodes
-    /// that were never added and members that were removed.
+    /// Sometimes ends the processes that are in no log's member list: joining
+    /// nodes that were never added and members that were removed.
     fn end_idle_processes(&mut self) {
         if self.cluster.random_below(10) != 0 {
             return;
@@ -223,8 +223,8 @@
     run_seeds(6_000, SEEDS / 2, 5);
 }
 
-/// Checks that the schedules cover what they are meant to. A single run may have
-/// few events by chance, so several are counted together.
+/// Checks that the schedules cover what they are meant to. A single run may
+/// have few events by chance, so several are counted together.
 #[test]
 fn schedules_reach_elections_replacements_and_snapshots() {
     const RUNS: usize = 5;
--- a/crates/membership/examples/detection.rs
+++ b/crates/membership/examples/detection.rs
@@ -1,6 +1,7 @@
-//! Measures failure detection in a simulated network. For each number of routers
-//! given as an argument, prints the join time, the traffic of an idle router, the
-//! time until all routers see a crash, and the effects of the loss of a zone.
+//! Measures failure detection in a simulated network. For each number of
+//! routers given as an argument, prints the join time, the traffic of an idle
+//! router, the time until all routers see a crash, and the effects of the loss
+//! of a zone.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -55,8 +56,8 @@
     measure_zone_loss(&mut network);
 }
 
-/// Crashes all routers of one of the three zones at once and prints how long the
-/// others take to notice.
+/// Crashes all routers of one of the three zones at once and prints how long
+/// the others take to notice.
 fn measure_zone_loss(network: &mut Network) {
     let size = network.hosts.len();
     for host in (0..size).filter(|host| host % ZONES == 0) {
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -7,20 +7,20 @@
 
 use crate::message::MemberUpdate;
 
-/// Weight of an update that carries an identity, relative to one that only names
-/// an id.
+/// Weight of an update that carries an identity, relative to one that only
+/// names an id.
 const IDENTITY_WEIGHT: usize = 4;
 
-/// Sort key of a queued update: those sent least often come first, and the newest
-/// first among those.
+/// Sort key of a queued update: those sent least often come first, and the
+/// newest first among those.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     transmissions: usize,
     order: Reverse<u64>,
 }
 
-/// Queue of updates to be gossiped. It holds one update per member, so its size is
-/// bounded by the number of members.
+/// Queue of updates to be gossiped. It holds one update per member, so its size
+/// is bounded by the number of members.
 #[derive(Debug, Default)]
 pub(crate) struct GossipQueue {
     by_rank: BTreeMap<Rank, MemberUpdate>,
--- a/crates/membership/src/group_members.rs
+++ b/crates/membership/src/group_members.rs
@@ -30,16 +30,16 @@
     /// Learners, which are to become voters.
     pub learners: BTreeSet<RouterId>,
     /// Leader of the group, which asks for the change. It is never removed: a
-    /// leader that leaves first transfers leadership, and the next leader removes
-    /// it.
+    /// leader that leaves first transfers leadership, and the next leader
+    /// removes it.
     pub leader: Option<RouterId>,
 }
 
 /// Returns the next change that brings `group` closer to `target_size` living
 /// voters spread over the zones. `members` are all known members.
 ///
-/// A dead or leaving voter is replaced: another router is added before the voter
-/// is removed. A voter that is not in `members` counts as dead.
+/// A dead or leaving voter is replaced: another router is added before the
+/// voter is removed. A voter that is not in `members` counts as dead.
 pub fn next_change<'a>(
     group: &'a GroupView,
     members: impl IntoIterator<Item = &'a Member>,
@@ -63,7 +63,7 @@
         .unwrap_or(GroupChange::None)
 }
 
-/// State of a voter, with the first to be removed first.
+/// State of a voter. Voters are removed in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum VoterState {
     Dead,
@@ -140,8 +140,8 @@
         let living = self.count(VoterState::Living);
         if self.voter_state(worst) == VoterState::Living && living <= self.target_size {
             // The surplus voter is the leader, which is leaving and cannot be
-            // removed yet. If a living voter were removed instead, it would only
-            // be added again.
+            // removed yet. If a living voter were removed instead, it would
+            // only be added again.
             return None;
         }
         self.remove(worst)
@@ -165,10 +165,11 @@
         (is_uneven && zone_is_empty).then(|| GroupChange::Add(candidate.identity.clone()))
     }
 
-    /// Removes a lost voter that no router can replace. A leaving voter is removed
-    /// if the others still form a quorum, so that its departure does not cost the
-    /// quorum. A dead voter may return, so it is removed only if the group
-    /// tolerates more losses without it, which is when the quorum becomes smaller.
+    /// Removes a lost voter that no router can replace. A leaving voter is
+    /// removed if the others still form a quorum, so that its departure does
+    /// not cost the quorum. A dead voter may return, so it is removed only if
+    /// the group tolerates more losses without it, which is when the quorum
+    /// becomes smaller.
     fn remove_without_replacement(&self) -> Option<GroupChange> {
         let worst = self.removal_candidate()?;
         let size = self.group.voters.len();
@@ -180,8 +181,8 @@
         }
     }
 
-    /// Returns the removal of a voter, if the remaining voters that can vote are at
-    /// least a quorum. No change may break this invariant.
+    /// Returns the removal of a voter, if the remaining voters that can vote
+    /// are at least a quorum. No change may break this invariant.
     fn remove(&self, id: RouterId) -> Option<GroupChange> {
         let remaining_size = self.group.voters.len().checked_sub(1)?;
         let others = self.group.voters.iter().filter(|voter| **voter != id);
@@ -191,8 +192,8 @@
         (remaining_size > 0 && able >= quorum(remaining_size)).then_some(GroupChange::Remove(id))
     }
 
-    /// Returns the voter to remove first: a dead one, then a leaving one, then one in
-    /// the zone with the most living voters. Never returns the leader.
+    /// Returns the voter to remove first: a dead one, then a leaving one, then
+    /// one in the zone with the most living voters. Never returns the leader.
     fn removal_candidate(&self) -> Option<RouterId> {
         let voters = self.group.voters.iter().copied();
         voters
--- a/crates/membership/src/health.rs
+++ b/crates/membership/src/health.rs
@@ -4,8 +4,8 @@
 const MAX_SCORE: u32 = 8;
 
 /// Score that rises with evidence that this router is slow or poorly connected
-/// ("local health" in Lifeguard). The higher it is, the longer this router waits
-/// before it suspects others.
+/// ("local health" in Lifeguard). The higher it is, the longer this router
+/// waits before it suspects others.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LocalHealth {
     score: u32,
--- a/crates/membership/src/machine_view.rs
+++ b/crates/membership/src/machine_view.rs
@@ -17,8 +17,8 @@
     machines: BTreeMap<MachineName, Machine>,
     /// Machines without a router that is known to be alive.
     unreached: BTreeMap<MachineName, SocketAddr>,
-    /// Unreached machine contacted last. Every router starts at its own name, so
-    /// that they do not all contact the same machine.
+    /// Unreached machine contacted last. Every router starts at its own name,
+    /// so that they do not all contact the same machine.
     cursor: MachineName,
 }
 
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Replaces the list by a newer one. `is_reached` returns whether a router on
-    /// the named machine is known to be alive.
+    /// Replaces the list by a newer one. `is_reached` returns whether a router
+    /// on the named machine is known to be alive.
     pub(crate) fn replace(&mut self, list: MachineList, is_reached: impl Fn(&MachineName) -> bool) {
         self.version = Some(list.version);
         self.machines = list
@@ -74,7 +74,8 @@
             .collect();
     }
 
-    /// Returns whether the list includes the machine of `identity` at its address.
+    /// Returns whether the list includes the machine of `identity` at its
+    /// address.
     pub(crate) fn lists(&self, identity: &RouterIdentity) -> bool {
         let machine = self.machines.get(&identity.machine);
         machine.is_some_and(|machine| machine.peer_address == identity.peer_address)
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -15,7 +15,8 @@
     Suspect,
     /// The router announced that it stops, or its machine is listed as leaving.
     Leaving,
-    /// The router did not refute a suspicion in time, left, or is provably gone.
+    /// The router did not refute a suspicion in time, left, or is provably
+    /// gone.
     Dead,
 }
 
@@ -26,7 +27,7 @@
     pub identity: RouterIdentity,
     /// State as seen by this router.
     pub state: MemberState,
-    /// Refutation number of the router. Of two claims about it, the one with the
-    /// higher number takes precedence.
+    /// Refutation number of the router. Of two claims about it, the one with
+    /// the higher number takes precedence.
     pub refutation: RefutationNumber,
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -20,8 +20,8 @@
 use crate::sync::SyncSchedule;
 use crate::table::MemberTable;
 
-/// Minimum base-10 logarithm of the member count in the suspicion timeout. Smaller
-/// groups use the timeout of a group of 100.
+/// Minimum base-10 logarithm of the member count in the suspicion timeout.
+/// Smaller groups use the timeout of a group of 100.
 const MIN_SUSPICION_DIGITS: f64 = 2.0;
 
 /// Input of [`Membership::step`].
@@ -34,8 +34,8 @@
         /// Received message.
         message: Box<Message>,
     },
-    /// The platform's machine list was read. Reading the same version again also
-    /// counts, because it shows that the list is still current.
+    /// The platform's machine list was read. Reading the same version again
+    /// also counts, because it shows that the list is still current.
     MachineList(MachineList),
     /// This router is about to stop.
     Leave,
@@ -80,8 +80,8 @@
 
 /// Membership and failure detection as seen by one router.
 ///
-/// Member states show which routers to rely on, not which ones have certainly
-/// ended. Only [`Membership::death_proof`] shows that.
+/// The state of a member shows whether to rely on it, not whether its process
+/// has certainly ended. Only [`Membership::death_proof`] shows that.
 #[derive(Debug)]
 pub struct Membership {
     pub(crate) settings: Settings,
@@ -97,7 +97,9 @@
     pub(crate) sync: SyncSchedule,
     pub(crate) rng: ChaCha8Rng,
     pub(crate) next_gossip_at: Timestamp,
+    /// When machines without a known router are pinged next.
     pub(crate) next_contact_at: Timestamp,
+    /// Number of such rounds so far.
     pub(crate) contact_count: usize,
     next_wakeup: Timestamp,
 }
@@ -143,8 +145,8 @@
         outputs
     }
 
-    /// Iterates over all known members in the order of their ids, including this
-    /// router and remembered dead members.
+    /// Iterates over all known members in the order of their ids, including
+    /// this router and remembered dead members.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.table.iter().map(|record| &record.member)
     }
@@ -154,8 +156,8 @@
         self.table.get(id).map(|record| &record.member)
     }
 
-    /// Iterates over the members that are alive or suspect in the order of their
-    /// ids, including this router.
+    /// Iterates over the members that are alive or suspect in the order of
+    /// their ids, including this router.
     pub fn alive(&self) -> impl Iterator<Item = &Member> {
         self.members()
             .filter(|member| matches!(member.state, MemberState::Alive | MemberState::Suspect))
@@ -168,8 +170,8 @@
 
     /// Returns proof that the process `id` has ended for good, if there is any.
     ///
-    /// Suspicion is no proof. Removal from the machine list counts only once the
-    /// router no longer answers as well.
+    /// Suspicion is no proof. Removal from the machine list counts only once
+    /// the router no longer answers as well.
     pub fn death_proof(&self, id: RouterId) -> Option<DeathProof> {
         let record = self.table.get(id)?;
         if !record.is_dead() {
@@ -178,8 +180,8 @@
         record.proof.clone()
     }
 
-    /// Returns the time by which [`Membership::step`] must be called again. A call
-    /// that comes much later is treated as a pause of this router.
+    /// Returns the time by which [`Membership::step`] must be called again. A
+    /// call that comes much later is treated as a pause of this router.
     pub fn next_wakeup(&self) -> Timestamp {
         self.next_wakeup
     }
--- a/crates/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -1,8 +1,8 @@
 //! Merging of claims about members into the table.
 //!
-//! Of two claims about a member, the one with the higher refutation number takes
-//! precedence. With equal numbers, dead overrides suspect, and suspect overrides
-//! alive. Only the member itself raises its number.
+//! Of two claims about a member, the one with the higher refutation number
+//! takes precedence. With equal numbers, dead overrides suspect, and suspect
+//! overrides alive. Only the member itself raises its number.
 
 use threadledge_types::{RouterId, RouterIdentity, Timestamp};
 
@@ -73,8 +73,8 @@
         })
     }
 
-    /// Refutes a claim that this router is suspect or dead, by gossiping a higher
-    /// refutation number.
+    /// Refutes a claim that this router is suspect or dead, by gossiping a
+    /// higher refutation number.
     fn refute(&mut self, now: Timestamp, update: &MemberUpdate) {
         let claimed = match update {
             MemberUpdate::Suspect { refutation, .. } | MemberUpdate::Dead { refutation, .. } => {
@@ -141,8 +141,8 @@
         true
     }
 
-    /// Merges the claim of router `by` that a member is suspect. Returns whether it
-    /// was new.
+    /// Merges the claim of router `by` that a member is suspect. Returns
+    /// whether it was new.
     pub(crate) fn merge_suspect(
         &mut self,
         now: Timestamp,
@@ -158,7 +158,8 @@
             return false;
         }
         if refutation > record.member.refutation {
-            // The member refuted an earlier claim, but that did not arrive here.
+            // The member refuted an earlier claim, but that did not arrive
+            // here.
             self.table.set_refutation(id, refutation);
             self.suspicions.clear(id);
         }
@@ -241,8 +242,8 @@
         }
     }
 
-    /// Marks an earlier process on the machine of `successor` as gone for good, with
-    /// the successor as proof.
+    /// Marks an earlier process on the machine of `successor` as gone for good,
+    /// with the successor as proof.
     fn supersede(&mut self, now: Timestamp, successor: &RouterIdentity, outputs: &mut Vec<Output>) {
         let Some(earlier) = self.table.latest_on_machine(&successor.machine) else {
             return;
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -76,8 +76,8 @@
         /// Short hash of each of the sender's buckets.
         hashes: Vec<u16>,
     },
-    /// Response to an offer: the sender's members in the buckets that differ, up
-    /// to a size limit.
+    /// Response to an offer: the sender's members in the buckets that differ,
+    /// up to a size limit.
     SyncDigest {
         /// Buckets that differ and are listed. Empty if the tables agree.
         buckets: Vec<u8>,
--- a/crates/membership/src/peer_set.rs
+++ b/crates/membership/src/peer_set.rs
@@ -7,8 +7,8 @@
 use threadledge_types::RouterId;
 
 /// Set of routers that supports iteration in random order, with each element
-/// once per round, and random sampling. The cost of each operation grows at most
-/// with the logarithm of the size.
+/// once per round, and random sampling. The cost of each operation grows at
+/// most with the logarithm of the size.
 #[derive(Debug, Default)]
 pub(crate) struct PeerSet {
     order: Vec<RouterId>,
@@ -46,8 +46,8 @@
         self.positions.remove(&id);
     }
 
-    /// Returns the next element of this round, in random order. Starts a new round
-    /// after the last element.
+    /// Returns the next element of this round, in random order. Starts a new
+    /// round after the last element.
     pub(crate) fn next(&mut self, rng: &mut ChaCha8Rng) -> Option<RouterId> {
         if self.order.is_empty() {
             return None;
--- a/crates/membership/src/prober.rs
+++ b/crates/membership/src/prober.rs
@@ -6,8 +6,8 @@
 
 use threadledge_types::{RouterId, Timestamp};
 
-/// Maximum number of concurrent probes on behalf of others. Further requests are
-/// not answered.
+/// Maximum number of concurrent probes on behalf of others. Further requests
+/// are not answered.
 const MAX_INDIRECT_PROBES: usize = 64;
 
 /// Probe of another router by this one.
@@ -15,7 +15,8 @@
 pub(crate) struct Probe {
     pub(crate) target: RouterId,
     sequence: u64,
-    /// When other routers are asked for indirect probes; `None` after they were.
+    /// When other routers are asked for indirect probes; `None` after they
+    /// were.
     indirect_at: Option<Timestamp>,
     /// When the probe fails.
     fails_at: Timestamp,
@@ -26,10 +27,10 @@
 }
 
 impl Probe {
-    /// Returns whether none of the routers asked for indirect probes answered at
-    /// all, in which case the fault may be here. A single answer shows that this
-    /// router can be reached; the others may not answer because many routers
-    /// failed at once.
+    /// Returns whether none of the routers asked for indirect probes answered
+    /// at all, in which case the fault may be here. A single answer shows that
+    /// this router can be reached; the others may not answer because many
+    /// routers failed at once.
     pub(crate) fn is_isolated(&self) -> bool {
         self.helpers > 0 && self.nacks.is_empty()
     }
@@ -116,7 +117,8 @@
         sequence
     }
 
-    /// Delays the next probe by `interval`, because no member can be probed now.
+    /// Delays the next probe by `interval`, because no member can be probed
+    /// now.
     pub(crate) fn skip(&mut self, now: Timestamp, interval: Duration) {
         self.next_probe_at = now + interval;
     }
@@ -142,8 +144,8 @@
             .is_some()
     }
 
-    /// Handles the ack of an indirect probe and returns whether it ends the current
-    /// probe.
+    /// Handles the ack of an indirect probe and returns whether it ends the
+    /// current probe.
     pub(crate) fn on_indirect_ack(&mut self, sequence: u64) -> bool {
         self.probe
             .take_if(|probe| probe.sequence == sequence)
@@ -170,8 +172,8 @@
         due.map(|_| ProbeStep::RequestIndirect(probe.target, probe.sequence))
     }
 
-    /// Starts a probe on behalf of another router and returns its sequence number,
-    /// or `None` if too many are in progress.
+    /// Starts a probe on behalf of another router and returns its sequence
+    /// number, or `None` if too many are in progress.
     pub(crate) fn begin_indirect(
         &mut self,
         target: RouterId,
@@ -191,8 +193,8 @@
         Some(sequence)
     }
 
-    /// Handles an ack of `from`. Returns the request if the ack ends an indirect
-    /// probe.
+    /// Handles an ack of `from`. Returns the request if the ack ends an
+    /// indirect probe.
     pub(crate) fn finish_indirect(
         &mut self,
         from: RouterId,
@@ -207,7 +209,8 @@
             .map(|indirect| indirect.request)
     }
 
-    /// Removes an indirect probe that got no answer in time and returns its request.
+    /// Removes an indirect probe that got no answer in time and returns its
+    /// request.
     pub(crate) fn pop_expired_indirect(&mut self, now: Timestamp) -> Option<IndirectRequest> {
         // All indirect probes have the same timeout, so the one with the lowest
         // sequence number expires first.
@@ -220,8 +223,8 @@
             .map(|indirect| indirect.request)
     }
 
-    /// Returns when [`Prober::advance`], a new probe or the expiry of an indirect
-    /// probe is due.
+    /// Returns when [`Prober::advance`], a new probe or the expiry of an
+    /// indirect probe is due.
     pub(crate) fn next_wakeup(&self) -> Timestamp {
         let probe = match &self.probe {
             Some(probe) => probe.indirect_at.unwrap_or(probe.fails_at),
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -12,8 +12,8 @@
 use crate::proof::DeathProof;
 
 impl Membership {
-    /// Merges the updates of a message and acts on its body. Messages from other
-    /// regions and from superseded processes are ignored.
+    /// Merges the updates of a message and acts on its body. Messages from
+    /// other regions and from superseded processes are ignored.
     pub(crate) fn handle_message(
         &mut self,
         now: Timestamp,
@@ -63,9 +63,9 @@
         self.merge(now, update, Forward::Yes, outputs);
     }
 
-    /// Tells a sender that it is suspect or dead here, so that it can refute this
-    /// immediately. The message alone does not clear the sender, because it may
-    /// have been in transit for a long time.
+    /// Tells a sender that it is suspect or dead here, so that it can refute
+    /// this immediately. The message alone does not clear the sender, because
+    /// it may have been in transit for a long time.
     fn notify_suspect(&mut self, message: &Message, outputs: &mut Vec<Output>) {
         let id = message.from.id;
         let Some(record) = self.table.get(id) else {
@@ -90,8 +90,8 @@
         );
     }
 
-    /// Acts on the body of a message. Its updates, which are about `subjects`, have
-    /// been merged before.
+    /// Acts on the body of a message. Its updates, which are about `subjects`,
+    /// have been merged before.
     fn handle_body(
         &mut self,
         now: Timestamp,
@@ -163,8 +163,8 @@
         self.send(to, Some(message.from.id), body, outputs);
     }
 
-    /// Applies a machine list that was read. A list with a lower version lags and
-    /// is ignored.
+    /// Applies a machine list that was read. A list with a lower version lags
+    /// and is ignored.
     pub(crate) fn apply_machine_list(
         &mut self,
         now: Timestamp,
@@ -192,8 +192,8 @@
         }
     }
 
-    /// Updates what the machine list shows about a member: whether it is listed,
-    /// whether it was removed, and whether it is leaving.
+    /// Updates what the machine list shows about a member: whether it is
+    /// listed, whether it was removed, and whether it is leaving.
     fn check_against_list(
         &mut self,
         now: Timestamp,
@@ -209,9 +209,9 @@
             // If the list lags, the entry may belong to an earlier machine with
             // the same name; see `Settings::max_list_lag`.
             if now.since(record.known_since) >= self.settings.max_list_lag {
-                record.listed = Some(version);
+                record.listed_version = Some(version);
             }
-        } else if let Some(listed) = record.listed
+        } else if let Some(listed) = record.listed_version
             && listed < version
             && record.proof.is_none()
             && !self.machines.has_name(&identity.machine)
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -18,10 +18,11 @@
     pub suspicion_multiplier: f64,
     /// Number of routers to which each round of gossip is sent.
     pub gossip_fanout: usize,
-    /// Interval between rounds of gossip. A round without updates sends nothing.
+    /// Interval between rounds of gossip. A round without updates sends
+    /// nothing.
     pub gossip_interval: Duration,
-    /// Maximum number of updates with an identity carried by one message. Updates
-    /// that only name an id count a quarter.
+    /// Maximum number of updates with an identity carried by one message.
+    /// Updates that only name an id count a quarter.
     pub max_piggyback: usize,
     /// Number of times that an update is sent, per power of ten of the member
     /// count.
@@ -36,8 +37,8 @@
     pub dead_retention: Duration,
     /// Maximum number of dead members remembered.
     pub max_dead_members: usize,
-    /// Maximum lag of the platform's machine list. A list counts as evidence that
-    /// a router is listed only if it was read at least this long after the
+    /// Maximum lag of the platform's machine list. A list counts as evidence
+    /// that a router is listed only if it was read at least this long after the
     /// router became known. Otherwise the entry could belong to an earlier
     /// machine with the same name.
     pub max_list_lag: Duration,
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -5,7 +5,8 @@
 
 use threadledge_types::{RouterId, Timestamp};
 
-/// Number of independent reporters that reduces a suspicion to its minimum timeout.
+/// Number of independent reporters that reduces a suspicion to its minimum
+/// timeout.
 const REPORTERS_FOR_MIN: usize = 3;
 /// Timeout of a suspicion with one reporter, as a multiple of the minimum.
 const MAX_FACTOR: f64 = 1.5;
@@ -32,8 +33,8 @@
 }
 
 impl Suspicion {
-    /// Returns the timeout. Each additional reporter shortens it, the first ones
-    /// most.
+    /// Returns the timeout. Each additional reporter shortens it, the first
+    /// ones most.
     fn timeout(&self) -> Duration {
         let additional = self.reporters.len().saturating_sub(1) as f64;
         let needed = (REPORTERS_FOR_MIN - 1) as f64;
@@ -66,8 +67,8 @@
         self.by_id.contains_key(&id)
     }
 
-    /// Starts a suspicion, or adds a reporter to the pending one. Returns whether
-    /// the reporter is new.
+    /// Starts a suspicion, or adds a reporter to the pending one. Returns
+    /// whether the reporter is new.
     pub(crate) fn add_report(
         &mut self,
         now: Timestamp,
@@ -127,7 +128,8 @@
         self.reminders.remove(&(suspicion.reminder_at, id));
     }
 
-    /// Recomputes the deadline of a suspicion, and sets its reminder if one is given.
+    /// Recomputes the deadline of a suspicion, and sets its reminder if one is
+    /// given.
     fn reschedule(&mut self, id: RouterId, reminder_at: Option<Timestamp>) {
         let Some(suspicion) = self.by_id.get_mut(&id) else {
             return;
@@ -152,8 +154,8 @@
         Some(id)
     }
 
-    /// Restarts all suspicions, because this router was paused and messages missed
-    /// in between are no evidence against others.
+    /// Restarts all suspicions, because this router was paused and messages
+    /// missed in between are no evidence against others.
     pub(crate) fn restart_all(&mut self, now: Timestamp) {
         let ids: Vec<RouterId> = self.by_id.keys().copied().collect();
         for id in ids {
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -15,9 +15,9 @@
 /// Maximum number of members listed in one digest, unless a single bucket has
 /// more.
 const MAX_DIGEST_ENTRIES: usize = 256;
-/// Maximum number of identities requested, and of updates sent with the request.
-/// The answer holds up to twice as many updates; later comparisons transfer the
-/// rest.
+/// Maximum number of identities requested, and of updates sent with the
+/// request. The answer holds up to twice as many updates; later comparisons
+/// transfer the rest.
 const MAX_SYNC_UPDATES: usize = 24;
 /// Interval between comparisons while this router joins.
 const JOIN_INTERVAL: Duration = Duration::from_millis(25);
@@ -55,8 +55,8 @@
         self.next_at
     }
 
-    /// Returns the bucket to start from if a comparison is due, and schedules the
-    /// next one.
+    /// Returns the bucket to start from if a comparison is due, and schedules
+    /// the next one.
     fn take_due(&mut self, now: Timestamp, interval: Duration) -> Option<u8> {
         if now < self.next_at {
             return None;
@@ -78,9 +78,9 @@
         JOIN_INTERVAL
     }
 
-    /// Returns to the join interval when the member count has doubled. When many
-    /// routers join at once, early comparisons are between tables that both know
-    /// few members.
+    /// Returns to the join interval when the member count has doubled. When
+    /// many routers join at once, early comparisons are between tables that
+    /// both know few members.
     fn on_member_count(&mut self, count: usize) {
         if count >= 2 * self.baseline_count {
             self.baseline_count = count;
@@ -119,7 +119,7 @@
     /// Answers an offer with a digest of the buckets whose hashes differ.
     pub(crate) fn handle_sync_offer(
         &mut self,
-        from: &Message,
+        message: &Message,
         start: u8,
         hashes: &[u16],
         outputs: &mut Vec<Output>,
@@ -147,7 +147,11 @@
             buckets.push(bucket);
             entries.extend(listed);
         }
-        self.reply(from, MessageBody::SyncDigest { buckets, entries }, outputs);
+        self.reply(
+            message,
+            MessageBody::SyncDigest { buckets, entries },
+            outputs,
+        );
     }
 
     /// Requests members that are missing here and sends updates that the sender
@@ -155,7 +159,7 @@
     pub(crate) fn handle_sync_digest(
         &mut self,
         now: Timestamp,
-        from: &Message,
+        message: &Message,
         buckets: &[u8],
         entries: &[MemberDigest],
         outputs: &mut Vec<Output>,
@@ -179,15 +183,15 @@
             return;
         }
         let body = MessageBody::SyncWanted { ids };
-        let (to, to_id) = (from.from.peer_address, Some(from.from.id));
+        let (to, to_id) = (message.from.peer_address, Some(message.from.id));
         self.send_with(to, to_id, body, updates, outputs);
     }
 
-    /// Sends the requested members, and the dead ones among `subjects`, the members
-    /// that the message listed as living.
+    /// Sends the requested members, and the dead ones among `subjects`, the
+    /// members that the message listed as living.
     pub(crate) fn handle_sync_wanted(
         &mut self,
-        from: &Message,
+        message: &Message,
         ids: &[RouterId],
         subjects: &[RouterId],
         outputs: &mut Vec<Output>,
@@ -205,18 +209,20 @@
         if updates.is_empty() {
             return;
         }
-        let (to, to_id) = (from.from.peer_address, Some(from.from.id));
+        let (to, to_id) = (message.from.peer_address, Some(message.from.id));
         self.send_with(to, to_id, MessageBody::SyncUpdates, updates, outputs);
     }
 
-    /// Returns an update if this router knows more about a member than `entry` says.
+    /// Returns an update if this router knows more about a member than `entry`
+    /// says.
     fn update_if_newer(&self, entry: MemberDigest) -> Option<MemberUpdate> {
         let record = self.table.get(entry.id)?;
         let newer = record.is_dead() || record.member.refutation > entry.refutation;
         newer.then(|| self.current_update(entry.id)).flatten()
     }
 
-    /// Returns updates for the living members of a bucket that are not in `entries`.
+    /// Returns updates for the living members of a bucket that are not in
+    /// `entries`.
     fn members_missing_in(&self, bucket: u8, entries: &[MemberDigest]) -> Vec<MemberUpdate> {
         let members = self.table.bucket_members(bucket);
         members
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -22,9 +22,9 @@
     /// The platform lists its machine as leaving.
     pub(crate) listed_leaving: bool,
     pub(crate) known_since: Timestamp,
-    /// Latest version of the machine list that included its machine and was read
-    /// at least `max_list_lag` after the router became known.
-    pub(crate) listed: Option<u64>,
+    /// Latest version of the machine list that included its machine and was
+    /// read at least `max_list_lag` after the router became known.
+    pub(crate) listed_version: Option<u64>,
     pub(crate) proof: Option<DeathProof>,
     died_at: Option<Timestamp>,
 }
@@ -52,8 +52,8 @@
     hash: u64,
 }
 
-/// All known members, including this router. Dead members are limited in age and
-/// number.
+/// All known members, including this router. Dead members are limited in age
+/// and number.
 #[derive(Debug)]
 pub(crate) struct MemberTable {
     own: RouterId,
@@ -83,8 +83,8 @@
         self.records.get(&id)
     }
 
-    /// Returns a record for changes that affect neither its refutation number nor
-    /// whether it is dead; the indices depend on both.
+    /// Returns a record for changes that affect neither its refutation number
+    /// nor whether it is dead; the indices depend on both.
     pub(crate) fn get_mut(&mut self, id: RouterId) -> Option<&mut MemberRecord> {
         self.records.get_mut(&id)
     }
@@ -131,7 +131,7 @@
             announced_leaving: false,
             listed_leaving: false,
             known_since: now,
-            listed: None,
+            listed_version: None,
             proof: None,
             died_at: None,
         };
@@ -173,8 +173,8 @@
         self.dead.insert((now, id));
     }
 
-    /// Removes members that died before `since`, and those that died first while
-    /// there are more than `max_dead_members`.
+    /// Removes members that died before `since`, and those that died first
+    /// while there are more than `max_dead_members`.
     pub(crate) fn prune_dead(&mut self, since: Timestamp, max_dead_members: usize) {
         while let Some(&(died_at, id)) = self.dead.first() {
             if died_at >= since && self.dead.len() <= max_dead_members {
@@ -185,8 +185,8 @@
         }
     }
 
-    /// Returns the dead member at position `number`, modulo their count, unless it
-    /// was superseded. The member may in fact be alive.
+    /// Returns the dead member at position `number`, modulo their count, unless
+    /// it was superseded. The member may in fact be alive.
     pub(crate) fn nth_dead(&self, number: usize) -> Option<&MemberRecord> {
         let index = number.checked_rem(self.dead.len())?;
         let (_, id) = self.dead.iter().nth(index)?;
@@ -196,8 +196,9 @@
     }
 
     /// Returns a 16-bit hash of each bucket over its living members and their
-    /// refutation numbers. Two different buckets have equal hashes once in 65,536
-    /// cases, and not for long, because any change of the bucket changes both.
+    /// refutation numbers. Two different buckets have equal hashes once in
+    /// 65,536 cases, and not for long, because any change of the bucket changes
+    /// both.
     pub(crate) fn bucket_hashes(&self) -> Vec<u16> {
         self.buckets
             .iter()
--- a/crates/membership/src/timers.rs
+++ b/crates/membership/src/timers.rs
@@ -1,4 +1,5 @@
-//! Periodic work: probes, suspicions, gossip, contacts and removal of dead members.
+//! Periodic work: probes, suspicions, gossip, contacts and removal of dead
+//! members.
 
 use threadledge_types::{RouterId, Timestamp};
 
@@ -130,9 +131,9 @@
         self.ping_suspect(now, id, outputs);
     }
 
-    /// Tells a member that it is suspect here, and schedules a reminder, so that it
-    /// can refute the suspicion in time if it is alive. Its answer to the ping
-    /// carries the refutation.
+    /// Tells a member that it is suspect here, and schedules a reminder, so
+    /// that it can refute the suspicion in time if it is alive. Its answer to
+    /// the ping carries the refutation.
     fn ping_suspect(&mut self, now: Timestamp, id: RouterId, outputs: &mut Vec<Output>) {
         let Some(record) = self.table.get(id) else {
             return;
--- a/crates/membership/src/tree.rs
+++ b/crates/membership/src/tree.rs
@@ -1,7 +1,7 @@
 //! Deterministic fan-out tree over the routers that are alive.
 //!
-//! The roots come first, followed by all other routers in the order of a hash of
-//! their id. With `r` roots, the parent of the router at position `i` is at
+//! The roots come first, followed by all other routers in the order of a hash
+//! of their id. With `r` roots, the parent of the router at position `i` is at
 //! position `(i - r) / fanout`. Every router therefore has at most `fanout`
 //! children, and the depth grows with the logarithm of the number of routers.
 //! Each router computes its own position from its own view. If views differ,
@@ -13,8 +13,9 @@
 use threadledge_types::RouterId;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Returns the candidates for the parent of `own`, best first: its parent in the
-/// tree, its other ancestors, the siblings of its parent, and finally the roots.
+/// Returns the candidates for the parent of `own`, best first: its parent in
+/// the tree, its other ancestors, the siblings of its parent, and finally the
+/// roots.
 ///
 /// `roots` are the voters of the group, with the leader first. `alive` are the
 /// routers that are alive, with or without `own`. The candidates of a root are
--- a/crates/membership/tests/schedules.rs
+++ b/crates/membership/tests/schedules.rs
@@ -1,4 +1,5 @@
-//! Random faults with fixed seeds. Proofs of death are checked after every step.
+//! Random faults with fixed seeds. Proofs of death are checked after every
+//! step.
 
 mod support;
 
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -84,8 +84,8 @@
     pub now: Timestamp,
     pub hosts: Vec<Host>,
     pub settings: Settings,
-    /// Partition of each host; hosts without an entry form one partition. Messages
-    /// between partitions are lost.
+    /// Partition of each host; hosts without an entry form one partition.
+    /// Messages between partitions are lost.
     pub partitions: BTreeMap<usize, u8>,
     pub loss_percent: u32,
     pub max_delay: Duration,
@@ -163,8 +163,8 @@
         self.hosts[host].paused = Some(Vec::new());
     }
 
-    /// Resumes a paused process, which then handles the messages that arrived in
-    /// the meantime.
+    /// Resumes a paused process, which then handles the messages that arrived
+    /// in the meantime.
     pub fn resume(&mut self, host: usize) {
         let messages = self.hosts[host].paused.take().unwrap_or_default();
         self.input(host, Input::Tick);
@@ -178,8 +178,8 @@
         self.run_until(duration, |_| false);
     }
 
-    /// Runs until `done` is true and returns the time that it took, or `None` after
-    /// `limit`.
+    /// Runs until `done` is true and returns the time that it took, or `None`
+    /// after `limit`.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -220,8 +220,8 @@
         member.map(|member| member.state)
     }
 
-    /// Returns whether every running host except `subject` itself sees `subject` in
-    /// `state`.
+    /// Returns whether every running host except `subject` itself sees
+    /// `subject` in `state`.
     pub fn all_have(&self, subject: RouterId, state: MemberState) -> bool {
         (0..self.hosts.len())
             .filter(|host| self.hosts[*host].running)
