--- a/crates/ownership/src/grantor/exchange.rs
+++ b/crates/ownership/src/grantor/exchange.rs
@@ -133,7 +133,12 @@
     }
 
     /// Schedules a retry after a request that got no response.
-    pub(super) fn on_request_failed(&mut self, now: Timestamp, id: &BackEndId, order: LeaseSequence) {
+    pub(super) fn on_request_failed(
+        &mut self,
+        now: Timestamp,
+        id: &BackEndId,
+        order: LeaseSequence,
+    ) {
         let retry = self.settings.retry_interval;
         let Some(state) = self.back_ends.get_mut(id) else {
             return;
--- a/crates/router/src/gateway/peers.rs
+++ b/crates/router/src/gateway/peers.rs
@@ -186,7 +186,11 @@
 
     /// Requests limit tokens from the gateway that keeps the ledger. Returns
     /// `None` if it did not answer.
-    pub(super) async fn request_quota(&self, to: SocketAddr, ask: &QuotaRequest) -> Option<QuotaResponse> {
+    pub(super) async fn request_quota(
+        &self,
+        to: SocketAddr,
+        ask: &QuotaRequest,
+    ) -> Option<QuotaResponse> {
         let call = self
             .client
             .post_json(to, LIMITS_PATH, ask, QUOTA_REQUEST_TIMEOUT);
--- a/crates/router/src/gateway/relay.rs
+++ b/crates/router/src/gateway/relay.rs
@@ -260,9 +260,9 @@
 
     /// Polls the relay for as long as the member waits.
     async fn poll(&self, address: SocketAddr, poll: &FollowPoll) -> PollResult {
-        let polling = self
-            .client
-            .poll_relay(address, poll, self.member_config.settings.poll_timeout);
+        let polling =
+            self.client
+                .poll_relay(address, poll, self.member_config.settings.poll_timeout);
         let answer = match self.member.poll_deadline() {
             None => polling.await,
             Some(deadline) => {
@@ -312,7 +312,7 @@
             self.fetch_configuration(address).await;
         }
         self.health.record_contact(seen);
-PollOutcome :: Answered { seen , has_changes : has_changes } 
+        PollOutcome::Answered { seen, has_changes }
     }
 
     /// Fetches the configuration if the relay no longer has its changes, or if
