--- a/crates/router/tests/gateway/names.rs
+++ b/crates/router/tests/gateway/names.rs
@@ -67,7 +67,7 @@
 
 #[test]
 fn check_finds_such_names_where_they_stand() {
-    let adapter = repository_root().join("platform/src/wording.rs");
+    let adapter = repository_root().join("platform/src/headers.rs");
     let text = std::fs::read_to_string(adapter).expect("the adapter");
     assert!(names_in(&text).contains(&"x-shard-key"));
 }
