--- a/crates/net/src/pool/error.rs
+++ b/crates/net/src/pool/error.rs
@@ -30,24 +30,22 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeFault {
     /// The connection failed.
-    #[error("the connection failed ({0}); check that the peer is running and reachable")]
+    #[error("the connection failed ({0}); see whether the peer runs and is reachable")]
     Io(#[from] std::io::Error),
     /// The deadline passed.
-    #[error("the deadline passed; allow more time or find out what is slow")]
+    #[error("the deadline passed; allow more time or look for what is slow")]
     DeadlinePassed,
     /// All allowed connections are in use.
-    #[error(
-        "all connections are in use; raise the connection limit or send fewer requests at once"
-    )]
+    #[error("every connection is in use; raise the connection limit or send less at once")]
     NoConnectionFree,
     /// The request body could not be read from its source.
-    #[error("the request body could not be read ({0}); check the sender of the request")]
+    #[error("the request's body failed ({0}); see the sender of the request")]
     RequestBody(std::io::Error),
     /// The peer closed the connection before the response was complete.
-    #[error("the peer closed the connection before its response was complete; see the peer's log")]
+    #[error("the peer closed before its answer was whole; see the peer's log")]
     Truncated,
     /// The response violates HTTP/1.1 or a limit.
-    #[error("the response is malformed ({0}); correct the peer")]
+    #[error("the answer is malformed ({0}); mend the peer")]
     Malformed(String),
 }
 
--- a/crates/net/src/pool/response.rs
+++ b/crates/net/src/pool/response.rs
@@ -47,7 +47,7 @@
     }
     let status = response.status();
     if status == StatusCode::SwitchingProtocols {
-        return Err(malformed("switches protocols without being asked to"));
+        return Err(malformed("switches protocols, which was not asked for"));
     }
     let mut framing = head::framing(response.as_ref()).map_err(malformed)?;
     let length = match &framing {
@@ -58,7 +58,7 @@
     let mut closes = head::connection_header_has(response.as_ref(), "close");
     if !bodiless && framing.is_none() {
         if unframed_bodies == UnframedBodies::Refuse {
-            return Err(malformed("has neither Content-Length nor chunked coding"));
+            return Err(malformed("tells neither Content-Length nor chunks"));
         }
         framing = Some(BodyDecoder::UntilClose { closed: false });
         closes = true;
--- a/crates/types/src/validation/problem.rs
+++ b/crates/types/src/validation/problem.rs
@@ -141,7 +141,7 @@
     #[error("'{0}' is not a kind of threadledge object")]
     UnknownKind(String),
     /// The value occurs more than once.
-    #[error("'{0}' occurs more than once")]
+    #[error("'{0}' stands more than once")]
     Duplicate(String),
     /// The text is not an absolute path prefix.
     #[error("'{0}' is not a path prefix")]
@@ -153,7 +153,7 @@
     #[error("'{0}' is not a header that can carry a key")]
     InvalidHeader(String),
     /// An earlier route matches every request of this one.
-    #[error("route '{earlier}' matches every request of this one")]
+    #[error("route '{earlier}' takes every request of this one")]
     ShadowedRoute {
         /// Name of the earlier route.
         earlier: String,
@@ -193,7 +193,7 @@
     /// Returns advice for the operator on how to fix the problem.
     pub const fn remedy(&self) -> &'static str {
         match self {
-            ProblemKind::Unreadable(_) => "correct the field; see docs/operators/configuration.md",
+            ProblemKind::Unreadable(_) => "correct the field by docs/operators/configuration.md",
             ProblemKind::Empty => "give it a value",
             ProblemKind::InvalidName(_) => {
                 "use 1 to 63 lower-case letters, digits and '-', beginning and ending with a \
@@ -207,28 +207,26 @@
             }
             ProblemKind::InvalidSelector(_) => {
                 "use matchLabels, or matchExpressions with In or NotIn and values, or Exists or \
-                 DoesNotExist without values"
+                 DoesNotExist without"
             }
             ProblemKind::NotAnAddress(_) => "write it as 10.1.2.3:8080 or [2001:db8::1]:8080",
             ProblemKind::UnusableAddress(_) => {
                 "use the unicast address and the port, not 0, that the server listens on"
             }
             ProblemKind::OutOfRange { .. } => "choose a value within the range",
-            ProblemKind::TooMany { .. } => "split the object into several",
+            ProblemKind::TooMany { .. } => "divide the object into several",
             ProblemKind::FewerConnectionsThanSlots { .. } => {
                 "raise connections to at least slots, or lower slots"
             }
-            ProblemKind::InvalidHost(_) => {
-                "write only the host name, for example quote.example.org"
-            }
+            ProblemKind::InvalidHost(_) => "write the name alone, for example quote.example.org",
             ProblemKind::HostClaimed { .. } => {
-                "use another host, or remove it from the service that owns it"
+                "use another host, or remove it from the service that has it"
             }
             ProblemKind::AddressClaimed { .. } => {
                 "use the address of this back end, or remove the other one first"
             }
             ProblemKind::NothingSelected => {
-                "correct the selector, or add the labels to the intended back ends"
+                "correct the selector, or add the labels to the back ends meant"
             }
             ProblemKind::UnknownVersion(_) => "set apiVersion to threadledge.dev/v1",
             ProblemKind::UnknownKind(_) => "use BackEnd, KeyedService or RouterGroup",
@@ -240,7 +238,8 @@
                 "use GET, HEAD, POST, PUT, PATCH, DELETE or OPTIONS, in upper case"
             }
             ProblemKind::InvalidHeader(_) => {
-                "name a request header that is neither hop-by-hop nor reserved for threadledge"
+                "name a header of the request that is neither of the connection nor threadledge's \
+                 own"
             }
             ProblemKind::ShadowedRoute { .. } => "move it before the earlier route, or remove it",
         }
