--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -95,6 +95,8 @@
 
 /// Member entry used to compare member tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+// A router answers a malformed batch with serde's error, which names this type.
+#[serde(expecting = "struct Digest")]
 pub struct MemberDigest {
     /// Router id of the member.
     pub id: RouterId,
