--- a/crates/router/src/gateway/coordination.rs
+++ b/crates/router/src/gateway/coordination.rs
@@ -75,7 +75,7 @@
     /// Added to the time after which this gateway takes over an expired lease.
     pub(super) takeover_delay: Duration,
     /// Zone and region of this gateway.
-    pub(super) places: Topology,
+    pub(super) topology: Topology,
     /// Client for calls to other gateways.
     pub(super) peers: PeerClient,
     /// Where this gateway currently gets its updates from.
@@ -203,9 +203,9 @@
                 }
             }
             Event::OwnersUnavailable(service) => self.report_unavailable_owners(now, &service),
-            Event::TokenRequest(service, asks, reply) => {
+            Event::TokenRequest(service, requests, reply) => {
                 // The requester may have given up meanwhile.
-                let _ = reply.try_send(self.grant_tokens(now, &service, &asks));
+                let _ = reply.try_send(self.grant_tokens(now, &service, &requests));
             }
             Event::CallFinished(service, outcome) => self.on_call_finished(&service, outcome),
             Event::Stop => {
@@ -244,7 +244,7 @@
                 continue;
             };
             let regions = self.key_regions.get(&service);
-            let restricted = drain_outside_regions(&back_ends, regions, &self.config.places);
+            let restricted = drain_outside_regions(&back_ends, regions, &self.config.topology);
             coordinator.set_back_ends(now, &restricted);
         }
     }
--- a/crates/router/src/gateway/coordination/reports.rs
+++ b/crates/router/src/gateway/coordination/reports.rs
@@ -96,12 +96,12 @@
         &mut self,
         now: Timestamp,
         service: &ServiceName,
-        asks: &[TokenRequest],
+        requests: &[TokenRequest],
     ) -> TokenReply {
         let Some(coordinator) = self.coordinators.get_mut(service) else {
             return TokenReply::Elsewhere { coordinator: None };
         };
-        if let Some(grants) = coordinator.grant_tokens(now, asks) {
+        if let Some(grants) = coordinator.grant_tokens(now, requests) {
             return TokenReply::Granted { grants };
         }
         let holder = coordinator
--- a/crates/router/src/gateway/key_regions.rs
+++ b/crates/router/src/gateway/key_regions.rs
@@ -44,13 +44,13 @@
 pub fn drain_outside_regions(
     back_ends: &Arc<[BackEnd]>,
     regions: Option<&BTreeSet<RegionName>>,
-    places: &Topology,
+    topology: &Topology,
 ) -> Arc<[BackEnd]> {
     let Some(regions) = regions else {
         return back_ends.clone();
     };
     let restricted = back_ends.iter().map(|back_end| BackEnd {
-        draining: back_end.draining || !places.is_within(&back_end.zone, regions),
+        draining: back_end.draining || !topology.is_within(&back_end.zone, regions),
         ..back_end.clone()
     });
     restricted.collect()
--- a/crates/router/src/gateway/relay.rs
+++ b/crates/router/src/gateway/relay.rs
@@ -45,7 +45,7 @@
     pub(super) tier: Tier,
     /// Name of the relay record in the store.
     pub(super) record: String,
-    pub(super) places: Topology,
+    pub(super) topology: Topology,
     pub(super) member_config: MemberConfig,
     pub(super) member: Member,
     pub(super) ports: Ports,
@@ -198,7 +198,7 @@
         started: Timestamp,
         entries: Vec<Entry<RelayRecord>>,
     ) -> Option<Versioned<RelayRecord>> {
-        let records = RelayRecords::parse(entries, &self.record, &self.places);
+        let records = RelayRecords::parse(entries, &self.record, &self.topology);
         if self.tier == Tier::Region {
             return records.own;
         }
@@ -241,7 +241,7 @@
                 self.sources.queue_load(&service, load);
             }
         }
-        let followed = match polled {
+        let outcome = match polled {
             PollResult::Answered(FollowAnswer::News(update)) => {
                 self.apply_update(started, address, *update).await
             }
@@ -251,8 +251,8 @@
             PollResult::Answered(FollowAnswer::Leaving) | PollResult::Silent => PollOutcome::Failed,
             PollResult::Late => PollOutcome::TimedOut,
         };
-        let failed = followed == PollOutcome::Failed;
-        self.member.on_poll(self.clock.now(), followed);
+        let failed = outcome == PollOutcome::Failed;
+        self.member.on_poll(self.clock.now(), outcome);
         self.publish();
         self.tier
             .log_source_change(before, self.member.active_upstream(), failed);
--- a/crates/router/src/gateway/relay_records.rs
+++ b/crates/router/src/gateway/relay_records.rs
@@ -35,7 +35,7 @@
 
 impl RelayRecords {
     /// Parses all records; `own` is the name of the record to look for.
-    pub fn parse(entries: Vec<Entry<RelayRecord>>, own: &str, places: &Topology) -> RelayRecords {
+    pub fn parse(entries: Vec<Entry<RelayRecord>>, own: &str, topology: &Topology) -> RelayRecords {
         let mut records = RelayRecords::default();
         // One relay of each other region; if a region's own relay is not known
         // yet, the relays of its zones.
@@ -58,18 +58,18 @@
             }
             records.members_elsewhere = records.members_elsewhere.saturating_add(value.members);
             let zone = ZoneName::from(entry.name.as_str());
-            match places.distance(&zone) {
+            match topology.distance(&zone) {
                 Distance::OtherRegion => of_far_zones.push((zone, value.holder.address)),
                 _ => records.neighbours.extend(value.holder.address),
             }
         }
         for (zone, relay) in of_far_zones {
-            let region = places.region_of(&zone);
+            let region = topology.region_of(&zone);
             if !region.is_some_and(|region| of_regions.contains_key(region)) {
                 records.neighbours.extend(relay);
             }
         }
-        of_regions.retain(|region, _| Some(region) != places.region());
+        of_regions.retain(|region, _| Some(region) != topology.region());
         records
             .neighbours
             .extend(of_regions.into_values().flatten());
--- a/crates/router/src/gateway/run.rs
+++ b/crates/router/src/gateway/run.rs
@@ -385,7 +385,7 @@
             sources: self.sources.clone(),
             settings: self.settings.coordination(),
             takeover_delay: patience::of_coordinator(link, rand::random()),
-            places: self.settings.places(),
+            topology: self.settings.places(),
             peers: self.peer_client(),
         };
         let coordination = Coordination::new(
@@ -411,8 +411,8 @@
             return;
         }
         let zone = self.settings.zone.clone();
-        let places = self.settings.places();
-        let region = places.region().filter(|_| places.has_region_relays());
+        let topology = self.settings.places();
+        let region = topology.region().filter(|_| topology.has_region_relays());
         let Some(region) = region else {
             let settings = threadledge_relay::Settings::default();
             self.relay_task(Tier::Zone, zone, settings, publisher)
@@ -444,7 +444,7 @@
         RelayTask {
             tier,
             record,
-            places: self.settings.places(),
+            topology: self.settings.places(),
             member: member_config.start_member(self.clock.now()),
             member_config,
             ports: self.ports.clone(),
--- a/crates/router/tests/gateway/key_regions.rs
+++ b/crates/router/tests/gateway/key_regions.rs
@@ -88,7 +88,7 @@
 fn back_ends_outside_the_regions_get_no_keys() {
     let zones = [("a", "home"), ("b", "away")];
     let zones = zones.map(|(zone, region)| (zone.into(), region.into()));
-    let places = Topology::new("a".into(), None, BTreeMap::from(zones));
+    let topology = Topology::new("a".into(), None, BTreeMap::from(zones));
     let in_zone = |name, zone: &str| BackEnd {
         zone: zone.into(),
         ..back_end(name, false)
@@ -100,8 +100,8 @@
     ]
     .into();
     let home = regions(&["home"]);
-    let restricted = drain_outside_regions(&all, Some(&home), &places);
+    let restricted = drain_outside_regions(&all, Some(&home), &topology);
     let draining: Vec<bool> = restricted.iter().map(|each| each.draining).collect();
     assert_eq!(draining, [false, true, true]);
-    assert_eq!(drain_outside_regions(&all, None, &places), all);
+    assert_eq!(drain_outside_regions(&all, None, &topology), all);
 }
