--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -168,7 +168,7 @@
         &self.own
     }
 
-    /// Returns proof that the process `id` has ended for good, if there is any.
+    /// Returns proof that the process `id` has ended permanently, if any.
     ///
     /// Suspicion is no proof. Removal from the machine list counts only once
     /// the router no longer answers as well.
--- a/crates/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -163,11 +163,11 @@
             self.table.set_refutation(id, refutation);
             self.suspicions.clear(id);
         }
-        let begins = !self.suspicions.contains(id);
+        let is_started = !self.suspicions.contains(id);
         let min_timeout = self.min_suspicion();
         let is_new = self.suspicions.add_report(now, id, by, min_timeout);
         self.set_living_state(id);
-        if begins
+        if is_started
             && self
                 .member(id)
                 .is_some_and(|m| m.state == MemberState::Suspect)
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Marks an earlier process on the machine of `successor` as gone for good,
+    /// Marks an earlier process on the machine of `successor` as permanently gone,
     /// with the successor as proof.
     fn supersede(&mut self, now: Timestamp, successor: &RouterIdentity, outputs: &mut Vec<Output>) {
         let Some(earlier) = self.table.latest_on_machine(&successor.machine) else {
--- a/crates/membership/src/proof.rs
+++ b/crates/membership/src/proof.rs
@@ -1,4 +1,4 @@
-//! Proof that a router process has ended for good.
+//! Proof that a router process has ended permanently.
 
 use serde::{Deserialize, Serialize};
 use threadledge_types::{Incarnation, MachineName, RouterId};
