--- a/crates/router/src/gateway/answer.rs
+++ b/crates/router/src/gateway/answer.rs
@@ -7,22 +7,22 @@
 use threadledge_dispatch::{Outcome, Refusal};
 
 /// Answers a request that no back end answered.
-pub(super) fn of_outcome(outcome: &Outcome) -> Response {
+pub(super) fn for_outcome(outcome: &Outcome) -> Response {
     match outcome {
-        Outcome::Refused(refusal) => refused(refusal),
-        Outcome::Unknown(reason) => own(reason.status(), reason.as_str(), None),
+        Outcome::Refused(refusal) => for_refusal(refusal),
+        Outcome::Unknown(reason) => text(reason.status(), reason.as_str(), None),
     }
 }
 
 /// Promises that a request has not run and never will.
-pub(super) fn refused(refusal: &Refusal) -> Response {
+pub(super) fn for_refusal(refusal: &Refusal) -> Response {
     let reason = refusal.reason;
-    own(reason.status(), reason.as_str(), refusal.retry_after)
+    text(reason.status(), reason.as_str(), refusal.retry_after)
 }
 
 /// An answer with a status, a word on the reason and, where coming back
 /// helps, the time to wait.
-pub(super) fn own(status: u16, reason: &str, retry_after: Option<Duration>) -> Response {
+pub(super) fn text(status: u16, reason: &str, retry_after: Option<Duration>) -> Response {
     let status = StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError);
     let mut response = Response::new(status);
     response.set_body(Body::from_string(format!("{reason}\n")));
@@ -37,11 +37,11 @@
 pub(super) fn json<T: Serialize>(value: &T) -> Response {
     match serde_json::to_vec(value) {
         Ok(body) => {
-            let mut response = own(200, "", None);
+            let mut response = text(200, "", None);
             response.set_body(body);
             response.insert_header("content-type", "application/json");
             response
         }
-        Err(_) => own(500, "unwritable", None),
+        Err(_) => text(500, "unwritable", None),
     }
 }
--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -30,7 +30,7 @@
     pub(super) dispatch: Arc<Dispatch>,
     pub(super) pool: Pool,
     pub(super) budget: Budget,
-    pub(super) wording: Arc<dyn HeaderCodec>,
+    pub(super) header_codec: Arc<dyn HeaderCodec>,
     pub(super) usage: Usage,
 }
 
@@ -100,12 +100,12 @@
             return Ended::failed(Fault::BodyGone);
         };
         let time_left = attempt.deadline.since(now).max(Duration::from_millis(1));
-        self.wording
+        self.header_codec
             .set_target(&mut request, time_left, &attempt.back_end);
         if let Some(tenant) = &outbound.tenant {
-            self.wording.set_tenant(&mut request, tenant);
+            self.header_codec.set_tenant(&mut request, tenant);
         }
-        self.usage.asked_back_end(&attempt, request.len());
+        self.usage.record_back_end_request(&attempt, request.len());
         match connection.exchange(request, deadline).await {
             Ok(response) => self.read(exchange, &attempt, &outbound, response).await,
             Err(error) => Ended::failed(fault_of(&error)),
@@ -121,9 +121,10 @@
     ) -> Ended {
         let status = u16::from(response.status());
         let head = self
-            .wording
+            .header_codec
             .read_response(status, response.as_ref(), &attempt.back_end);
-        self.dispatch.on_head(exchange, attempt.id, &head.signals);
+        self.dispatch
+            .on_response_head(exchange, attempt.id, &head.signals);
         // Invariant: no caller gets the answer to another's request. HTTP/1.1
         // pairs requests and answers by their order alone; the id shows a
         // wrong pair.
@@ -131,7 +132,7 @@
             return Ended::failed(Fault::BadAnswer);
         }
         if let Some(reason) = head.not_run {
-            self.usage.back_end_answered(attempt, response.len());
+            self.usage.record_back_end_response(attempt, response.len());
             read_over(response.take_body_keeping_headers());
             let load = head.load;
             return Ended::without_answer(AttemptEnd::NotRun { reason, load });
@@ -148,7 +149,7 @@
             Ok(body) => body,
             Err(_) => return Ended::failed(Fault::BadAnswer),
         };
-        self.usage.back_end_answered(attempt, body.len());
+        self.usage.record_back_end_response(attempt, body.len());
         response.replace_body_keeping_headers(body);
         Ended {
             end: AttemptEnd::Answered {
--- a/crates/router/src/gateway/in_use.rs
+++ b/crates/router/src/gateway/back_end_updates.rs
@@ -9,7 +9,7 @@
 
 /// What to use from now on.
 #[derive(Clone, Debug, PartialEq)]
-pub enum InUse {
+pub enum BackEndUpdate {
     /// These back ends and no others.
     All(Arc<[BackEnd]>),
     /// What changed.
@@ -17,18 +17,18 @@
         /// Back ends that are new, or as they are now.
         changed: Vec<BackEnd>,
         /// Back ends that are there no more.
-        gone: Vec<BackEndName>,
+        removed: Vec<BackEndName>,
     },
 }
 
 /// Ids whose back end may have changed since that was told last, with the
 /// names that stood under them.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Touched {
+pub(super) struct ChangedIds {
     ids: BTreeMap<String, BTreeSet<BackEndName>>,
 }
 
-impl Touched {
+impl ChangedIds {
     /// What stands under `id` changes; `before` stood there.
     pub(super) fn mark(&mut self, id: &str, before: Option<&BackEndName>) {
         let names = match self.ids.get_mut(id) {
@@ -44,16 +44,16 @@
     }
 
     /// What changed, where `find` knows what stands under an id now.
-    pub(super) fn take(&mut self, find: impl Fn(&str) -> Option<BackEnd>) -> InUse {
+    pub(super) fn take(&mut self, find: impl Fn(&str) -> Option<BackEnd>) -> BackEndUpdate {
         let mut changed = Vec::new();
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         for (id, mut before) in std::mem::take(&mut self.ids) {
             if let Some(back_end) = find(&id) {
                 before.remove(&back_end.name);
                 changed.push(back_end);
             }
-            gone.extend(before);
+            removed.extend(before);
         }
-        InUse::Changed { changed, gone }
+        BackEndUpdate::Changed { changed, removed }
     }
 }
--- a/crates/router/src/gateway/cluster_state.rs
+++ b/crates/router/src/gateway/cluster_state.rs
@@ -20,8 +20,8 @@
 use threadledge_types::deployment::{BackEnd, Configuration, DrainedZone, ServiceName};
 use threadledge_types::{Timestamp, ZoneName};
 
+use super::back_end_updates::BackEndUpdate;
 use super::changes::{ChangeLog, ConfigurationChange};
-use super::in_use::InUse;
 use super::registry::Registry;
 use super::sync::{CollectionRevisions, Delta, PeerUpdate, SyncPosition};
 use super::watcher::Update;
@@ -112,15 +112,15 @@
     /// Changes of the back ends in use for a caller that keeps them: all back
     /// ends at first and after a zone changed, otherwise the changes since the
     /// last call.
-    pub fn take_in_use(&mut self, now: Timestamp) -> Option<InUse> {
+    pub fn take_in_use(&mut self, now: Timestamp) -> Option<BackEndUpdate> {
         if !self.in_use_published {
             let all = self.back_ends(now)?;
             self.back_ends.clear_changed();
             self.in_use_published = true;
-            return Some(InUse::All(all));
+            return Some(BackEndUpdate::All(all));
         }
         let mut in_use = self.back_ends.take_changed(now);
-        if let InUse::Changed { changed, .. } = &mut in_use {
+        if let BackEndUpdate::Changed { changed, .. } = &mut in_use {
             changed
                 .iter_mut()
                 .for_each(|each| self.apply_zone(each, now));
--- a/crates/router/src/gateway/coordination.rs
+++ b/crates/router/src/gateway/coordination.rs
@@ -24,10 +24,10 @@
 use super::dispatch::Dispatch;
 use super::key_regions::{drain_outside_regions, key_regions};
 use super::notices::log_notice;
-use super::patience;
 use super::peers::PeerClient;
 use super::sources::Sources;
 use super::store_health::StoreHealth;
+use super::takeover_delay;
 use super::tokens::TokenReply;
 use crate::proxy::Clock;
 
@@ -290,7 +290,7 @@
             }
             Source::Store | Source::Starting { .. } => Duration::ZERO,
         };
-        let store_delay = patience::by_store(self.store_health.mean_call_time());
+        let store_delay = takeover_delay::for_store_latency(self.store_health.mean_call_time());
         let takeover_delay = self.config.takeover_delay + store_delay + follower_delay;
         let relayed = matches!(source, Source::Relay { .. });
         for (service, coordinator) in &mut self.coordinators {
--- a/crates/router/src/gateway/coordination/reports.rs
+++ b/crates/router/src/gateway/coordination/reports.rs
@@ -99,7 +99,7 @@
         requests: &[TokenRequest],
     ) -> TokenReply {
         let Some(coordinator) = self.coordinators.get_mut(service) else {
-            return TokenReply::Elsewhere { coordinator: None };
+            return TokenReply::NotCoordinator { coordinator: None };
         };
         if let Some(grants) = coordinator.grant_tokens(now, requests) {
             return TokenReply::Granted { grants };
@@ -108,7 +108,7 @@
             .last_seen_holder()
             .and_then(|(_, holder)| holder);
         let other = holder.filter(|holder| **holder != self.config.me);
-        TokenReply::Elsewhere {
+        TokenReply::NotCoordinator {
             coordinator: other.and_then(|holder| holder.address),
         }
     }
--- a/crates/router/src/gateway/dispatch.rs
+++ b/crates/router/src/gateway/dispatch.rs
@@ -28,7 +28,7 @@
     /// A coordinator is to be asked for tokens.
     tokens_wanted: Notifier,
     /// Services of back ends that said that they leave, or asked for rest.
-    unfit: (Sender<ServiceName>, Receiver<ServiceName>),
+    unavailable_services: (Sender<ServiceName>, Receiver<ServiceName>),
     state: Mutex<State>,
 }
 
@@ -45,7 +45,7 @@
             clock,
             suspects,
             tokens_wanted: Notifier::default(),
-            unfit: async_channel::unbounded(),
+            unavailable_services: async_channel::unbounded(),
             state: Mutex::new(State {
                 dispatcher,
                 signals,
@@ -60,8 +60,8 @@
 
     /// Tells the services of back ends that said that they leave, or asked for
     /// rest.
-    pub(super) fn unfit(&self) -> Receiver<ServiceName> {
-        self.unfit.1.clone()
+    pub(super) fn unavailable_services(&self) -> Receiver<ServiceName> {
+        self.unavailable_services.1.clone()
     }
 
     /// Told when a coordinator is to be asked for tokens.
@@ -102,7 +102,7 @@
         back_end_events.iter().for_each(tell_back_end);
         for service in back_end_events.iter().filter_map(service_of_unfit) {
             // The channel is unbounded and closes only when the process ends.
-            let _ = self.unfit.0.try_send(service.clone());
+            let _ = self.unavailable_services.0.try_send(service.clone());
         }
         if wants_tokens {
             self.tokens_wanted.notify();
@@ -143,11 +143,11 @@
     }
 
     /// The head of an answer to an attempt came.
-    pub(super) fn on_head(&self, id: ExchangeId, attempt: AttemptId, signals: &Signals) {
+    pub(super) fn on_response_head(&self, id: ExchangeId, attempt: AttemptId, signals: &Signals) {
         self.with(|dispatcher, now| dispatcher.on_response_head(now, id, attempt, signals));
     }
 
-    pub(super) fn on_attempt(
+    pub(super) fn on_attempt_end(
         &self,
         id: ExchangeId,
         attempt: AttemptId,
--- a/crates/router/src/gateway/exchange.rs
+++ b/crates/router/src/gateway/exchange.rs
@@ -150,7 +150,10 @@
             back_end,
             ended,
         } = done;
-        let next_action = self.attempts.dispatch.on_attempt(self.id, id, &ended.end);
+        let next_action = self
+            .attempts
+            .dispatch
+            .on_attempt_end(self.id, id, &ended.end);
         match (next_action, ended.answer) {
             (NextAction::Deliver, Some(response)) => {
                 Some(Conclusion::Answered { response, back_end })
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -3,11 +3,11 @@
 //!
 //! Where no tenant has a limit nothing here asks, listens or calls the store.
 
-mod ask;
+mod ledger_keeper;
 mod log;
 mod metrics;
-mod office;
 mod operate;
+mod requester;
 mod state;
 
 use std::sync::Arc;
@@ -28,11 +28,11 @@
 use super::sources::Sources;
 use super::store_health::StoreHealth;
 use crate::proxy::Clock;
-use ask::Asker;
+use ledger_keeper::LedgerKeeper;
+pub(super) use ledger_keeper::{LedgerPlacement, takeover_delay_for_cores};
 use log::LimitLog;
 use metrics::LimitMetrics;
-use office::OfficeKeeper;
-pub(super) use office::{OfficePlace, by_cores};
+use requester::QuotaRequester;
 use state::State;
 
 /// Limits of tenants as one gateway keeps them. Clones share them.
@@ -124,14 +124,14 @@
         ports: Ports,
         sources: Arc<Sources>,
         health: Arc<StoreHealth>,
-        place: OfficePlace,
+        placement: LedgerPlacement,
     ) {
-        let asker = Asker {
+        let requester = QuotaRequester {
             limits: self.clone(),
             client,
         };
-        let keeper = OfficeKeeper::new(self.clone(), ports, sources, health, place);
-        task::spawn(asker.run());
+        let keeper = LedgerKeeper::new(self.clone(), ports, sources, health, placement);
+        task::spawn(requester.run());
         task::spawn(keeper.run());
     }
 
@@ -198,13 +198,13 @@
     }
 
     /// Hands the office back. Requests go on meanwhile.
-    pub(super) fn leave(&self) {
+    pub(super) fn resign(&self) {
         self.with(|state, now| state.leave(now));
         self.shared.changed.notify();
     }
 
     /// Answers another gateway's ask.
-    pub(super) fn answer(&self, ask: &QuotaRequest) -> QuotaResponse {
+    pub(super) fn handle_request(&self, ask: &QuotaRequest) -> QuotaResponse {
         let (answer, to_record) = self.with(|state, now| state.answer(now, ask));
         if to_record {
             self.shared.changed.notify();
--- a/crates/router/src/gateway/limits/office.rs
+++ b/crates/router/src/gateway/limits/ledger_keeper.rs
@@ -41,14 +41,14 @@
 
 /// How well this machine is placed to keep the ledger.
 #[derive(Clone, Copy, Debug)]
-pub(in super::super) struct OfficePlace {
+pub(in super::super) struct LedgerPlacement {
     /// Added to the time after which it takes over.
-    pub(in super::super) patience: Duration,
+    pub(in super::super) takeover_delay: Duration,
 }
 
 /// Added to the time after which a machine with so many cores takes over the
 /// ledger, which answers some hundreds of asks a second.
-pub(in super::super) fn by_cores(cores: f64) -> Duration {
+pub(in super::super) fn takeover_delay_for_cores(cores: f64) -> Duration {
     /// Longest such time, in seconds.
     const LONGEST_S: f64 = 0.5;
     /// The time of a machine with a whole core, in seconds.
@@ -64,12 +64,12 @@
     predecessor: Option<Predecessor>,
 }
 
-pub(super) struct OfficeKeeper {
+pub(super) struct LedgerKeeper {
     limits: Limits,
     ports: Ports,
     sources: Arc<Sources>,
     health: Arc<StoreHealth>,
-    place: OfficePlace,
+    placement: LedgerPlacement,
     name: ServiceName,
     won: Option<Won>,
     /// Revision of the record as this ledger wrote it.
@@ -77,20 +77,20 @@
     next_record: Timestamp,
 }
 
-impl OfficeKeeper {
+impl LedgerKeeper {
     pub(super) fn new(
         limits: Limits,
         ports: Ports,
         sources: Arc<Sources>,
         health: Arc<StoreHealth>,
-        place: OfficePlace,
+        placement: LedgerPlacement,
     ) -> Self {
-        OfficeKeeper {
+        LedgerKeeper {
             limits,
             ports,
             sources,
             health,
-            place,
+            placement,
             name: ServiceName::from(LEDGER),
             won: None,
             revision: None,
@@ -181,7 +181,7 @@
             state.election.set_candidate(candidate && settled && told);
             state
                 .election
-                .set_takeover_delay(self.place.patience + behind);
+                .set_takeover_delay(self.placement.takeover_delay + behind);
             let before = state.spender.term();
             let seen = state.election.last_seen_holder();
             let seen = seen.map(|(term, holder)| (term, holder.and_then(|one| one.address)));
--- a/crates/router/src/gateway/limits/operate.rs
+++ b/crates/router/src/gateway/limits/operate.rs
@@ -52,7 +52,7 @@
     pub(in super::super) fn operate(&self, request: &Request) -> Option<Response> {
         let rest = request.url().path().strip_prefix(LIMITS_PATH)?;
         if request.method() != Method::Get {
-            return Some(answer::own(405, "use-get", None));
+            return Some(answer::text(405, "use-get", None));
         }
         if rest.is_empty() {
             return Some(answer::json(&self.status()));
@@ -62,7 +62,7 @@
         let mut known = known.filter(|status| status.tenant == tenant.as_str());
         Some(match known.next() {
             Some(status) => answer::json(&status),
-            None => answer::own(404, "no-such-tenant-with-a-limit-was-seen-lately", None),
+            None => answer::text(404, "no-such-tenant-with-a-limit-was-seen-lately", None),
         })
     }
 
--- a/crates/router/src/gateway/limits/ask.rs
+++ b/crates/router/src/gateway/limits/requester.rs
@@ -10,12 +10,12 @@
 use super::Limits;
 
 /// Sends what the spender asks for, one ask at a time.
-pub(super) struct Asker {
+pub(super) struct QuotaRequester {
     pub(super) limits: Limits,
     pub(super) client: PeerClient,
 }
 
-impl Asker {
+impl QuotaRequester {
     /// Runs for ever.
     pub(super) async fn run(self) {
         let shared = self.limits.shared.clone();
@@ -65,7 +65,7 @@
             .limits
             .with(|state, _now| (state.ledger.is_some(), state.holder));
         if own {
-            return Some(self.limits.answer(&ask));
+            return Some(self.limits.handle_request(&ask));
         }
         let (_, address) = holder?;
         let asked = self.client.request_quota(address?, &ask);
--- a/crates/router/src/gateway/operate_keys.rs
+++ b/crates/router/src/gateway/operate_keys.rs
@@ -28,10 +28,14 @@
 pub(super) fn operate(dispatch: &Dispatch, request: &Request) -> Option<Response> {
     let digest = request.url().path().strip_prefix(KEYS_PATH)?;
     if request.method() != Method::Get {
-        return Some(answer::own(405, "use-get", None));
+        return Some(answer::text(405, "use-get", None));
     }
     let Some(digest) = KeyDigest::parse(digest) else {
-        return Some(answer::own(400, "digest-is-64-hex-digits-of-sha-256", None));
+        return Some(answer::text(
+            400,
+            "digest-is-64-hex-digits-of-sha-256",
+            None,
+        ));
     };
     let state = dispatch.with(|dispatcher, now| {
         let holder = dispatcher.caller_of_key(&digest);
--- a/crates/router/src/gateway/peers.rs
+++ b/crates/router/src/gateway/peers.rs
@@ -28,7 +28,7 @@
 use super::publisher::StatePublisher;
 use super::suspects::SuspectService;
 use super::sync::{PeerUpdate, SyncPosition};
-use super::tokens::{ServiceTokenAsk, TOKEN_TIMEOUT, TokenReply, ask_here};
+use super::tokens::{ServiceTokenRequest, TOKEN_TIMEOUT, TokenReply, request_local_tokens};
 use super::usage::Usage;
 
 /// Path of load reports.
@@ -202,7 +202,7 @@
     pub(super) async fn request_tokens(
         &self,
         to: SocketAddr,
-        ask: &ServiceTokenAsk,
+        ask: &ServiceTokenRequest,
     ) -> Option<TokenReply> {
         let call = self.client.post_json(to, TOKENS_PATH, ask, TOKEN_TIMEOUT);
         call.await.ok()
@@ -265,7 +265,7 @@
     /// Answers one request and counts its bytes.
     async fn answer(&self, mut request: Request) -> Response {
         let Ok(body) = request.body_bytes().await else {
-            return answer::own(400, "cut-short", None);
+            return answer::text(400, "cut-short", None);
         };
         let message = match request.url().path() {
             LOAD_PATH => "load",
@@ -278,7 +278,8 @@
         };
         let response = self.route(&request, &body).await;
         let answered = response.len().unwrap_or_default();
-        self.usage.served_peer(message, body.len(), answered);
+        self.usage
+            .record_peer_message(message, body.len(), answered);
         response
     }
 
@@ -287,36 +288,36 @@
         match (request.method(), request.url().path()) {
             (Method::Post, LOAD_PATH) => match serde_json::from_slice(body) {
                 Ok(report) => answer::json(&self.handle_report(report)),
-                Err(_) => answer::own(400, "malformed-report", None),
+                Err(_) => answer::text(400, "malformed-report", None),
             },
             (Method::Post, FOLLOW_PATH) => match serde_json::from_slice::<FollowPoll>(body) {
                 Ok(poll) => answer::json(&self.handle_poll(poll).await),
-                Err(_) => answer::own(400, "malformed-poll", None),
+                Err(_) => answer::text(400, "malformed-poll", None),
             },
             (Method::Post, NEWS_PATH) => match serde_json::from_slice::<SyncPosition>(body) {
                 Ok(position) => answer::json(&self.update_since(&position)),
-                Err(_) => answer::own(400, "malformed-marks", None),
+                Err(_) => answer::text(400, "malformed-marks", None),
             },
             (Method::Post, SUSPECTS_PATH) => match serde_json::from_slice(body) {
                 Ok(exchange) => answer::json(&self.handle_suspects(&exchange)),
-                Err(_) => answer::own(400, "malformed-suspects", None),
+                Err(_) => answer::text(400, "malformed-suspects", None),
             },
             (Method::Post, LIMITS_PATH) => match serde_json::from_slice(body) {
-                Ok(ask) => answer::json(&self.limits.answer(&ask)),
-                Err(_) => answer::own(400, "malformed-ask", None),
+                Ok(ask) => answer::json(&self.limits.handle_request(&ask)),
+                Err(_) => answer::text(400, "malformed-ask", None),
             },
             (Method::Post, TOKENS_PATH) => match serde_json::from_slice(body) {
                 Ok(ask) => self.handle_tokens(&ask).await,
-                Err(_) => answer::own(400, "malformed-ask", None),
+                Err(_) => answer::text(400, "malformed-ask", None),
             },
-            _ => answer::own(404, "unknown-path", None),
+            _ => answer::text(404, "unknown-path", None),
         }
     }
 
-    async fn handle_tokens(&self, ask: &ServiceTokenAsk) -> Response {
-        match ask_here(&self.events, ask).await {
+    async fn handle_tokens(&self, ask: &ServiceTokenRequest) -> Response {
+        match request_local_tokens(&self.events, ask).await {
             Some(reply) => answer::json(&reply),
-            None => answer::own(503, "stopping", None),
+            None => answer::text(503, "stopping", None),
         }
     }
 
@@ -334,9 +335,10 @@
         let source = exchange.from.map_or(String::new(), |from| from.to_string());
         // A new relay has to receive exchanges before the store names it here.
         self.peers.note_peers(exchange.from);
-        self.suspects.take(exchange.from, &source, &exchange.news);
+        self.suspects
+            .merge_update(exchange.from, &source, &exchange.news);
         if exchange.whole {
-            self.suspects.known(exchange.from)
+            self.suspects.known_suspects(exchange.from)
         } else {
             SuspectUpdate::default()
         }
--- a/crates/router/src/gateway/publisher.rs
+++ b/crates/router/src/gateway/publisher.rs
@@ -10,10 +10,10 @@
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{BackEnd, Configuration, DrainedZone};
 
+use super::back_end_updates::BackEndUpdate;
 use super::cluster_state::{ClusterState, StateChange};
 use super::coordination::Event;
 use super::dispatch::Dispatch;
-use super::in_use::InUse;
 use super::limits::Limits;
 use super::notifier::Notifier;
 use super::readiness::Readiness;
@@ -173,18 +173,20 @@
 
     /// Passes the back ends in use to the request path, once all of them and
     /// the drained zones are known.
-    fn publish_back_ends(&self, in_use: Option<InUse>) {
+    fn publish_back_ends(&self, in_use: Option<BackEndUpdate>) {
         let Some(in_use) = in_use else {
             return;
         };
         let unused = self.dispatch.with(|dispatcher, now| match &in_use {
-            InUse::All(all) => dispatcher.set_back_ends(now, all),
-            InUse::Changed { changed, gone } => dispatcher.update_back_ends(now, changed, gone),
+            BackEndUpdate::All(all) => dispatcher.set_back_ends(now, all),
+            BackEndUpdate::Changed { changed, removed } => {
+                dispatcher.update_back_ends(now, changed, removed)
+            }
         });
         for address in unused {
             self.pool.remove_address(address);
         }
-        self.readiness.listed();
+        self.readiness.set_back_ends_known();
         self.send(Event::BackEndsChanged);
     }
 
@@ -252,7 +254,7 @@
             .dispatch
             .with(|dispatcher, now| dispatcher.set_configuration(now, configuration.clone()));
         self.limits.configure(&configuration);
-        self.readiness.configured();
+        self.readiness.set_configured();
         emit!(
             EventId::ConfigurationInForce,
             version = configuration.version.0,
--- a/crates/router/src/gateway/readiness.rs
+++ b/crates/router/src/gateway/readiness.rs
@@ -35,19 +35,19 @@
 
 impl Readiness {
     /// A configuration is in force.
-    pub(super) fn configured(&self) {
+    pub(super) fn set_configured(&self) {
         self.configured.store(true, Ordering::Relaxed);
         self.tell();
     }
 
     /// The back ends are known.
-    pub(super) fn listed(&self) {
+    pub(super) fn set_back_ends_known(&self) {
         self.listed.store(true, Ordering::Relaxed);
         self.tell();
     }
 
     /// A planned stop has begun.
-    pub(super) fn leave(&self) {
+    pub(super) fn begin_stop(&self) {
         self.leaving.store(true, Ordering::Relaxed);
         self.tell();
     }
@@ -73,10 +73,10 @@
 
 /// Answers questions on this gateway's state. Clones share it.
 #[derive(Clone)]
-pub(super) struct StateAnswers {
+pub(super) struct StatusHandler {
     pub(super) readiness: Arc<Readiness>,
     pub(super) metrics: GatewayMetrics,
-    pub(super) wording: Arc<dyn HeaderCodec>,
+    pub(super) header_codec: Arc<dyn HeaderCodec>,
     /// Requests that are held, where operators ask.
     pub(super) suspects: Option<SuspectService>,
     /// Whose callers' keys are, where operators ask.
@@ -85,7 +85,7 @@
     pub(super) limits: Limits,
 }
 
-impl StateAnswers {
+impl StatusHandler {
     /// Serves until `stop` is given.
     pub(super) async fn serve(self, listener: TcpListener, stop: StopSignal) -> ServeReport {
         let limits = ServerLimits {
@@ -102,10 +102,10 @@
 
     fn respond(&self, request: &Request) -> Response {
         let path = request.url().path();
-        if path == self.wording.readiness_path() {
+        if path == self.header_codec.readiness_path() {
             return match self.readiness.is_ready() {
-                true => answer::own(200, "ready", None),
-                false => answer::own(503, "not-ready", None),
+                true => answer::text(200, "ready", None),
+                false => answer::text(503, "not-ready", None),
             };
         }
         if path == METRICS_PATH {
@@ -117,7 +117,7 @@
         let operated = held.or_else(|| operate_keys::operate(keys?, request));
         // Only operators are shown what is held.
         let operated = operated.or_else(|| suspects.and(self.limits.operate(request)));
-        operated.unwrap_or_else(|| answer::own(404, "unknown-path", None))
+        operated.unwrap_or_else(|| answer::text(404, "unknown-path", None))
     }
 
     fn metrics_text(&self) -> Response {
@@ -129,7 +129,7 @@
                 response.insert_header("content-type", Metrics::CONTENT_TYPE);
                 response
             }
-            Err(error) => answer::own(500, &error.to_string(), None),
+            Err(error) => answer::text(500, &error.to_string(), None),
         }
     }
 }
--- a/crates/router/src/gateway/registry.rs
+++ b/crates/router/src/gateway/registry.rs
@@ -9,8 +9,8 @@
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::BackEnd;
 
+use super::back_end_updates::{BackEndUpdate, ChangedIds};
 use super::cluster_state::StateChange;
-use super::in_use::{InUse, Touched};
 use super::removals::RemovalLog;
 use super::sync::{Delta, LapsedBackEnd, RevisedBackEnd};
 use super::watcher::Update;
@@ -37,7 +37,7 @@
     /// Malformed entries with their revisions, so that each is reported once.
     malformed: BTreeMap<String, StoreRevision>,
     /// Changes since the back ends in use were last published.
-    touched: Touched,
+    touched: ChangedIds,
     removals: RemovalLog,
     /// The store revision that this state reflects.
     revision: StoreRevision,
@@ -72,7 +72,7 @@
     }
 
     /// Changes of the back ends in use since the last call.
-    pub(super) fn take_changed(&mut self, now: Timestamp) -> InUse {
+    pub(super) fn take_changed(&mut self, now: Timestamp) -> BackEndUpdate {
         let mut touched = std::mem::take(&mut self.touched);
         touched.take(|id| {
             let lapsed = || self.lapsed.get(id).map(|entry| &entry.known);
--- a/crates/router/src/gateway/relay.rs
+++ b/crates/router/src/gateway/relay.rs
@@ -146,7 +146,7 @@
         self.sources.set(source, self.member.is_relay());
         self.sources.notify_if_fresher();
         self.neighbours
-            .set_place(self.member.upstream(), self.member.is_relay());
+            .set_position(self.member.upstream(), self.member.is_relay());
         let (fleet, until) = self.sources.fleet_shared_until();
         if let Some(fleet) = fleet {
             self.dispatch
@@ -202,7 +202,7 @@
         if self.tier == Tier::Region {
             return records.own;
         }
-        self.neighbours.set_others(records.neighbours);
+        self.neighbours.set_other_relays(records.neighbours);
         if self.member.is_relay() {
             // A new relay has not been polled by all its followers yet; the
             // record still holds the previous count.
--- a/crates/router/src/gateway/requests.rs
+++ b/crates/router/src/gateway/requests.rs
@@ -29,20 +29,20 @@
 const READ_AHEAD: usize = 64 * 1024;
 
 /// What all requests share.
-pub(super) struct Requests {
+pub(super) struct RequestHandler {
     pub(super) attempts: Attempts,
     /// Limits of tenants.
     pub(super) limits: Limits,
     pub(super) logger: RequestLogger,
     pub(super) metrics: GatewayMetrics,
     /// A planned stop has begun: connections are closed after their answers.
-    pub(super) leaving: AtomicBool,
+    pub(super) stopping: AtomicBool,
     pub(super) bodies: Bodies,
 }
 
 /// Forgets the exchange when the request ends, however it ends.
 struct Guard<'a> {
-    requests: &'a Requests,
+    requests: &'a RequestHandler,
     id: ExchangeId,
 }
 
@@ -71,10 +71,10 @@
     NotRun(Response),
 }
 
-impl Requests {
+impl RequestHandler {
     /// Whether a request may run beside others of its connection: what its
     /// route says counts, and not the method.
-    pub(super) fn run_beside(&self, request: &Request) -> bool {
+    pub(super) fn may_run_concurrently(&self, request: &Request) -> bool {
         let dispatch = &self.attempts.dispatch;
         dispatch.is_repeatable(host_of(request), request.url().path())
     }
@@ -92,12 +92,12 @@
             self.metrics.pipelined();
         }
         let method = request.method();
-        let caller = self.attempts.wording.read_request(request.as_ref());
+        let caller = self.attempts.header_codec.read_request(request.as_ref());
         let mut line = RequestLine::new(&request, &caller, from, started);
         let mut response = self
             .answer(request, caller, from, &mut line, &mut tracker)
             .await;
-        if self.leaving.load(Ordering::Relaxed) {
+        if self.stopping.load(Ordering::Relaxed) {
             response.insert_header(CONNECTION, "close");
         }
         line.status = u16::from(response.status());
@@ -131,7 +131,7 @@
             Ok(permit) => permit,
             Err(refused) => {
                 line.outcome = refused.why.as_str();
-                return answer::own(429, refused.why.as_str(), Some(refused.wait));
+                return answer::text(429, refused.why.as_str(), Some(refused.wait));
             }
         };
         let arrival = Arrival {
@@ -179,26 +179,27 @@
             Ok(inbound) => inbound,
             Err((reason, _)) => {
                 line.outcome = reason.as_str();
-                let response = answer::own(reason.status(), reason.as_str(), None);
+                let response = answer::text(reason.status(), reason.as_str(), None);
                 return Served::NotRun(response);
             }
         };
         let Some(_room) = self.bodies.take_in(&mut inbound) else {
             let reason = NotRunReason::Overloaded;
             line.outcome = reason.as_str();
-            let response = answer::own(reason.status(), reason.as_str(), Some(bodies::RETRY_AFTER));
+            let response =
+                answer::text(reason.status(), reason.as_str(), Some(bodies::RETRY_AFTER));
             return Served::NotRun(response);
         };
-        let wording = self.attempts.wording.as_ref();
+        let header_codec = self.attempts.header_codec.as_ref();
         // Invariant: no back end sees a caller's key or a tenant's name that
         // the caller wrote, whether keys are asked for or not.
-        wording.strip_caller_identity(&mut inbound.request);
+        header_codec.strip_caller_identity(&mut inbound.request);
         let sender = Sender {
             key: caller.key,
             tenant: admission.tenant_name(),
             address: from,
         };
-        let identity = identity::of(&inbound, sender, wording);
+        let identity = identity::of(&inbound, sender, header_codec);
         line.identity = Some(identity.request).filter(|_| !in_transit);
         let mut outbound = Outbound::new(inbound, caller.request_id);
         let info = RequestInfo {
@@ -231,7 +232,7 @@
             }
             Conclusion::Own(outcome) => {
                 line.own(&outcome);
-                let response = answer::of_outcome(&outcome);
+                let response = answer::for_outcome(&outcome);
                 match outcome {
                     Outcome::Refused(_) => Served::NotRun(response),
                     Outcome::Unknown(_) => Served::Run(response),
@@ -243,5 +244,5 @@
 
 fn refused(refusal: &Refusal, line: &mut RequestLine) -> Response {
     line.outcome = refusal.reason.as_str();
-    answer::refused(refusal)
+    answer::for_refusal(refusal)
 }
--- a/crates/router/src/gateway/run.rs
+++ b/crates/router/src/gateway/run.rs
@@ -30,22 +30,22 @@
 use super::dispatch::Dispatch;
 use super::followers::Followers;
 use super::key_confirmation::KeyConfirmation;
-use super::limits::{Limits, OfficePlace, by_cores};
+use super::limits::{LedgerPlacement, Limits, takeover_delay_for_cores};
 use super::log::RequestLogger;
 use super::metrics::GatewayMetrics;
-use super::patience;
 use super::peers::{PeerClient, PeerServer, Peers};
 use super::publisher::StatePublisher;
-use super::readiness::{Readiness, StateAnswers};
+use super::readiness::{Readiness, StatusHandler};
 use super::relay::{MemberConfig, RelayTask, Tier};
 use super::relay_records::region_record_name;
-use super::requests::Requests;
+use super::requests::RequestHandler;
 use super::settings::{GatewaySettings, seconds};
 use super::sources::Sources;
 use super::stop::watch_signals;
 use super::store_health::StoreHealth;
 use super::suspects::{Finding, SuspectService, SuspectSignals};
-use super::tokens::TokenAsker;
+use super::takeover_delay;
+use super::tokens::TokenRequester;
 use crate::events::{EventId, emit};
 use crate::proxy::Clock;
 use crate::proxy::budget::Budget;
@@ -155,7 +155,7 @@
     followers: Arc<Followers>,
     peers: Arc<Peers>,
     metrics: GatewayMetrics,
-    requests: Arc<Requests>,
+    requests: Arc<RequestHandler>,
     /// Starts the planned stop.
     stop: StopSignal,
     suspects: SuspectService,
@@ -192,7 +192,7 @@
         let store_health = Arc::new(StoreHealth::new(heartbeat));
         let sources = Arc::new(Sources::new(clock, store_health.clone()));
         let metrics = GatewayMetrics::new(dispatch.clone(), sources.clone())?;
-        let ports = metrics.usage().counting(ports);
+        let ports = metrics.usage().count_store_calls(ports);
         let budget = Budget::new(settings.limits.held_bytes());
         let identity = NodeIdentity {
             node: MachineName(settings.machine.clone()),
@@ -200,18 +200,18 @@
             address: settings.listen.peers,
         };
         let limits = metrics.limits(clock, &identity, settings.tenant_limits())?;
-        let requests = Arc::new(Requests {
+        let requests = Arc::new(RequestHandler {
             attempts: Attempts {
                 dispatch: dispatch.clone(),
                 pool: pool.clone(),
                 budget: budget.clone(),
-                wording: ports.header_codec.clone(),
+                header_codec: ports.header_codec.clone(),
                 usage: metrics.usage().clone(),
             },
             limits: limits.clone(),
             logger: RequestLogger::new(),
             metrics: metrics.clone(),
-            leaving: AtomicBool::new(false),
+            stopping: AtomicBool::new(false),
             bodies: Bodies::new(budget, settings.limits.held_bytes()),
         });
         Ok(Gateway {
@@ -258,14 +258,14 @@
             &self.ports,
         );
         self.start_limits();
-        let token_asker = TokenAsker {
+        let token_requester = TokenRequester {
             dispatch: self.dispatch.clone(),
             peers: self.peer_client(),
             events: events.clone(),
         };
-        task::spawn(token_asker.run());
+        task::spawn(token_requester.run());
         task::spawn(forward_unavailable_owners(
-            self.dispatch.unfit(),
+            self.dispatch.unavailable_services(),
             events.clone(),
         ));
         if let Some(listener) = listeners.peers {
@@ -294,26 +294,26 @@
             self.store_health.clone(),
             self.sources.clone(),
         ));
-        let state_answers = StateAnswers {
+        let status_handler = StatusHandler {
             readiness: self.readiness.clone(),
             metrics: self.metrics.clone(),
-            wording: self.ports.header_codec.clone(),
+            header_codec: self.ports.header_codec.clone(),
             suspects: None,
             keys: None,
             limits: self.limits.clone(),
         };
         task::spawn(
-            state_answers
+            status_handler
                 .clone()
                 .serve(listeners.readiness, servers_stop.clone()),
         );
         if let Some(listener) = listeners.operators {
-            let state_answers = StateAnswers {
+            let status_handler = StatusHandler {
                 suspects: Some(self.suspects.clone()),
                 keys: Some(self.dispatch.clone()),
-                ..state_answers
+                ..status_handler
             };
-            task::spawn(state_answers.serve(listener, servers_stop.clone()));
+            task::spawn(status_handler.serve(listener, servers_stop.clone()));
         }
         let callers_stop = StopSignal::new();
         let requests = self.requests.clone();
@@ -323,7 +323,7 @@
             let tracker = disconnects.track();
             handling.clone().handle(request, connection, tracker)
         };
-        let may_run_concurrently = move |request: &Request| requests.run_beside(request);
+        let may_run_concurrently = move |request: &Request| requests.may_run_concurrently(request);
         let handler = ConcurrentHandler {
             handler,
             may_run_concurrently,
@@ -352,12 +352,12 @@
     }
 
     /// Tells the platform to send no new connections and resigns the
-    /// coordinator leases. Requests continue meanwhile.
+    /// coordinator leases. RequestHandler continue meanwhile.
     fn begin_stop(&self, events: &async_channel::Sender<Event>) {
-        self.readiness.leave();
+        self.readiness.begin_stop();
         self.followers.leave();
-        self.limits.leave();
-        self.requests.leaving.store(true, Ordering::Relaxed);
+        self.limits.resign();
+        self.requests.stopping.store(true, Ordering::Relaxed);
         // The channel is unbounded and closes only when the process ends.
         let _ = events.try_send(Event::Stop);
     }
@@ -384,8 +384,8 @@
             me: self.identity.clone(),
             sources: self.sources.clone(),
             settings: self.settings.coordination(),
-            takeover_delay: patience::of_coordinator(link, rand::random()),
-            topology: self.settings.places(),
+            takeover_delay: takeover_delay::for_coordinator(link, rand::random()),
+            topology: self.settings.topology(),
             peers: self.peer_client(),
         };
         let coordination = Coordination::new(
@@ -411,7 +411,7 @@
             return;
         }
         let zone = self.settings.zone.clone();
-        let topology = self.settings.places();
+        let topology = self.settings.topology();
         let region = topology.region().filter(|_| topology.has_region_relays());
         let Some(region) = region else {
             let settings = threadledge_relay::Settings::default();
@@ -439,12 +439,12 @@
         let member_config = MemberConfig {
             me: self.identity.clone(),
             settings,
-            takeover_delay: patience::of_relay(link, rand::random()),
+            takeover_delay: takeover_delay::for_relay(link, rand::random()),
         };
         RelayTask {
             tier,
             record,
-            topology: self.settings.places(),
+            topology: self.settings.topology(),
             member: member_config.start_member(self.clock.now()),
             member_config,
             ports: self.ports.clone(),
@@ -463,16 +463,16 @@
     /// gateways.
     fn start_limits(&self) {
         let limits = &self.settings.limits;
-        let place = OfficePlace {
-            patience: patience::of_coordinator(limits.link_mbps, rand::random())
-                + by_cores(limits.cores),
+        let placement = LedgerPlacement {
+            takeover_delay: takeover_delay::for_coordinator(limits.link_mbps, rand::random())
+                + takeover_delay_for_cores(limits.cores),
         };
         self.limits.start(
             self.peer_client(),
             self.ports.clone(),
             self.sources.clone(),
             self.store_health.clone(),
-            place,
+            placement,
         );
     }
 
--- a/crates/router/src/gateway/settings.rs
+++ b/crates/router/src/gateway/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of a gateway: one TOML file, every field of which is checked.
 
-mod cores;
+mod core_settings;
 mod fault;
 mod tables;
 
--- a/crates/router/src/gateway/settings/cores.rs
+++ b/crates/router/src/gateway/settings/core_settings.rs
@@ -45,7 +45,7 @@
     }
 
     /// Where this gateway is, and which zone lies in which region.
-    pub fn places(&self) -> Topology {
+    pub fn topology(&self) -> Topology {
         let region = self.region.as_deref().map(RegionName::from);
         let zones = self.zones.iter();
         let regions = zones
@@ -70,7 +70,7 @@
         let defaults = threadledge_dispatch::Settings::default();
         let retry = &self.retry_budget;
         threadledge_dispatch::Settings {
-            topology: self.places(),
+            topology: self.topology(),
             retry_ratio: retry.ratio * RATIO_PART,
             retry_slack: (retry.slack * SLACK_PART)
                 .floor()
--- a/crates/router/src/gateway/suspects.rs
+++ b/crates/router/src/gateway/suspects.rs
@@ -2,13 +2,13 @@
 //! them and keeps them: who is the same request, whether a process ended, what
 //! other gateways know, and what the store keeps for when all gateways end.
 
+mod gossip;
 pub(super) mod identity;
-mod keep;
 mod log;
-mod look;
 pub(super) mod neighbours;
 pub(super) mod operate;
-mod spread;
+mod persistence;
+mod process_probe;
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -24,11 +24,11 @@
 use super::followers::Followers;
 use super::notifier::Notifier;
 use super::peers::PeerClient;
-use keep::Keeper;
+use gossip::{Cursors, Spreader};
 use log::HeldLog;
-use look::Looker;
 use neighbours::Neighbours;
-use spread::{Cursors, Spreader};
+use persistence::Keeper;
+use process_probe::Looker;
 
 /// What the request path found out.
 #[derive(Debug)]
@@ -96,7 +96,7 @@
     ) {
         let looker = Looker {
             service: self.clone(),
-            wording: ports.header_codec.clone(),
+            header_codec: ports.header_codec.clone(),
             findings,
         };
         let keeper = Keeper::new(self.clone(), ports.held_requests.clone());
@@ -111,12 +111,17 @@
             task::spawn(spreader.run());
         } else {
             // Alone: it watches the store itself.
-            self.neighbours.set_place(None, true);
+            self.neighbours.set_position(None, true);
         }
     }
 
     /// Takes what another gateway or the store tells.
-    pub(super) fn take(&self, from: Option<SocketAddr>, source: &str, news: &SuspectUpdate) {
+    pub(super) fn merge_update(
+        &self,
+        from: Option<SocketAddr>,
+        source: &str,
+        news: &SuspectUpdate,
+    ) {
         if news.is_empty() {
             return;
         }
@@ -132,8 +137,8 @@
     }
 
     /// What is known here, as far as it concerns the gateway that asks.
-    pub(super) fn known(&self, asks: Option<SocketAddr>) -> SuspectUpdate {
-        let others = self.neighbours.place().others;
+    pub(super) fn known_suspects(&self, asks: Option<SocketAddr>) -> SuspectUpdate {
+        let others = self.neighbours.position().other_relays;
         let scope = match asks.is_some_and(|asks| others.contains(&asks)) {
             true => UpdateScope::All,
             false => UpdateScope::Repeated,
--- a/crates/router/src/gateway/suspects/spread.rs
+++ b/crates/router/src/gateway/suspects/gossip.rs
@@ -111,15 +111,15 @@
     }
 
     fn targets(&self) -> Vec<Target> {
-        let place = self.service.neighbours.place();
+        let position = self.service.neighbours.position();
         let mut seen: BTreeSet<SocketAddr> = self.client.own_address().into_iter().collect();
         let mut targets = Vec::new();
-        let beside = if place.relays {
-            place.others
+        let beside = if position.is_relay {
+            position.other_relays
         } else {
             Vec::new()
         };
-        for address in place.upstream.into_iter().chain(beside) {
+        for address in position.upstream.into_iter().chain(beside) {
             if seen.insert(address) {
                 targets.push(Target {
                     address,
@@ -130,7 +130,7 @@
         }
         // Below a relay the tree is enough; relays and those that look for one
         // bridge the gap while another relay is being lost.
-        let most = if place.upstream.is_some() {
+        let most = if position.upstream.is_some() {
             0
         } else {
             MOST_PEERS
@@ -179,7 +179,8 @@
         };
         self.service.cursors.told(target.address, changes);
         let source = target.address.to_string();
-        self.service.take(Some(target.address), &source, &answer);
+        self.service
+            .merge_update(Some(target.address), &source, &answer);
         true
     }
 }
--- a/crates/router/src/gateway/suspects/identity.rs
+++ b/crates/router/src/gateway/suspects/identity.rs
@@ -27,7 +27,7 @@
 pub(in super::super) fn of(
     inbound: &Inbound,
     sender: Sender<'_>,
-    wording: &dyn HeaderCodec,
+    header_codec: &dyn HeaderCodec,
 ) -> RequestIdentity {
     let request = &inbound.request;
     let url = request.url();
@@ -42,7 +42,10 @@
     for (name, values) in request.iter() {
         let name = name.as_str();
         let counted = [HOST.as_str(), CONTENT_LENGTH.as_str()].contains(&name);
-        if counted || headers::is_hop_by_hop(name, None) || wording.varies_between_attempts(name) {
+        if counted
+            || headers::is_hop_by_hop(name, None)
+            || header_codec.varies_between_attempts(name)
+        {
             continue;
         }
         for value in values.iter() {
--- a/crates/router/src/gateway/suspects/operate.rs
+++ b/crates/router/src/gateway/suspects/operate.rs
@@ -29,10 +29,10 @@
         }
         let identity = path.strip_prefix(RELEASE_PATH)?;
         if request.method() != Method::Post {
-            return Some(answer::own(405, "use-post", None));
+            return Some(answer::text(405, "use-post", None));
         }
         let Ok(identity) = u64::from_str_radix(identity, 16) else {
-            return Some(answer::own(400, "identity-is-16-hex-digits", None));
+            return Some(answer::text(400, "identity-is-16-hex-digits", None));
         };
         Some(self.release(RequestHash(identity)))
     }
@@ -59,10 +59,10 @@
             .dispatch
             .with(|dispatcher, now| dispatcher.release_suspect(now, request));
         if !known {
-            return answer::own(404, "no-such-request-is-held", None);
+            return answer::text(404, "no-such-request-is-held", None);
         }
         self.own.lock().insert(request);
         self.log.tell(&self.dispatch, "operator");
-        answer::own(200, "let-go", None)
+        answer::text(200, "let-go", None)
     }
 }
--- a/crates/router/src/gateway/suspects/keep.rs
+++ b/crates/router/src/gateway/suspects/persistence.rs
@@ -49,7 +49,7 @@
     pub(super) async fn run(mut self) {
         let mut relayed = false;
         loop {
-            let relays = self.service.neighbours.place().relays;
+            let relays = self.service.neighbours.position().is_relay;
             let newly = relays && !relayed;
             let read = newly && self.synchronize().await;
             // A read that failed is made again.
@@ -141,6 +141,7 @@
     }
 
     fn take(&self, record: &HeldRecord) {
-        self.service.take(None, "store", &record.to_update());
+        self.service
+            .merge_update(None, "store", &record.to_update());
     }
 }
--- a/crates/router/src/gateway/suspects/look.rs
+++ b/crates/router/src/gateway/suspects/process_probe.rs
@@ -34,7 +34,7 @@
 /// Looks at processes, each in a task of its own.
 pub(super) struct Looker {
     pub(super) service: SuspectService,
-    pub(super) wording: Arc<dyn HeaderCodec>,
+    pub(super) header_codec: Arc<dyn HeaderCodec>,
     pub(super) findings: async_channel::Receiver<Finding>,
 }
 
@@ -64,7 +64,7 @@
                 Finding::Broke(look) => {
                     let glance = Glance {
                         service: self.service.clone(),
-                        wording: self.wording.clone(),
+                        header_codec: self.header_codec.clone(),
                         pool: pool.clone(),
                         look,
                     };
@@ -78,7 +78,7 @@
 /// The looks at one process.
 struct Glance {
     service: SuspectService,
-    wording: Arc<dyn HeaderCodec>,
+    header_codec: Arc<dyn HeaderCodec>,
     pool: Pool,
     look: ProcessCheck,
 }
@@ -145,7 +145,7 @@
         };
         let status = u16::from(answer.status());
         let head = self
-            .wording
+            .header_codec
             .read_response(status, answer.as_ref(), &self.look.process);
         match head.not_run {
             Some(Rejection::OtherInstance) => Seen::Ended,
@@ -164,7 +164,7 @@
         let mut request = Request::new(Method::Get, url);
         request.insert_header(HOST, address.to_string());
         request.insert_header(CONNECTION, "close");
-        self.wording
+        self.header_codec
             .set_target(&mut request, ANSWER_TIMEOUT, process);
         Some(request)
     }
--- a/crates/router/src/gateway/patience.rs
+++ b/crates/router/src/gateway/takeover_delay.rs
@@ -25,18 +25,18 @@
 
 /// Time before a gateway claims to relay: machines with fast links come first,
 /// and of the others each at a time of its own. `chance` is drawn from 0 to 1.
-pub fn of_relay(link_mbps: f64, chance: f64) -> Duration {
+pub fn for_relay(link_mbps: f64, chance: f64) -> Duration {
     seconds(by_link(link_mbps) + RELAY_CHANCE * chance)
 }
 
 /// Added to the time after which a gateway takes a coordinator's office over:
 /// machines with fast links come first. `chance` is drawn from 0 to 1.
-pub fn of_coordinator(link_mbps: f64, chance: f64) -> Duration {
+pub fn for_coordinator(link_mbps: f64, chance: f64) -> Duration {
     seconds(COORDINATOR_LINK * by_link(link_mbps) + COORDINATOR_CHANCE * chance)
 }
 
 /// Added to that where a call to the store takes so long; `None`: unknown.
-pub fn by_store(call: Option<Duration>) -> Duration {
+pub fn for_store_latency(call: Option<Duration>) -> Duration {
     let call = call.map_or(STORE_PART, |call| call.as_secs_f64());
     seconds((STORE_CALLS * call).min(STORE_PART))
 }
--- a/crates/router/src/gateway/tokens.rs
+++ b/crates/router/src/gateway/tokens.rs
@@ -21,9 +21,10 @@
 /// An ask for tokens with the service that it is about.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(super) struct ServiceTokenAsk {
+pub(super) struct ServiceTokenRequest {
     pub(super) service: ServiceName,
-    pub(super) asks: Vec<TokenRequest>,
+    #[serde(rename = "asks")]
+    pub(super) requests: Vec<TokenRequest>,
 }
 
 /// The answer of one gateway to such an ask.
@@ -36,7 +37,8 @@
         grants: Vec<TokenGrant>,
     },
     /// It does not surely do so; who does, as far as it knows.
-    Elsewhere {
+    #[serde(rename = "elsewhere")]
+    NotCoordinator {
         /// Where that one takes messages of other gateways.
         coordinator: Option<SocketAddr>,
     },
@@ -44,14 +46,14 @@
 
 /// Asks for tokens. Clones share everything.
 #[derive(Clone)]
-pub(super) struct TokenAsker {
+pub(super) struct TokenRequester {
     pub(super) dispatch: Arc<Dispatch>,
     pub(super) peers: PeerClient,
     /// To the coordinators of this gateway.
     pub(super) events: async_channel::Sender<Event>,
 }
 
-impl TokenAsker {
+impl TokenRequester {
     /// Runs for ever.
     pub(super) async fn run(self) {
         loop {
@@ -63,30 +65,30 @@
                 wanted.await;
                 continue;
             }
-            for (service, asks) in asks {
-                task::spawn(self.clone().ask(service, asks));
+            for (service, requests) in asks {
+                task::spawn(self.clone().ask(service, requests));
             }
         }
     }
 
-    async fn ask(self, service: ServiceName, asks: Vec<TokenRequest>) {
+    async fn ask(self, service: ServiceName, requests: Vec<TokenRequest>) {
         let asked = self.dispatch.clock().now();
-        let ask = ServiceTokenAsk { service, asks };
+        let ask = ServiceTokenRequest { service, requests };
         let granted = timer::timeout(TOKEN_TIMEOUT, self.granted(&ask)).await;
         self.dispatch
             .with(|dispatcher, now| match granted.ok().flatten() {
                 Some(grants) => dispatcher.on_token_grants(now, &ask.service, asked, &grants),
-                None => dispatcher.on_token_request_failed(now, &ask.service, &ask.asks),
+                None => dispatcher.on_token_request_failed(now, &ask.service, &ask.requests),
             });
     }
 
-    async fn granted(&self, ask: &ServiceTokenAsk) -> Option<Vec<TokenGrant>> {
-        match ask_here(&self.events, ask).await? {
+    async fn granted(&self, ask: &ServiceTokenRequest) -> Option<Vec<TokenGrant>> {
+        match request_local_tokens(&self.events, ask).await? {
             TokenReply::Granted { grants } => Some(grants),
-            TokenReply::Elsewhere { coordinator } => {
+            TokenReply::NotCoordinator { coordinator } => {
                 match self.peers.request_tokens(coordinator?, ask).await? {
                     TokenReply::Granted { grants } => Some(grants),
-                    TokenReply::Elsewhere { .. } => None,
+                    TokenReply::NotCoordinator { .. } => None,
                 }
             }
         }
@@ -94,12 +96,12 @@
 }
 
 /// Asks the coordinators of this gateway. `None`: they have ended.
-pub(super) async fn ask_here(
+pub(super) async fn request_local_tokens(
     events: &async_channel::Sender<Event>,
-    ask: &ServiceTokenAsk,
+    ask: &ServiceTokenRequest,
 ) -> Option<TokenReply> {
     let (reply, replied) = async_channel::bounded(1);
-    let event = Event::TokenRequest(ask.service.clone(), ask.asks.clone(), reply);
+    let event = Event::TokenRequest(ask.service.clone(), ask.requests.clone(), reply);
     events.try_send(event).ok()?;
     replied.recv().await.ok()
 }
--- a/crates/router/src/gateway/usage.rs
+++ b/crates/router/src/gateway/usage.rs
@@ -69,7 +69,7 @@
     }
 
     /// The same ports, with every call to the store counted.
-    pub fn counting(&self, ports: Ports) -> Ports {
+    pub fn count_store_calls(&self, ports: Ports) -> Ports {
         Ports {
             configurations: self.counted("configurations", ports.configurations),
             back_ends: self.counted("back-ends", ports.back_ends),
@@ -93,7 +93,7 @@
 
     /// Another gateway sent a message of so many bytes, and was answered so
     /// many.
-    pub(super) fn served_peer(&self, message: &str, received: usize, answered: usize) {
+    pub(super) fn record_peer_message(&self, message: &str, received: usize, answered: usize) {
         for (direction, bytes) in [("received", received), ("answered", answered)] {
             self.peer_bytes
                 .with_label_values(&[message, direction])
@@ -103,14 +103,14 @@
 
     /// A request goes to a back end, with a body of so many bytes if that is
     /// known.
-    pub(super) fn asked_back_end(&self, attempt: &Attempt, bytes: Option<usize>) {
+    pub(super) fn record_back_end_request(&self, attempt: &Attempt, bytes: Option<usize>) {
         let labels = [attempt.distance.as_str(), choice_of(attempt)];
         self.back_end_requests.with_label_values(&labels).inc();
         self.count_back_end(attempt, "sent", bytes);
     }
 
     /// A back end answers with a body of so many bytes if that is known.
-    pub(super) fn back_end_answered(&self, attempt: &Attempt, bytes: Option<usize>) {
+    pub(super) fn record_back_end_response(&self, attempt: &Attempt, bytes: Option<usize>) {
         self.count_back_end(attempt, "received", bytes);
     }
 
--- a/crates/router/tests/gateway/in_use.rs
+++ b/crates/router/tests/gateway/back_end_updates.rs
@@ -5,8 +5,8 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
+use threadledge::gateway::back_end_updates::BackEndUpdate;
 use threadledge::gateway::cluster_state::ClusterState;
-use threadledge::gateway::in_use::InUse;
 use threadledge::gateway::watcher::Update;
 use threadledge_ports::{Change, Changes, Listing, Malformed};
 use threadledge_types::Timestamp;
@@ -21,15 +21,15 @@
 }
 
 impl User {
-    fn take(&mut self, in_use: InUse) {
+    fn take(&mut self, in_use: BackEndUpdate) {
         match in_use {
-            InUse::All(all) => {
+            BackEndUpdate::All(all) => {
                 let named = all.iter().map(|each| (each.name.clone(), each.clone()));
                 self.back_ends = named.collect();
             }
-            InUse::Changed { changed, gone } => {
+            BackEndUpdate::Changed { changed, removed } => {
                 // One that came and went between two tellings was never in use.
-                for name in gone {
+                for name in removed {
                     self.back_ends.remove(&name);
                 }
                 let named = changed.into_iter().map(|each| (each.name.clone(), each));
@@ -129,14 +129,14 @@
     let entries = (0..10_000).map(numbered).collect();
     state.apply_back_ends(Update::Listed(Listing { entries, at: 5 }), now);
     let first = state.take_in_use(now).expect("all are known");
-    assert!(matches!(first, InUse::All(all) if all.len() == 10_000));
+    assert!(matches!(first, BackEndUpdate::All(all) if all.len() == 10_000));
     let leaving = entry("b-00077", 6, back_end("b-00077", true));
     let changes = vec![Change::Put(leaving), Change::Gone("b-00078".to_owned())];
     state.apply_back_ends(Update::Changed(Changes { changes, at: 6 }), now);
     let second = state.take_in_use(now).expect("all are known");
-    let changed = InUse::Changed {
+    let changed = BackEndUpdate::Changed {
         changed: vec![back_end("b-00077", true)],
-        gone: vec!["b-00078".into()],
+        removed: vec!["b-00078".into()],
     };
     assert_eq!(second, changed);
 }
--- a/crates/router/tests/gateway/main.rs
+++ b/crates/router/tests/gateway/main.rs
@@ -2,13 +2,13 @@
 //! filled settings template against stand-ins of the users' platform on
 //! loopback.
 
+mod back_end_updates;
 mod caller_disconnects;
 mod changes;
 mod cluster_state;
 mod crashing;
 mod draining_back_ends;
 mod fleet;
-mod in_use;
 mod incarnations;
 mod key_regions;
 mod limited;
@@ -16,7 +16,6 @@
 mod names;
 mod outage;
 mod partial_lists;
-mod patience;
 mod peers;
 mod pipelined;
 mod pressed;
@@ -31,6 +30,7 @@
 mod stalled_connections;
 mod stalling_proxy;
 mod stop;
+mod takeover_delay;
 mod template;
 mod tenants;
 mod uploads;
--- a/crates/router/tests/gateway/usage.rs
+++ b/crates/router/tests/gateway/usage.rs
@@ -23,7 +23,7 @@
 fn every_call_to_the_store_is_counted_with_its_outcome() {
     let registry = Registry::new();
     let usage = Usage::new(&registry).expect("registered");
-    let ports = usage.counting(ports(NOBODY.into(), Duration::from_secs(1)));
+    let ports = usage.count_store_calls(ports(NOBODY.into(), Duration::from_secs(1)));
     let listed = task::block_on(ports.back_ends.list(Freshness::Stale));
     assert!(listed.is_err());
     let watch = ports.configurations.changes(1, Duration::from_secs(1));
