--- a/crates/router/src/gateway.rs
+++ b/crates/router/src/gateway.rs
@@ -1,7 +1,7 @@
-//! A gateway: the router on a platform whose store keeps everything that must
-//! last. Requests are decided by [`threadledge_dispatch`], ownership by
-//! [`threadledge_coordination`]; what the platform gives comes through
-//! [`threadledge_ports`].
+//! The gateway: the router variant for platforms whose store keeps all
+//! persistent state. [`threadledge_dispatch`] decides about requests and
+//! [`threadledge_coordination`] about ownership; the platform is accessed
+//! through [`threadledge_ports`].
 
 mod admission;
 mod answer;
--- a/crates/router/src/gateway/admission.rs
+++ b/crates/router/src/gateway/admission.rs
@@ -1,5 +1,5 @@
-//! Decides from a request's head whether it may go on, before anything of its
-//! body is read, held or counted.
+//! Checks from the request head whether a request may proceed, before any of
+//! its body is read, held or counted.
 
 use http_types::headers::HOST;
 use http_types::{Method, Request};
@@ -10,14 +10,15 @@
 
 use super::dispatch::Dispatch;
 
-/// The host that a request names, as the caller wrote it.
+/// Returns the request's `Host` header as the caller wrote it, or an empty
+/// string.
 pub(super) fn host_of(request: &Request) -> &str {
     request
         .header(HOST)
         .map_or("", |values| values.last().as_str())
 }
 
-/// What of a request's head says who calls, and for what.
+/// The parts of a request head that decide about its caller and its route.
 pub(super) struct Head {
     pub(super) method: Method,
     host: String,
@@ -43,11 +44,11 @@
         }
     }
 
-    /// Says whose caller sends the request and which route it takes.
+    /// Determines the tenant of the caller and the route of the request.
     ///
     /// # Errors
     ///
-    /// The refusal with which it is answered at once.
+    /// The refusal with which the request is answered at once.
     pub(super) fn admit(&self, dispatch: &Dispatch) -> Result<Admission, Refusal> {
         dispatch.with(|dispatcher, now| dispatcher.check_admission(now, &self.call()))
     }
--- a/crates/router/src/gateway/answer.rs
+++ b/crates/router/src/gateway/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that a gateway gives itself.
+//! Responses that the gateway itself creates.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use threadledge_dispatch::{Outcome, Refusal};
 
-/// Answers a request that no back end answered.
+/// Response to a request that no back end answered.
 pub(super) fn for_outcome(outcome: &Outcome) -> Response {
     match outcome {
         Outcome::Refused(refusal) => for_refusal(refusal),
@@ -14,14 +14,15 @@
     }
 }
 
-/// Promises that a request has not run and never will.
+/// Response for a refusal, which promises that the request has not run and
+/// never will.
 pub(super) fn for_refusal(refusal: &Refusal) -> Response {
     let reason = refusal.reason;
     text(reason.status(), reason.as_str(), refusal.retry_after)
 }
 
-/// An answer with a status, a word on the reason and, where coming back
-/// helps, the time to wait.
+/// Plain-text response with a status, a reason and, where retrying helps, the
+/// time to wait.
 pub(super) fn text(status: u16, reason: &str, retry_after: Option<Duration>) -> Response {
     let status = StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError);
     let mut response = Response::new(status);
@@ -33,7 +34,7 @@
     response
 }
 
-/// An answer with a value as JSON.
+/// Response with a value as JSON.
 pub(super) fn json<T: Serialize>(value: &T) -> Response {
     match serde_json::to_vec(value) {
         Ok(body) => {
--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -18,13 +18,14 @@
 use crate::proxy::inbound::Inbound;
 use crate::proxy::replay::Replay;
 
-/// Bodies of answers up to this size are read before any of the answer is
-/// passed on, in bytes: one cut short then becomes another attempt.
+/// Response bodies of up to this size, in bytes, are read before any of the
+/// response is passed on, so that a truncated response can lead to another
+/// attempt.
 pub(super) const READ_AHEAD: usize = 64 * 1024;
-/// First status that says that the back end failed.
+/// Lowest status that counts as a failure of the back end.
 const FAILED_FROM: u16 = 500;
 
-/// What attempts need.
+/// Shared resources for running attempts.
 #[derive(Clone)]
 pub(super) struct Attempts {
     pub(super) dispatch: Arc<Dispatch>,
@@ -34,7 +35,7 @@
     pub(super) usage: Usage,
 }
 
-/// How an attempt ended, with the answer if there is one.
+/// How an attempt ended, with the response if there is one.
 #[derive(Debug)]
 pub(super) struct Ended {
     pub(super) end: AttemptEnd,
@@ -51,12 +52,12 @@
     }
 }
 
-/// What every attempt of one exchange sends, and the id of its answer.
+/// The request that every attempt of one exchange sends.
 #[derive(Debug)]
 pub(super) struct Outbound {
     replay: Replay,
     request_id: Option<String>,
-    /// Whose caller sends it.
+    /// Tenant of the caller.
     pub(super) tenant: Option<TenantName>,
 }
 
@@ -75,7 +76,7 @@
 }
 
 impl Attempts {
-    /// Runs one attempt. Dropping the future closes its connection.
+    /// Runs one attempt to its end. Dropping the future closes the connection.
     pub(super) async fn run(
         self,
         exchange: ExchangeId,
@@ -91,8 +92,8 @@
             Ok(connection) => connection,
             Err(error) => return Ended::failed(fault_of(&error)),
         };
-        // Invariant: no byte is written without leave, and from here on the
-        // request counts as one that may have run.
+        // Invariant: no byte is written before the dispatcher permits it, and
+        // from here on the request counts as one that may have run.
         let Some(now) = self.dispatch.may_send(exchange, attempt.id) else {
             return Ended::without_answer(AttemptEnd::Abandoned);
         };
@@ -125,9 +126,9 @@
             .read_response(status, response.as_ref(), &attempt.back_end);
         self.dispatch
             .on_response_head(exchange, attempt.id, &head.signals);
-        // Invariant: no caller gets the answer to another's request. HTTP/1.1
-        // pairs requests and answers by their order alone; the id shows a
-        // wrong pair.
+        // Invariant: no caller gets the response to another caller's request.
+        // HTTP/1.1 pairs requests and responses only by their order; the
+        // request id reveals a wrong pair.
         if head.request_id.is_some() && head.request_id != outbound.request_id {
             return Ended::failed(Fault::BadAnswer);
         }
@@ -179,7 +180,8 @@
 
 fn fault_of(error: &ExchangeError) -> Fault {
     match (error.stage, &error.fault) {
-        // This router's own limit says nothing about the back end.
+        // Reaching the router's own connection limit says nothing about the
+        // back end.
         (Stage::ConnectFailed, ExchangeFault::NoConnectionFree) => Fault::NoConnection,
         (Stage::ConnectFailed, _) => Fault::Unreachable,
         (Stage::NothingSent, ExchangeFault::RequestBody(_)) => Fault::BodyGone,
--- a/crates/router/src/gateway/back_end_updates.rs
+++ b/crates/router/src/gateway/back_end_updates.rs
@@ -1,35 +1,36 @@
-//! Back ends as requests and keys may use them, told by what changed: with
-//! thousands of them each change would else cost a walk over all, on every
-//! gateway.
+//! Updates of the back ends that may get requests and keys. They hold only what
+//! changed: with thousands of back ends each change would otherwise cost every
+//! gateway a walk over all of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use threadledge_types::deployment::{BackEnd, BackEndName};
 
-/// What to use from now on.
+/// An update of the usable back ends.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BackEndUpdate {
-    /// These back ends and no others.
+    /// Replaces all back ends with these.
     All(Arc<[BackEnd]>),
-    /// What changed.
+    /// Changes since the previous update.
     Changed {
-        /// Back ends that are new, or as they are now.
+        /// Back ends that are new or changed, in their current form.
         changed: Vec<BackEnd>,
-        /// Back ends that are there no more.
+        /// Back ends that no longer exist.
         removed: Vec<BackEndName>,
     },
 }
 
-/// Ids whose back end may have changed since that was told last, with the
-/// names that stood under them.
+/// Ids whose back end may have changed since the last update, with the back-end
+/// names that were registered under them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ChangedIds {
     ids: BTreeMap<String, BTreeSet<BackEndName>>,
 }
 
 impl ChangedIds {
-    /// What stands under `id` changes; `before` stood there.
+    /// Records that the back end under `id` changes; `before` is its previous
+    /// name.
     pub(super) fn mark(&mut self, id: &str, before: Option<&BackEndName>) {
         let names = match self.ids.get_mut(id) {
             Some(names) => names,
@@ -38,12 +39,13 @@
         names.extend(before.cloned());
     }
 
-    /// Nothing is left to tell.
+    /// Discards all recorded changes.
     pub(super) fn clear(&mut self) {
         self.ids.clear();
     }
 
-    /// What changed, where `find` knows what stands under an id now.
+    /// Takes the recorded changes as an update. `find` returns the back end
+    /// that is now registered under an id.
     pub(super) fn take(&mut self, find: impl Fn(&str) -> Option<BackEnd>) -> BackEndUpdate {
         let mut changed = Vec::new();
         let mut removed = Vec::new();
--- a/crates/router/src/gateway/bodies.rs
+++ b/crates/router/src/gateway/bodies.rs
@@ -1,4 +1,4 @@
-//! Memory for the bodies of requests that are too long to be read ahead.
+//! Limits the memory for request bodies that are too long to be read ahead.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -7,34 +7,35 @@
 use crate::proxy::budget::{Budget, Reservation};
 use crate::proxy::inbound::{Inbound, PASSING, RequestBody};
 
-/// Bodies up to this size are kept while they are passed on, in bytes, so that
-/// they can be sent again as well: above the largest that callers are known to
-/// send (360 KB).
+/// Bodies of up to this size, in bytes, are kept while they are streamed to a
+/// back end, so that they can be sent again. The value is above the largest
+/// body that callers are known to send (360 KB).
 const KEPT: usize = 512 * 1024;
 
-/// What callers are told to wait when there is no memory for their bodies:
-/// about the time that a link of 10 Mbit/s takes for one of the largest.
+/// Retry delay sent to callers when there is no memory for their bodies: about
+/// the time that a 10 Mbit/s link takes to transfer one of the largest bodies.
 pub(super) const RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Memory for bodies. The machine ends a gateway that takes more than it has,
-/// and all its requests with it.
+/// Memory budgets for bodies. The operating system kills a gateway that uses
+/// more memory than the machine has, and all its requests with it.
 pub(super) struct Bodies {
-    /// For bodies that are held or kept, and for answers.
+    /// Budget for bodies that are held or kept, and for responses.
     held: Budget,
-    /// For bodies that are passed on and not kept.
+    /// Budget for bodies that are streamed and not kept.
     passing: Budget,
-    /// The last long body found no room.
+    /// Whether the most recent long body was refused for lack of memory.
     refusing: AtomicBool,
 }
 
-/// Room for one body, until it is dropped.
+/// Memory reserved for one body until it is dropped.
 #[derive(Debug)]
 pub(super) struct Room {
     _passing: Option<Reservation>,
 }
 
 impl Bodies {
-    /// Shares `held` with answers, and lets as many bytes pass on beside it.
+    /// Creates the budgets: `held` is shared with responses, and
+    /// `passing_bytes` is reserved in addition for streamed bodies.
     pub(super) fn new(held: Budget, passing_bytes: usize) -> Self {
         Bodies {
             held,
@@ -43,8 +44,8 @@
         }
     }
 
-    /// Keeps a long body if there is room, or else lets it pass on; `None`
-    /// when there is room for neither.
+    /// Keeps a long body if there is memory for it, or else lets it be
+    /// streamed. Returns `None` when there is memory for neither.
     pub(super) fn take_in(&self, inbound: &mut Inbound) -> Option<Room> {
         if matches!(inbound.body, RequestBody::Whole(_)) {
             return Some(Room { _passing: None });
--- a/crates/router/src/gateway/dispatch.rs
+++ b/crates/router/src/gateway/dispatch.rs
@@ -1,4 +1,5 @@
-//! The dispatcher behind a lock, and the tasks that wait for its decisions.
+//! Holds the dispatcher behind a lock and wakes the request tasks that wait for
+//! its decisions.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,15 +20,16 @@
 use crate::events::{EventId, emit};
 use crate::proxy::{Clock, Signal};
 
-/// The dispatcher with its clock. The clock is read under the lock, so that
-/// the dispatcher sees time that never goes back.
+/// The dispatcher with its clock. The clock is read while the lock is held, so
+/// that the time the dispatcher sees never goes backwards.
 #[derive(Debug)]
 pub(super) struct Dispatch {
     clock: Clock,
     suspects: SuspectSignals,
-    /// A coordinator is to be asked for tokens.
+    /// Notified when tokens have to be requested from a coordinator.
     tokens_wanted: Notifier,
-    /// Services of back ends that said that they leave, or asked for rest.
+    /// Channel of services one of whose back ends announced that it is leaving
+    /// or requested a backoff.
     unavailable_services: (Sender<ServiceName>, Receiver<ServiceName>),
     state: Mutex<State>,
 }
@@ -53,18 +55,19 @@
         }
     }
 
-    /// What the request path finds out of requests that crash back ends.
+    /// Signals about requests that crash back ends, as seen by the request
+    /// path.
     pub(super) fn suspect_signals(&self) -> &SuspectSignals {
         &self.suspects
     }
 
-    /// Tells the services of back ends that said that they leave, or asked for
-    /// rest.
+    /// Receives each service one of whose back ends announced that it is
+    /// leaving or requested a backoff.
     pub(super) fn unavailable_services(&self) -> Receiver<ServiceName> {
         self.unavailable_services.1.clone()
     }
 
-    /// Told when a coordinator is to be asked for tokens.
+    /// Notified when tokens have to be requested from a coordinator.
     pub(super) fn tokens_wanted(&self) -> &Notifier {
         &self.tokens_wanted
     }
@@ -73,7 +76,8 @@
         self.clock
     }
 
-    /// Does something with the dispatcher and wakes whom it concerns.
+    /// Runs `act` on the dispatcher, then wakes the exchanges and tasks that
+    /// its changes concern.
     pub(super) fn with<R>(&self, act: impl FnOnce(&mut Dispatcher, Timestamp) -> R) -> R {
         let mut state = self.state.lock();
         let now = self.clock.now();
@@ -123,12 +127,13 @@
         Ok((begun, signal))
     }
 
-    /// Whether requests of this host and path may run in any order.
+    /// Returns whether requests for this host and path may run in any order.
     pub(super) fn is_repeatable(&self, host: &str, path: &str) -> bool {
         self.state.lock().dispatcher.is_repeatable(host, path)
     }
 
-    /// Whether nothing of a request may be kept here.
+    /// Returns whether the request is only forwarded, so that none of its
+    /// content may be kept here.
     pub(super) fn passes_through(&self, admission: &Admission) -> bool {
         self.state.lock().dispatcher.passes_through(admission)
     }
@@ -137,12 +142,13 @@
         self.with(|dispatcher, now| dispatcher.next(now, id))
     }
 
-    /// Whether an attempt may be sent now, and if so how much time it has.
+    /// Returns the current time if the attempt may be sent now, and `None` if
+    /// not.
     pub(super) fn may_send(&self, id: ExchangeId, attempt: AttemptId) -> Option<Timestamp> {
         self.with(|dispatcher, now| dispatcher.may_send(now, id, attempt).then_some(now))
     }
 
-    /// The head of an answer to an attempt came.
+    /// Records the signals in the response head of an attempt.
     pub(super) fn on_response_head(&self, id: ExchangeId, attempt: AttemptId, signals: &Signals) {
         self.with(|dispatcher, now| dispatcher.on_response_head(now, id, attempt, signals));
     }
@@ -156,7 +162,7 @@
         self.with(|dispatcher, now| dispatcher.on_attempt_end(now, id, attempt, end))
     }
 
-    /// Forgets an exchange. One that has no outcome counts as left.
+    /// Releases an exchange. One without an outcome counts as abandoned.
     pub(super) fn release(&self, id: ExchangeId) {
         self.with(|dispatcher, now| dispatcher.abandon(now, id));
         self.state.lock().signals.remove(&id);
@@ -175,7 +181,7 @@
     );
 }
 
-/// The service of a back end that should not keep its keys.
+/// Returns the service of a back end that should not keep its keys.
 fn service_of_unfit(news: &BackEndEvent) -> Option<&ServiceName> {
     match news {
         BackEndEvent::Leaving { service, .. } | BackEndEvent::Resting { service, .. } => {
--- a/crates/router/src/gateway/exchange.rs
+++ b/crates/router/src/gateway/exchange.rs
@@ -1,4 +1,4 @@
-//! Drives one exchange: carries the dispatcher's steps out.
+//! Drives one exchange by carrying out the dispatcher's steps.
 
 use std::future::{Future, poll_fn};
 use std::pin::Pin;
@@ -20,7 +20,7 @@
 use super::disconnects::{RequestTracker, Stage};
 use crate::proxy::Signal;
 
-/// What became of an exchange.
+/// Result of an exchange.
 #[derive(Debug)]
 pub(super) enum Conclusion {
     /// A back end answered.
@@ -28,29 +28,30 @@
         response: Box<Response>,
         back_end: BackEndName,
     },
-    /// None did.
+    /// No back end answered; the gateway sends a response of its own for this
+    /// outcome.
     Own(Outcome),
 }
 
-/// One attempt's end, with the attempt.
+/// A finished attempt with its result.
 struct Done {
     id: AttemptId,
     back_end: BackEndName,
     ended: Ended,
 }
 
-/// One exchange under way. Dropping it gives its attempts up.
+/// An exchange in progress. Dropping it abandons its attempts.
 pub(super) struct Exchange {
     attempts: Attempts,
     outbound: Arc<Outbound>,
     id: ExchangeId,
     signal: Arc<Signal>,
     running: FuturesUnordered<BoxFuture<'static, Done>>,
-    /// Every attempt's end that was not the answer, for the log.
+    /// Finished attempts that did not provide the response, for the log.
     pub(super) history: Vec<PastAttempt>,
 }
 
-/// An attempt that did not end the exchange.
+/// A finished attempt that did not provide the response.
 #[derive(Debug)]
 pub(super) struct PastAttempt {
     pub(super) back_end: BackEndName,
@@ -80,7 +81,8 @@
         }
     }
 
-    /// Runs to the one outcome; tells the visit how far it has come.
+    /// Runs the exchange to its single outcome and reports its stages to
+    /// `tracker`.
     pub(super) async fn run(&mut self, tracker: &mut RequestTracker) -> Conclusion {
         loop {
             match self.attempts.dispatch.next(self.id) {
@@ -134,7 +136,8 @@
     }
 
     fn poll_happened(&mut self, sleep: &mut Sleep, context: &mut Context<'_>) -> Poll<Happened> {
-        // Without attempts the stream would say that it has ended.
+        // An empty set of attempts yields `Ready(None)`, which must not end the
+        // wait.
         if let Poll::Ready(Some(done)) = Pin::new(&mut self.running).poll_next(context) {
             return Poll::Ready(Happened::Ended(done));
         }
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -1,7 +1,9 @@
-//! Limits of tenants over all gateways: spends tokens on requests, asks the
-//! ledger for more, and keeps the ledger while this gateway holds its office.
+//! Rate limits of tenants, enforced over all gateways together: spends tokens
+//! on requests, requests more from the ledger, and keeps the ledger while this
+//! gateway holds its lease.
 //!
-//! Where no tenant has a limit nothing here asks, listens or calls the store.
+//! If no tenant has a limit, this module sends no requests and makes no calls
+//! to the store.
 
 mod ledger_keeper;
 mod log;
@@ -35,7 +37,7 @@
 use requester::QuotaRequester;
 use state::State;
 
-/// Limits of tenants as one gateway keeps them. Clones share them.
+/// The tenants' limits as enforced by this gateway. Clones share them.
 #[derive(Clone)]
 pub(super) struct Limits {
     shared: Arc<Shared>,
@@ -44,44 +46,45 @@
 struct Shared {
     clock: Clock,
     state: Mutex<State>,
-    /// An ask has ended: whoever waits looks again.
+    /// Notified when a quota request has ended; waiting requests then check
+    /// again.
     answered: Notifier,
-    /// Something has to be asked for.
+    /// Notified when quota may have to be requested.
     wanted: Notifier,
-    /// Limits, the office or its holder changed.
+    /// Notified when limits, the ledger's lease or its holder changed.
     changed: Notifier,
     log: LimitLog,
     metrics: LimitMetrics,
 }
 
-/// Why a request of a tenant does not run.
+/// Refusal of a request by its tenant's limit.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Refused {
     pub(super) why: RefusalReason,
-    /// Time until there is room.
+    /// Time after which the request may be admitted.
     pub(super) wait: Duration,
 }
 
-/// A token that was spent.
+/// A token spent on a request.
 struct Spent {
     limits: Limits,
     tenant: TenantName,
     at: Timestamp,
 }
 
-/// Leave for one request to run. A token was spent on it, if its tenant has a
-/// limit.
+/// Permission for one request to run. A token was spent on it if its tenant has
+/// a limit.
 pub(super) struct Permit {
     spent: Option<Spent>,
 }
 
 impl Permit {
-    /// Leave for a request of nobody whose requests are counted.
+    /// Permit for a request that counts against no limit.
     pub(super) const fn free() -> Self {
         Permit { spent: None }
     }
 
-    /// The request surely did not run: its token goes back.
+    /// Refunds the token of a request that certainly did not run.
     pub(super) fn not_run(self) {
         let Some(Spent { limits, tenant, at }) = self.spent else {
             return;
@@ -91,12 +94,12 @@
 }
 
 impl Limits {
-    /// Limits of a gateway that has just started.
+    /// Creates the limits of a gateway that has just started.
     ///
     /// # Errors
     ///
-    /// Never with the names compiled in; the metrics library checks them at
-    /// run time.
+    /// Never occurs with the names compiled in; the metrics library checks them
+    /// at run time.
     pub(super) fn new(
         clock: Clock,
         me: &NodeIdentity,
@@ -117,7 +120,8 @@
         })
     }
 
-    /// Begins to ask and to stand for the office.
+    /// Starts the tasks that request quota and take part in the ledger's
+    /// election.
     pub(super) fn start(
         &self,
         client: PeerClient,
@@ -137,13 +141,13 @@
 
     fn with<R>(&self, act: impl FnOnce(&mut State, Timestamp) -> R) -> R {
         let mut state = self.shared.state.lock();
-        // Read under the lock, so that the cores see time that never goes
-        // back.
+        // Read while the lock is held, so that the time the state machines see
+        // never goes backwards.
         let now = self.shared.clock.now();
         act(&mut state, now)
     }
 
-    /// This configuration is in force.
+    /// Applies the limits of the configuration now in force.
     pub(super) fn configure(&self, configuration: &Configuration) {
         let tenants = configuration.tenants.iter();
         let limits = tenants.filter_map(|(name, tenant)| Some((name.clone(), tenant.limit?)));
@@ -152,16 +156,16 @@
         self.shared.changed.notify();
     }
 
-    /// Lets a request of a tenant run, or does not; it may wait for the
-    /// ledger.
+    /// Admits or refuses a request of a tenant. May wait for the ledger.
     ///
     /// # Errors
     ///
-    /// Why it does not run, and when there will be room.
+    /// The reason for the refusal and the time to wait.
     pub(super) async fn admit(&self, tenant: &TenantName) -> Result<Permit, Refused> {
         let mut since = None;
         loop {
-            // Whoever waits is registered before another can end the wait.
+            // The wait is registered under the lock, before another task can
+            // end it.
             let (admission, answered) = self.with(|state, now| {
                 let admission = match since {
                     None => state.spender.admit_new(now, tenant),
@@ -190,20 +194,21 @@
                 Admission::Wait(until) => {
                     self.shared.wanted.notify();
                     let deadline = self.shared.clock.instant(until);
-                    // Which of the two it was shows above.
+                    // The next round finds out whether it was notified or timed
+                    // out.
                     let _ = timer::timeout_at(deadline, answered).await;
                 }
             }
         }
     }
 
-    /// Hands the office back. Requests go on meanwhile.
+    /// Resigns the ledger's lease. Requests continue to be served.
     pub(super) fn resign(&self) {
         self.with(|state, now| state.leave(now));
         self.shared.changed.notify();
     }
 
-    /// Answers another gateway's ask.
+    /// Answers another gateway's quota request.
     pub(super) fn handle_request(&self, ask: &QuotaRequest) -> QuotaResponse {
         let (answer, to_record) = self.with(|state, now| state.answer(now, ask));
         if to_record {
--- a/crates/router/src/gateway/limits/ledger_keeper.rs
+++ b/crates/router/src/gateway/limits/ledger_keeper.rs
@@ -1,5 +1,5 @@
-//! Stands for the office of the ledger, holds it, and keeps the record of
-//! machines that may hold shares.
+//! Takes part in the election for the ledger, keeps the ledger's lease, and
+//! maintains the record of machines that may hold shares.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,41 +23,43 @@
 use super::super::store_health::StoreHealth;
 use super::Limits;
 
-/// Name of the lease of the ledger, beside those of services.
+/// Name of the ledger's lease, which is stored beside those of services.
 const LEDGER: &str = "threadledge.tenant-limits";
-/// Name of the record of machines that may hold shares.
 const HOLDERS: &str = "holders";
-/// Wait before the record is written again that was not.
+/// Delay before a failed write of the record is retried.
 const RECORD_RETRY: Duration = Duration::from_millis(200);
-/// Longest wait for the election's next step.
+/// Longest wait before the election is polled again.
 const LONGEST_WAIT: Duration = Duration::from_secs(1);
-/// Added to the time after which a follower of a relay takes over: relays see
-/// the lease at first hand, and are few.
+/// Additional takeover delay of a gateway that follows a relay. Relays see the
+/// lease first-hand and are few, so they go first.
 const FOLLOWER_PATIENCE: Duration = Duration::from_millis(700);
 
-/// Loss of the ledger after which a follower of a relay looks for it in the
-/// store itself.
+/// Time for which the ledger has to be unreachable before a follower of a relay
+/// looks for it in the store itself.
 const FOLLOWER_DOUBT: Duration = Duration::from_millis(2_500);
 
-/// How well this machine is placed to keep the ledger.
+/// Suitability of this machine for keeping the ledger.
 #[derive(Clone, Copy, Debug)]
 pub(in super::super) struct LedgerPlacement {
-    /// Added to the time after which it takes over.
+    /// Delay added to the timeout after which this machine takes over the
+    /// ledger.
     pub(in super::super) takeover_delay: Duration,
 }
 
-/// Added to the time after which a machine with so many cores takes over the
-/// ledger, which answers some hundreds of asks a second.
+/// Takeover delay for a machine with this many cores. The ledger answers some
+/// hundreds of quota requests per second, so machines with more cores come
+/// first.
 pub(in super::super) fn takeover_delay_for_cores(cores: f64) -> Duration {
-    /// Longest such time, in seconds.
+    /// Upper bound of the delay, in seconds.
     const LONGEST_S: f64 = 0.5;
-    /// The time of a machine with a whole core, in seconds.
+    /// Delay of a machine with one whole core, in seconds.
     const WHOLE_CORE_S: f64 = 0.05;
     let by_cores = (WHOLE_CORE_S / cores.max(0.01)).min(LONGEST_S);
     Duration::try_from_secs_f64(by_cores).unwrap_or_default()
 }
 
-/// An election that was won; the ledger begins when the record is written.
+/// An election won by this gateway. The ledger begins once the holder record is
+/// written.
 #[derive(Clone, Copy, Debug)]
 struct Won {
     term: Term,
@@ -72,7 +74,7 @@
     placement: LedgerPlacement,
     name: ServiceName,
     won: Option<Won>,
-    /// Revision of the record as this ledger wrote it.
+    /// Revision of the holder record as last written by this ledger.
     revision: Option<StoreRevision>,
     next_record: Timestamp,
 }
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Runs for ever.
+    /// Runs the election and the record; never returns.
     pub(super) async fn run(mut self) {
         let shared = self.limits.shared.clone();
         loop {
@@ -123,14 +125,15 @@
                 continue;
             }
             let deadline = shared.clock.instant(self.next_wake());
-            // What it was shows in the next round.
+            // The next round finds out what ended the wait.
             let _ = timer::timeout_at(deadline, select(changed, told)).await;
         }
     }
 
-    /// The election's next call. A gateway looks at the store only while there
-    /// is reason to doubt the ledger: looks at it all the time cost four calls
-    /// a second and more, each paid for, and told nothing.
+    /// Returns the election's next call, if one is due. A gateway reads the
+    /// store only while there is reason to doubt the ledger: reading all the
+    /// time cost four billed calls per second or more and brought no
+    /// information.
     fn poll(&self) -> Option<Action> {
         let patience = self.doubt_after();
         self.limits.with(|state, now| {
@@ -139,7 +142,9 @@
         })
     }
 
-    /// Relays look first, and tell the others.
+    /// Time for which the ledger has to be unreachable before this gateway
+    /// checks the lease. Relays check first and pass the result on to their
+    /// followers.
     fn doubt_after(&self) -> Duration {
         match self.sources.current() {
             Source::Relay { .. } => FOLLOWER_DOUBT,
@@ -162,12 +167,14 @@
         })
     }
 
-    /// Takes in who holds the office, and whether this gateway may.
+    /// Updates the known holder of the lease and whether this gateway may
+    /// become a candidate.
     fn look_around(&self) {
         let source = self.sources.current();
         let relayed = matches!(source, Source::Relay { .. });
         let lease = self.sources.lease(&self.name);
-        // The relay will tell of the lease: no need to ask the store.
+        // A follower waits for the relay to report the lease instead of reading
+        // the store.
         let told = !relayed || lease.is_some();
         let settled = !matches!(source, Source::Starting { .. });
         let behind = match source {
@@ -242,7 +249,7 @@
                 self.limits
                     .with(|state, now| state.election.on_write(now, lease, result))
             }
-            // An election asks for nothing else.
+            // An election issues no other calls.
             CallOutcome::RecordRead(_) | CallOutcome::RecordWrite(..) | CallOutcome::Order(..) => {
                 None
             }
@@ -250,7 +257,8 @@
         self.take_change(change);
     }
 
-    /// The relay tells the lease with each of its answers.
+    /// Answers a stale lease read without a store call if this gateway follows
+    /// a relay, which sends the lease with each of its answers.
     fn told(
         &self,
         action: &Action,
@@ -261,7 +269,7 @@
         if self.sources.has_relay() {
             return Some(ReadResult::Found(self.sources.lease(&self.name)));
         }
-        // The member that looks for a relay tries the store.
+        // Only the member that is looking for a relay calls the store.
         self.sources.is_waiting().then_some(ReadResult::Failed)
     }
 
@@ -283,7 +291,7 @@
         }
     }
 
-    /// Writes the record if it is due. Says whether it was.
+    /// Writes the holder record if it is due. Returns whether it was.
     async fn keep_record(&mut self) -> bool {
         let now = self.limits.shared.clock.now();
         if now < self.next_record {
@@ -308,7 +316,8 @@
         true
     }
 
-    /// Takes the record over from the ledger before, and begins.
+    /// Takes over the holder record of the previous ledger and starts the new
+    /// ledger.
     async fn begin(&mut self, won: Won) {
         let holders = self.ports.limit_holders.clone();
         let ReadResult::Found(found) = holders.read(HOLDERS, Freshness::Linearizable).await else {
@@ -354,7 +363,7 @@
         self.limits.shared.wanted.notify();
     }
 
-    /// Writes machines that are new into the record.
+    /// Adds new machines to the holder record.
     async fn extend(&mut self, record: HolderRecord, revision: StoreRevision) {
         let holders = self.ports.limit_holders.clone();
         let condition = Condition::Revision(revision);
@@ -369,7 +378,7 @@
                 });
             }
             WriteResult::Conflict(Some(found)) if found.value.term <= record.term => {
-                // A write whose answer was lost took effect after all.
+                // An earlier write whose answer was lost took effect after all.
                 self.revision = Some(found.revision);
             }
             WriteResult::Conflict(_) => self.overtaken(),
@@ -385,5 +394,5 @@
     }
 }
 
-/// Shortest wait for the next step: other tasks share the thread.
+/// Minimum wait between steps, because other tasks share the thread.
 const SHORTEST_WAIT: Duration = Duration::from_millis(1);
--- a/crates/router/src/gateway/limits/log.rs
+++ b/crates/router/src/gateway/limits/log.rs
@@ -1,5 +1,5 @@
-//! Writes into the log what changed: who keeps the ledger, whether shares are
-//! used, and which tenants are refused.
+//! Logs changes of the limits: who keeps the ledger, whether this gateway falls
+//! back to its shares, and which tenants are refused.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 
 use crate::events::{EventId, emit};
 
-/// Time without a refusal after which a tenant counts as served again.
+/// Time without a refusal after which a tenant no longer counts as refused.
 const SERVED_AFTER: Duration = Duration::from_secs(5);
 
-/// Refusals of one tenant.
+/// The latest series of refusals of one tenant.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Refusals {
     pub(super) why: RefusalReason,
@@ -23,7 +23,7 @@
     pub(super) last: Timestamp,
 }
 
-/// What the log was told.
+/// State last written to the log, so that only changes are logged.
 #[derive(Debug, Default)]
 pub(super) struct LimitLog {
     ledger: Mutex<Option<(Term, bool)>>,
@@ -32,8 +32,8 @@
 }
 
 impl LimitLog {
-    /// This gateway keeps the ledger of that term, and whether the whole of
-    /// the rates is its to give; or it keeps none.
+    /// Logs a change of the ledger kept here: its term and whether it may grant
+    /// the full rates, or `None` if it is not kept here.
     pub(super) fn ledger(&self, ledger: Option<(Term, bool)>) {
         let mut told = self.ledger.lock();
         let before = std::mem::replace(&mut *told, ledger);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Whether this gateway uses its shares now.
+    /// Logs when this gateway starts or stops using its shares.
     pub(super) fn fallback(&self, used: bool) {
         let before = std::mem::replace(&mut *self.fallback.lock(), used);
         match (before, used) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A request of a tenant was refused.
+    /// Records a refused request, and logs it if it is the first of a series.
     pub(super) fn refused(&self, now: Timestamp, tenant: &TenantName, why: RefusalReason) {
         let mut refused = self.refused.lock();
         if let Some(refusals) = refused.get_mut(tenant) {
@@ -76,7 +76,7 @@
         emit!(EventId::TenantRefused, tenant = %tenant, reason = why.as_str());
     }
 
-    /// Tells of tenants that have not been refused for a while.
+    /// Logs and removes tenants that have not been refused for a while.
     pub(super) fn settle(&self, now: Timestamp) {
         self.refused.lock().retain(|tenant, refusals| {
             let refused = now.since(refusals.last) < SERVED_AFTER;
@@ -87,7 +87,7 @@
         });
     }
 
-    /// Refusals of a tenant that is being refused.
+    /// Returns the refusals of a tenant that is currently being refused.
     pub(super) fn refusals(&self, tenant: &TenantName) -> Option<Refusals> {
         self.refused.lock().get(tenant).copied()
     }
--- a/crates/router/src/gateway/limits/metrics.rs
+++ b/crates/router/src/gateway/limits/metrics.rs
@@ -1,5 +1,5 @@
-//! Metrics of limits. Tenants are labels only while they are few: the first
-//! that are refused have one each, all others share one.
+//! Metrics of limits. To bound the number of labels, the first tenants that are
+//! refused get a label each and all others share one.
 
 use std::collections::BTreeSet;
 
@@ -10,9 +10,9 @@
 
 use super::Limits;
 
-/// Tenants that have a label of their own.
+/// Maximum number of tenants with a label of their own.
 const MOST_LABELS: usize = 32;
-/// Label of all others.
+/// Label shared by all other tenants.
 const OTHERS: &str = "(others)";
 
 pub(super) struct LimitMetrics {
@@ -84,7 +84,7 @@
 }
 
 impl Limits {
-    /// Brings the gauges up to date, before they are read.
+    /// Updates the gauges; called before they are read.
     pub(in super::super) fn update_metrics(&self) {
         let metrics = &self.shared.metrics;
         let (mut tenants, ledger, fallback) = self.with(|state, now| {
--- a/crates/router/src/gateway/limits/operate.rs
+++ b/crates/router/src/gateway/limits/operate.rs
@@ -1,5 +1,5 @@
-//! What operators see of limits: who keeps the ledger, what this gateway holds
-//! of each tenant's limit, and why a tenant is refused.
+//! Shows operators the state of limits: who keeps the ledger, what this gateway
+//! holds of each tenant's limit, and why a tenant is refused.
 
 use http_types::{Method, Request, Response};
 use serde::Serialize;
@@ -9,18 +9,19 @@
 use super::super::answer;
 use super::Limits;
 
-/// Path of the list; with a tenant's name behind it, of that one.
+/// Path of the list of tenants; followed by `/` and a name, of that tenant.
 const LIMITS_PATH: &str = "/threadledge/v1/tenant-limits";
 
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 struct LimitsStatus {
-    /// Where the ledger is kept, as far as this gateway knows.
+    /// Peer address of the gateway that keeps the ledger, as far as this one
+    /// knows.
     ledger: Option<String>,
     term: Option<u64>,
-    /// The ledger is kept here; whether the whole of the rates is its to give.
+    /// If the ledger is kept here, whether it may grant the full rates.
     kept_here: Option<bool>,
-    /// Shares are used, since the ledger cannot be reached.
+    /// Whether shares are used because the ledger cannot be reached.
     fallback: bool,
     tenants: Vec<TenantStatus>,
 }
@@ -31,24 +32,25 @@
     tenant: String,
     limit_per_s: f64,
     burst: f64,
-    /// Requests a second that arrive at this gateway.
+    /// Requests per second that arrive at this gateway.
     rate_here: f64,
     tokens_here: u32,
-    /// Part of the limit that this gateway may use without the ledger.
+    /// Share of the limit that this gateway may use without the ledger.
     share_here: f64,
-    /// Why its last request was refused here, if one was within some seconds.
+    /// Reason of the last refusal, if there was one in the last few seconds.
     refused: Option<&'static str>,
     refusals: u64,
-    /// Requests are refused for so long without asking.
+    /// Time during which requests are refused without requesting quota.
     none_for_s: f64,
-    /// Requests a second that all gateways report, where the ledger is kept.
+    /// Requests per second at all gateways, if the ledger is kept here.
     rate_everywhere: Option<f64>,
-    /// Tokens that the ledger has left.
+    /// Tokens left in the ledger, if it is kept here.
     ledger_tokens: Option<f64>,
 }
 
 impl Limits {
-    /// Answers an operator; `None` on paths that are not about limits.
+    /// Answers an operator's request. Returns `None` for paths that are not
+    /// about limits.
     pub(in super::super) fn operate(&self, request: &Request) -> Option<Response> {
         let rest = request.url().path().strip_prefix(LIMITS_PATH)?;
         if request.method() != Method::Get {
--- a/crates/router/src/gateway/limits/requester.rs
+++ b/crates/router/src/gateway/limits/requester.rs
@@ -1,4 +1,4 @@
-//! Asks the ledger for tokens.
+//! Requests quota from the ledger.
 
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 use super::super::peers::PeerClient;
 use super::Limits;
 
-/// Sends what the spender asks for, one ask at a time.
+/// Task that sends the rate limiter's quota requests, one at a time.
 pub(super) struct QuotaRequester {
     pub(super) limits: Limits,
     pub(super) client: PeerClient,
 }
 
 impl QuotaRequester {
-    /// Runs for ever.
+    /// Sends requests as they become due; never returns.
     pub(super) async fn run(self) {
         let shared = self.limits.shared.clone();
         loop {
@@ -31,7 +31,8 @@
             match wake {
                 Some(wake) => {
                     let deadline = shared.clock.instant(wake);
-                    // Either way it is looked at again.
+                    // The loop polls again whether it was notified or timed
+                    // out.
                     let _ = timer::timeout_at(deadline, wanted).await;
                 }
                 None => wanted.await,
--- a/crates/router/src/gateway/limits/state.rs
+++ b/crates/router/src/gateway/limits/state.rs
@@ -1,5 +1,5 @@
-//! What a gateway knows of limits, under one lock: its tokens, the election,
-//! and the ledger while it keeps it.
+//! State of the limits of one gateway, under one lock: its tokens, the ledger's
+//! election, and the ledger while it is kept here.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,21 +11,21 @@
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::{RateLimit, TenantName};
 
-/// Time between two renewals of the office: each is a call that is paid for.
+/// Interval between renewals of the ledger's lease. Each is a store call that
+/// costs money.
 const LEASE_RENEWAL: Duration = Duration::from_millis(600);
-/// Time between two looks at the office by a gateway that doubts the ledger.
+/// Interval at which a gateway that doubts the ledger reads its lease.
 const STANDBY_POLL: Duration = Duration::from_millis(300);
-/// Silence of the ledger's gateway at the store after which another takes
-/// over. Shares serve until then.
+/// Time without a lease renewal in the store after which another gateway takes
+/// over. Shares bridge the gap until then.
 const TAKEOVER_AFTER: Duration = Duration::from_millis(1_300);
 
-/// How long before its office ends a ledger says so: other gateways look for
-/// another one then.
+/// Time before the end of its lease from which a ledger reports the lease as at
+/// risk, so that other gateways look for another ledger.
 const AILING_BEFORE: Duration = Duration::from_millis(3_500);
 
-/// How the office of the ledger is held: as that of a coordinator, but longer
-/// without confirmation, so that a store that is away for some seconds ends no
-/// ledger.
+/// Election settings for the ledger's lease: those of a coordinator, but with a
+/// longer lease, so that a store outage of some seconds ends no ledger.
 pub(super) fn office_settings(office: Duration) -> threadledge_coordination::Settings {
     threadledge_coordination::Settings {
         lease: office,
@@ -42,10 +42,10 @@
     pub(super) spender: RateLimiter,
     pub(super) election: Election,
     pub(super) ledger: Option<Ledger>,
-    /// Where the ledger is kept.
+    /// Term and peer address of the gateway that keeps the ledger, if known.
     pub(super) holder: Option<(Term, Option<SocketAddr>)>,
     pub(super) limits: BTreeMap<TenantName, RateLimit>,
-    /// A planned stop has begun.
+    /// Whether a planned stop has begun.
     pub(super) leaving: bool,
 }
 
@@ -73,7 +73,7 @@
         self.limits = limits;
     }
 
-    /// The ledger of this term is kept at `address`.
+    /// Records that the ledger of this term is kept at `address`.
     pub(super) fn hear_of(&mut self, now: Timestamp, term: Term, address: Option<SocketAddr>) {
         if self.holder.is_none_or(|(known, _)| known <= term) {
             self.holder = Some((term, address));
@@ -82,8 +82,10 @@
         self.yield_office();
     }
 
-    /// A ledger ends before its gateway asks the next one: whatever it holds
-    /// of the rates counts as accounted for from that ask on.
+    /// Drops a ledger kept here once a later term is known. It has to end
+    /// before its gateway sends quota requests to the next ledger, because from
+    /// that request on, the quota that this gateway holds counts as accounted
+    /// for there.
     pub(super) fn yield_office(&mut self) {
         let Some(ledger) = &self.ledger else {
             return;
@@ -93,9 +95,9 @@
         }
     }
 
-    /// Whether there is reason to look at the office: it is held here, nobody
-    /// is known to hold it, its holder has not answered for `patience`, or says
-    /// that it may end.
+    /// Returns whether the ledger's lease should be checked in the store: it is
+    /// held here, its holder is unknown, the holder has been unreachable for
+    /// `patience`, or the holder reports that its lease is at risk.
     pub(super) fn doubts_ledger(&self, now: Timestamp, patience: Duration) -> bool {
         let held = self.election.leading_term().is_some() || self.leaving;
         let unknown = self.holder.is_none_or(|(_, address)| address.is_none());
@@ -106,14 +108,15 @@
         held || unknown || lost || self.spender.is_ledger_lease_at_risk()
     }
 
-    /// Hands the office back; this gateway grants nothing from here on.
+    /// Resigns the ledger's lease. This gateway grants nothing from here on.
     pub(super) fn leave(&mut self, now: Timestamp) {
         self.leaving = true;
         self.ledger = None;
         self.election.resign(now);
     }
 
-    /// Answers an ask; says whether a record has to be written.
+    /// Answers a quota request. Also returns whether the holder record has to
+    /// be written.
     pub(super) fn answer(&mut self, now: Timestamp, ask: &QuotaRequest) -> (QuotaResponse, bool) {
         if !self.election.holds_lease(now) {
             return (QuotaResponse::NotLeader, false);
--- a/crates/router/src/gateway/log.rs
+++ b/crates/router/src/gateway/log.rs
@@ -1,4 +1,4 @@
-//! The log of requests: every failure whole, successes by sample.
+//! Logs requests: every failure, and a sample of the successes.
 
 use std::fmt::Write;
 use std::net::IpAddr;
@@ -15,15 +15,15 @@
 use super::exchange::PastAttempt;
 use crate::events::{EventId, emit};
 
-/// Attempts of one request that its line tells of.
+/// Maximum attempts listed in the log line of one request.
 const MOST_ATTEMPTS: usize = 6;
 
-/// One in so many plain successes is written.
+/// One in this many plain successes is logged.
 const SAMPLE: u64 = 64;
-/// Lines on requests that are written in one second at the most.
+/// Maximum request lines per second.
 const LINES_PER_SECOND: u64 = 50;
 
-/// What is told of one request.
+/// Content of the log line of one request.
 pub(super) struct RequestLine {
     started: Instant,
     id: Option<String>,
@@ -31,9 +31,10 @@
     from: IpAddr,
     key: Option<u16>,
     path: String,
-    /// Whose caller sent it.
+    /// Tenant of the caller.
     pub(super) tenant: Option<TenantName>,
-    /// What stays the same when the request comes again.
+    /// Identity of the request, which stays the same when the caller sends it
+    /// again.
     pub(super) identity: Option<RequestHash>,
     pub(super) route: Option<RouteName>,
     pub(super) service: Option<ServiceName>,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Keeps nothing of what was asked for.
+    /// Removes everything that tells what was requested.
     pub(super) fn forget_content(&mut self) {
         self.path.clear();
         self.identity = None;
@@ -97,8 +98,8 @@
         self.outcome == "answered" && self.attempts.is_empty() && self.status < 500
     }
 
-    /// Attempts that did not end it: back end, end, and when, in
-    /// milliseconds after the request's head.
+    /// Lists the attempts that did not provide the response: back end, result,
+    /// and time in milliseconds after the request head.
     fn attempts_text(&self) -> String {
         let mut text = String::new();
         for attempt in self.attempts.iter().take(MOST_ATTEMPTS) {
@@ -130,7 +131,7 @@
     }
 }
 
-/// Writes lines on requests, within bounds.
+/// Writes request lines to the log, sampled and rate-limited.
 #[derive(Debug)]
 pub(super) struct RequestLogger {
     origin: Instant,
--- a/crates/router/src/gateway/metrics.rs
+++ b/crates/router/src/gateway/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latencies of a gateway, in the Prometheus text format.
+//! Metrics of a gateway, in the Prometheus text format.
 
 use std::sync::Arc;
 
@@ -60,11 +60,12 @@
 }
 
 impl GatewayMetrics {
-    /// Registers every metric.
+    /// Creates and registers every metric.
     ///
     /// # Errors
     ///
-    /// Never with the names compiled in; the library checks them at run time.
+    /// Never occurs with the names compiled in; the library checks them at run
+    /// time.
     pub(super) fn new(
         dispatch: Arc<Dispatch>,
         sources: Arc<Sources>,
@@ -107,11 +108,12 @@
         })
     }
 
-    /// The limits of this gateway, with their metrics among these.
+    /// Creates the tenant limits of this gateway and registers their metrics.
     ///
     /// # Errors
     ///
-    /// Never with the names compiled in; the library checks them at run time.
+    /// Never occurs with the names compiled in; the library checks them at run
+    /// time.
     pub(super) fn limits(
         &self,
         clock: Clock,
@@ -121,22 +123,24 @@
         Limits::new(clock, me, settings, &self.registry)
     }
 
-    /// Counts calls to the store and what other gateways send.
+    /// Counters of store calls and of traffic to and from back ends and other
+    /// gateways.
     pub(super) fn usage(&self) -> &Usage {
         &self.usage
     }
 
-    /// Counts callers that leave.
+    /// Counters of callers that disconnect.
     pub(super) fn disconnects(&self) -> &DisconnectCounter {
         &self.disconnects
     }
 
-    /// Counts a request that runs beside those before it.
+    /// Counts a request that starts before an earlier one on its connection is
+    /// answered.
     pub(super) fn pipelined(&self) {
         self.pipelined.inc();
     }
 
-    /// Counts one request that has its outcome.
+    /// Counts a finished request and its latency.
     pub(super) fn request(&self, line: &RequestLine) {
         let service = line.service.as_ref().map_or("", ServiceName::as_str);
         self.requests
@@ -147,11 +151,11 @@
             .observe(line.elapsed().as_secs_f64());
     }
 
-    /// All metrics as text.
+    /// Returns all metrics as text.
     ///
     /// # Errors
     ///
-    /// The library cannot write them.
+    /// The library fails to encode them.
     pub(super) fn text(&self) -> Result<String, prometheus::Error> {
         self.gauges.update(&self.dispatch);
         self.dispatch
--- a/crates/router/src/gateway/notifier.rs
+++ b/crates/router/src/gateway/notifier.rs
@@ -1,22 +1,22 @@
-//! Wakes everyone who waits for the next time that something happens.
+//! Wakes all tasks that wait for the next occurrence of an event.
 
 use parking_lot::Mutex;
 use threadledge_net::StopSignal;
 use threadledge_net::stop::Stopped;
 
-/// Something that happens again and again.
+/// A repeatable notification.
 #[derive(Debug, Default)]
 pub(super) struct Notifier {
     next: Mutex<StopSignal>,
 }
 
 impl Notifier {
-    /// Resolves the next time.
+    /// Returns a future that resolves at the next notification.
     pub(super) fn next(&self) -> Stopped {
         self.next.lock().stopped()
     }
 
-    /// Wakes everyone who waits.
+    /// Wakes all waiting tasks.
     pub(super) fn notify(&self) {
         let given = std::mem::take(&mut *self.next.lock());
         given.stop();
--- a/crates/router/src/gateway/operate_keys.rs
+++ b/crates/router/src/gateway/operate_keys.rs
@@ -1,5 +1,6 @@
-//! What operators see of a caller's key: whose it is, by the configuration in
-//! force here. They ask by its digest, so that no key stands in a path.
+//! Lets operators look up which tenant holds an API key, by the configuration
+//! in force here. The key is given by its digest, so that no key appears in a
+//! path.
 
 use http_types::{Method, Request, Response};
 use serde::Serialize;
@@ -8,23 +9,26 @@
 use super::answer;
 use super::dispatch::Dispatch;
 
-/// Path under which a key is looked up, with its digest behind it.
+/// Path prefix of a key lookup; the digest of the key follows.
 const KEYS_PATH: &str = "/threadledge/v1/keys/";
 
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 struct KeyState {
-    /// The tenant that holds it; none: callers that show it get 401.
+    /// Tenant that holds the key; callers that present a key without a tenant
+    /// get status 401.
     tenant: Option<String>,
     priority: Option<u32>,
     limit: Option<RateLimit>,
-    /// The configuration that says so.
+    /// Version of the configuration in force.
     version: Option<u64>,
-    /// It is too long since that was confirmed: it may be otherwise by now.
+    /// Whether the keys have not been confirmed for too long, so that this may
+    /// be out of date.
     unsure: bool,
 }
 
-/// Answers an operator; `None` on paths that are not about keys.
+/// Answers an operator's request. Returns `None` for paths that are not about
+/// keys.
 pub(super) fn operate(dispatch: &Dispatch, request: &Request) -> Option<Response> {
     let digest = request.url().path().strip_prefix(KEYS_PATH)?;
     if request.method() != Method::Get {
--- a/crates/router/src/gateway/readiness.rs
+++ b/crates/router/src/gateway/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether this gateway takes new connections, and the server that says so.
+//! Readiness of this gateway, and the server for its status.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,13 +18,12 @@
 use crate::events::{EventId, emit};
 use crate::metrics::Metrics;
 
-/// Connections of the platform and of operators.
+/// Maximum connections of the platform and of operators.
 const MAX_CONNECTIONS: usize = 64;
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Whether this gateway takes new connections.
+/// Tracks whether this gateway should get new connections.
 #[derive(Debug, Default)]
 pub(super) struct Readiness {
     configured: AtomicBool,
@@ -34,19 +33,19 @@
 }
 
 impl Readiness {
-    /// A configuration is in force.
+    /// Records that a configuration is in force.
     pub(super) fn set_configured(&self) {
         self.configured.store(true, Ordering::Relaxed);
         self.tell();
     }
 
-    /// The back ends are known.
+    /// Records that the back ends are known.
     pub(super) fn set_back_ends_known(&self) {
         self.listed.store(true, Ordering::Relaxed);
         self.tell();
     }
 
-    /// A planned stop has begun.
+    /// Records that a planned stop has begun.
     pub(super) fn begin_stop(&self) {
         self.leaving.store(true, Ordering::Relaxed);
         self.tell();
@@ -71,22 +70,22 @@
     }
 }
 
-/// Answers questions on this gateway's state. Clones share it.
+/// Serves readiness, metrics and the state shown to operators. Clones share it.
 #[derive(Clone)]
 pub(super) struct StatusHandler {
     pub(super) readiness: Arc<Readiness>,
     pub(super) metrics: GatewayMetrics,
     pub(super) header_codec: Arc<dyn HeaderCodec>,
-    /// Requests that are held, where operators ask.
+    /// Access to held requests, on the listener for operators.
     pub(super) suspects: Option<SuspectService>,
-    /// Whose callers' keys are, where operators ask.
+    /// Lookup of API keys, on the listener for operators.
     pub(super) keys: Option<Arc<Dispatch>>,
-    /// Limits of tenants; shown where operators ask.
+    /// Rate limits of tenants; shown only on the listener for operators.
     pub(super) limits: Limits,
 }
 
 impl StatusHandler {
-    /// Serves until `stop` is given.
+    /// Serves until `stop` is signalled.
     pub(super) async fn serve(self, listener: TcpListener, stop: StopSignal) -> ServeReport {
         let limits = ServerLimits {
             max_connections: MAX_CONNECTIONS,
@@ -115,7 +114,8 @@
         let held = suspects.and_then(|suspects| suspects.operate(request));
         let keys = self.keys.as_ref();
         let operated = held.or_else(|| operate_keys::operate(keys?, request));
-        // Only operators are shown what is held.
+        // Only operators may see limits; `suspects` is set only on their
+        // listener.
         let operated = operated.or_else(|| suspects.and(self.limits.operate(request)));
         operated.unwrap_or_else(|| answer::text(404, "unknown-path", None))
     }
--- a/crates/router/src/gateway/requests.rs
+++ b/crates/router/src/gateway/requests.rs
@@ -1,4 +1,4 @@
-//! Takes callers' requests.
+//! Handles callers' requests, from the request head to the response head.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -24,23 +24,26 @@
 use super::suspects::identity::{self, Sender};
 use crate::proxy::inbound::Inbound;
 
-/// Bodies of requests up to this size are read before anything is sent, in
-/// bytes, so that a refused request can be sent again.
+/// Request bodies of up to this size, in bytes, are read before anything is
+/// sent to a back end, so that a request that a back end refuses can be sent
+/// again.
 const READ_AHEAD: usize = 64 * 1024;
 
-/// What all requests share.
+/// State shared by all requests of callers.
 pub(super) struct RequestHandler {
     pub(super) attempts: Attempts,
-    /// Limits of tenants.
+    /// Rate limits of tenants.
     pub(super) limits: Limits,
     pub(super) logger: RequestLogger,
     pub(super) metrics: GatewayMetrics,
-    /// A planned stop has begun: connections are closed after their answers.
+    /// Set when a planned stop begins; connections are then closed after their
+    /// responses.
     pub(super) stopping: AtomicBool,
     pub(super) bodies: Bodies,
 }
 
-/// Forgets the exchange when the request ends, however it ends.
+/// Releases the exchange in the dispatcher when the request ends for any
+/// reason, including a dropped future.
 struct Guard<'a> {
     requests: &'a RequestHandler,
     id: ExchangeId,
@@ -52,34 +55,36 @@
     }
 }
 
-/// A request that may run, with its body unread.
+/// An admitted request whose body has not been read yet.
 struct Arrival {
     request: Request,
     caller: RequestMetadata,
     from: IpAddr,
     head: Head,
     admission: Admission,
-    /// It only passes through, to a region where it may be served.
+    /// The request is only forwarded, to a region that may serve it; none of
+    /// its content may be kept here.
     in_transit: bool,
 }
 
-/// The answer to a request that might have run.
+/// Response to an admitted request, with whether the request may have run.
 enum Served {
-    /// It has run, or may have.
+    /// The request ran or may have run.
     Run(Response),
-    /// It surely has not.
+    /// The request certainly did not run.
     NotRun(Response),
 }
 
 impl RequestHandler {
-    /// Whether a request may run beside others of its connection: what its
-    /// route says counts, and not the method.
+    /// Returns whether a request may run concurrently with others of its
+    /// connection. The route decides this, not the method.
     pub(super) fn may_run_concurrently(&self, request: &Request) -> bool {
         let dispatch = &self.attempts.dispatch;
         dispatch.is_repeatable(host_of(request), request.url().path())
     }
 
-    /// One request from its head to the head of its answer.
+    /// Handles one request and returns its response, with the head complete and
+    /// the body possibly still streaming.
     pub(super) async fn handle(
         self: Arc<Self>,
         request: Request,
@@ -125,8 +130,9 @@
         if in_transit {
             line.forget_content();
         }
-        // Before anything of the body is read, queued or charged to a budget:
-        // a tenant far beyond its limit costs the others nothing.
+        // Checked before any of the body is read, queued or charged to a
+        // budget, so that a tenant far beyond its limit costs the other tenants
+        // nothing.
         let permit = match self.permit(&admission).await {
             Ok(permit) => permit,
             Err(refused) => {
@@ -151,7 +157,7 @@
         }
     }
 
-    /// Leave to run, of the tenant's limit.
+    /// Obtains a permit under the tenant's rate limit.
     async fn permit(&self, admission: &Admission) -> Result<Permit, Refused> {
         match admission.tenant_name() {
             Some(tenant) => self.limits.admit(tenant).await,
@@ -191,8 +197,8 @@
             return Served::NotRun(response);
         };
         let header_codec = self.attempts.header_codec.as_ref();
-        // Invariant: no back end sees a caller's key or a tenant's name that
-        // the caller wrote, whether keys are asked for or not.
+        // Invariant: no back end sees a caller's API key or a tenant name
+        // written by the caller, whether or not API keys are required.
         header_codec.strip_caller_identity(&mut inbound.request);
         let sender = Sender {
             key: caller.key,
--- a/crates/router/src/gateway/retries.rs
+++ b/crates/router/src/gateway/retries.rs
@@ -4,7 +4,7 @@
 use threadledge_dispatch::Dispatcher;
 use threadledge_types::Timestamp;
 
-/// Retries and the slack in force. Clones share them.
+/// Gauges of the retries and of the current slack. Clones share them.
 #[derive(Clone)]
 pub(super) struct RetryMetrics {
     retries: IntGaugeVec,
@@ -16,7 +16,8 @@
     ///
     /// # Errors
     ///
-    /// Never with the names compiled in; the library checks them at run time.
+    /// Never occurs with the names compiled in; the library checks them at run
+    /// time.
     pub(super) fn new(registry: &Registry) -> Result<Self, prometheus::Error> {
         let retries = IntGaugeVec::new(
             Opts::new(
@@ -37,7 +38,7 @@
         Ok(RetryMetrics { retries, slack })
     }
 
-    /// Takes what the dispatcher counted.
+    /// Sets the gauges to the dispatcher's counts.
     pub(super) fn update(&self, now: Timestamp, dispatcher: &Dispatcher) {
         for (service, counts, slack) in dispatcher.retry_stats(now) {
             let service = service.as_str();
--- a/crates/router/src/gateway/settings.rs
+++ b/crates/router/src/gateway/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway: one TOML file, every field of which is checked.
+//! Settings of a gateway, read from one TOML file. Every field is checked.
 
 mod core_settings;
 mod fault;
@@ -18,37 +18,37 @@
     RetrySettings, TenantLimitSettings,
 };
 
-/// Everything that one gateway is told.
+/// All settings of one gateway.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct GatewaySettings {
-    /// Name of the machine; the same after a restart.
+    /// Name of the machine, which stays the same after a restart.
     pub machine: String,
-    /// Zone of the machine; back ends of the same zone are preferred.
+    /// Zone of the machine. Back ends of the same zone are preferred.
     pub zone: String,
-    /// Region of the machine, where zones lie in regions.
+    /// Region of the machine, if zones belong to regions.
     #[serde(default)]
     pub region: Option<String>,
     /// The region of each zone.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
-    /// Where to listen.
+    /// Addresses to listen on.
     pub listen: ListenSettings,
-    /// The platform.
+    /// Access to the platform.
     pub platform: PlatformSettings,
-    /// Times that the deployment promises.
+    /// Time bounds that the deployment promises.
     #[serde(default)]
     pub bounds: BoundSettings,
-    /// Repeats that all gateways together may make.
+    /// Retries that all gateways together may make.
     #[serde(default)]
     pub retry_budget: RetrySettings,
     /// Coordination of ownership.
     #[serde(default)]
     pub ownership: OwnershipSettings,
-    /// How limits of tenants are held over all gateways.
+    /// Accuracy of tenant limits over all gateways.
     #[serde(default)]
     pub tenant_limits: TenantLimitSettings,
-    /// What one gateway may use.
+    /// Resources that one gateway may use.
     #[serde(default)]
     pub limits: LimitSettings,
     /// Logging.
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     ///
-    /// The first problem, with its place and remedy.
+    /// The first problem, with its place in the file and its remedy.
     pub fn read(path: &Path) -> Result<Self, SettingsFault> {
         let text = std::fs::read_to_string(path).map_err(|cause| SettingsFault::Unreadable {
             path: path.to_owned(),
@@ -76,7 +76,7 @@
         Ok(settings)
     }
 
-    /// Holds the values to what can be used and to each other.
+    /// Checks that the values are usable and consistent with each other.
     ///
     /// # Errors
     ///
@@ -156,10 +156,10 @@
     }
 }
 
-/// Longest time that a setting may state, in seconds.
+/// Upper bound for settings that are durations, in seconds.
 const LONGEST_S: f64 = 86_400.0;
 
-/// A checked number of seconds.
+/// Converts a checked number of seconds.
 pub fn seconds(value: f64) -> Duration {
     Duration::try_from_secs_f64(value).unwrap_or_default()
 }
--- a/crates/router/src/gateway/settings/core_settings.rs
+++ b/crates/router/src/gateway/settings/core_settings.rs
@@ -1,4 +1,5 @@
-//! What the cores are told of the settings.
+//! Settings of the coordination, limits and dispatch crates, derived from the
+//! gateway's settings.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,18 +9,19 @@
 
 use super::{GatewaySettings, seconds};
 
-/// How long a ledger of limits goes on without confirmation by the store: a
-/// store that is away for some seconds ends no ledger.
+/// How long the ledger of limits continues without confirmation by the store,
+/// so that a store outage of some seconds does not end it.
 const LEDGER_OFFICE: Duration = Duration::from_secs(6);
-/// Part of the budget's slack that is shared: the record of a relay may tell up
-/// to a fifth fewer gateways than there are.
+/// Fraction of the retry budget's slack that is shared between gateways,
+/// because a relay's record may count up to a fifth fewer gateways than there
+/// are.
 const SLACK_PART: f64 = 0.8;
-/// Part of the budget's ratio that a gateway uses: its window and that of
-/// whoever counts do not begin together.
+/// Fraction of the retry budget's ratio that a gateway uses, because its window
+/// and that of an outside observer do not begin at the same time.
 const RATIO_PART: f64 = 0.75;
 
 impl GatewaySettings {
-    /// Settings of the coordination core.
+    /// Settings of the coordination crate.
     pub fn coordination(&self) -> threadledge_coordination::Settings {
         let ownership = &self.ownership;
         threadledge_coordination::Settings {
@@ -34,7 +36,7 @@
         }
     }
 
-    /// Zones of this region; `None` where all zones lie in one.
+    /// Zones of this region, or `None` if all zones belong to one region.
     fn near_zones(&self) -> Option<BTreeSet<ZoneName>> {
         let region = self.region.as_ref()?;
         if self.zones.values().all(|other| other == region) {
@@ -44,7 +46,7 @@
         Some(near.map(|(zone, _)| zone.as_str().into()).collect())
     }
 
-    /// Where this gateway is, and which zone lies in which region.
+    /// Location of this gateway, and the region of each zone.
     pub fn topology(&self) -> Topology {
         let region = self.region.as_deref().map(RegionName::from);
         let zones = self.zones.iter();
@@ -54,7 +56,7 @@
         Topology::new(self.zone.as_str().into(), region, regions)
     }
 
-    /// Settings of the limits of tenants.
+    /// Settings of the tenant limits.
     pub fn tenant_limits(&self) -> threadledge_limits::Settings {
         let limits = &self.tenant_limits;
         threadledge_limits::Settings {
--- a/crates/router/src/gateway/settings/fault.rs
+++ b/crates/router/src/gateway/settings/fault.rs
@@ -1,11 +1,11 @@
-//! Why settings are not taken, each with its remedy.
+//! Errors in settings, each with its remedy.
 
 use std::path::PathBuf;
 
 use thiserror::Error;
 use threadledge_coordination::settings::Contradiction;
 
-/// Why settings are not taken.
+/// Error in the settings of a gateway.
 #[derive(Debug, Error)]
 pub enum SettingsFault {
     /// The file cannot be read.
@@ -21,7 +21,7 @@
     Malformed {
         /// The file.
         path: PathBuf,
-        /// What is wrong, with its place.
+        /// The problem, with its place.
         cause: Box<toml::de::Error>,
     },
     /// A field has a value that cannot be used.
@@ -31,15 +31,15 @@
         field: &'static str,
         /// Its value.
         value: f64,
-        /// What to write.
+        /// The remedy: which value to write instead.
         remedy: &'static str,
     },
     /// Two fields contradict each other.
     #[error("ownership.{longer}-s must stay below ownership.{shorter}-s; change one of them")]
     Contradiction {
-        /// The one that is too long.
+        /// The setting that is too long.
         longer: &'static str,
-        /// The one that it must stay below.
+        /// The setting that it must stay below.
         shorter: &'static str,
     },
 }
--- a/crates/router/src/gateway/settings/tables.rs
+++ b/crates/router/src/gateway/settings/tables.rs
@@ -1,70 +1,69 @@
-//! The tables of a settings file, with what holds where one names nothing.
+//! The tables of a settings file, with their defaults.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 
-/// Addresses of one gateway.
+/// Addresses that a gateway listens on.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct ListenSettings {
-    /// Callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Questions of the platform whether this gateway is ready.
+    /// Address for the platform's readiness checks.
     pub readiness: SocketAddr,
-    /// Other gateways.
+    /// Address for other gateways.
     #[serde(default)]
     pub peers: Option<SocketAddr>,
-    /// Operators: metrics.
+    /// Address for operators, with the metrics.
     #[serde(default)]
     pub operators: Option<SocketAddr>,
 }
 
-/// The platform's service.
+/// Access to the platform.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct PlatformSettings {
-    /// Its store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Longest wait for an answer to a call that waits for nothing, in
-    /// seconds.
+    /// Timeout of a store call other than a watch, in seconds.
     #[serde(default = "default_call_timeout")]
     pub call_timeout_s: f64,
-    /// Longest wait of a watch, in seconds.
+    /// Longest time that a watch stays open without changes, in seconds.
     #[serde(default = "default_watch")]
     pub watch_s: f64,
-    /// Time between two renewals of a back end's registration, in seconds.
+    /// Interval between renewals of a back end's registration, in seconds.
     #[serde(default = "default_heartbeat")]
     pub heartbeat_s: f64,
 }
 
-/// Times that the deployment promises, in seconds.
+/// Time bounds that the deployment promises, in seconds.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct BoundSettings {
-    /// From the request to stop to the kill.
+    /// Time from the request to stop until the process is killed.
     pub grace_s: f64,
-    /// From the request to stop until no new connection arrives.
+    /// Time from the request to stop until no new connection arrives.
     pub leave_s: f64,
-    /// From the draining of a zone until its back ends get nothing new; where
-    /// it is not stated, zones are not drained.
+    /// Time from the start of draining a zone until its back ends get no new
+    /// requests. If it is not set, zones are not drained.
     pub zone_drain_s: Option<f64>,
-    /// Requests that one cold back end gets in any second, as a multiple of
-    /// what it bears.
+    /// Maximum requests per second to a cold back end, as a multiple of the
+    /// rate that it can take.
     pub cold_overage: f64,
-    /// Requests that one cold back end gets in any second besides.
+    /// Additional requests allowed to a cold back end in any second.
     pub cold_slack: f64,
-    /// From the store's acknowledgement of a configuration until it is in
+    /// Time from the store's acknowledgement of a configuration until it is in
     /// force on every gateway that reaches the store.
     pub configuration_s: f64,
-    /// How long a gateway must have been without trouble before bounds bind
-    /// it.
+    /// How long a gateway must have been without trouble before the bounds
+    /// apply to it.
     pub contact_s: f64,
-    /// From the taking away of a key until it is accepted nowhere, also by
-    /// gateways that the store does not answer.
+    /// Time from the revocation of a key until no gateway accepts it, including
+    /// those that the store does not answer.
     pub revoke_s: f64,
-    /// A gateway that knows that it may be behind refuses what it would
-    /// otherwise serve by what it last knew.
+    /// Whether a gateway that knows that its data may be out of date refuses
+    /// requests instead of serving them by the last known data.
     pub fail_closed: bool,
 }
 
@@ -72,14 +71,14 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct RetrySettings {
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats besides, of all gateways together, in a window.
+    /// Additional retries of all gateways together per window.
     pub slack: f64,
-    /// Window, in seconds.
+    /// Length of the window, in seconds.
     pub window_s: f64,
-    /// Gateways among which the slack is divided where they have no address
-    /// for each other. Those that have one count each other.
+    /// Number of gateways that share the slack, used only by gateways without a
+    /// peer address. Gateways with one count each other.
     pub gateways: u32,
 }
 
@@ -87,51 +86,53 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct OwnershipSettings {
-    /// Longest hold that back ends accept.
+    /// Longest hold of a key that back ends accept.
     pub max_hold_s: f64,
-    /// Hold of every grant.
+    /// Duration of the hold in every grant.
     pub hold_s: f64,
-    /// Time between renewals of a grant.
+    /// Interval between renewals of a grant.
     pub grant_renewal_s: f64,
-    /// How long a coordinator acts without confirmation by the store.
+    /// How long a coordinator acts without confirmation of its lease by the
+    /// store.
     pub lease_s: f64,
-    /// Time between confirmations.
+    /// Interval between renewals of the lease.
     pub lease_renewal_s: f64,
-    /// Silence of a coordinator after which another takes over.
+    /// Time without a lease renewal after which another gateway takes over.
     pub takeover_after_s: f64,
-    /// How long an order to another region may be on its way. Its connection
-    /// is kept for that long; keys of a back end there that became silent go
-    /// to another that much later.
+    /// Timeout of an order to another region. Its connection is kept for that
+    /// long; keys of a back end there that stopped answering are reassigned
+    /// that much later.
     pub far_order_s: f64,
 }
 
-/// How closely limits of tenants are held over all gateways.
+/// Accuracy of tenant limits over all gateways.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct TenantLimitSettings {
     /// Window in which the requests of a tenant are counted, in seconds.
     pub window_s: f64,
-    /// Requests beyond the limit of a window that are borne, as a part of it.
+    /// Accepted excess over the limit of a window, as a fraction of it.
     pub overage: f64,
-    /// Requests beyond the limit of a window that are borne besides.
+    /// Additional requests accepted over the limit of a window.
     pub slack: f64,
 }
 
-/// What one gateway may use.
+/// Resources that one gateway may use.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct LimitSettings {
-    /// Connections of callers.
+    /// Maximum connections of callers.
     pub caller_connections: usize,
-    /// Bytes of bodies held at once, and as many of bodies that are passed on
-    /// without being held; where it is not stated, an eighth of the memory each.
+    /// Bytes of bodies held at once, and the same again for bodies that are
+    /// streamed without being held. If it is not set, an eighth of the memory
+    /// each.
     pub held_bytes: Option<usize>,
-    /// Bandwidth of the machine's link, in Mbit/s: machines with fast links
+    /// Bandwidth of the machine's link, in Mbit/s. Machines with fast links
     /// watch the store for the others.
     pub link_mbps: f64,
-    /// Part of a processor core.
+    /// Processor cores, which may be a fraction.
     pub cores: f64,
-    /// Memory, in MB.
+    /// Memory of the machine, in MB.
     pub memory_mb: f64,
 }
 
@@ -141,7 +142,7 @@
             grace_s: 6.0,
             leave_s: 2.6,
             zone_drain_s: None,
-            // What the users' deployments state that have cold back ends.
+            // The values that users' deployments with cold back ends state.
             cold_overage: 1.5,
             cold_slack: 8.0,
             configuration_s: 2.0,
@@ -178,9 +179,9 @@
     }
 }
 
-/// Part of the memory that bodies held may take. As much again is for bodies
-/// passed on, and up to twice that lies unread in the system's buffers, which
-/// count as well; the rest is for the gateway itself.
+/// Fraction of the memory for held bodies. The same amount again is for
+/// streamed bodies, and up to twice that lies unread in the kernel's buffers,
+/// which count as well; the rest is for the gateway itself.
 const HELD_PART: f64 = 0.125;
 const BYTES_PER_MB: f64 = 1_048_576.0;
 
@@ -197,17 +198,17 @@
 }
 
 impl LimitSettings {
-    /// Bytes of bodies held at once.
+    /// Returns the maximum bytes of bodies held at once.
     pub(crate) fn held_bytes(&self) -> usize {
         let part = self.memory_mb * BYTES_PER_MB * HELD_PART;
-        // A part of the memory of a machine fits into a usize.
+        // A fraction of a machine's memory fits into a usize.
         self.held_bytes.unwrap_or(part as usize)
     }
 }
 
 impl Default for TenantLimitSettings {
     fn default() -> Self {
-        // What the users' deployments state that have limits.
+        // The values that users' deployments with limits state.
         TenantLimitSettings {
             window_s: 5.0,
             overage: 0.1,
@@ -224,7 +225,7 @@
     20.0
 }
 
-/// What the users' deployments state; used where the file names none.
+/// The value that users' deployments state; used if the file sets none.
 fn default_heartbeat() -> f64 {
     1.3
 }
--- a/crates/router/src/gateway/stop.rs
+++ b/crates/router/src/gateway/stop.rs
@@ -1,4 +1,4 @@
-//! Signals, and the planned stop.
+//! Handling of process signals: planned stop and settings change.
 
 use async_signal::{Signal, Signals};
 use futures::StreamExt;
@@ -6,12 +6,12 @@
 
 use crate::events::{EventId, emit};
 
-/// Gives `stop` on SIGTERM or SIGINT. SIGHUP says that the settings file has
-/// changed; it ends nothing.
+/// Signals `stop` on SIGTERM or SIGINT. SIGHUP only logs that the settings file
+/// has changed; it stops nothing.
 ///
 /// # Errors
 ///
-/// The signals cannot be registered.
+/// Fails if the signal handlers cannot be registered.
 pub(super) fn watch_signals(stop: StopSignal) -> std::io::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
     async_std::task::spawn(async move {
--- a/crates/router/src/gateway/suspects.rs
+++ b/crates/router/src/gateway/suspects.rs
@@ -1,6 +1,6 @@
-//! Requests that crash back ends, as this gateway finds them out, tells of
-//! them and keeps them: who is the same request, whether a process ended, what
-//! other gateways know, and what the store keeps for when all gateways end.
+//! Handling of requests that crash back ends: recognises repeated requests,
+//! checks whether a process ended, shares findings with other gateways, and
+//! persists them for the case that all gateways end.
 
 mod gossip;
 pub(super) mod identity;
@@ -30,25 +30,26 @@
 use persistence::Keeper;
 use process_probe::Looker;
 
-/// What the request path found out.
+/// Observation of the request path about a crash.
 #[derive(Debug)]
 pub(super) enum Finding {
     /// An attempt broke at this process, which may have ended.
     Broke(ProcessCheck),
-    /// Processes have ended under requests.
+    /// Processes ended while they ran requests.
     Crashes,
 }
 
-/// What the dispatcher's shell tells of suspects.
+/// Channel of findings and notification of changes, from the request path to
+/// the tasks of this module.
 #[derive(Debug)]
 pub(super) struct SuspectSignals {
     findings: async_channel::Sender<Finding>,
-    /// Something is known that was not before.
+    /// Notified when new information about suspects is known.
     pub(super) changed: Notifier,
 }
 
 impl SuspectSignals {
-    /// The signals, and where the findings arrive.
+    /// Creates the signals and the receiver of the findings.
     pub(super) fn new() -> (Self, async_channel::Receiver<Finding>) {
         let (findings, receiver) = async_channel::unbounded();
         let changed = Notifier::default();
@@ -61,16 +62,16 @@
     }
 }
 
-/// This gateway's part in what the fleet knows. Clones share it.
+/// Shared state of this gateway's handling of suspects. Clones share it.
 #[derive(Clone)]
 pub(super) struct SuspectService {
     dispatch: Arc<Dispatch>,
     cursors: Arc<Cursors>,
     log: Arc<HeldLog>,
-    /// Requests of which this gateway saw a crash itself, or that an operator
-    /// let go here.
+    /// Requests whose crash this gateway saw itself, or that an operator
+    /// released here.
     own: Arc<Mutex<BTreeSet<RequestHash>>>,
-    /// Its place in the tree of relays.
+    /// Position of this gateway in the tree of relays.
     pub(super) neighbours: Arc<Neighbours>,
 }
 
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Begins to look at processes, to tell other gateways and to keep what
-    /// is held.
+    /// Starts the tasks that check processes, inform other gateways and persist
+    /// held requests.
     pub(super) fn start(
         &self,
         findings: async_channel::Receiver<Finding>,
@@ -110,12 +111,12 @@
             };
             task::spawn(spreader.run());
         } else {
-            // Alone: it watches the store itself.
+            // A gateway without peers watches the store itself.
             self.neighbours.set_position(None, true);
         }
     }
 
-    /// Takes what another gateway or the store tells.
+    /// Merges an update from another gateway or from the store.
     pub(super) fn merge_update(
         &self,
         from: Option<SocketAddr>,
@@ -136,7 +137,8 @@
         self.log.tell(&self.dispatch, source);
     }
 
-    /// What is known here, as far as it concerns the gateway that asks.
+    /// Returns the suspects known here that concern the requesting gateway: all
+    /// for a relay of another zone, otherwise those with repeated crashes.
     pub(super) fn known_suspects(&self, asks: Option<SocketAddr>) -> SuspectUpdate {
         let others = self.neighbours.position().other_relays;
         let scope = match asks.is_some_and(|asks| others.contains(&asks)) {
--- a/crates/router/src/gateway/suspects/gossip.rs
+++ b/crates/router/src/gateway/suspects/gossip.rs
@@ -1,11 +1,12 @@
-//! Tells other gateways what this one learns of suspects, at once and to each
+//! Sends what this gateway learns of suspects to other gateways, at once and
 //! along the tree of relays.
 //!
-//! A gateway tells the one that it follows and, as a relay, the relays of the
-//! other zones of every crash; it tells those that follow it of requests with
-//! more than one. Each passes on what is new to it. What
-//! was told twice changes nothing, so that loops end by themselves. Who is new above this gateway, or beside it as a relay, is asked for
-//! all that it knows: a gateway that has just started learns it so.
+//! A gateway sends every crash to the gateway that it follows and, as a relay,
+//! to the relays of the other zones; it sends requests with more than one crash
+//! to its followers. Each gateway passes on what is new to it. Merging the same
+//! update twice changes nothing, so loops end by themselves. A gateway that is
+//! new upstream, or beside this one as a relay, is asked for all that it knows:
+//! a gateway that has just started catches up this way.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -22,27 +23,28 @@
 use super::super::peers::PeerClient;
 use super::SuspectService;
 
-/// Wait before a gateway that did not answer is told again. The fleet has to
-/// know of a crash within 3 s.
+/// Delay before a gateway that did not answer is sent the update again. The
+/// whole fleet has to know of a crash within 3 s.
 const RETRY: Duration = Duration::from_millis(250);
-/// Wait after everyone was told, for what comes next to be told together. The
-/// first news after a quiet time goes at once; when a zone of 97 back ends fell
-/// silent, 74 gateways told each other of 2,589 crashes one by one, and late
-/// configuration broke a bound.
+/// Delay after each round, so that later changes are sent together. The first
+/// update after a quiet time is sent at once. Without the delay, when a zone of
+/// 97 back ends stopped answering, 74 gateways sent each other 2,589 crashes
+/// one by one, and a configuration arrived later than its bound allows.
 const GATHER: Duration = Duration::from_millis(300);
-/// Peers that are told where there is no gateway to follow.
+/// Maximum number of peers that are informed while there is no gateway to
+/// follow.
 const MOST_PEERS: usize = 4;
 
-/// How much of what is known here each other gateway knows: the number of the
-/// last change that it was told of, or told of itself.
+/// Progress of each other gateway: the number of the last local change that it
+/// was sent or itself sent here.
 #[derive(Debug, Default)]
 pub(super) struct Cursors {
     known: Mutex<BTreeMap<SocketAddr, u64>>,
 }
 
 impl Cursors {
-    /// What `from` told led from one change to another: it need not be told of
-    /// that again.
+    /// Records that an update from `from` moved the local state from change
+    /// `before` to `after`, so that it need not be sent back.
     pub(super) fn heard(&self, from: SocketAddr, before: u64, after: u64) {
         let mut known = self.known.lock();
         if known.get(&from) == Some(&before) {
@@ -67,24 +69,25 @@
     }
 }
 
-/// Tells other gateways.
+/// Task that sends updates to other gateways.
 pub(super) struct Spreader {
     pub(super) service: SuspectService,
     pub(super) client: PeerClient,
     pub(super) followers: Arc<Followers>,
 }
 
-/// A gateway that is to be told.
+/// A gateway to which updates are sent.
 #[derive(Clone, Copy, Debug)]
 struct Target {
     address: SocketAddr,
-    /// It may know what this gateway does not, and is asked when it is new.
+    /// Whether it may know what this gateway does not; it is then asked for
+    /// everything when it is new.
     asked: bool,
     scope: UpdateScope,
 }
 
 impl Spreader {
-    /// Runs for ever.
+    /// Sends updates as changes occur; never returns.
     pub(super) async fn run(self) {
         loop {
             let changed = self.service.dispatch.suspect_signals().changed.next();
@@ -95,13 +98,14 @@
             if all_told {
                 news.await;
             } else {
-                // Either way everyone is looked at again.
+                // The loop checks all targets again whether it was notified or
+                // timed out.
                 let _ = timer::timeout(RETRY, news).await;
             }
         }
     }
 
-    /// Says whether everyone knows now.
+    /// Sends updates to all targets. Returns whether all are up to date.
     async fn tell_all(&self) -> bool {
         let targets = self.targets();
         let addresses = targets.iter().map(|target| target.address).collect();
@@ -128,8 +132,9 @@
                 });
             }
         }
-        // Below a relay the tree is enough; relays and those that look for one
-        // bridge the gap while another relay is being lost.
+        // Below a relay the tree is enough. Relays, and gateways that are
+        // looking for one, also inform peers, to bridge the gap while another
+        // relay is being lost.
         let most = if position.upstream.is_some() {
             0
         } else {
@@ -151,8 +156,8 @@
         targets
     }
 
-    /// Tells one gateway what it lacks. Says whether it knows all now, or need
-    /// not be told again.
+    /// Sends one gateway what it lacks. Returns whether it is up to date, or
+    /// need not be tried again.
     async fn tell(&self, target: Target) -> bool {
         let cursor = self.service.cursors.get(target.address);
         let (news, changes) = self.service.dispatch.with(|dispatcher, now| {
@@ -174,7 +179,7 @@
             .exchange_suspects(target.address, &exchange)
             .await
         else {
-            // A peer beside the tree that does not answer is not waited for.
+            // A peer outside the tree that does not answer is not retried.
             return !target.asked && !self.followers.addresses().contains(&target.address);
         };
         self.service.cursors.told(target.address, changes);
--- a/crates/router/src/gateway/suspects/identity.rs
+++ b/crates/router/src/gateway/suspects/identity.rs
@@ -1,5 +1,5 @@
-//! The identity of a caller's request: what stays the same when it comes
-//! again.
+//! Computes the identity of a caller's request, which stays the same when the
+//! caller sends it again.
 
 use std::net::IpAddr;
 
@@ -11,19 +11,19 @@
 use crate::proxy::headers;
 use crate::proxy::inbound::Inbound;
 
-/// Name under which the tenant counts as a header: no header's name begins
-/// so, so that none can pass for it.
+/// Pseudo-header for the tenant. No real header name begins with a colon, so
+/// none can be mistaken for it.
 const TENANT: &str = ":tenant";
 
-/// Who sends a request.
+/// Sender of a request.
 pub(in super::super) struct Sender<'a> {
     pub(in super::super) key: Option<ShardKey>,
     pub(in super::super) tenant: Option<&'a TenantName>,
     pub(in super::super) address: IpAddr,
 }
 
-/// What makes `inbound` the same request as another try. Its caller's key is
-/// hidden already; the tenant stands for it, whichever of its keys is shown.
+/// Returns the identity of `inbound`. The caller's API key has already been
+/// removed; the tenant represents it, whichever of its keys is used.
 pub(in super::super) fn of(
     inbound: &Inbound,
     sender: Sender<'_>,
--- a/crates/router/src/gateway/suspects/log.rs
+++ b/crates/router/src/gateway/suspects/log.rs
@@ -1,4 +1,4 @@
-//! Writes into the log which requests are held and which are let go.
+//! Logs which requests are held and which are released.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +8,15 @@
 use super::super::dispatch::Dispatch;
 use crate::events::{EventId, emit};
 
-/// What the log was told: each request that is held, with its label.
+/// The held requests last written to the log, each with its label.
 #[derive(Debug, Default)]
 pub(super) struct HeldLog {
     told: Mutex<BTreeMap<RequestHash, String>>,
 }
 
 impl HeldLog {
-    /// Tells what changed; `source` is who told this gateway of it.
+    /// Logs changes of the held requests; `source` is where this gateway
+    /// learned of them.
     pub(super) fn tell(&self, dispatch: &Dispatch, source: &str) {
         let held = dispatch.with(|dispatcher, _now| {
             let held = dispatcher.suspects().held();
--- a/crates/router/src/gateway/suspects/neighbours.rs
+++ b/crates/router/src/gateway/suspects/neighbours.rs
@@ -1,5 +1,5 @@
-//! The gateways that this one tells what it learns of suspects, beside those
-//! that follow it.
+//! The other gateways that this one informs about suspects, beside its
+//! followers.
 
 use std::net::SocketAddr;
 
@@ -7,18 +7,18 @@
 
 use super::super::notifier::Notifier;
 
-/// Its place in the tree of relays.
+/// Position of a gateway in the tree of relays.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(in super::super) struct TreePosition {
-    /// The gateway that it follows.
+    /// The gateway that this one follows.
     pub(in super::super) upstream: Option<SocketAddr>,
-    /// It watches the store for its zone.
+    /// Whether this gateway watches the store for its zone.
     pub(in super::super) is_relay: bool,
-    /// Relays of the other zones, as the store names them.
+    /// Relays of the other zones, according to the store.
     pub(in super::super) other_relays: Vec<SocketAddr>,
 }
 
-/// The place, and who waits for another one.
+/// The position of this gateway, with a notification of changes.
 #[derive(Debug, Default)]
 pub(in super::super) struct Neighbours {
     position: Mutex<TreePosition>,
@@ -26,7 +26,8 @@
 }
 
 impl Neighbours {
-    /// Takes its place in the tree; the other relays stay as they were.
+    /// Sets the upstream gateway and the relay role; the other relays stay
+    /// unchanged.
     pub(in super::super) fn set_position(&self, upstream: Option<SocketAddr>, relays: bool) {
         let mut position = self.position.lock();
         if position.upstream == upstream && position.is_relay == relays {
@@ -38,7 +39,7 @@
         self.changed.notify();
     }
 
-    /// Takes the relays of the other zones.
+    /// Sets the relays of the other zones.
     pub(in super::super) fn set_other_relays(&self, others: Vec<SocketAddr>) {
         let mut position = self.position.lock();
         if position.other_relays == others {
--- a/crates/router/src/gateway/suspects/operate.rs
+++ b/crates/router/src/gateway/suspects/operate.rs
@@ -1,4 +1,4 @@
-//! What operators see of the requests that are held, and how they let one go.
+//! Lets operators list the held requests and release one.
 
 use http_types::{Method, Request, Response};
 use serde::Serialize;
@@ -7,9 +7,8 @@
 use super::super::answer;
 use super::SuspectService;
 
-/// Path of the list.
 const HELD_PATH: &str = "/threadledge/v1/held";
-/// Path under which one is let go, with its identity behind it.
+/// Path prefix for releasing a request; its identity follows.
 const RELEASE_PATH: &str = "/threadledge/v1/held/release/";
 
 #[derive(Debug, Serialize)]
@@ -21,7 +20,8 @@
 }
 
 impl SuspectService {
-    /// Answers an operator; `None` on paths that are not about held requests.
+    /// Answers an operator's request. Returns `None` for paths that are not
+    /// about held requests.
     pub(in super::super) fn operate(&self, request: &Request) -> Option<Response> {
         let path = request.url().path();
         if path == HELD_PATH && request.method() == Method::Get {
--- a/crates/router/src/gateway/suspects/persistence.rs
+++ b/crates/router/src/gateway/suspects/persistence.rs
@@ -1,10 +1,10 @@
-//! Keeps the requests that are held in the platform's store, and those that the
-//! next crash holds: what all gateways lose when they end at once.
+//! Persists in the platform's store the requests that are held and those that
+//! the next crash would hold, because all gateways could end at once.
 //!
-//! A request comes so far a few times a day at the most. Whoever saw its last crash
-//! writes it down; relays look two seconds later whether it stands there, in
-//! case that one was lost. Nothing is watched: gateways tell each other, and a
-//! relay that is new reads the record once.
+//! This happens a few times a day at the most. The gateway that saw the last
+//! crash of a request writes the record; relays check it two seconds later, in
+//! case that gateway was lost. The record is not watched: gateways inform each
+//! other, and a new relay reads it once.
 
 use std::collections::BTreeMap;
 use std::pin::pin;
@@ -19,20 +19,19 @@
 
 use super::SuspectService;
 
-/// Name of the one record.
 const RECORD: &str = "all";
-/// Wait before a call to the store that failed is made again.
+/// Delay before a failed store call is retried.
 const RETRY: Duration = Duration::from_secs(1);
-/// How long a relay leaves it to others to write down what is held.
+/// Time for which a relay leaves the write to the gateway that saw the crash.
 const LEFT_TO_OTHERS: Duration = Duration::from_secs(2);
-/// Writes in a row that may meet another gateway's.
+/// Maximum attempts of a write that conflicts with other gateways.
 const MOST_CONFLICTS: usize = 5;
 
-/// Keeps what is held.
+/// Task that persists held requests.
 pub(super) struct Keeper {
     service: SuspectService,
     store: Arc<dyn RecordStore<HeldRecord>>,
-    /// What was to be kept when the record last agreed with it.
+    /// Persisted requests when the record last agreed with the local state.
     kept: BTreeMap<RequestHash, PersistReason>,
 }
 
@@ -45,14 +44,14 @@
         }
     }
 
-    /// Runs for ever.
+    /// Keeps the record up to date; never returns.
     pub(super) async fn run(mut self) {
         let mut relayed = false;
         loop {
             let relays = self.service.neighbours.position().is_relay;
             let newly = relays && !relayed;
             let read = newly && self.synchronize().await;
-            // A read that failed is made again.
+            // A failed read is retried.
             relayed = relays && (relayed || read);
             let mut failed = newly && !read;
             let changed = self.service.dispatch.suspect_signals().changed.next();
@@ -62,7 +61,8 @@
             }
             let news = select(changed, moved);
             if failed || self.to_keep() != self.kept && relays {
-                // Either way all is looked at again.
+                // The loop checks everything again whether it was notified or
+                // timed out.
                 let _ = timer::timeout(RETRY, news).await;
             } else {
                 news.await;
@@ -75,7 +75,8 @@
         dispatch.with(|dispatcher, _now| dispatcher.suspects().to_persist())
     }
 
-    /// Whether the last crash, or an operator's word, came here.
+    /// Returns whether a difference from the record was caused here, by a crash
+    /// that this gateway saw or by an operator's release.
     fn is_own(&self) -> bool {
         let to_keep = self.to_keep();
         let new = to_keep.iter();
@@ -87,8 +88,8 @@
         differing.any(|request| own.contains(request))
     }
 
-    /// Brings the record up to date, where that is this gateway's task. Says
-    /// whether nothing failed.
+    /// Updates the record if that is this gateway's task. Returns whether
+    /// nothing failed.
     async fn write_down(&mut self, relays: bool) -> bool {
         if self.is_own() {
             return self.synchronize().await;
@@ -100,13 +101,13 @@
         let wait = pin!(timer::sleep(LEFT_TO_OTHERS));
         match select(wait, changed).await {
             Either::Left(_) => self.synchronize().await,
-            // More came: the wait begins anew.
+            // More changes arrived, so the wait starts anew.
             Either::Right(_) => true,
         }
     }
 
-    /// Reads the record, and writes what it lacks. Says whether the record and
-    /// what is known here agree now.
+    /// Reads the record and writes what it lacks. Returns whether the record
+    /// and the local state now agree.
     async fn synchronize(&mut self) -> bool {
         let mut read = match self.store.read(RECORD, Freshness::Linearizable).await {
             ReadResult::Found(found) => found,
@@ -133,7 +134,7 @@
                     return true;
                 }
                 WriteResult::Conflict(found) => read = found,
-                // A write that may have taken effect shows when it is read.
+                // If the write did take effect, the next read shows it.
                 WriteResult::NotDone | WriteResult::Unknown => return false,
             }
         }
--- a/crates/router/src/gateway/suspects/process_probe.rs
+++ b/crates/router/src/gateway/suspects/process_probe.rs
@@ -1,6 +1,6 @@
-//! Looks at processes at which an attempt broke. One that has ended does not
-//! answer; one whose link was reset, whose answer was lost or that is full
-//! does, on this occasion or later.
+//! Probes processes at which an attempt broke. A process that has ended does
+//! not answer; one whose connection was reset, whose response was lost or that
+//! is full answers this probe or a later one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,42 +17,42 @@
 use super::{Finding, SuspectService};
 use crate::events::{EventId, emit};
 
-/// Waits before the looks at a process whose connection broke. The kernel closes
-/// what a process leaves behind one after the other: a connection may break
-/// while another one still comes up.
+/// Delays before the probes of a process whose connection broke. The kernel
+/// closes the sockets of an ended process one after the other: one connection
+/// may break while another can still be opened.
 const AFTER_BREAK: [Duration; 2] = [Duration::from_millis(5), Duration::from_millis(150)];
-/// Waits before the looks at a process that was silent. Most are only slow, and
-/// answer somebody in the first one.
+/// Delays before the probes of a process that did not answer. Most are only
+/// slow, and answer some request during the first delay.
 const AFTER_SILENCE: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(150)];
-/// Longest wait for a connection to come up: as long as a request waits for
-/// one.
+/// Connection timeout, the same as that of a request.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Longest wait for the answer. It waits for its turn as a request does; a back
-/// end that needs longer is taken back by its next answer.
+/// Response timeout. A probe queues in the back end as a request does; a back
+/// end that needs longer is cleared by its next response.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Looks at processes, each in a task of its own.
+/// Task that starts a probe for each suspected process.
 pub(super) struct Looker {
     pub(super) service: SuspectService,
     pub(super) header_codec: Arc<dyn HeaderCodec>,
     pub(super) findings: async_channel::Receiver<Finding>,
 }
 
-/// What a look shows of a process.
+/// Result of one probe.
 enum Seen {
-    /// It answers.
+    /// The process answers.
     Running,
-    /// Another process runs at its address, or nobody takes connections.
+    /// Another process runs at its address, or the address accepts no
+    /// connections.
     Ended,
-    /// The connection ended without an answer: it is full, or a proxy stands
-    /// before it.
+    /// The connection was closed without a response: the process is full, or
+    /// there is a proxy in front of it.
     Closed,
-    /// It did not answer.
+    /// The process did not answer in time.
     Silent,
 }
 
 impl Looker {
-    /// Runs for ever.
+    /// Handles findings until their channel is closed.
     pub(super) async fn run(self) {
         let pool = Pool::new(PoolSettings {
             connect_timeout: CONNECT_TIMEOUT,
@@ -75,7 +75,7 @@
     }
 }
 
-/// The looks at one process.
+/// The series of probes of one process.
 struct Glance {
     service: SuspectService,
     header_codec: Arc<dyn HeaderCodec>,
@@ -103,7 +103,8 @@
                 Seen::Closed | Seen::Silent => {}
             }
         }
-        // Where connections only end, a registration tells later.
+        // If connections were only closed, this stays undecided until a
+        // registration shows the end of the process.
         if matches!(seen, Seen::Ended | Seen::Silent) {
             self.ended();
         }
@@ -171,8 +172,8 @@
 }
 
 impl SuspectService {
-    /// Notes the crashes that were found here, and writes those that are
-    /// certain into the log.
+    /// Records the crashes that this gateway found, and logs those that are
+    /// certain.
     pub(super) fn tell_crashes(&self) {
         let (crashes, known) = self.dispatch.with(|dispatcher, _now| {
             let known = dispatcher.suspects().requests();
--- a/crates/router/src/gateway/tokens.rs
+++ b/crates/router/src/gateway/tokens.rs
@@ -1,5 +1,5 @@
-//! Asks the coordinators of services for tokens of back ends that name a
-//! limit, when requests wait for them.
+//! Requests tokens for rate-limited back ends from the coordinators of their
+//! services, when requests wait for tokens.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,10 +15,10 @@
 use super::dispatch::Dispatch;
 use super::peers::PeerClient;
 
-/// Longest wait for a coordinator. Tokens are good for twice that.
+/// Timeout for a coordinator's reply. Tokens are valid for twice that.
 pub(super) const TOKEN_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// An ask for tokens with the service that it is about.
+/// A request for tokens of the back ends of one service.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(super) struct ServiceTokenRequest {
@@ -27,34 +27,35 @@
     pub(super) requests: Vec<TokenRequest>,
 }
 
-/// The answer of one gateway to such an ask.
+/// Reply of one gateway to a token request.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub(super) enum TokenReply {
-    /// It coordinates the service.
+    /// The gateway coordinates the service.
     Granted {
-        /// What it gave.
+        /// The granted tokens.
         grants: Vec<TokenGrant>,
     },
-    /// It does not surely do so; who does, as far as it knows.
+    /// The gateway is not certain to coordinate the service.
     #[serde(rename = "elsewhere")]
     NotCoordinator {
-        /// Where that one takes messages of other gateways.
+        /// Peer address of the gateway that coordinates the service, as far as
+        /// this one knows.
         coordinator: Option<SocketAddr>,
     },
 }
 
-/// Asks for tokens. Clones share everything.
+/// Task that requests tokens. Clones share everything.
 #[derive(Clone)]
 pub(super) struct TokenRequester {
     pub(super) dispatch: Arc<Dispatch>,
     pub(super) peers: PeerClient,
-    /// To the coordinators of this gateway.
+    /// Events to the coordinators of this gateway.
     pub(super) events: async_channel::Sender<Event>,
 }
 
 impl TokenRequester {
-    /// Runs for ever.
+    /// Requests tokens whenever they are needed; never returns.
     pub(super) async fn run(self) {
         loop {
             let wanted = self.dispatch.tokens_wanted().next();
@@ -95,7 +96,8 @@
     }
 }
 
-/// Asks the coordinators of this gateway. `None`: they have ended.
+/// Requests tokens from the coordinators of this gateway. Returns `None` if
+/// they have ended.
 pub(super) async fn request_local_tokens(
     events: &async_channel::Sender<Event>,
     ask: &ServiceTokenRequest,
--- a/crates/router/src/gateway/usage.rs
+++ b/crates/router/src/gateway/usage.rs
@@ -1,6 +1,5 @@
-//! Counts what this gateway costs beside its requests: calls to the platform's
-//! store, and bytes to and from back ends and other gateways. Operators pay for
-//! them; bytes between regions are the dearest.
+//! Counts store calls, and bytes to and from back ends and other gateways.
+//! Operators pay for them; bytes between regions are the most expensive.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +11,7 @@
 use threadledge_dispatch::Attempt;
 use threadledge_ports::{Changes, Collection, Page, PortFuture, Ports, RecordStore, StoreError};
 
-/// The counters. Clones share them.
+/// The usage counters. Clones share them.
 #[derive(Clone)]
 pub struct Usage {
     calls: IntCounterVec,
@@ -26,7 +25,8 @@
     ///
     /// # Errors
     ///
-    /// Never with the names compiled in; the library checks them at run time.
+    /// Never occurs with the names compiled in; the library checks them at run
+    /// time.
     pub fn new(registry: &Registry) -> Result<Self, prometheus::Error> {
         let calls = IntCounterVec::new(
             Opts::new(
@@ -68,7 +68,7 @@
         })
     }
 
-    /// The same ports, with every call to the store counted.
+    /// Wraps the ports so that every store call is counted.
     pub fn count_store_calls(&self, ports: Ports) -> Ports {
         Ports {
             configurations: self.counted("configurations", ports.configurations),
@@ -91,8 +91,8 @@
         })
     }
 
-    /// Another gateway sent a message of so many bytes, and was answered so
-    /// many.
+    /// Counts a message from another gateway, with the bytes received and
+    /// answered.
     pub(super) fn record_peer_message(&self, message: &str, received: usize, answered: usize) {
         for (direction, bytes) in [("received", received), ("answered", answered)] {
             self.peer_bytes
@@ -101,7 +101,7 @@
         }
     }
 
-    /// A request goes to a back end, with a body of so many bytes if that is
+    /// Counts a request sent to a back end, with the bytes of its body if
     /// known.
     pub(super) fn record_back_end_request(&self, attempt: &Attempt, bytes: Option<usize>) {
         let labels = [attempt.distance.as_str(), choice_of(attempt)];
@@ -109,7 +109,7 @@
         self.count_back_end(attempt, "sent", bytes);
     }
 
-    /// A back end answers with a body of so many bytes if that is known.
+    /// Counts the body bytes of a back end's response, if known.
     pub(super) fn record_back_end_response(&self, attempt: &Attempt, bytes: Option<usize>) {
         self.count_back_end(attempt, "received", bytes);
     }
@@ -125,12 +125,13 @@
     }
 }
 
-/// Whether there was a choice: bytes of keyed requests go where the key is.
+/// Returns whether the back end could be chosen freely: keyed requests go to
+/// the owner of the key.
 fn choice_of(attempt: &Attempt) -> &'static str {
     if attempt.keyed { "owner" } else { "free" }
 }
 
-/// A collection whose calls are counted.
+/// Wrapper of a collection that counts its calls.
 struct Counted<S: ?Sized> {
     inner: Arc<S>,
     collection: &'static str,
@@ -146,7 +147,8 @@
     }
 }
 
-/// A call under way. It is counted when it ends, whoever ends it.
+/// A call in progress. It is counted when it is dropped, so that a cancelled
+/// call counts as well.
 struct Begun<'a> {
     calls: &'a IntCounterVec,
     /// Collection, call and outcome.
