--- a/crates/router/src/gateway/admission.rs
+++ b/crates/router/src/gateway/admission.rs
@@ -27,7 +27,7 @@
 }
 
 impl Head {
-    pub(super) fn of(request: &Request, caller: &RequestMetadata) -> Self {
+    pub(super) fn from_request(request: &Request, caller: &RequestMetadata) -> Self {
         Head {
             method: request.method(),
             host: host_of(request).to_owned(),
@@ -36,7 +36,7 @@
         }
     }
 
-    pub(super) fn call(&self) -> RequestHead<'_> {
+    pub(super) fn as_request_head(&self) -> RequestHead<'_> {
         RequestHead {
             host: &self.host,
             path: &self.path,
@@ -50,6 +50,6 @@
     ///
     /// The refusal with which the request is answered at once.
     pub(super) fn admit(&self, dispatch: &Dispatch) -> Result<Admission, Refusal> {
-        dispatch.with(|dispatcher, now| dispatcher.check_admission(now, &self.call()))
+        dispatch.with(|dispatcher, now| dispatcher.check_admission(now, &self.as_request_head()))
     }
 }
--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -21,9 +21,9 @@
 /// Response bodies of up to this size, in bytes, are read before any of the
 /// response is passed on, so that a truncated response can lead to another
 /// attempt.
-pub(super) const READ_AHEAD: usize = 64 * 1024;
+pub(super) const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
 /// Lowest status that counts as a failure of the back end.
-const FAILED_FROM: u16 = 500;
+const MIN_FAILURE_STATUS: u16 = 500;
 
 /// Shared resources for running attempts.
 #[derive(Clone)]
@@ -37,33 +37,36 @@
 
 /// How an attempt ended, with the response if there is one.
 #[derive(Debug)]
-pub(super) struct Ended {
+pub(super) struct AttemptResult {
     pub(super) end: AttemptEnd,
-    pub(super) answer: Option<Box<Response>>,
+    pub(super) response: Option<Box<Response>>,
 }
 
-impl Ended {
-    fn without_answer(end: AttemptEnd) -> Self {
-        Ended { end, answer: None }
+impl AttemptResult {
+    fn without_response(end: AttemptEnd) -> Self {
+        AttemptResult {
+            end,
+            response: None,
+        }
     }
 
     fn failed(fault: Fault) -> Self {
-        Ended::without_answer(AttemptEnd::Failed(fault))
+        AttemptResult::without_response(AttemptEnd::Failed(fault))
     }
 }
 
 /// The request that every attempt of one exchange sends.
 #[derive(Debug)]
-pub(super) struct Outbound {
+pub(super) struct OutboundRequest {
     replay: Replay,
     request_id: Option<String>,
     /// Tenant of the caller.
     pub(super) tenant: Option<TenantName>,
 }
 
-impl Outbound {
+impl OutboundRequest {
     pub(super) fn new(inbound: Inbound, request_id: Option<String>) -> Self {
-        Outbound {
+        OutboundRequest {
             replay: Replay::new(inbound),
             request_id,
             tenant: None,
@@ -81,8 +84,8 @@
         self,
         exchange: ExchangeId,
         attempt: Attempt,
-        outbound: Arc<Outbound>,
-    ) -> Ended {
+        outbound: Arc<OutboundRequest>,
+    ) -> AttemptResult {
         let deadline = self.dispatch.clock().instant(attempt.deadline);
         let connection = self
             .pool
@@ -90,15 +93,15 @@
             .await;
         let connection = match connection {
             Ok(connection) => connection,
-            Err(error) => return Ended::failed(fault_of(&error)),
+            Err(error) => return AttemptResult::failed(fault_from_error(&error)),
         };
         // Invariant: no byte is written before the dispatcher permits it, and
         // from here on the request counts as one that may have run.
         let Some(now) = self.dispatch.may_send(exchange, attempt.id) else {
-            return Ended::without_answer(AttemptEnd::Abandoned);
+            return AttemptResult::without_response(AttemptEnd::Abandoned);
         };
         let Some(mut request) = outbound.replay.request() else {
-            return Ended::failed(Fault::BodyGone);
+            return AttemptResult::failed(Fault::BodyGone);
         };
         let time_left = attempt.deadline.since(now).max(Duration::from_millis(1));
         self.header_codec
@@ -108,18 +111,21 @@
         }
         self.usage.record_back_end_request(&attempt, request.len());
         match connection.exchange(request, deadline).await {
-            Ok(response) => self.read(exchange, &attempt, &outbound, response).await,
-            Err(error) => Ended::failed(fault_of(&error)),
+            Ok(response) => {
+                self.read_response(exchange, &attempt, &outbound, response)
+                    .await
+            }
+            Err(error) => AttemptResult::failed(fault_from_error(&error)),
         }
     }
 
-    async fn read(
+    async fn read_response(
         &self,
         exchange: ExchangeId,
         attempt: &Attempt,
-        outbound: &Outbound,
+        outbound: &OutboundRequest,
         mut response: Response,
-    ) -> Ended {
+    ) -> AttemptResult {
         let status = u16::from(response.status());
         let head = self
             .header_codec
@@ -130,16 +136,16 @@
         // HTTP/1.1 pairs requests and responses only by their order; the
         // request id reveals a wrong pair.
         if head.request_id.is_some() && head.request_id != outbound.request_id {
-            return Ended::failed(Fault::BadAnswer);
+            return AttemptResult::failed(Fault::BadAnswer);
         }
         if let Some(reason) = head.not_run {
             self.usage.record_back_end_response(attempt, response.len());
             read_over(response.take_body_keeping_headers());
             let load = head.load;
-            return Ended::without_answer(AttemptEnd::NotRun { reason, load });
+            return AttemptResult::without_response(AttemptEnd::NotRun { reason, load });
         }
         if response.status().is_success() && !head.stamped {
-            return Ended::failed(Fault::BadAnswer);
+            return AttemptResult::failed(Fault::BadAnswer);
         }
         let body = response.take_body_keeping_headers();
         headers::strip(&mut response);
@@ -148,16 +154,16 @@
             .await
         {
             Ok(body) => body,
-            Err(_) => return Ended::failed(Fault::BadAnswer),
+            Err(_) => return AttemptResult::failed(Fault::BadAnswer),
         };
         self.usage.record_back_end_response(attempt, body.len());
         response.replace_body_keeping_headers(body);
-        Ended {
+        AttemptResult {
             end: AttemptEnd::Answered {
-                failed: status >= FAILED_FROM,
+                failed: status >= MIN_FAILURE_STATUS,
                 load: head.load,
             },
-            answer: Some(Box::new(response)),
+            response: Some(Box::new(response)),
         }
     }
 
@@ -171,14 +177,16 @@
         if bodiless {
             return Ok(body);
         }
-        Ok(match read_ahead(body, READ_AHEAD, &self.budget).await? {
-            AnswerBody::Whole(body) => body,
-            AnswerBody::Streamed { body, length } => Body::from_reader(body, length),
-        })
+        Ok(
+            match read_ahead(body, MAX_READ_AHEAD_BYTES, &self.budget).await? {
+                AnswerBody::Whole(body) => body,
+                AnswerBody::Streamed { body, length } => Body::from_reader(body, length),
+            },
+        )
     }
 }
 
-fn fault_of(error: &ExchangeError) -> Fault {
+fn fault_from_error(error: &ExchangeError) -> Fault {
     match (error.stage, &error.fault) {
         // Reaching the router's own connection limit says nothing about the
         // back end.
--- a/crates/router/src/gateway/bodies.rs
+++ b/crates/router/src/gateway/bodies.rs
@@ -10,7 +10,7 @@
 /// Bodies of up to this size, in bytes, are kept while they are streamed to a
 /// back end, so that they can be sent again. The value is above the largest
 /// body that callers are known to send (360 KB).
-const KEPT: usize = 512 * 1024;
+const MAX_KEPT_BYTES: usize = 512 * 1024;
 
 /// Retry delay sent to callers when there is no memory for their bodies: about
 /// the time that a 10 Mbit/s link takes to transfer one of the largest bodies.
@@ -29,7 +29,7 @@
 
 /// Memory reserved for one body until it is dropped.
 #[derive(Debug)]
-pub(super) struct Room {
+pub(super) struct BodyReservation {
     _passing: Option<Reservation>,
 }
 
@@ -46,31 +46,31 @@
 
     /// Keeps a long body if there is memory for it, or else lets it be
     /// streamed. Returns `None` when there is memory for neither.
-    pub(super) fn take_in(&self, inbound: &mut Inbound) -> Option<Room> {
+    pub(super) fn admit(&self, inbound: &mut Inbound) -> Option<BodyReservation> {
         if matches!(inbound.body, RequestBody::Whole(_)) {
-            return Some(Room { _passing: None });
+            return Some(BodyReservation { _passing: None });
         }
-        inbound.keep(KEPT, &self.held);
+        inbound.keep(MAX_KEPT_BYTES, &self.held);
         let passing = match inbound.body {
             RequestBody::Whole(_) | RequestBody::Kept(_) => None,
             RequestBody::Streamed(_) => {
                 let Some(passing) = self.passing.reserve(PASSING) else {
-                    self.tell(true);
+                    self.record_refusing(true);
                     return None;
                 };
                 Some(passing)
             }
         };
-        self.tell(false);
-        Some(Room { _passing: passing })
+        self.record_refusing(false);
+        Some(BodyReservation { _passing: passing })
     }
 
-    fn tell(&self, refusing: bool) {
+    fn record_refusing(&self, refusing: bool) {
         if self.refusing.swap(refusing, Ordering::Relaxed) == refusing {
             return;
         }
         if refusing {
-            emit!(EventId::BodiesRefused, kept_up_to = KEPT);
+            emit!(EventId::BodiesRefused, kept_up_to = MAX_KEPT_BYTES);
         } else {
             emit!(EventId::BodiesTakenAgain,);
         }
--- a/crates/router/src/gateway/disconnects.rs
+++ b/crates/router/src/gateway/disconnects.rs
@@ -14,7 +14,7 @@
 
 /// Longest body, in bytes, that is sent at once; longer ones are streamed.
 /// Equal to what [`super::attempt`] reads ahead.
-const MAX_BUFFERED: usize = super::attempt::READ_AHEAD;
+const MAX_BUFFERED: usize = super::attempt::MAX_READ_AHEAD_BYTES;
 
 /// The stage that a request has reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/router/src/gateway/dispatch.rs
+++ b/crates/router/src/gateway/dispatch.rs
@@ -81,15 +81,15 @@
     pub(super) fn with<R>(&self, act: impl FnOnce(&mut Dispatcher, Timestamp) -> R) -> R {
         let mut state = self.state.lock();
         let now = self.clock.now();
-        let known = state.dispatcher.suspects().changes();
+        let changes_before = state.dispatcher.suspects().changes();
         let result = act(&mut state.dispatcher, now);
-        for look in state.dispatcher.take_process_checks() {
-            self.suspects.found(Finding::Broke(look));
+        for check in state.dispatcher.take_process_checks() {
+            self.suspects.report(Finding::BrokenAttempt(check));
         }
         if state.dispatcher.has_crashes() {
-            self.suspects.found(Finding::Crashes);
+            self.suspects.report(Finding::Crashes);
         }
-        let learned = state.dispatcher.suspects().changes() != known;
+        let suspects_changed = state.dispatcher.suspects().changes() != changes_before;
         let retry_denials = state.dispatcher.take_retry_denials();
         let back_end_events = state.dispatcher.take_back_end_events();
         let wants_tokens = state.dispatcher.wants_tokens();
@@ -102,16 +102,16 @@
         for signal in signals {
             signal.give();
         }
-        retry_denials.iter().for_each(tell_denial);
-        back_end_events.iter().for_each(tell_back_end);
-        for service in back_end_events.iter().filter_map(service_of_unfit) {
+        retry_denials.iter().for_each(log_retry_denial);
+        back_end_events.iter().for_each(log_back_end_event);
+        for service in back_end_events.iter().filter_map(unavailable_service) {
             // The channel is unbounded and closes only when the process ends.
             let _ = self.unavailable_services.0.try_send(service.clone());
         }
         if wants_tokens {
             self.tokens_wanted.notify();
         }
-        if learned {
+        if suspects_changed {
             self.suspects.changed.notify();
         }
         result
@@ -121,10 +121,10 @@
         &self,
         info: &RequestInfo<'_>,
     ) -> Result<(StartedExchange, Arc<Signal>), Refusal> {
-        let begun = self.with(|dispatcher, now| dispatcher.begin(now, info))?;
+        let started = self.with(|dispatcher, now| dispatcher.begin(now, info))?;
         let signal = Arc::new(Signal::default());
-        self.state.lock().signals.insert(begun.id, signal.clone());
-        Ok((begun, signal))
+        self.state.lock().signals.insert(started.id, signal.clone());
+        Ok((started, signal))
     }
 
     /// Returns whether requests for this host and path may run in any order.
@@ -169,7 +169,7 @@
     }
 }
 
-fn tell_denial(denial: &RetryDenials) {
+fn log_retry_denial(denial: &RetryDenials) {
     emit!(
         EventId::RetriesDenied,
         service = %denial.service,
@@ -182,8 +182,8 @@
 }
 
 /// Returns the service of a back end that should not keep its keys.
-fn service_of_unfit(news: &BackEndEvent) -> Option<&ServiceName> {
-    match news {
+fn unavailable_service(event: &BackEndEvent) -> Option<&ServiceName> {
+    match event {
         BackEndEvent::Leaving { service, .. } | BackEndEvent::Resting { service, .. } => {
             Some(service)
         }
@@ -194,8 +194,8 @@
     }
 }
 
-fn tell_back_end(news: &BackEndEvent) {
-    match news {
+fn log_back_end_event(event: &BackEndEvent) {
+    match event {
         BackEndEvent::Limited {
             back_end,
             rate,
--- a/crates/router/src/gateway/exchange.rs
+++ b/crates/router/src/gateway/exchange.rs
@@ -16,7 +16,7 @@
 use threadledge_types::Timestamp;
 use threadledge_types::deployment::BackEndName;
 
-use super::attempt::{Attempts, Ended, Outbound};
+use super::attempt::{AttemptResult, Attempts, OutboundRequest};
 use super::disconnects::{RequestTracker, Stage};
 use crate::proxy::Signal;
 
@@ -30,23 +30,23 @@
     },
     /// No back end answered; the gateway sends a response of its own for this
     /// outcome.
-    Own(Outcome),
+    NotAnswered(Outcome),
 }
 
 /// A finished attempt with its result.
-struct Done {
+struct FinishedAttempt {
     id: AttemptId,
     back_end: BackEndName,
-    ended: Ended,
+    result: AttemptResult,
 }
 
 /// An exchange in progress. Dropping it abandons its attempts.
 pub(super) struct Exchange {
     attempts: Attempts,
-    outbound: Arc<Outbound>,
+    outbound: Arc<OutboundRequest>,
     id: ExchangeId,
     signal: Arc<Signal>,
-    running: FuturesUnordered<BoxFuture<'static, Done>>,
+    running: FuturesUnordered<BoxFuture<'static, FinishedAttempt>>,
     /// Finished attempts that did not provide the response, for the log.
     pub(super) history: Vec<PastAttempt>,
 }
@@ -59,22 +59,22 @@
     pub(super) at: Instant,
 }
 
-enum Happened {
-    Ended(Done),
+enum WaitEvent {
+    Ended(FinishedAttempt),
     Woken,
 }
 
 impl Exchange {
     pub(super) fn new(
         attempts: Attempts,
-        outbound: Outbound,
-        begun: &StartedExchange,
+        outbound: OutboundRequest,
+        started: &StartedExchange,
         signal: Arc<Signal>,
     ) -> Self {
         Exchange {
             attempts,
             outbound: Arc::new(outbound),
-            id: begun.id,
+            id: started.id,
             signal,
             running: FuturesUnordered::new(),
             history: Vec::new(),
@@ -86,17 +86,17 @@
     pub(super) async fn run(&mut self, tracker: &mut RequestTracker) -> Conclusion {
         loop {
             match self.attempts.dispatch.next(self.id) {
-                Step::Send(attempt) => self.start(attempt),
+                Step::Send(attempt) => self.start_attempt(attempt),
                 Step::Wait(until) => {
                     tracker.reached(self.stage());
                     if let Some(conclusion) = self.wait(until).await {
                         return conclusion;
                     }
                 }
-                Step::Finish(outcome) => return Conclusion::Own(outcome),
+                Step::Finish(outcome) => return Conclusion::NotAnswered(outcome),
                 Step::Ended => {
                     let reason = threadledge_dispatch::UnknownReason::Broken;
-                    return Conclusion::Own(Outcome::Unknown(reason));
+                    return Conclusion::NotAnswered(Outcome::Unknown(reason));
                 }
             }
         }
@@ -110,17 +110,17 @@
         }
     }
 
-    fn start(&mut self, attempt: Attempt) {
+    fn start_attempt(&mut self, attempt: Attempt) {
         let id = attempt.id;
         let back_end = attempt.back_end.clone();
         let run = self
             .attempts
             .clone()
             .run(self.id, attempt, self.outbound.clone());
-        let run = run.map(move |ended| Done {
+        let run = run.map(move |result| FinishedAttempt {
             id,
             back_end,
-            ended,
+            result,
         });
         self.running.push(run.boxed());
     }
@@ -128,43 +128,43 @@
     async fn wait(&mut self, until: Timestamp) -> Option<Conclusion> {
         let until = self.attempts.dispatch.clock().instant(until);
         let mut sleep = timer::sleep_until(until);
-        let happened = poll_fn(|context| self.poll_happened(&mut sleep, context)).await;
-        match happened {
-            Happened::Woken => None,
-            Happened::Ended(done) => self.ended(done),
+        let event = poll_fn(|context| self.poll_event(&mut sleep, context)).await;
+        match event {
+            WaitEvent::Woken => None,
+            WaitEvent::Ended(finished) => self.on_attempt_end(finished),
         }
     }
 
-    fn poll_happened(&mut self, sleep: &mut Sleep, context: &mut Context<'_>) -> Poll<Happened> {
+    fn poll_event(&mut self, sleep: &mut Sleep, context: &mut Context<'_>) -> Poll<WaitEvent> {
         // An empty set of attempts yields `Ready(None)`, which must not end the
         // wait.
-        if let Poll::Ready(Some(done)) = Pin::new(&mut self.running).poll_next(context) {
-            return Poll::Ready(Happened::Ended(done));
+        if let Poll::Ready(Some(finished)) = Pin::new(&mut self.running).poll_next(context) {
+            return Poll::Ready(WaitEvent::Ended(finished));
         }
         if self.signal.poll(context).is_ready() {
-            return Poll::Ready(Happened::Woken);
+            return Poll::Ready(WaitEvent::Woken);
         }
-        Pin::new(sleep).poll(context).map(|()| Happened::Woken)
+        Pin::new(sleep).poll(context).map(|()| WaitEvent::Woken)
     }
 
-    fn ended(&mut self, done: Done) -> Option<Conclusion> {
-        let Done {
+    fn on_attempt_end(&mut self, finished: FinishedAttempt) -> Option<Conclusion> {
+        let FinishedAttempt {
             id,
             back_end,
-            ended,
-        } = done;
+            result,
+        } = finished;
         let next_action = self
             .attempts
             .dispatch
-            .on_attempt_end(self.id, id, &ended.end);
-        match (next_action, ended.answer) {
+            .on_attempt_end(self.id, id, &result.end);
+        match (next_action, result.response) {
             (NextAction::Deliver, Some(response)) => {
                 Some(Conclusion::Answered { response, back_end })
             }
             _ => {
                 self.history.push(PastAttempt {
                     back_end,
-                    end: ended.end,
+                    end: result.end,
                     at: Instant::now(),
                 });
                 None
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -48,9 +48,9 @@
     state: Mutex<State>,
     /// Notified when a quota request has ended; waiting requests then check
     /// again.
-    answered: Notifier,
+    request_ended: Notifier,
     /// Notified when quota may have to be requested.
-    wanted: Notifier,
+    quota_needed: Notifier,
     /// Notified when limits, the ledger's lease or its holder changed.
     changed: Notifier,
     log: LimitLog,
@@ -59,14 +59,14 @@
 
 /// Refusal of a request by its tenant's limit.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Refused {
-    pub(super) why: RefusalReason,
+pub(super) struct LimitRefusal {
+    pub(super) reason: RefusalReason,
     /// Time after which the request may be admitted.
-    pub(super) wait: Duration,
+    pub(super) retry_after: Duration,
 }
 
 /// A token spent on a request.
-struct Spent {
+struct SpentToken {
     limits: Limits,
     tenant: TenantName,
     at: Timestamp,
@@ -75,21 +75,21 @@
 /// Permission for one request to run. A token was spent on it if its tenant has
 /// a limit.
 pub(super) struct Permit {
-    spent: Option<Spent>,
+    spent: Option<SpentToken>,
 }
 
 impl Permit {
     /// Permit for a request that counts against no limit.
-    pub(super) const fn free() -> Self {
+    pub(super) const fn unlimited() -> Self {
         Permit { spent: None }
     }
 
     /// Refunds the token of a request that certainly did not run.
-    pub(super) fn not_run(self) {
-        let Some(Spent { limits, tenant, at }) = self.spent else {
+    pub(super) fn refund(self) {
+        let Some(SpentToken { limits, tenant, at }) = self.spent else {
             return;
         };
-        limits.with(|state, now| state.spender.refund(now, &tenant, at));
+        limits.with(|state, now| state.rate_limiter.refund(now, &tenant, at));
     }
 }
 
@@ -109,8 +109,8 @@
         let shared = Shared {
             clock,
             state: Mutex::new(State::new(me.clone(), settings)),
-            answered: Notifier::default(),
-            wanted: Notifier::default(),
+            request_ended: Notifier::default(),
+            quota_needed: Notifier::default(),
             changed: Notifier::default(),
             log: LimitLog::default(),
             metrics: LimitMetrics::new(registry)?,
@@ -161,23 +161,23 @@
     /// # Errors
     ///
     /// The reason for the refusal and the time to wait.
-    pub(super) async fn admit(&self, tenant: &TenantName) -> Result<Permit, Refused> {
+    pub(super) async fn admit(&self, tenant: &TenantName) -> Result<Permit, LimitRefusal> {
         let mut since = None;
         loop {
             // The wait is registered under the lock, before another task can
             // end it.
-            let (admission, answered) = self.with(|state, now| {
+            let (admission, request_ended) = self.with(|state, now| {
                 let admission = match since {
-                    None => state.spender.admit_new(now, tenant),
-                    Some(since) => state.spender.admit(now, tenant, since),
+                    None => state.rate_limiter.admit_new(now, tenant),
+                    Some(since) => state.rate_limiter.admit(now, tenant, since),
                 };
                 since = since.or(Some(now));
-                (admission, self.shared.answered.next())
+                (admission, self.shared.request_ended.next())
             });
             match admission {
-                Admission::Unlimited => return Ok(Permit::free()),
+                Admission::Unlimited => return Ok(Permit::unlimited()),
                 Admission::Admitted => {
-                    let spent = Spent {
+                    let spent = SpentToken {
                         limits: self.clone(),
                         tenant: tenant.clone(),
                         at: self.shared.clock.now(),
@@ -185,18 +185,21 @@
                     return Ok(Permit { spent: Some(spent) });
                 }
                 Admission::Refused { why, wait } => {
-                    self.shared.metrics.refused(tenant, why);
+                    self.shared.metrics.record_refusal(tenant, why);
                     self.shared
                         .log
-                        .refused(self.shared.clock.now(), tenant, why);
-                    return Err(Refused { why, wait });
+                        .record_refusal(self.shared.clock.now(), tenant, why);
+                    return Err(LimitRefusal {
+                        reason: why,
+                        retry_after: wait,
+                    });
                 }
                 Admission::Wait(until) => {
-                    self.shared.wanted.notify();
+                    self.shared.quota_needed.notify();
                     let deadline = self.shared.clock.instant(until);
                     // The next round finds out whether it was notified or timed
                     // out.
-                    let _ = timer::timeout_at(deadline, answered).await;
+                    let _ = timer::timeout_at(deadline, request_ended).await;
                 }
             }
         }
@@ -204,16 +207,16 @@
 
     /// Resigns the ledger's lease. Requests continue to be served.
     pub(super) fn resign(&self) {
-        self.with(|state, now| state.leave(now));
+        self.with(|state, now| state.resign(now));
         self.shared.changed.notify();
     }
 
     /// Answers another gateway's quota request.
-    pub(super) fn handle_request(&self, ask: &QuotaRequest) -> QuotaResponse {
-        let (answer, to_record) = self.with(|state, now| state.answer(now, ask));
-        if to_record {
+    pub(super) fn handle_request(&self, request: &QuotaRequest) -> QuotaResponse {
+        let (response, record_due) = self.with(|state, now| state.handle_request(now, request));
+        if record_due {
             self.shared.changed.notify();
         }
-        answer
+        response
     }
 }
--- a/crates/router/src/gateway/limits/ledger_keeper.rs
+++ b/crates/router/src/gateway/limits/ledger_keeper.rs
@@ -24,19 +24,20 @@
 use super::Limits;
 
 /// Name of the ledger's lease, which is stored beside those of services.
-const LEDGER: &str = "threadledge.tenant-limits";
-const HOLDERS: &str = "holders";
+const LEASE_NAME: &str = "threadledge.tenant-limits";
+/// Name of the record of machines that may hold shares.
+const HOLDER_RECORD: &str = "holders";
 /// Delay before a failed write of the record is retried.
-const RECORD_RETRY: Duration = Duration::from_millis(200);
+const RECORD_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Longest wait before the election is polled again.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+const MAX_WAIT: Duration = Duration::from_secs(1);
 /// Additional takeover delay of a gateway that follows a relay. Relays see the
 /// lease first-hand and are few, so they go first.
-const FOLLOWER_PATIENCE: Duration = Duration::from_millis(700);
+const FOLLOWER_TAKEOVER_DELAY: Duration = Duration::from_millis(700);
 
 /// Time for which the ledger has to be unreachable before a follower of a relay
 /// looks for it in the store itself.
-const FOLLOWER_DOUBT: Duration = Duration::from_millis(2_500);
+const FOLLOWER_LEASE_CHECK_DELAY: Duration = Duration::from_millis(2_500);
 
 /// Suitability of this machine for keeping the ledger.
 #[derive(Clone, Copy, Debug)]
@@ -51,21 +52,22 @@
 /// first.
 pub(in super::super) fn takeover_delay_for_cores(cores: f64) -> Duration {
     /// Upper bound of the delay, in seconds.
-    const LONGEST_S: f64 = 0.5;
+    const MAX_DELAY_S: f64 = 0.5;
     /// Delay of a machine with one whole core, in seconds.
-    const WHOLE_CORE_S: f64 = 0.05;
-    let by_cores = (WHOLE_CORE_S / cores.max(0.01)).min(LONGEST_S);
-    Duration::try_from_secs_f64(by_cores).unwrap_or_default()
+    const ONE_CORE_DELAY_S: f64 = 0.05;
+    let delay_s = (ONE_CORE_DELAY_S / cores.max(0.01)).min(MAX_DELAY_S);
+    Duration::try_from_secs_f64(delay_s).unwrap_or_default()
 }
 
 /// An election won by this gateway. The ledger begins once the holder record is
 /// written.
 #[derive(Clone, Copy, Debug)]
-struct Won {
+struct WonElection {
     term: Term,
     predecessor: Option<Predecessor>,
 }
 
+/// Task that takes part in the election and keeps the ledger.
 pub(super) struct LedgerKeeper {
     limits: Limits,
     ports: Ports,
@@ -73,10 +75,10 @@
     health: Arc<StoreHealth>,
     placement: LedgerPlacement,
     name: ServiceName,
-    won: Option<Won>,
+    won: Option<WonElection>,
     /// Revision of the holder record as last written by this ledger.
     revision: Option<StoreRevision>,
-    next_record: Timestamp,
+    next_record_write: Timestamp,
 }
 
 impl LedgerKeeper {
@@ -93,10 +95,10 @@
             sources,
             health,
             placement,
-            name: ServiceName::from(LEDGER),
+            name: ServiceName::from(LEASE_NAME),
             won: None,
             revision: None,
-            next_record: Timestamp::ZERO,
+            next_record_write: Timestamp::ZERO,
         }
     }
 
@@ -105,28 +107,30 @@
         let shared = self.limits.shared.clone();
         loop {
             let changed = shared.changed.next();
-            let told = self.sources.lease_changes().next();
-            let in_use = self.limits.with(|state, _now| state.spender.has_limits());
-            let holds = self
+            let lease_changed = self.sources.lease_changes().next();
+            let has_limits = self
+                .limits
+                .with(|state, _now| state.rate_limiter.has_limits());
+            let leading_term = self
                 .limits
                 .with(|state, _now| state.election.leading_term());
-            if !in_use && holds.is_none() {
+            if !has_limits && leading_term.is_none() {
                 changed.await;
                 continue;
             }
-            self.look_around();
-            self.tell_ledger();
+            self.update_election();
+            self.log_ledger();
             let action = self.poll();
             if let Some(action) = action {
-                self.act(action).await;
+                self.execute_action(action).await;
                 continue;
             }
-            if self.keep_record().await {
+            if self.write_record_if_due().await {
                 continue;
             }
             let deadline = shared.clock.instant(self.next_wake());
             // The next round finds out what ended the wait.
-            let _ = timer::timeout_at(deadline, select(changed, told)).await;
+            let _ = timer::timeout_at(deadline, select(changed, lease_changed)).await;
         }
     }
 
@@ -135,103 +139,105 @@
     /// time cost four billed calls per second or more and brought no
     /// information.
     fn poll(&self) -> Option<Action> {
-        let patience = self.doubt_after();
+        let min_unreachable = self.lease_check_delay();
         self.limits.with(|state, now| {
-            let doubts = state.doubts_ledger(now, patience);
-            doubts.then(|| state.election.poll(now)).flatten()
+            let check_lease = state.should_check_lease(now, min_unreachable);
+            check_lease.then(|| state.election.poll(now)).flatten()
         })
     }
 
     /// Time for which the ledger has to be unreachable before this gateway
     /// checks the lease. Relays check first and pass the result on to their
     /// followers.
-    fn doubt_after(&self) -> Duration {
+    fn lease_check_delay(&self) -> Duration {
         match self.sources.current() {
-            Source::Relay { .. } => FOLLOWER_DOUBT,
+            Source::Relay { .. } => FOLLOWER_LEASE_CHECK_DELAY,
             _ => Duration::ZERO,
         }
     }
 
     fn next_wake(&self) -> Timestamp {
-        let patience = self.doubt_after();
+        let min_unreachable = self.lease_check_delay();
         self.limits.with(|state, now| {
-            let longest = now + LONGEST_WAIT;
-            let doubts = state.doubts_ledger(now, patience);
-            let election = state.election.next_wake().filter(|_| doubts);
+            let longest = now + MAX_WAIT;
+            let check_lease = state.should_check_lease(now, min_unreachable);
+            let election = state.election.next_wake().filter(|_| check_lease);
             let election = election.unwrap_or(longest);
             let ledger = state.ledger.as_ref();
             let needed = ledger.is_some_and(|ledger| ledger.needs_record_update(now));
             let due = self.won.is_some() || needed;
-            let record = if due { self.next_record } else { longest };
-            election.min(record).min(longest).max(now + SHORTEST_WAIT)
+            let record = if due { self.next_record_write } else { longest };
+            election.min(record).min(longest).max(now + MIN_WAIT)
         })
     }
 
     /// Updates the known holder of the lease and whether this gateway may
     /// become a candidate.
-    fn look_around(&self) {
+    fn update_election(&self) {
         let source = self.sources.current();
-        let relayed = matches!(source, Source::Relay { .. });
+        let follows_relay = matches!(source, Source::Relay { .. });
         let lease = self.sources.lease(&self.name);
         // A follower waits for the relay to report the lease instead of reading
         // the store.
-        let told = !relayed || lease.is_some();
-        let settled = !matches!(source, Source::Starting { .. });
-        let behind = match source {
+        let lease_known = !follows_relay || lease.is_some();
+        let started = !matches!(source, Source::Starting { .. });
+        let follower_delay = match source {
             Source::Relay { .. } | Source::Joining { .. } | Source::Unavailable => {
-                FOLLOWER_PATIENCE
+                FOLLOWER_TAKEOVER_DELAY
             }
             Source::Store | Source::Starting { .. } => Duration::ZERO,
         };
-        let heard = self.limits.with(|state, now| {
-            let candidate = state.spender.has_limits() && !state.leaving;
-            state.election.set_candidate(candidate && settled && told);
+        let term_changed = self.limits.with(|state, now| {
+            let candidate = state.rate_limiter.has_limits() && !state.stopping;
+            state
+                .election
+                .set_candidate(candidate && started && lease_known);
             state
                 .election
-                .set_takeover_delay(self.placement.takeover_delay + behind);
-            let before = state.spender.term();
+                .set_takeover_delay(self.placement.takeover_delay + follower_delay);
+            let before = state.rate_limiter.term();
             let seen = state.election.last_seen_holder();
             let seen = seen.map(|(term, holder)| (term, holder.and_then(|one| one.address)));
             if let Some((term, address)) = seen {
-                state.hear_of(now, term, address);
+                state.observe_holder(now, term, address);
             }
             if let Some(Versioned { value, .. }) = lease {
                 let address = value.holder.and_then(|holder| holder.address);
-                state.hear_of(now, value.term, address);
+                state.observe_holder(now, value.term, address);
             }
-            before != state.spender.term()
+            before != state.rate_limiter.term()
         });
-        if heard {
-            self.limits.shared.wanted.notify();
+        if term_changed {
+            self.limits.shared.quota_needed.notify();
         }
     }
 
-    fn tell_ledger(&self) {
+    fn log_ledger(&self) {
         let ledger = self.limits.with(|state, _now| {
             let ledger = state.ledger.as_ref();
             ledger.map(|ledger| (ledger.term(), ledger.has_full_rate()))
         });
-        self.limits.shared.log.ledger(ledger);
+        self.limits.shared.log.log_ledger(ledger);
     }
 
-    async fn act(&mut self, action: Action) {
+    async fn execute_action(&mut self, action: Action) {
         let shared = self.limits.shared.clone();
         let started = shared.clock.now();
-        let ended = match self.told(&action) {
+        let outcome = match self.lease_from_relay(&action) {
             Some(result) => CallOutcome::LeaseRead(Freshness::Stale, result),
             None => {
-                let asked = shared.clock.instant(started);
-                let ended = execute(&self.ports, &self.name, action, asked).await;
-                if ended.store_answered() {
+                let sent_at = shared.clock.instant(started);
+                let outcome = execute(&self.ports, &self.name, action, sent_at).await;
+                if outcome.store_answered() {
                     self.health.record_answer(started);
                 }
-                if ended.store_failed() {
+                if outcome.store_failed() {
                     self.health.record_failure();
                 }
-                ended
+                outcome
             }
         };
-        let change = match ended {
+        let change = match outcome {
             CallOutcome::LeaseRead(freshness, result) => {
                 if let ReadResult::Found(Some(found)) = &result {
                     self.sources.observe_lease(&self.name, found);
@@ -254,12 +260,12 @@
                 None
             }
         };
-        self.take_change(change);
+        self.apply_change(change);
     }
 
     /// Answers a stale lease read without a store call if this gateway follows
     /// a relay, which sends the lease with each of its answers.
-    fn told(
+    fn lease_from_relay(
         &self,
         action: &Action,
     ) -> Option<ReadResult<threadledge_coordination::CoordinatorLease>> {
@@ -273,14 +279,14 @@
         self.sources.is_waiting().then_some(ReadResult::Failed)
     }
 
-    fn take_change(&mut self, change: Option<Change>) {
+    fn apply_change(&mut self, change: Option<Change>) {
         match change {
             Some(Change::Elected { term, predecessor }) => {
                 let predecessor = predecessor.map(|earlier| Predecessor {
                     lease_end: earlier.orders_end,
                 });
-                self.won = Some(Won { term, predecessor });
-                self.next_record = Timestamp::ZERO;
+                self.won = Some(WonElection { term, predecessor });
+                self.next_record_write = Timestamp::ZERO;
                 self.limits.with(|state, _now| state.ledger = None);
             }
             Some(Change::Deposed { .. }) => {
@@ -292,9 +298,9 @@
     }
 
     /// Writes the holder record if it is due. Returns whether it was.
-    async fn keep_record(&mut self) -> bool {
+    async fn write_record_if_due(&mut self) -> bool {
         let now = self.limits.shared.clock.now();
-        if now < self.next_record {
+        if now < self.next_record_write {
             return false;
         }
         let (leading, record) = self.limits.with(|state, now| {
@@ -304,23 +310,24 @@
         });
         self.won = self.won.filter(|won| leading == Some(won.term));
         if let Some(won) = self.won {
-            self.next_record = now + RECORD_RETRY;
-            self.begin(won).await;
+            self.next_record_write = now + RECORD_RETRY_DELAY;
+            self.begin_ledger(won).await;
             return true;
         }
         let (Some(record), Some(revision)) = (record, self.revision) else {
             return false;
         };
-        self.next_record = now + RECORD_RETRY;
-        self.extend(record, revision).await;
+        self.next_record_write = now + RECORD_RETRY_DELAY;
+        self.extend_record(record, revision).await;
         true
     }
 
     /// Takes over the holder record of the previous ledger and starts the new
     /// ledger.
-    async fn begin(&mut self, won: Won) {
+    async fn begin_ledger(&mut self, won: WonElection) {
         let holders = self.ports.limit_holders.clone();
-        let ReadResult::Found(found) = holders.read(HOLDERS, Freshness::Linearizable).await else {
+        let ReadResult::Found(found) = holders.read(HOLDER_RECORD, Freshness::Linearizable).await
+        else {
             return;
         };
         let condition = match &found {
@@ -329,7 +336,7 @@
         };
         let found = found.map(|found| found.value);
         if found.as_ref().is_some_and(|found| found.term > won.term) {
-            self.overtaken();
+            self.on_superseded();
             return;
         }
         let mut record = HolderRecord {
@@ -339,7 +346,7 @@
         let machine = self.limits.with(|state, _now| state.me.node.clone());
         record.machines.insert(machine.clone());
         record.ledgers.insert(machine.clone());
-        let result = holders.write(HOLDERS, &record, condition).await;
+        let result = holders.write(HOLDER_RECORD, &record, condition).await;
         let WriteResult::Accepted(revision) = result else {
             return;
         };
@@ -349,25 +356,25 @@
             if state.election.leading_term() != Some(won.term) {
                 return;
             }
-            let office = LedgerElection {
+            let ledger_election = LedgerElection {
                 term: won.term,
                 predecessor: won.predecessor,
                 found,
                 written: record,
                 machine,
             };
-            let mut ledger = Ledger::new(now, state.settings.clone(), office);
+            let mut ledger = Ledger::new(now, state.settings.clone(), ledger_election);
             ledger.set_limits(now, state.limits.clone());
             state.ledger = Some(ledger);
         });
-        self.limits.shared.wanted.notify();
+        self.limits.shared.quota_needed.notify();
     }
 
     /// Adds new machines to the holder record.
-    async fn extend(&mut self, record: HolderRecord, revision: StoreRevision) {
+    async fn extend_record(&mut self, record: HolderRecord, revision: StoreRevision) {
         let holders = self.ports.limit_holders.clone();
         let condition = Condition::Revision(revision);
-        match holders.write(HOLDERS, &record, condition).await {
+        match holders.write(HOLDER_RECORD, &record, condition).await {
             WriteResult::Accepted(revision) => {
                 self.revision = Some(revision);
                 self.limits.with(|state, _now| {
@@ -381,18 +388,18 @@
                 // An earlier write whose answer was lost took effect after all.
                 self.revision = Some(found.revision);
             }
-            WriteResult::Conflict(_) => self.overtaken(),
+            WriteResult::Conflict(_) => self.on_superseded(),
             WriteResult::NotDone | WriteResult::Unknown => {}
         }
     }
 
-    fn overtaken(&mut self) {
+    fn on_superseded(&mut self) {
         let change = self
             .limits
             .with(|state, now| state.election.on_superseded(now));
-        self.take_change(change);
+        self.apply_change(change);
     }
 }
 
 /// Minimum wait between steps, because other tasks share the thread.
-const SHORTEST_WAIT: Duration = Duration::from_millis(1);
+const MIN_WAIT: Duration = Duration::from_millis(1);
--- a/crates/router/src/gateway/limits/log.rs
+++ b/crates/router/src/gateway/limits/log.rs
@@ -13,12 +13,12 @@
 use crate::events::{EventId, emit};
 
 /// Time without a refusal after which a tenant no longer counts as refused.
-const SERVED_AFTER: Duration = Duration::from_secs(5);
+const SERVED_AGAIN_AFTER: Duration = Duration::from_secs(5);
 
 /// The latest series of refusals of one tenant.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Refusals {
-    pub(super) why: RefusalReason,
+    pub(super) reason: RefusalReason,
     pub(super) count: u64,
     pub(super) last: Timestamp,
 }
@@ -34,9 +34,9 @@
 impl LimitLog {
     /// Logs a change of the ledger kept here: its term and whether it may grant
     /// the full rates, or `None` if it is not kept here.
-    pub(super) fn ledger(&self, ledger: Option<(Term, bool)>) {
-        let mut told = self.ledger.lock();
-        let before = std::mem::replace(&mut *told, ledger);
+    pub(super) fn log_ledger(&self, ledger: Option<(Term, bool)>) {
+        let mut logged = self.ledger.lock();
+        let before = std::mem::replace(&mut *logged, ledger);
         let known = before.map(|(term, _)| term);
         match (before, ledger) {
             (Some((term, _)), None) => emit!(EventId::LedgerLost, term = term.0),
@@ -49,7 +49,7 @@
     }
 
     /// Logs when this gateway starts or stops using its shares.
-    pub(super) fn fallback(&self, used: bool) {
+    pub(super) fn log_fallback(&self, used: bool) {
         let before = std::mem::replace(&mut *self.fallback.lock(), used);
         match (before, used) {
             (false, true) => emit!(EventId::LimitFallbackBegun),
@@ -59,27 +59,32 @@
     }
 
     /// Records a refused request, and logs it if it is the first of a series.
-    pub(super) fn refused(&self, now: Timestamp, tenant: &TenantName, why: RefusalReason) {
+    pub(super) fn record_refusal(
+        &self,
+        now: Timestamp,
+        tenant: &TenantName,
+        reason: RefusalReason,
+    ) {
         let mut refused = self.refused.lock();
         if let Some(refusals) = refused.get_mut(tenant) {
-            refusals.why = why;
+            refusals.reason = reason;
             refusals.count += 1;
             refusals.last = now;
             return;
         }
         let refusals = Refusals {
-            why,
+            reason,
             count: 1,
             last: now,
         };
         refused.insert(tenant.clone(), refusals);
-        emit!(EventId::TenantRefused, tenant = %tenant, reason = why.as_str());
+        emit!(EventId::TenantRefused, tenant = %tenant, reason = reason.as_str());
     }
 
     /// Logs and removes tenants that have not been refused for a while.
-    pub(super) fn settle(&self, now: Timestamp) {
+    pub(super) fn expire_refusals(&self, now: Timestamp) {
         self.refused.lock().retain(|tenant, refusals| {
-            let refused = now.since(refusals.last) < SERVED_AFTER;
+            let refused = now.since(refusals.last) < SERVED_AGAIN_AFTER;
             if !refused {
                 emit!(EventId::TenantServed, tenant = %tenant, refused = refusals.count);
             }
--- a/crates/router/src/gateway/limits/metrics.rs
+++ b/crates/router/src/gateway/limits/metrics.rs
@@ -11,9 +11,9 @@
 use super::Limits;
 
 /// Maximum number of tenants with a label of their own.
-const MOST_LABELS: usize = 32;
+const MAX_TENANT_LABELS: usize = 32;
 /// Label shared by all other tenants.
-const OTHERS: &str = "(others)";
+const OTHERS_LABEL: &str = "(others)";
 
 pub(super) struct LimitMetrics {
     refused: IntCounterVec,
@@ -70,14 +70,16 @@
         })
     }
 
-    pub(super) fn refused(&self, tenant: &TenantName, why: RefusalReason) {
+    pub(super) fn record_refusal(&self, tenant: &TenantName, reason: RefusalReason) {
         let mut labels = self.labels.lock();
-        let label = match labels.len() < MOST_LABELS || labels.contains(tenant) {
+        let label = match labels.len() < MAX_TENANT_LABELS || labels.contains(tenant) {
             true => tenant.as_str(),
-            false => OTHERS,
+            false => OTHERS_LABEL,
         };
-        self.refused.with_label_values(&[label, why.as_str()]).inc();
-        if label != OTHERS {
+        self.refused
+            .with_label_values(&[label, reason.as_str()])
+            .inc();
+        if label != OTHERS_LABEL {
             labels.insert(tenant.clone());
         }
     }
@@ -88,20 +90,20 @@
     pub(in super::super) fn update_metrics(&self) {
         let metrics = &self.shared.metrics;
         let (mut tenants, ledger, fallback) = self.with(|state, now| {
-            let tenants = state.spender.tenants(now);
+            let tenants = state.rate_limiter.tenants(now);
             let ledger = state.ledger.is_some();
-            (tenants, ledger, state.spender.in_fallback(now))
+            (tenants, ledger, state.rate_limiter.in_fallback(now))
         });
         metrics.ledger.set(ledger.into());
         metrics.fallback.set(fallback.into());
         metrics.rates.reset();
         metrics.tokens.reset();
         tenants.sort_by(|left, right| right.1.rate.total_cmp(&left.1.rate));
-        for (name, view) in tenants.into_iter().take(MOST_LABELS) {
-            let rate = (view.rate * 1_000.0) as i64;
+        for (name, usage) in tenants.into_iter().take(MAX_TENANT_LABELS) {
+            let rate = (usage.rate * 1_000.0) as i64;
             metrics.rates.with_label_values(&[name.as_str()]).set(rate);
             let tokens = metrics.tokens.with_label_values(&[name.as_str()]);
-            tokens.set(view.tokens.into());
+            tokens.set(usage.tokens.into());
         }
     }
 }
--- a/crates/router/src/gateway/limits/operate.rs
+++ b/crates/router/src/gateway/limits/operate.rs
@@ -70,11 +70,15 @@
 
     fn status(&self) -> LimitsStatus {
         self.with(|state, now| {
-            let tenants = state.spender.tenants(now).into_iter();
-            let tenants = tenants.map(|(name, view)| {
+            let tenants = state.rate_limiter.tenants(now).into_iter();
+            let tenants = tenants.map(|(name, usage)| {
                 let ledger = state.ledger.as_ref();
-                let account = ledger.and_then(|ledger| ledger.tenant_load(&name));
-                self.tenant_status(&name, &view, account.map(|(_, level, rate)| (level, rate)))
+                let ledger_load = ledger.and_then(|ledger| ledger.tenant_load(&name));
+                self.tenant_status(
+                    &name,
+                    &usage,
+                    ledger_load.map(|(_, level, rate)| (level, rate)),
+                )
             });
             let tenants = tenants.collect();
             LimitsStatus {
@@ -84,7 +88,7 @@
                     .map(|address| address.to_string()),
                 term: state.holder.map(|(term, _)| term.0),
                 kept_here: state.ledger.as_ref().map(|ledger| ledger.has_full_rate()),
-                fallback: state.spender.in_fallback(now),
+                fallback: state.rate_limiter.in_fallback(now),
                 tenants,
             }
         })
@@ -93,22 +97,22 @@
     fn tenant_status(
         &self,
         name: &TenantName,
-        view: &TenantUsage,
-        account: Option<(f64, f64)>,
+        usage: &TenantUsage,
+        ledger_load: Option<(f64, f64)>,
     ) -> TenantStatus {
         let refusals = self.shared.log.refusals(name);
         TenantStatus {
             tenant: name.as_str().to_owned(),
-            limit_per_s: view.limit.rate,
-            burst: view.limit.burst,
-            rate_here: view.rate,
-            tokens_here: view.tokens,
-            share_here: view.share,
-            refused: refusals.map(|refusals| refusals.why.as_str()),
+            limit_per_s: usage.limit.rate,
+            burst: usage.limit.burst,
+            rate_here: usage.rate,
+            tokens_here: usage.tokens,
+            share_here: usage.share,
+            refused: refusals.map(|refusals| refusals.reason.as_str()),
             refusals: refusals.map_or(0, |refusals| refusals.count),
-            none_for_s: view.retry_after.as_secs_f64(),
-            rate_everywhere: account.map(|(_, rate)| rate),
-            ledger_tokens: account.map(|(level, _)| level),
+            none_for_s: usage.retry_after.as_secs_f64(),
+            rate_everywhere: ledger_load.map(|(_, rate)| rate),
+            ledger_tokens: ledger_load.map(|(level, _)| level),
         }
     }
 }
--- a/crates/router/src/gateway/limits/requester.rs
+++ b/crates/router/src/gateway/limits/requester.rs
@@ -20,12 +20,12 @@
     pub(super) async fn run(self) {
         let shared = self.limits.shared.clone();
         loop {
-            let wanted = shared.wanted.next();
-            let (ask, wake) = self
+            let quota_needed = shared.quota_needed.next();
+            let (request, wake) = self
                 .limits
-                .with(|state, now| (state.spender.poll(now), state.spender.next_wake()));
-            if let Some(ask) = ask {
-                self.send(ask).await;
+                .with(|state, now| (state.rate_limiter.poll(now), state.rate_limiter.next_wake()));
+            if let Some(request) = request {
+                self.send(request).await;
                 continue;
             }
             match wake {
@@ -33,44 +33,44 @@
                     let deadline = shared.clock.instant(wake);
                     // The loop polls again whether it was notified or timed
                     // out.
-                    let _ = timer::timeout_at(deadline, wanted).await;
+                    let _ = timer::timeout_at(deadline, quota_needed).await;
                 }
-                None => wanted.await,
+                None => quota_needed.await,
             }
         }
     }
 
-    async fn send(&self, ask: QuotaRequest) {
-        let number = ask.number;
-        let answer = self.answer(ask).await;
-        let (used, doubts) = self.limits.with(|state, now| {
-            match answer {
-                Some(answer) => state.spender.on_response(now, number, answer),
-                None => state.spender.on_timeout(now, number),
+    async fn send(&self, request: QuotaRequest) {
+        let number = request.number;
+        let response = self.request_quota(request).await;
+        let (in_fallback, check_lease) = self.limits.with(|state, now| {
+            match response {
+                Some(response) => state.rate_limiter.on_response(now, number, response),
+                None => state.rate_limiter.on_timeout(now, number),
             }
-            state.yield_office();
-            let doubts = state.doubts_ledger(now, Duration::ZERO);
-            (state.spender.in_fallback(now), doubts)
+            state.drop_superseded_ledger();
+            let check_lease = state.should_check_lease(now, Duration::ZERO);
+            (state.rate_limiter.in_fallback(now), check_lease)
         });
         let shared = &self.limits.shared;
-        shared.log.fallback(used);
-        shared.log.settle(shared.clock.now());
-        shared.answered.notify();
-        if doubts {
+        shared.log.log_fallback(in_fallback);
+        shared.log.expire_refusals(shared.clock.now());
+        shared.request_ended.notify();
+        if check_lease {
             shared.changed.notify();
         }
     }
 
-    async fn answer(&self, ask: QuotaRequest) -> Option<QuotaResponse> {
-        let (own, holder) = self
+    async fn request_quota(&self, request: QuotaRequest) -> Option<QuotaResponse> {
+        let (kept_here, holder) = self
             .limits
             .with(|state, _now| (state.ledger.is_some(), state.holder));
-        if own {
-            return Some(self.limits.handle_request(&ask));
+        if kept_here {
+            return Some(self.limits.handle_request(&request));
         }
         let (_, address) = holder?;
-        let asked = self.client.request_quota(address?, &ask);
-        timer::timeout(QUOTA_REQUEST_TIMEOUT, asked)
+        let sent = self.client.request_quota(address?, &request);
+        timer::timeout(QUOTA_REQUEST_TIMEOUT, sent)
             .await
             .ok()
             .flatten()
--- a/crates/router/src/gateway/limits/state.rs
+++ b/crates/router/src/gateway/limits/state.rs
@@ -22,13 +22,13 @@
 
 /// Time before the end of its lease from which a ledger reports the lease as at
 /// risk, so that other gateways look for another ledger.
-const AILING_BEFORE: Duration = Duration::from_millis(3_500);
+const LEASE_AT_RISK_BEFORE: Duration = Duration::from_millis(3_500);
 
 /// Election settings for the ledger's lease: those of a coordinator, but with a
 /// longer lease, so that a store outage of some seconds ends no ledger.
-pub(super) fn office_settings(office: Duration) -> threadledge_coordination::Settings {
+pub(super) fn election_settings(lease: Duration) -> threadledge_coordination::Settings {
     threadledge_coordination::Settings {
-        lease: office,
+        lease,
         lease_renewal: LEASE_RENEWAL,
         standby_poll: STANDBY_POLL,
         takeover_after: TAKEOVER_AFTER,
@@ -39,29 +39,33 @@
 pub(super) struct State {
     pub(super) me: NodeIdentity,
     pub(super) settings: Settings,
-    pub(super) spender: RateLimiter,
+    pub(super) rate_limiter: RateLimiter,
     pub(super) election: Election,
     pub(super) ledger: Option<Ledger>,
     /// Term and peer address of the gateway that keeps the ledger, if known.
     pub(super) holder: Option<(Term, Option<SocketAddr>)>,
     pub(super) limits: BTreeMap<TenantName, RateLimit>,
     /// Whether a planned stop has begun.
-    pub(super) leaving: bool,
+    pub(super) stopping: bool,
 }
 
 impl State {
     pub(super) fn new(me: NodeIdentity, settings: Settings) -> Self {
-        let spender = RateLimiter::new(me.node.clone(), me.incarnation, settings.clone());
-        let election = Election::new(me.clone(), office_settings(settings.lease), Duration::ZERO);
+        let rate_limiter = RateLimiter::new(me.node.clone(), me.incarnation, settings.clone());
+        let election = Election::new(
+            me.clone(),
+            election_settings(settings.lease),
+            Duration::ZERO,
+        );
         State {
             me,
             settings,
-            spender,
+            rate_limiter,
             election,
             ledger: None,
             holder: None,
             limits: BTreeMap::new(),
-            leaving: false,
+            stopping: false,
         }
     }
 
@@ -69,65 +73,78 @@
         if let Some(ledger) = &mut self.ledger {
             ledger.set_limits(now, limits.clone());
         }
-        self.spender.set_limits(limits.clone());
+        self.rate_limiter.set_limits(limits.clone());
         self.limits = limits;
     }
 
     /// Records that the ledger of this term is kept at `address`.
-    pub(super) fn hear_of(&mut self, now: Timestamp, term: Term, address: Option<SocketAddr>) {
+    pub(super) fn observe_holder(
+        &mut self,
+        now: Timestamp,
+        term: Term,
+        address: Option<SocketAddr>,
+    ) {
         if self.holder.is_none_or(|(known, _)| known <= term) {
             self.holder = Some((term, address));
         }
-        self.spender.observe_term(now, term);
-        self.yield_office();
+        self.rate_limiter.observe_term(now, term);
+        self.drop_superseded_ledger();
     }
 
     /// Drops a ledger kept here once a later term is known. It has to end
     /// before its gateway sends quota requests to the next ledger, because from
     /// that request on, the quota that this gateway holds counts as accounted
     /// for there.
-    pub(super) fn yield_office(&mut self) {
+    pub(super) fn drop_superseded_ledger(&mut self) {
         let Some(ledger) = &self.ledger else {
             return;
         };
-        if self.spender.term().is_some_and(|term| term > ledger.term()) {
+        if self
+            .rate_limiter
+            .term()
+            .is_some_and(|term| term > ledger.term())
+        {
             self.ledger = None;
         }
     }
 
     /// Returns whether the ledger's lease should be checked in the store: it is
     /// held here, its holder is unknown, the holder has been unreachable for
-    /// `patience`, or the holder reports that its lease is at risk.
-    pub(super) fn doubts_ledger(&self, now: Timestamp, patience: Duration) -> bool {
-        let held = self.election.leading_term().is_some() || self.leaving;
+    /// `min_unreachable`, or the holder reports that its lease is at risk.
+    pub(super) fn should_check_lease(&self, now: Timestamp, min_unreachable: Duration) -> bool {
+        let held = self.election.leading_term().is_some() || self.stopping;
         let unknown = self.holder.is_none_or(|(_, address)| address.is_none());
         let lost = self
-            .spender
+            .rate_limiter
             .unreachable_for(now)
-            .is_some_and(|lost| lost >= patience);
-        held || unknown || lost || self.spender.is_ledger_lease_at_risk()
+            .is_some_and(|lost| lost >= min_unreachable);
+        held || unknown || lost || self.rate_limiter.is_ledger_lease_at_risk()
     }
 
     /// Resigns the ledger's lease. This gateway grants nothing from here on.
-    pub(super) fn leave(&mut self, now: Timestamp) {
-        self.leaving = true;
+    pub(super) fn resign(&mut self, now: Timestamp) {
+        self.stopping = true;
         self.ledger = None;
         self.election.resign(now);
     }
 
     /// Answers a quota request. Also returns whether the holder record has to
     /// be written.
-    pub(super) fn answer(&mut self, now: Timestamp, ask: &QuotaRequest) -> (QuotaResponse, bool) {
+    pub(super) fn handle_request(
+        &mut self,
+        now: Timestamp,
+        request: &QuotaRequest,
+    ) -> (QuotaResponse, bool) {
         if !self.election.holds_lease(now) {
             return (QuotaResponse::NotLeader, false);
         }
         match &mut self.ledger {
             Some(ledger) => {
-                let mut answer = ledger.handle_request(now, ask);
-                if let QuotaResponse::Ledger { lease_at_risk, .. } = &mut answer {
-                    *lease_at_risk = !self.election.holds_lease(now + AILING_BEFORE);
+                let mut response = ledger.handle_request(now, request);
+                if let QuotaResponse::Ledger { lease_at_risk, .. } = &mut response {
+                    *lease_at_risk = !self.election.holds_lease(now + LEASE_AT_RISK_BEFORE);
                 }
-                (answer, ledger.needs_record_update(now))
+                (response, ledger.needs_record_update(now))
             }
             None => (QuotaResponse::NotLeader, false),
         }
--- a/crates/router/src/gateway/log.rs
+++ b/crates/router/src/gateway/log.rs
@@ -16,12 +16,12 @@
 use crate::events::{EventId, emit};
 
 /// Maximum attempts listed in the log line of one request.
-const MOST_ATTEMPTS: usize = 6;
+const MAX_LOGGED_ATTEMPTS: usize = 6;
 
 /// One in this many plain successes is logged.
-const SAMPLE: u64 = 64;
+const SUCCESS_SAMPLE_INTERVAL: u64 = 64;
 /// Maximum request lines per second.
-const LINES_PER_SECOND: u64 = 50;
+const MAX_LINES_PER_SECOND: u64 = 50;
 
 /// Content of the log line of one request.
 pub(super) struct RequestLine {
@@ -68,10 +68,10 @@
         }
     }
 
-    pub(super) fn begun(&mut self, begun: &StartedExchange) {
-        self.route = Some(begun.route.name.clone());
-        self.service = Some(begun.service.clone());
-        if begun.in_transit {
+    pub(super) fn record_start(&mut self, exchange: &StartedExchange) {
+        self.route = Some(exchange.route.name.clone());
+        self.service = Some(exchange.service.clone());
+        if exchange.in_transit {
             self.forget_content();
         }
     }
@@ -83,7 +83,7 @@
         self.key = None;
     }
 
-    pub(super) fn own(&mut self, outcome: &Outcome) {
+    pub(super) fn record_own_outcome(&mut self, outcome: &Outcome) {
         self.outcome = match outcome {
             Outcome::Refused(refusal) => refusal.reason.as_str(),
             Outcome::Unknown(reason) => reason.as_str(),
@@ -94,7 +94,7 @@
         self.started.elapsed()
     }
 
-    fn is_plain(&self) -> bool {
+    fn is_plain_success(&self) -> bool {
         self.outcome == "answered" && self.attempts.is_empty() && self.status < 500
     }
 
@@ -102,7 +102,7 @@
     /// and time in milliseconds after the request head.
     fn attempts_text(&self) -> String {
         let mut text = String::new();
-        for attempt in self.attempts.iter().take(MOST_ATTEMPTS) {
+        for attempt in self.attempts.iter().take(MAX_LOGGED_ATTEMPTS) {
             let at = attempt.at.saturating_duration_since(self.started);
             let end = end_text(&attempt.end);
             let separator = if text.is_empty() { "" } else { "; " };
@@ -114,7 +114,7 @@
                 at.as_millis()
             );
         }
-        let more = self.attempts.len().saturating_sub(MOST_ATTEMPTS);
+        let more = self.attempts.len().saturating_sub(MAX_LOGGED_ATTEMPTS);
         if more > 0 {
             let _ = write!(text, "; {more} more");
         }
@@ -137,7 +137,7 @@
     origin: Instant,
     second: AtomicU64,
     written: AtomicU64,
-    plain: AtomicU64,
+    plain_successes: AtomicU64,
     pub(super) dropped: AtomicU64,
 }
 
@@ -147,17 +147,17 @@
             origin: Instant::now(),
             second: AtomicU64::new(0),
             written: AtomicU64::new(0),
-            plain: AtomicU64::new(0),
+            plain_successes: AtomicU64::new(0),
             dropped: AtomicU64::new(0),
         }
     }
 
     pub(super) fn write(&self, line: &RequestLine) {
-        if line.is_plain()
+        if line.is_plain_success()
             && !self
-                .plain
+                .plain_successes
                 .fetch_add(1, Ordering::Relaxed)
-                .is_multiple_of(SAMPLE)
+                .is_multiple_of(SUCCESS_SAMPLE_INTERVAL)
         {
             return;
         }
@@ -189,6 +189,6 @@
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.written.store(0, Ordering::Relaxed);
         }
-        self.written.fetch_add(1, Ordering::Relaxed) < LINES_PER_SECOND
+        self.written.fetch_add(1, Ordering::Relaxed) < MAX_LINES_PER_SECOND
     }
 }
--- a/crates/router/src/gateway/metrics.rs
+++ b/crates/router/src/gateway/metrics.rs
@@ -52,7 +52,7 @@
     hedges: IntGauge,
     repeats_denied: IntGauge,
     abandoned: IntGauge,
-    relayed: IntGauge,
+    follows_relay: IntGauge,
     fleet: IntGauge,
     crashes: IntGauge,
     suspected: IntGauge,
@@ -136,12 +136,12 @@
 
     /// Counts a request that starts before an earlier one on its connection is
     /// answered.
-    pub(super) fn pipelined(&self) {
+    pub(super) fn record_pipelined(&self) {
         self.pipelined.inc();
     }
 
     /// Counts a finished request and its latency.
-    pub(super) fn request(&self, line: &RequestLine) {
+    pub(super) fn record_request(&self, line: &RequestLine) {
         let service = line.service.as_ref().map_or("", ServiceName::as_str);
         self.requests
             .with_label_values(&[service, line.outcome])
@@ -160,7 +160,9 @@
         self.gauges.update(&self.dispatch);
         self.dispatch
             .with(|dispatcher, now| self.retries.update(now, dispatcher));
-        self.gauges.relayed.set(self.sources.has_relay().into());
+        self.gauges
+            .follows_relay
+            .set(self.sources.has_relay().into());
         let fleet = self.sources.fleet_size().unwrap_or(0);
         self.gauges.fleet.set(fleet.into());
         let mut buffer = Vec::new();
@@ -196,7 +198,7 @@
             )?,
             suspected: gauge("requests_suspected", "Requests under which a process ended")?,
             held: gauge("requests_held", "Requests that are sent to no back end")?,
-            relayed: gauge(
+            follows_relay: gauge(
                 "follows_relay",
                 "1 while another gateway watches the store for this one",
             )?,
@@ -214,7 +216,9 @@
             self.ejected.set(ejected as i64);
             self.configuration
                 .set(version.map_or(0, |version| version.0 as i64));
-            let tenants = dispatcher.configuration().map(|each| each.tenants.len());
+            let tenants = dispatcher
+                .configuration()
+                .map(|configuration| configuration.tenants.len());
             self.tenants.set(tenants.unwrap_or(0) as i64);
             self.keys.set(dispatcher.api_key_count() as i64);
             self.attempts.set(counters.attempts as i64);
--- a/crates/router/src/gateway/operate_keys.rs
+++ b/crates/router/src/gateway/operate_keys.rs
@@ -42,11 +42,11 @@
         ));
     };
     let state = dispatch.with(|dispatcher, now| {
-        let holder = dispatcher.caller_of_key(&digest);
+        let tenant = dispatcher.caller_of_key(&digest);
         KeyState {
-            tenant: holder.map(|holder| holder.name.to_string()),
-            priority: holder.and_then(|holder| holder.priority),
-            limit: holder.and_then(|holder| holder.limit),
+            tenant: tenant.map(|tenant| tenant.name.to_string()),
+            priority: tenant.and_then(|tenant| tenant.priority),
+            limit: tenant.and_then(|tenant| tenant.limit),
             version: dispatcher.configuration_version().map(|version| version.0),
             unsure: dispatcher.api_keys_stale(now),
         }
--- a/crates/router/src/gateway/readiness.rs
+++ b/crates/router/src/gateway/readiness.rs
@@ -27,39 +27,39 @@
 #[derive(Debug, Default)]
 pub(super) struct Readiness {
     configured: AtomicBool,
-    listed: AtomicBool,
-    leaving: AtomicBool,
-    told: AtomicBool,
+    back_ends_known: AtomicBool,
+    stopping: AtomicBool,
+    last_logged: AtomicBool,
 }
 
 impl Readiness {
     /// Records that a configuration is in force.
     pub(super) fn set_configured(&self) {
         self.configured.store(true, Ordering::Relaxed);
-        self.tell();
+        self.log_change();
     }
 
     /// Records that the back ends are known.
     pub(super) fn set_back_ends_known(&self) {
-        self.listed.store(true, Ordering::Relaxed);
-        self.tell();
+        self.back_ends_known.store(true, Ordering::Relaxed);
+        self.log_change();
     }
 
     /// Records that a planned stop has begun.
     pub(super) fn begin_stop(&self) {
-        self.leaving.store(true, Ordering::Relaxed);
-        self.tell();
+        self.stopping.store(true, Ordering::Relaxed);
+        self.log_change();
     }
 
     pub(super) fn is_ready(&self) -> bool {
         let configured = self.configured.load(Ordering::Relaxed);
-        let listed = self.listed.load(Ordering::Relaxed);
-        configured && listed && !self.leaving.load(Ordering::Relaxed)
+        let back_ends_known = self.back_ends_known.load(Ordering::Relaxed);
+        configured && back_ends_known && !self.stopping.load(Ordering::Relaxed)
     }
 
-    fn tell(&self) {
+    fn log_change(&self) {
         let ready = self.is_ready();
-        if self.told.swap(ready, Ordering::Relaxed) == ready {
+        if self.last_logged.swap(ready, Ordering::Relaxed) == ready {
             return;
         }
         if ready {
@@ -111,13 +111,13 @@
             return self.metrics_text();
         }
         let suspects = self.suspects.as_ref();
-        let held = suspects.and_then(|suspects| suspects.operate(request));
+        let response = suspects.and_then(|suspects| suspects.operate(request));
         let keys = self.keys.as_ref();
-        let operated = held.or_else(|| operate_keys::operate(keys?, request));
+        let response = response.or_else(|| operate_keys::operate(keys?, request));
         // Only operators may see limits; `suspects` is set only on their
         // listener.
-        let operated = operated.or_else(|| suspects.and(self.limits.operate(request)));
-        operated.unwrap_or_else(|| answer::text(404, "unknown-path", None))
+        let response = response.or_else(|| suspects.and(self.limits.operate(request)));
+        response.unwrap_or_else(|| answer::text(404, "unknown-path", None))
     }
 
     fn metrics_text(&self) -> Response {
--- a/crates/router/src/gateway/requests.rs
+++ b/crates/router/src/gateway/requests.rs
@@ -14,11 +14,11 @@
 
 use super::admission::{Head, host_of};
 use super::answer;
-use super::attempt::{Attempts, Outbound};
+use super::attempt::{Attempts, OutboundRequest};
 use super::bodies::{self, Bodies};
 use super::disconnects::{RequestTracker, Stage};
 use super::exchange::{Conclusion, Exchange};
-use super::limits::{Limits, Permit, Refused};
+use super::limits::{LimitRefusal, Limits, Permit};
 use super::log::{RequestLine, RequestLogger};
 use super::metrics::GatewayMetrics;
 use super::suspects::identity::{self, Sender};
@@ -27,7 +27,7 @@
 /// Request bodies of up to this size, in bytes, are read before anything is
 /// sent to a back end, so that a request that a back end refuses can be sent
 /// again.
-const READ_AHEAD: usize = 64 * 1024;
+const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
 
 /// State shared by all requests of callers.
 pub(super) struct RequestHandler {
@@ -44,19 +44,19 @@
 
 /// Releases the exchange in the dispatcher when the request ends for any
 /// reason, including a dropped future.
-struct Guard<'a> {
+struct ReleaseGuard<'a> {
     requests: &'a RequestHandler,
     id: ExchangeId,
 }
 
-impl Drop for Guard<'_> {
+impl Drop for ReleaseGuard<'_> {
     fn drop(&mut self) {
         self.requests.attempts.dispatch.release(self.id);
     }
 }
 
 /// An admitted request whose body has not been read yet.
-struct Arrival {
+struct AdmittedRequest {
     request: Request,
     caller: RequestMetadata,
     from: IpAddr,
@@ -68,9 +68,9 @@
 }
 
 /// Response to an admitted request, with whether the request may have run.
-enum Served {
+enum ServeResult {
     /// The request ran or may have run.
-    Run(Response),
+    MayHaveRun(Response),
     /// The request certainly did not run.
     NotRun(Response),
 }
@@ -94,7 +94,7 @@
         let from = connection.peer.ip();
         let started = connection.read_at;
         if connection.unanswered_before > 0 {
-            self.metrics.pipelined();
+            self.metrics.record_pipelined();
         }
         let method = request.method();
         let caller = self.attempts.header_codec.read_request(request.as_ref());
@@ -106,7 +106,7 @@
             response.insert_header(CONNECTION, "close");
         }
         line.status = u16::from(response.status());
-        self.metrics.request(&line);
+        self.metrics.record_request(&line);
         self.logger.write(&line);
         tracker.track_response(&mut response, method);
         response
@@ -120,10 +120,10 @@
         line: &mut RequestLine,
         tracker: &mut RequestTracker,
     ) -> Response {
-        let head = Head::of(&request, &caller);
+        let head = Head::from_request(&request, &caller);
         let admission = match head.admit(&self.attempts.dispatch) {
             Ok(admission) => admission,
-            Err(refusal) => return refused(&refusal, line),
+            Err(refusal) => return refusal_response(&refusal, line),
         };
         line.tenant = admission.tenant_name().cloned();
         let in_transit = self.attempts.dispatch.passes_through(&admission);
@@ -133,14 +133,14 @@
         // Checked before any of the body is read, queued or charged to a
         // budget, so that a tenant far beyond its limit costs the other tenants
         // nothing.
-        let permit = match self.permit(&admission).await {
+        let permit = match self.acquire_permit(&admission).await {
             Ok(permit) => permit,
-            Err(refused) => {
-                line.outcome = refused.why.as_str();
-                return answer::text(429, refused.why.as_str(), Some(refused.wait));
+            Err(refusal) => {
+                line.outcome = refusal.reason.as_str();
+                return answer::text(429, refusal.reason.as_str(), Some(refusal.retry_after));
             }
         };
-        let arrival = Arrival {
+        let admitted = AdmittedRequest {
             request,
             caller,
             from,
@@ -148,53 +148,53 @@
             admission,
             in_transit,
         };
-        match self.serve(arrival, line, tracker).await {
-            Served::Run(response) => response,
-            Served::NotRun(response) => {
-                permit.not_run();
+        match self.serve(admitted, line, tracker).await {
+            ServeResult::MayHaveRun(response) => response,
+            ServeResult::NotRun(response) => {
+                permit.refund();
                 response
             }
         }
     }
 
     /// Obtains a permit under the tenant's rate limit.
-    async fn permit(&self, admission: &Admission) -> Result<Permit, Refused> {
+    async fn acquire_permit(&self, admission: &Admission) -> Result<Permit, LimitRefusal> {
         match admission.tenant_name() {
             Some(tenant) => self.limits.admit(tenant).await,
-            None => Ok(Permit::free()),
+            None => Ok(Permit::unlimited()),
         }
     }
 
     async fn serve(
         &self,
-        arrival: Arrival,
+        admitted: AdmittedRequest,
         line: &mut RequestLine,
         tracker: &mut RequestTracker,
-    ) -> Served {
-        let Arrival {
+    ) -> ServeResult {
+        let AdmittedRequest {
             request,
             caller,
             from,
             head,
             admission,
             in_transit,
-        } = arrival;
+        } = admitted;
         tracker.reached(Stage::Reading);
-        let read = Inbound::read(request, READ_AHEAD, &self.attempts.budget);
+        let read = Inbound::read(request, MAX_READ_AHEAD_BYTES, &self.attempts.budget);
         let mut inbound = match read.await {
             Ok(inbound) => inbound,
             Err((reason, _)) => {
                 line.outcome = reason.as_str();
                 let response = answer::text(reason.status(), reason.as_str(), None);
-                return Served::NotRun(response);
+                return ServeResult::NotRun(response);
             }
         };
-        let Some(_room) = self.bodies.take_in(&mut inbound) else {
+        let Some(_reservation) = self.bodies.admit(&mut inbound) else {
             let reason = NotRunReason::Overloaded;
             line.outcome = reason.as_str();
             let response =
                 answer::text(reason.status(), reason.as_str(), Some(bodies::RETRY_AFTER));
-            return Served::NotRun(response);
+            return ServeResult::NotRun(response);
         };
         let header_codec = self.attempts.header_codec.as_ref();
         // Invariant: no back end sees a caller's API key or a tenant name
@@ -205,50 +205,54 @@
             tenant: admission.tenant_name(),
             address: from,
         };
-        let identity = identity::of(&inbound, sender, header_codec);
+        let identity = identity::compute(&inbound, sender, header_codec);
         line.identity = Some(identity.request).filter(|_| !in_transit);
-        let mut outbound = Outbound::new(inbound, caller.request_id);
+        let mut outbound = OutboundRequest::new(inbound, caller.request_id);
         let info = RequestInfo {
             method: head.method.as_ref(),
-            head: head.call(),
+            head: head.as_request_head(),
             age: line.elapsed(),
             time_left: caller.time_left,
             key: caller.key,
             replayable: outbound.replayable(),
             identity,
         };
-        let (begun, signal) = match self.attempts.dispatch.begin(&info) {
-            Ok(begun) => begun,
-            Err(refusal) => return Served::NotRun(refused(&refusal, line)),
+        let (started_exchange, signal) = match self.attempts.dispatch.begin(&info) {
+            Ok(started_exchange) => started_exchange,
+            Err(refusal) => return ServeResult::NotRun(refusal_response(&refusal, line)),
         };
-        line.begun(&begun);
-        outbound.tenant = begun.caller.as_ref().map(|caller| caller.name.clone());
-        let _guard = Guard {
+        line.record_start(&started_exchange);
+        outbound.tenant = started_exchange
+            .caller
+            .as_ref()
+            .map(|caller| caller.name.clone());
+        let _guard = ReleaseGuard {
             requests: self,
-            id: begun.id,
+            id: started_exchange.id,
         };
-        let mut exchange = Exchange::new(self.attempts.clone(), outbound, &begun, signal);
+        let mut exchange =
+            Exchange::new(self.attempts.clone(), outbound, &started_exchange, signal);
         let conclusion = exchange.run(tracker).await;
         line.attempts = std::mem::take(&mut exchange.history);
         match conclusion {
             Conclusion::Answered { response, back_end } => {
                 line.outcome = "answered";
                 line.back_end = Some(back_end);
-                Served::Run(*response)
+                ServeResult::MayHaveRun(*response)
             }
-            Conclusion::Own(outcome) => {
-                line.own(&outcome);
+            Conclusion::NotAnswered(outcome) => {
+                line.record_own_outcome(&outcome);
                 let response = answer::for_outcome(&outcome);
                 match outcome {
-                    Outcome::Refused(_) => Served::NotRun(response),
-                    Outcome::Unknown(_) => Served::Run(response),
+                    Outcome::Refused(_) => ServeResult::NotRun(response),
+                    Outcome::Unknown(_) => ServeResult::MayHaveRun(response),
                 }
             }
         }
     }
 }
 
-fn refused(refusal: &Refusal, line: &mut RequestLine) -> Response {
+fn refusal_response(refusal: &Refusal, line: &mut RequestLine) -> Response {
     line.outcome = refusal.reason.as_str();
     answer::for_refusal(refusal)
 }
--- a/crates/router/src/gateway/settings.rs
+++ b/crates/router/src/gateway/settings.rs
@@ -103,7 +103,7 @@
             ("ownership.far-order-s", ownership.far_order_s),
         ];
         for (field, value) in positive {
-            if !(value.is_finite() && value > 0.0 && value < LONGEST_S) {
+            if !(value.is_finite() && value > 0.0 && value < MAX_DURATION_S) {
                 let remedy = "write a number of seconds above 0 and below 86,400";
                 return Err(SettingsFault::Value {
                     field,
@@ -157,7 +157,7 @@
 }
 
 /// Upper bound for settings that are durations, in seconds.
-const LONGEST_S: f64 = 86_400.0;
+const MAX_DURATION_S: f64 = 86_400.0;
 
 /// Converts a checked number of seconds.
 pub fn seconds(value: f64) -> Duration {
--- a/crates/router/src/gateway/settings/core_settings.rs
+++ b/crates/router/src/gateway/settings/core_settings.rs
@@ -11,14 +11,14 @@
 
 /// How long the ledger of limits continues without confirmation by the store,
 /// so that a store outage of some seconds does not end it.
-const LEDGER_OFFICE: Duration = Duration::from_secs(6);
+const LEDGER_LEASE: Duration = Duration::from_secs(6);
 /// Fraction of the retry budget's slack that is shared between gateways,
 /// because a relay's record may count up to a fifth fewer gateways than there
 /// are.
-const SLACK_PART: f64 = 0.8;
+const SLACK_FRACTION: f64 = 0.8;
 /// Fraction of the retry budget's ratio that a gateway uses, because its window
 /// and that of an outside observer do not begin at the same time.
-const RATIO_PART: f64 = 0.75;
+const RATIO_FRACTION: f64 = 0.75;
 
 impl GatewaySettings {
     /// Settings of the coordination crate.
@@ -63,7 +63,7 @@
             window: seconds(limits.window_s),
             overage: limits.overage,
             slack: limits.slack,
-            lease: LEDGER_OFFICE,
+            lease: LEDGER_LEASE,
         }
     }
 
@@ -73,8 +73,8 @@
         let retry = &self.retry_budget;
         threadledge_dispatch::Settings {
             topology: self.topology(),
-            retry_ratio: retry.ratio * RATIO_PART,
-            retry_slack: (retry.slack * SLACK_PART)
+            retry_ratio: retry.ratio * RATIO_FRACTION,
+            retry_slack: (retry.slack * SLACK_FRACTION)
                 .floor()
                 .clamp(0.0, f64::from(u32::MAX)) as u32,
             retry_window: seconds(retry.window_s),
--- a/crates/router/src/gateway/settings/tables.rs
+++ b/crates/router/src/gateway/settings/tables.rs
@@ -182,7 +182,7 @@
 /// Fraction of the memory for held bodies. The same amount again is for
 /// streamed bodies, and up to twice that lies unread in the kernel's buffers,
 /// which count as well; the rest is for the gateway itself.
-const HELD_PART: f64 = 0.125;
+const HELD_FRACTION: f64 = 0.125;
 const BYTES_PER_MB: f64 = 1_048_576.0;
 
 impl Default for LimitSettings {
@@ -200,9 +200,9 @@
 impl LimitSettings {
     /// Returns the maximum bytes of bodies held at once.
     pub(crate) fn held_bytes(&self) -> usize {
-        let part = self.memory_mb * BYTES_PER_MB * HELD_PART;
+        let default_bytes = self.memory_mb * BYTES_PER_MB * HELD_FRACTION;
         // A fraction of a machine's memory fits into a usize.
-        self.held_bytes.unwrap_or(part as usize)
+        self.held_bytes.unwrap_or(default_bytes as usize)
     }
 }
 
--- a/crates/router/src/gateway/suspects.rs
+++ b/crates/router/src/gateway/suspects.rs
@@ -24,17 +24,17 @@
 use super::followers::Followers;
 use super::notifier::Notifier;
 use super::peers::PeerClient;
-use gossip::{Cursors, Spreader};
+use gossip::{Cursors, GossipTask};
 use log::HeldLog;
 use neighbours::Neighbours;
-use persistence::Keeper;
-use process_probe::Looker;
+use persistence::PersistenceTask;
+use process_probe::ProcessProber;
 
 /// Observation of the request path about a crash.
 #[derive(Debug)]
 pub(super) enum Finding {
     /// An attempt broke at this process, which may have ended.
-    Broke(ProcessCheck),
+    BrokenAttempt(ProcessCheck),
     /// Processes ended while they ran requests.
     Crashes,
 }
@@ -56,7 +56,7 @@
         (SuspectSignals { findings, changed }, receiver)
     }
 
-    pub(super) fn found(&self, finding: Finding) {
+    pub(super) fn report(&self, finding: Finding) {
         // The channel is unbounded and closes only when the process ends.
         let _ = self.findings.try_send(finding);
     }
@@ -70,7 +70,7 @@
     log: Arc<HeldLog>,
     /// Requests whose crash this gateway saw itself, or that an operator
     /// released here.
-    own: Arc<Mutex<BTreeSet<RequestHash>>>,
+    own_findings: Arc<Mutex<BTreeSet<RequestHash>>>,
     /// Position of this gateway in the tree of relays.
     pub(super) neighbours: Arc<Neighbours>,
 }
@@ -81,7 +81,7 @@
             dispatch,
             cursors: Arc::default(),
             log: Arc::default(),
-            own: Arc::default(),
+            own_findings: Arc::default(),
             neighbours: Arc::default(),
         }
     }
@@ -95,21 +95,21 @@
         followers: Arc<Followers>,
         ports: &Ports,
     ) {
-        let looker = Looker {
+        let prober = ProcessProber {
             service: self.clone(),
             header_codec: ports.header_codec.clone(),
             findings,
         };
-        let keeper = Keeper::new(self.clone(), ports.held_requests.clone());
-        task::spawn(looker.run());
-        task::spawn(keeper.run());
+        let persistence = PersistenceTask::new(self.clone(), ports.held_requests.clone());
+        task::spawn(prober.run());
+        task::spawn(persistence.run());
         if client.own_address().is_some() {
-            let spreader = Spreader {
+            let gossip = GossipTask {
                 service: self.clone(),
                 client,
                 followers,
             };
-            task::spawn(spreader.run());
+            task::spawn(gossip.run());
         } else {
             // A gateway without peers watches the store itself.
             self.neighbours.set_position(None, true);
@@ -121,27 +121,27 @@
         &self,
         from: Option<SocketAddr>,
         source: &str,
-        news: &SuspectUpdate,
+        update: &SuspectUpdate,
     ) {
-        if news.is_empty() {
+        if update.is_empty() {
             return;
         }
         let (before, after) = self.dispatch.with(|dispatcher, now| {
             let before = dispatcher.suspects().changes();
-            dispatcher.merge_suspects(now, news);
+            dispatcher.merge_suspects(now, update);
             (before, dispatcher.suspects().changes())
         });
         if let Some(from) = from {
-            self.cursors.heard(from, before, after);
+            self.cursors.record_received(from, before, after);
         }
-        self.log.tell(&self.dispatch, source);
+        self.log.log_changes(&self.dispatch, source);
     }
 
     /// Returns the suspects known here that concern the requesting gateway: all
     /// for a relay of another zone, otherwise those with repeated crashes.
-    pub(super) fn known_suspects(&self, asks: Option<SocketAddr>) -> SuspectUpdate {
+    pub(super) fn known_suspects(&self, requester: Option<SocketAddr>) -> SuspectUpdate {
         let others = self.neighbours.position().other_relays;
-        let scope = match asks.is_some_and(|asks| others.contains(&asks)) {
+        let scope = match requester.is_some_and(|requester| others.contains(&requester)) {
             true => UpdateScope::All,
             false => UpdateScope::Repeated,
         };
--- a/crates/router/src/gateway/suspects/gossip.rs
+++ b/crates/router/src/gateway/suspects/gossip.rs
@@ -25,15 +25,15 @@
 
 /// Delay before a gateway that did not answer is sent the update again. The
 /// whole fleet has to know of a crash within 3 s.
-const RETRY: Duration = Duration::from_millis(250);
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Delay after each round, so that later changes are sent together. The first
 /// update after a quiet time is sent at once. Without the delay, when a zone of
 /// 97 back ends stopped answering, 74 gateways sent each other 2,589 crashes
 /// one by one, and a configuration arrived later than its bound allows.
-const GATHER: Duration = Duration::from_millis(300);
+const BATCH_DELAY: Duration = Duration::from_millis(300);
 /// Maximum number of peers that are informed while there is no gateway to
 /// follow.
-const MOST_PEERS: usize = 4;
+const MAX_PEERS: usize = 4;
 
 /// Progress of each other gateway: the number of the last local change that it
 /// was sent or itself sent here.
@@ -45,7 +45,7 @@
 impl Cursors {
     /// Records that an update from `from` moved the local state from change
     /// `before` to `after`, so that it need not be sent back.
-    pub(super) fn heard(&self, from: SocketAddr, before: u64, after: u64) {
+    pub(super) fn record_received(&self, from: SocketAddr, before: u64, after: u64) {
         let mut known = self.known.lock();
         if known.get(&from) == Some(&before) {
             known.insert(from, after);
@@ -56,13 +56,13 @@
         self.known.lock().get(&of).copied()
     }
 
-    fn told(&self, to: SocketAddr, changes: u64) {
+    fn record_sent(&self, to: SocketAddr, changes: u64) {
         let mut known = self.known.lock();
         let cursor = known.entry(to).or_default();
         *cursor = (*cursor).max(changes);
     }
 
-    fn keep_only(&self, targets: &BTreeSet<SocketAddr>) {
+    fn retain_targets(&self, targets: &BTreeSet<SocketAddr>) {
         self.known
             .lock()
             .retain(|target, _| targets.contains(target));
@@ -70,7 +70,7 @@
 }
 
 /// Task that sends updates to other gateways.
-pub(super) struct Spreader {
+pub(super) struct GossipTask {
     pub(super) service: SuspectService,
     pub(super) client: PeerClient,
     pub(super) followers: Arc<Followers>,
@@ -82,52 +82,52 @@
     address: SocketAddr,
     /// Whether it may know what this gateway does not; it is then asked for
     /// everything when it is new.
-    asked: bool,
+    is_source: bool,
     scope: UpdateScope,
 }
 
-impl Spreader {
+impl GossipTask {
     /// Sends updates as changes occur; never returns.
     pub(super) async fn run(self) {
         loop {
             let changed = self.service.dispatch.suspect_signals().changed.next();
-            let moved = self.service.neighbours.changed.next();
-            let all_told = self.tell_all().await;
-            timer::sleep(GATHER).await;
-            let news = select(changed, moved);
-            if all_told {
-                news.await;
+            let position_changed = self.service.neighbours.changed.next();
+            let all_up_to_date = self.send_to_all().await;
+            timer::sleep(BATCH_DELAY).await;
+            let any_change = select(changed, position_changed);
+            if all_up_to_date {
+                any_change.await;
             } else {
                 // The loop checks all targets again whether it was notified or
                 // timed out.
-                let _ = timer::timeout(RETRY, news).await;
+                let _ = timer::timeout(RETRY_DELAY, any_change).await;
             }
         }
     }
 
     /// Sends updates to all targets. Returns whether all are up to date.
-    async fn tell_all(&self) -> bool {
+    async fn send_to_all(&self) -> bool {
         let targets = self.targets();
         let addresses = targets.iter().map(|target| target.address).collect();
-        self.service.cursors.keep_only(&addresses);
-        let told = join_all(targets.into_iter().map(|target| self.tell(target))).await;
-        told.into_iter().all(|told| told)
+        self.service.cursors.retain_targets(&addresses);
+        let results = join_all(targets.into_iter().map(|target| self.send_update(target))).await;
+        results.into_iter().all(|up_to_date| up_to_date)
     }
 
     fn targets(&self) -> Vec<Target> {
         let position = self.service.neighbours.position();
         let mut seen: BTreeSet<SocketAddr> = self.client.own_address().into_iter().collect();
         let mut targets = Vec::new();
-        let beside = if position.is_relay {
+        let other_relays = if position.is_relay {
             position.other_relays
         } else {
             Vec::new()
         };
-        for address in position.upstream.into_iter().chain(beside) {
+        for address in position.upstream.into_iter().chain(other_relays) {
             if seen.insert(address) {
                 targets.push(Target {
                     address,
-                    asked: true,
+                    is_source: true,
                     scope: UpdateScope::All,
                 });
             }
@@ -135,12 +135,12 @@
         // Below a relay the tree is enough. Relays, and gateways that are
         // looking for one, also inform peers, to bridge the gap while another
         // relay is being lost.
-        let most = if position.upstream.is_some() {
+        let max_peers = if position.upstream.is_some() {
             0
         } else {
-            MOST_PEERS
+            MAX_PEERS
         };
-        let peers = self.client.most_recent().into_iter().take(most);
+        let peers = self.client.most_recent().into_iter().take(max_peers);
         let peers = peers.map(|peer| (peer, UpdateScope::All));
         let followers = self.followers.addresses().into_iter();
         let followers = followers.map(|follower| (follower, UpdateScope::Repeated));
@@ -148,7 +148,7 @@
             if seen.insert(address) {
                 targets.push(Target {
                     address,
-                    asked: false,
+                    is_source: false,
                     scope,
                 });
             }
@@ -158,21 +158,21 @@
 
     /// Sends one gateway what it lacks. Returns whether it is up to date, or
     /// need not be tried again.
-    async fn tell(&self, target: Target) -> bool {
+    async fn send_update(&self, target: Target) -> bool {
         let cursor = self.service.cursors.get(target.address);
-        let (news, changes) = self.service.dispatch.with(|dispatcher, now| {
+        let (update, changes) = self.service.dispatch.with(|dispatcher, now| {
             let suspects = dispatcher.suspects();
-            let news = suspects.updates_since(cursor.unwrap_or_default(), target.scope, now);
-            (news, suspects.changes())
+            let update = suspects.updates_since(cursor.unwrap_or_default(), target.scope, now);
+            (update, suspects.changes())
         });
-        let whole = target.asked && cursor.is_none();
-        if news.is_empty() && !whole {
+        let request_all = target.is_source && cursor.is_none();
+        if update.is_empty() && !request_all {
             return true;
         }
         let exchange = SuspectExchange {
             from: self.client.own_address(),
-            news,
-            whole,
+            news: update,
+            whole: request_all,
         };
         let Some(answer) = self
             .client
@@ -180,9 +180,9 @@
             .await
         else {
             // A peer outside the tree that does not answer is not retried.
-            return !target.asked && !self.followers.addresses().contains(&target.address);
+            return !target.is_source && !self.followers.addresses().contains(&target.address);
         };
-        self.service.cursors.told(target.address, changes);
+        self.service.cursors.record_sent(target.address, changes);
         let source = target.address.to_string();
         self.service
             .merge_update(Some(target.address), &source, &answer);
--- a/crates/router/src/gateway/suspects/identity.rs
+++ b/crates/router/src/gateway/suspects/identity.rs
@@ -13,7 +13,7 @@
 
 /// Pseudo-header for the tenant. No real header name begins with a colon, so
 /// none can be mistaken for it.
-const TENANT: &str = ":tenant";
+const TENANT_PSEUDO_HEADER: &str = ":tenant";
 
 /// Sender of a request.
 pub(in super::super) struct Sender<'a> {
@@ -24,7 +24,7 @@
 
 /// Returns the identity of `inbound`. The caller's API key has already been
 /// removed; the tenant represents it, whichever of its keys is used.
-pub(in super::super) fn of(
+pub(in super::super) fn compute(
     inbound: &Inbound,
     sender: Sender<'_>,
     header_codec: &dyn HeaderCodec,
@@ -36,13 +36,13 @@
     let mut builder = IdentityBuilder::new(request.method().as_ref(), host, target);
     builder.key(sender.key.map(|key| key.0));
     if let Some(tenant) = sender.tenant {
-        builder.header(TENANT, tenant.as_str());
+        builder.header(TENANT_PSEUDO_HEADER, tenant.as_str());
     }
     builder.body(inbound.digest);
     for (name, values) in request.iter() {
         let name = name.as_str();
-        let counted = [HOST.as_str(), CONTENT_LENGTH.as_str()].contains(&name);
-        if counted
+        let included = [HOST.as_str(), CONTENT_LENGTH.as_str()].contains(&name);
+        if included
             || headers::is_hop_by_hop(name, None)
             || header_codec.varies_between_attempts(name)
         {
--- a/crates/router/src/gateway/suspects/log.rs
+++ b/crates/router/src/gateway/suspects/log.rs
@@ -11,13 +11,13 @@
 /// The held requests last written to the log, each with its label.
 #[derive(Debug, Default)]
 pub(super) struct HeldLog {
-    told: Mutex<BTreeMap<RequestHash, String>>,
+    logged: Mutex<BTreeMap<RequestHash, String>>,
 }
 
 impl HeldLog {
     /// Logs changes of the held requests; `source` is where this gateway
     /// learned of them.
-    pub(super) fn tell(&self, dispatch: &Dispatch, source: &str) {
+    pub(super) fn log_changes(&self, dispatch: &Dispatch, source: &str) {
         let held = dispatch.with(|dispatcher, _now| {
             let held = dispatcher.suspects().held();
             held.map(|(request, suspect)| {
@@ -27,9 +27,9 @@
             })
             .collect::<BTreeMap<_, _>>()
         });
-        let mut told = self.told.lock();
+        let mut logged = self.logged.lock();
         for (request, (label, back_ends)) in &held {
-            if told.insert(*request, label.clone()).is_some() {
+            if logged.insert(*request, label.clone()).is_some() {
                 continue;
             }
             emit!(
@@ -37,12 +37,12 @@
                 identity = %request, request = label, back_ends, source,
             );
         }
-        told.retain(|request, label| {
-            let still = held.contains_key(request);
-            if !still {
+        logged.retain(|request, label| {
+            let still_held = held.contains_key(request);
+            if !still_held {
                 emit!(EventId::RequestLetGo, identity = %request, request = label, source);
             }
-            still
+            still_held
         });
     }
 }
--- a/crates/router/src/gateway/suspects/operate.rs
+++ b/crates/router/src/gateway/suspects/operate.rs
@@ -61,8 +61,8 @@
         if !known {
             return answer::text(404, "no-such-request-is-held", None);
         }
-        self.own.lock().insert(request);
-        self.log.tell(&self.dispatch, "operator");
+        self.own_findings.lock().insert(request);
+        self.log.log_changes(&self.dispatch, "operator");
         answer::text(200, "let-go", None)
     }
 }
--- a/crates/router/src/gateway/suspects/persistence.rs
+++ b/crates/router/src/gateway/suspects/persistence.rs
@@ -1,9 +1,9 @@
 //! Persists in the platform's store the requests that are held and those that
 //! the next crash would hold, because all gateways could end at once.
 //!
-//! This happens a few times a day at the most. The gateway that saw the last
-//! crash of a request writes the record; relays check it two seconds later, in
-//! case that gateway was lost. The record is not watched: gateways inform each
+//! A request gets that far a few times a day at the most. The gateway that saw
+//! its last crash writes the record; relays check it two seconds later, in case
+//! that gateway was lost. The record is not watched: gateways inform each
 //! other, and a new relay reads it once.
 
 use std::collections::BTreeMap;
@@ -19,86 +19,86 @@
 
 use super::SuspectService;
 
-const RECORD: &str = "all";
+const RECORD_NAME: &str = "all";
 /// Delay before a failed store call is retried.
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Time for which a relay leaves the write to the gateway that saw the crash.
-const LEFT_TO_OTHERS: Duration = Duration::from_secs(2);
+const RELAY_WRITE_DELAY: Duration = Duration::from_secs(2);
 /// Maximum attempts of a write that conflicts with other gateways.
-const MOST_CONFLICTS: usize = 5;
+const MAX_CONFLICTS: usize = 5;
 
 /// Task that persists held requests.
-pub(super) struct Keeper {
+pub(super) struct PersistenceTask {
     service: SuspectService,
     store: Arc<dyn RecordStore<HeldRecord>>,
     /// Persisted requests when the record last agreed with the local state.
-    kept: BTreeMap<RequestHash, PersistReason>,
+    persisted: BTreeMap<RequestHash, PersistReason>,
 }
 
-impl Keeper {
+impl PersistenceTask {
     pub(super) fn new(service: SuspectService, store: Arc<dyn RecordStore<HeldRecord>>) -> Self {
-        Keeper {
+        PersistenceTask {
             service,
             store,
-            kept: BTreeMap::new(),
+            persisted: BTreeMap::new(),
         }
     }
 
     /// Keeps the record up to date; never returns.
     pub(super) async fn run(mut self) {
-        let mut relayed = false;
+        let mut synchronized_as_relay = false;
         loop {
-            let relays = self.service.neighbours.position().is_relay;
-            let newly = relays && !relayed;
-            let read = newly && self.synchronize().await;
+            let is_relay = self.service.neighbours.position().is_relay;
+            let is_new_relay = is_relay && !synchronized_as_relay;
+            let read = is_new_relay && self.synchronize().await;
             // A failed read is retried.
-            relayed = relays && (relayed || read);
-            let mut failed = newly && !read;
+            synchronized_as_relay = is_relay && (synchronized_as_relay || read);
+            let mut failed = is_new_relay && !read;
             let changed = self.service.dispatch.suspect_signals().changed.next();
-            let moved = self.service.neighbours.changed.next();
-            if self.to_keep() != self.kept {
-                failed = !self.write_down(relays).await;
+            let position_changed = self.service.neighbours.changed.next();
+            if self.to_persist() != self.persisted {
+                failed = !self.update_record(is_relay).await;
             }
-            let news = select(changed, moved);
-            if failed || self.to_keep() != self.kept && relays {
+            let any_change = select(changed, position_changed);
+            if failed || self.to_persist() != self.persisted && is_relay {
                 // The loop checks everything again whether it was notified or
                 // timed out.
-                let _ = timer::timeout(RETRY, news).await;
+                let _ = timer::timeout(RETRY_DELAY, any_change).await;
             } else {
-                news.await;
+                any_change.await;
             }
         }
     }
 
-    fn to_keep(&self) -> BTreeMap<RequestHash, PersistReason> {
+    fn to_persist(&self) -> BTreeMap<RequestHash, PersistReason> {
         let dispatch = &self.service.dispatch;
         dispatch.with(|dispatcher, _now| dispatcher.suspects().to_persist())
     }
 
     /// Returns whether a difference from the record was caused here, by a crash
     /// that this gateway saw or by an operator's release.
-    fn is_own(&self) -> bool {
-        let to_keep = self.to_keep();
-        let new = to_keep.iter();
-        let new = new.filter(|(request, kept)| self.kept.get(request) != Some(kept));
-        let gone = self.kept.keys();
-        let gone = gone.filter(|request| !to_keep.contains_key(request));
+    fn has_own_changes(&self) -> bool {
+        let to_persist = self.to_persist();
+        let new = to_persist.iter();
+        let new = new.filter(|(request, persisted)| self.persisted.get(request) != Some(persisted));
+        let gone = self.persisted.keys();
+        let gone = gone.filter(|request| !to_persist.contains_key(request));
         let mut differing = new.map(|(request, _)| request).chain(gone);
-        let own = self.service.own.lock();
+        let own = self.service.own_findings.lock();
         differing.any(|request| own.contains(request))
     }
 
     /// Updates the record if that is this gateway's task. Returns whether
     /// nothing failed.
-    async fn write_down(&mut self, relays: bool) -> bool {
-        if self.is_own() {
+    async fn update_record(&mut self, is_relay: bool) -> bool {
+        if self.has_own_changes() {
             return self.synchronize().await;
         }
-        if !relays {
+        if !is_relay {
             return true;
         }
         let changed = self.service.dispatch.suspect_signals().changed.next();
-        let wait = pin!(timer::sleep(LEFT_TO_OTHERS));
+        let wait = pin!(timer::sleep(RELAY_WRITE_DELAY));
         match select(wait, changed).await {
             Either::Left(_) => self.synchronize().await,
             // More changes arrived, so the wait starts anew.
@@ -109,28 +109,28 @@
     /// Reads the record and writes what it lacks. Returns whether the record
     /// and the local state now agree.
     async fn synchronize(&mut self) -> bool {
-        let mut read = match self.store.read(RECORD, Freshness::Linearizable).await {
+        let mut read = match self.store.read(RECORD_NAME, Freshness::Linearizable).await {
             ReadResult::Found(found) => found,
             ReadResult::Failed => return false,
         };
-        for _ in 0..MOST_CONFLICTS {
+        for _ in 0..MAX_CONFLICTS {
             let known = read.as_ref().map(|found| found.value.clone());
             let known = known.unwrap_or_default();
-            self.take(&known);
-            let (updated, kept) = self.service.dispatch.with(|dispatcher, now| {
+            self.merge(&known);
+            let (updated, persisted) = self.service.dispatch.with(|dispatcher, now| {
                 let suspects = dispatcher.suspects();
                 (known.updated(suspects, now), suspects.to_persist())
             });
             let Some(updated) = updated else {
-                self.kept = kept;
+                self.persisted = persisted;
                 return true;
             };
             let condition = read.as_ref().map_or(Condition::Absent, |found| {
                 Condition::Revision(found.revision)
             });
-            match self.store.write(RECORD, &updated, condition).await {
+            match self.store.write(RECORD_NAME, &updated, condition).await {
                 WriteResult::Accepted(_) => {
-                    self.kept = kept;
+                    self.persisted = persisted;
                     return true;
                 }
                 WriteResult::Conflict(found) => read = found,
@@ -141,7 +141,7 @@
         false
     }
 
-    fn take(&self, record: &HeldRecord) {
+    fn merge(&self, record: &HeldRecord) {
         self.service
             .merge_update(None, "store", &record.to_update());
     }
--- a/crates/router/src/gateway/suspects/process_probe.rs
+++ b/crates/router/src/gateway/suspects/process_probe.rs
@@ -20,25 +20,26 @@
 /// Delays before the probes of a process whose connection broke. The kernel
 /// closes the sockets of an ended process one after the other: one connection
 /// may break while another can still be opened.
-const AFTER_BREAK: [Duration; 2] = [Duration::from_millis(5), Duration::from_millis(150)];
+const DELAYS_AFTER_BREAK: [Duration; 2] = [Duration::from_millis(5), Duration::from_millis(150)];
 /// Delays before the probes of a process that did not answer. Most are only
 /// slow, and answer some request during the first delay.
-const AFTER_SILENCE: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(150)];
+const DELAYS_AFTER_TIMEOUT: [Duration; 2] =
+    [Duration::from_millis(200), Duration::from_millis(150)];
 /// Connection timeout, the same as that of a request.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 /// Response timeout. A probe queues in the back end as a request does; a back
 /// end that needs longer is cleared by its next response.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_200);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Task that starts a probe for each suspected process.
-pub(super) struct Looker {
+pub(super) struct ProcessProber {
     pub(super) service: SuspectService,
     pub(super) header_codec: Arc<dyn HeaderCodec>,
     pub(super) findings: async_channel::Receiver<Finding>,
 }
 
 /// Result of one probe.
-enum Seen {
+enum ProbeResult {
     /// The process answers.
     Running,
     /// Another process runs at its address, or the address accepts no
@@ -51,7 +52,7 @@
     Silent,
 }
 
-impl Looker {
+impl ProcessProber {
     /// Handles findings until their channel is closed.
     pub(super) async fn run(self) {
         let pool = Pool::new(PoolSettings {
@@ -60,15 +61,15 @@
         });
         while let Ok(finding) = self.findings.recv().await {
             match finding {
-                Finding::Crashes => self.service.tell_crashes(),
-                Finding::Broke(look) => {
-                    let glance = Glance {
+                Finding::Crashes => self.service.record_crashes(),
+                Finding::BrokenAttempt(check) => {
+                    let probe = Probe {
                         service: self.service.clone(),
                         header_codec: self.header_codec.clone(),
                         pool: pool.clone(),
-                        look,
+                        check,
                     };
-                    task::spawn(glance.run());
+                    task::spawn(probe.run());
                 }
             }
         }
@@ -76,81 +77,81 @@
 }
 
 /// The series of probes of one process.
-struct Glance {
+struct Probe {
     service: SuspectService,
     header_codec: Arc<dyn HeaderCodec>,
     pool: Pool,
-    look: ProcessCheck,
+    check: ProcessCheck,
 }
 
-impl Glance {
+impl Probe {
     async fn run(self) {
-        let pauses = match self.look.silent {
-            true => AFTER_SILENCE,
-            false => AFTER_BREAK,
+        let delays = match self.check.silent {
+            true => DELAYS_AFTER_TIMEOUT,
+            false => DELAYS_AFTER_BREAK,
         };
-        let mut seen = Seen::Closed;
-        for pause in pauses {
-            timer::sleep(pause).await;
-            if !self.is_open() {
+        let mut result = ProbeResult::Closed;
+        for delay in delays {
+            timer::sleep(delay).await;
+            if !self.is_unconfirmed() {
                 return;
             }
             let sent = self.service.dispatch.clock().now();
-            seen = self.ask().await;
-            match seen {
-                Seen::Ended => break,
-                Seen::Running => return self.answered(sent),
-                Seen::Closed | Seen::Silent => {}
+            result = self.send().await;
+            match result {
+                ProbeResult::Ended => break,
+                ProbeResult::Running => return self.record_running(sent),
+                ProbeResult::Closed | ProbeResult::Silent => {}
             }
         }
         // If connections were only closed, this stays undecided until a
         // registration shows the end of the process.
-        if matches!(seen, Seen::Ended | Seen::Silent) {
-            self.ended();
+        if matches!(result, ProbeResult::Ended | ProbeResult::Silent) {
+            self.record_ended();
         }
     }
 
-    fn is_open(&self) -> bool {
-        let process = &self.look.process;
+    fn is_unconfirmed(&self) -> bool {
+        let process = &self.check.process;
         let dispatch = &self.service.dispatch;
         dispatch.with(|dispatcher, _now| dispatcher.is_unconfirmed(process))
     }
 
-    fn answered(&self, sent: Timestamp) {
-        let process = &self.look.process;
+    fn record_running(&self, sent: Timestamp) {
+        let process = &self.check.process;
         self.service.dispatch.with(|dispatcher, _now| {
             dispatcher.process_answered(sent, process);
         });
     }
 
-    fn ended(&self) {
-        let process = &self.look.process;
+    fn record_ended(&self) {
+        let process = &self.check.process;
         self.service
             .dispatch
             .with(|dispatcher, _now| dispatcher.process_ended(process));
     }
 
-    async fn ask(&self) -> Seen {
+    async fn send(&self) -> ProbeResult {
         let Some(request) = self.request() else {
-            return Seen::Closed;
+            return ProbeResult::Closed;
         };
-        let deadline = Instant::now() + ANSWER_TIMEOUT;
-        let asked = self.pool.exchange(self.look.address, request, deadline);
-        let answer = match asked.await {
-            Ok(answer) => answer,
-            Err(error) if error.stage == Stage::ConnectFailed => return Seen::Ended,
+        let deadline = Instant::now() + RESPONSE_TIMEOUT;
+        let exchange = self.pool.exchange(self.check.address, request, deadline);
+        let response = match exchange.await {
+            Ok(response) => response,
+            Err(error) if error.stage == Stage::ConnectFailed => return ProbeResult::Ended,
             Err(error) if matches!(error.fault, ExchangeFault::DeadlinePassed) => {
-                return Seen::Silent;
+                return ProbeResult::Silent;
             }
-            Err(_) => return Seen::Closed,
+            Err(_) => return ProbeResult::Closed,
         };
-        let status = u16::from(answer.status());
+        let status = u16::from(response.status());
         let head = self
             .header_codec
-            .read_response(status, answer.as_ref(), &self.look.process);
+            .read_response(status, response.as_ref(), &self.check.process);
         match head.not_run {
-            Some(Rejection::OtherInstance) => Seen::Ended,
-            _ => Seen::Running,
+            Some(Rejection::OtherInstance) => ProbeResult::Ended,
+            _ => ProbeResult::Running,
         }
     }
 
@@ -160,13 +161,13 @@
             address,
             health_path,
             ..
-        } = &self.look;
+        } = &self.check;
         let url = Url::parse(&format!("http://{address}{health_path}")).ok()?;
         let mut request = Request::new(Method::Get, url);
         request.insert_header(HOST, address.to_string());
         request.insert_header(CONNECTION, "close");
         self.header_codec
-            .set_target(&mut request, ANSWER_TIMEOUT, process);
+            .set_target(&mut request, RESPONSE_TIMEOUT, process);
         Some(request)
     }
 }
@@ -174,12 +175,12 @@
 impl SuspectService {
     /// Records the crashes that this gateway found, and logs those that are
     /// certain.
-    pub(super) fn tell_crashes(&self) {
+    pub(super) fn record_crashes(&self) {
         let (crashes, known) = self.dispatch.with(|dispatcher, _now| {
             let known = dispatcher.suspects().requests();
             (dispatcher.take_crashes(), known)
         });
-        let mut own = self.own.lock();
+        let mut own = self.own_findings.lock();
         own.retain(|request| known.contains(request));
         own.extend(crashes.iter().map(|crash| crash.identity.request));
         drop(own);
@@ -191,6 +192,6 @@
                 request = crash.label,
             );
         }
-        self.log.tell(&self.dispatch, "own");
+        self.log.log_changes(&self.dispatch, "own");
     }
 }
--- a/crates/router/src/gateway/tokens.rs
+++ b/crates/router/src/gateway/tokens.rs
@@ -58,36 +58,38 @@
     /// Requests tokens whenever they are needed; never returns.
     pub(super) async fn run(self) {
         loop {
-            let wanted = self.dispatch.tokens_wanted().next();
-            let asks = self
+            let needed = self.dispatch.tokens_wanted().next();
+            let requests = self
                 .dispatch
                 .with(|dispatcher, _now| dispatcher.take_token_requests());
-            if asks.is_empty() {
-                wanted.await;
+            if requests.is_empty() {
+                needed.await;
                 continue;
             }
-            for (service, requests) in asks {
-                task::spawn(self.clone().ask(service, requests));
+            for (service, requests) in requests {
+                task::spawn(self.clone().request_tokens(service, requests));
             }
         }
     }
 
-    async fn ask(self, service: ServiceName, requests: Vec<TokenRequest>) {
-        let asked = self.dispatch.clock().now();
-        let ask = ServiceTokenRequest { service, requests };
-        let granted = timer::timeout(TOKEN_TIMEOUT, self.granted(&ask)).await;
+    async fn request_tokens(self, service: ServiceName, requests: Vec<TokenRequest>) {
+        let sent_at = self.dispatch.clock().now();
+        let request = ServiceTokenRequest { service, requests };
+        let granted = timer::timeout(TOKEN_TIMEOUT, self.fetch_grants(&request)).await;
         self.dispatch
             .with(|dispatcher, now| match granted.ok().flatten() {
-                Some(grants) => dispatcher.on_token_grants(now, &ask.service, asked, &grants),
-                None => dispatcher.on_token_request_failed(now, &ask.service, &ask.requests),
+                Some(grants) => dispatcher.on_token_grants(now, &request.service, sent_at, &grants),
+                None => {
+                    dispatcher.on_token_request_failed(now, &request.service, &request.requests)
+                }
             });
     }
 
-    async fn granted(&self, ask: &ServiceTokenRequest) -> Option<Vec<TokenGrant>> {
-        match request_local_tokens(&self.events, ask).await? {
+    async fn fetch_grants(&self, request: &ServiceTokenRequest) -> Option<Vec<TokenGrant>> {
+        match request_local_tokens(&self.events, request).await? {
             TokenReply::Granted { grants } => Some(grants),
             TokenReply::NotCoordinator { coordinator } => {
-                match self.peers.request_tokens(coordinator?, ask).await? {
+                match self.peers.request_tokens(coordinator?, request).await? {
                     TokenReply::Granted { grants } => Some(grants),
                     TokenReply::NotCoordinator { .. } => None,
                 }
@@ -100,10 +102,10 @@
 /// they have ended.
 pub(super) async fn request_local_tokens(
     events: &async_channel::Sender<Event>,
-    ask: &ServiceTokenRequest,
+    request: &ServiceTokenRequest,
 ) -> Option<TokenReply> {
     let (reply, replied) = async_channel::bounded(1);
-    let event = Event::TokenRequest(ask.service.clone(), ask.requests.clone(), reply);
+    let event = Event::TokenRequest(request.service.clone(), request.requests.clone(), reply);
     events.try_send(event).ok()?;
     replied.recv().await.ok()
 }
--- a/crates/router/src/gateway/usage.rs
+++ b/crates/router/src/gateway/usage.rs
@@ -83,8 +83,8 @@
         }
     }
 
-    fn counted<S: ?Sized>(&self, collection: &'static str, inner: Arc<S>) -> Arc<Counted<S>> {
-        Arc::new(Counted {
+    fn counted<S: ?Sized>(&self, collection: &'static str, inner: Arc<S>) -> Arc<CallCounter<S>> {
+        Arc::new(CallCounter {
             inner,
             collection,
             calls: self.calls.clone(),
@@ -104,7 +104,7 @@
     /// Counts a request sent to a back end, with the bytes of its body if
     /// known.
     pub(super) fn record_back_end_request(&self, attempt: &Attempt, bytes: Option<usize>) {
-        let labels = [attempt.distance.as_str(), choice_of(attempt)];
+        let labels = [attempt.distance.as_str(), choice_label(attempt)];
         self.back_end_requests.with_label_values(&labels).inc();
         self.count_back_end(attempt, "sent", bytes);
     }
@@ -118,29 +118,29 @@
         let Some(bytes) = bytes else {
             return;
         };
-        let labels = [attempt.distance.as_str(), choice_of(attempt), direction];
+        let labels = [attempt.distance.as_str(), choice_label(attempt), direction];
         self.back_end_bytes
             .with_label_values(&labels)
             .inc_by(u64::try_from(bytes).unwrap_or(u64::MAX));
     }
 }
 
-/// Returns whether the back end could be chosen freely: keyed requests go to
-/// the owner of the key.
-fn choice_of(attempt: &Attempt) -> &'static str {
+/// Returns the label that tells whether the back end could be chosen freely:
+/// keyed requests go to the owner of the key.
+fn choice_label(attempt: &Attempt) -> &'static str {
     if attempt.keyed { "owner" } else { "free" }
 }
 
 /// Wrapper of a collection that counts its calls.
-struct Counted<S: ?Sized> {
+struct CallCounter<S: ?Sized> {
     inner: Arc<S>,
     collection: &'static str,
     calls: IntCounterVec,
 }
 
-impl<S: ?Sized> Counted<S> {
-    fn begin(&self, call: &'static str) -> Begun<'_> {
-        Begun {
+impl<S: ?Sized> CallCounter<S> {
+    fn begin(&self, call: &'static str) -> CallInProgress<'_> {
+        CallInProgress {
             calls: &self.calls,
             labels: [self.collection, call, "abandoned"],
         }
@@ -149,25 +149,25 @@
 
 /// A call in progress. It is counted when it is dropped, so that a cancelled
 /// call counts as well.
-struct Begun<'a> {
+struct CallInProgress<'a> {
     calls: &'a IntCounterVec,
     /// Collection, call and outcome.
     labels: [&'static str; 3],
 }
 
-impl Begun<'_> {
+impl CallInProgress<'_> {
     fn end(mut self, outcome: &'static str) {
         self.labels[2] = outcome;
     }
 }
 
-impl Drop for Begun<'_> {
+impl Drop for CallInProgress<'_> {
     fn drop(&mut self) {
         self.calls.with_label_values(&self.labels).inc();
     }
 }
 
-impl<T, S> Collection<T> for Counted<S>
+impl<T, S> Collection<T> for CallCounter<S>
 where
     T: Send + 'static,
     S: Collection<T> + ?Sized,
@@ -182,9 +182,9 @@
             Freshness::Linearizable => "list",
         };
         Box::pin(async move {
-            let begun = self.begin(call);
+            let in_progress = self.begin(call);
             let result = self.inner.page(after, freshness).await;
-            begun.end(outcome_of(&result));
+            in_progress.end(outcome_label(&result));
             result
         })
     }
@@ -195,15 +195,15 @@
         wait: Duration,
     ) -> PortFuture<'_, Result<Changes<T>, StoreError>> {
         Box::pin(async move {
-            let begun = self.begin("watch");
+            let in_progress = self.begin("watch");
             let result = self.inner.changes(after, wait).await;
-            begun.end(outcome_of(&result));
+            in_progress.end(outcome_label(&result));
             result
         })
     }
 }
 
-impl<T, S> RecordStore<T> for Counted<S>
+impl<T, S> RecordStore<T> for CallCounter<S>
 where
     T: Send + Sync + 'static,
     S: RecordStore<T> + ?Sized,
@@ -214,9 +214,9 @@
             Freshness::Linearizable => "read",
         };
         Box::pin(async move {
-            let begun = self.begin(call);
+            let in_progress = self.begin(call);
             let result = self.inner.read(name, freshness).await;
-            begun.end(match result {
+            in_progress.end(match result {
                 ReadResult::Found(_) => "answered",
                 ReadResult::Failed => "failed",
             });
@@ -231,9 +231,9 @@
         condition: Condition,
     ) -> PortFuture<'a, WriteResult<T>> {
         Box::pin(async move {
-            let begun = self.begin("write");
+            let in_progress = self.begin("write");
             let result = self.inner.write(name, value, condition).await;
-            begun.end(match result {
+            in_progress.end(match result {
                 WriteResult::Accepted(_) => "answered",
                 WriteResult::Conflict(_) => "conflict",
                 WriteResult::NotDone => "not-done",
@@ -244,7 +244,7 @@
     }
 }
 
-fn outcome_of<T>(result: &Result<T, StoreError>) -> &'static str {
+fn outcome_label<T>(result: &Result<T, StoreError>) -> &'static str {
     match result {
         Ok(_) => "answered",
         Err(StoreError::Unreachable) => "unreachable",
