--- a/crates/router/src/gateway.rs
+++ b/crates/router/src/gateway.rs
@@ -26,7 +26,7 @@
 mod metrics;
 mod notices;
 mod notifier;
-mod operate_keys;
+mod operator_keys;
 pub mod outage;
 mod peers;
 mod publisher;
--- a/crates/router/src/gateway/dispatch.rs
+++ b/crates/router/src/gateway/dispatch.rs
@@ -27,7 +27,7 @@
     clock: Clock,
     suspects: SuspectSignals,
     /// Notified when tokens have to be requested from a coordinator.
-    tokens_wanted: Notifier,
+    tokens_needed: Notifier,
     /// Channel of services one of whose back ends announced that it is leaving
     /// or requested a backoff.
     unavailable_services: (Sender<ServiceName>, Receiver<ServiceName>),
@@ -46,7 +46,7 @@
         Dispatch {
             clock,
             suspects,
-            tokens_wanted: Notifier::default(),
+            tokens_needed: Notifier::default(),
             unavailable_services: async_channel::unbounded(),
             state: Mutex::new(State {
                 dispatcher,
@@ -68,8 +68,8 @@
     }
 
     /// Notified when tokens have to be requested from a coordinator.
-    pub(super) fn tokens_wanted(&self) -> &Notifier {
-        &self.tokens_wanted
+    pub(super) fn tokens_needed(&self) -> &Notifier {
+        &self.tokens_needed
     }
 
     pub(super) fn clock(&self) -> Clock {
@@ -109,7 +109,7 @@
             let _ = self.unavailable_services.0.try_send(service.clone());
         }
         if wants_tokens {
-            self.tokens_wanted.notify();
+            self.tokens_needed.notify();
         }
         if suspects_changed {
             self.suspects.changed.notify();
@@ -117,6 +117,7 @@
         result
     }
 
+    /// Starts an exchange. The returned signal wakes the task that runs it.
     pub(super) fn begin(
         &self,
         info: &RequestInfo<'_>,
--- a/crates/router/src/gateway/limits.rs
+++ b/crates/router/src/gateway/limits.rs
@@ -8,7 +8,7 @@
 mod ledger_keeper;
 mod log;
 mod metrics;
-mod operate;
+mod operator;
 mod requester;
 mod state;
 
--- a/crates/router/src/gateway/limits/operate.rs
+++ b/crates/router/src/gateway/limits/operator.rs
@@ -51,7 +51,7 @@
 impl Limits {
     /// Answers an operator's request. Returns `None` for paths that are not
     /// about limits.
-    pub(in super::super) fn operate(&self, request: &Request) -> Option<Response> {
+    pub(in super::super) fn answer_operator(&self, request: &Request) -> Option<Response> {
         let rest = request.url().path().strip_prefix(LIMITS_PATH)?;
         if request.method() != Method::Get {
             return Some(answer::text(405, "use-get", None));
--- a/crates/router/src/gateway/operate_keys.rs
+++ b/crates/router/src/gateway/operator_keys.rs
@@ -29,7 +29,7 @@
 
 /// Answers an operator's request. Returns `None` for paths that are not about
 /// keys.
-pub(super) fn operate(dispatch: &Dispatch, request: &Request) -> Option<Response> {
+pub(super) fn answer_operator(dispatch: &Dispatch, request: &Request) -> Option<Response> {
     let digest = request.url().path().strip_prefix(KEYS_PATH)?;
     if request.method() != Method::Get {
         return Some(answer::text(405, "use-get", None));
--- a/crates/router/src/gateway/readiness.rs
+++ b/crates/router/src/gateway/readiness.rs
@@ -13,7 +13,7 @@
 use super::dispatch::Dispatch;
 use super::limits::Limits;
 use super::metrics::GatewayMetrics;
-use super::operate_keys;
+use super::operator_keys;
 use super::suspects::SuspectService;
 use crate::events::{EventId, emit};
 use crate::metrics::Metrics;
@@ -111,12 +111,12 @@
             return self.metrics_text();
         }
         let suspects = self.suspects.as_ref();
-        let response = suspects.and_then(|suspects| suspects.operate(request));
+        let response = suspects.and_then(|suspects| suspects.answer_operator(request));
         let keys = self.keys.as_ref();
-        let response = response.or_else(|| operate_keys::operate(keys?, request));
+        let response = response.or_else(|| operator_keys::answer_operator(keys?, request));
         // Only operators may see limits; `suspects` is set only on their
         // listener.
-        let response = response.or_else(|| suspects.and(self.limits.operate(request)));
+        let response = response.or_else(|| suspects.and(self.limits.answer_operator(request)));
         response.unwrap_or_else(|| answer::text(404, "unknown-path", None))
     }
 
--- a/crates/router/src/gateway/suspects.rs
+++ b/crates/router/src/gateway/suspects.rs
@@ -6,7 +6,7 @@
 pub(super) mod identity;
 mod log;
 pub(super) mod neighbours;
-pub(super) mod operate;
+pub(super) mod operator;
 mod persistence;
 mod process_probe;
 
--- a/crates/router/src/gateway/suspects/identity.rs
+++ b/crates/router/src/gateway/suspects/identity.rs
@@ -41,8 +41,8 @@
     builder.body(inbound.digest);
     for (name, values) in request.iter() {
         let name = name.as_str();
-        let included = [HOST.as_str(), CONTENT_LENGTH.as_str()].contains(&name);
-        if included
+        let already_included = [HOST.as_str(), CONTENT_LENGTH.as_str()].contains(&name);
+        if already_included
             || headers::is_hop_by_hop(name, None)
             || header_codec.varies_between_attempts(name)
         {
--- a/crates/router/src/gateway/suspects/neighbours.rs
+++ b/crates/router/src/gateway/suspects/neighbours.rs
@@ -28,13 +28,13 @@
 impl Neighbours {
     /// Sets the upstream gateway and the relay role; the other relays stay
     /// unchanged.
-    pub(in super::super) fn set_position(&self, upstream: Option<SocketAddr>, relays: bool) {
+    pub(in super::super) fn set_position(&self, upstream: Option<SocketAddr>, is_relay: bool) {
         let mut position = self.position.lock();
-        if position.upstream == upstream && position.is_relay == relays {
+        if position.upstream == upstream && position.is_relay == is_relay {
             return;
         }
         position.upstream = upstream;
-        position.is_relay = relays;
+        position.is_relay = is_relay;
         drop(position);
         self.changed.notify();
     }
--- a/crates/router/src/gateway/suspects/operate.rs
+++ b/crates/router/src/gateway/suspects/operator.rs
@@ -22,7 +22,7 @@
 impl SuspectService {
     /// Answers an operator's request. Returns `None` for paths that are not
     /// about held requests.
-    pub(in super::super) fn operate(&self, request: &Request) -> Option<Response> {
+    pub(in super::super) fn answer_operator(&self, request: &Request) -> Option<Response> {
         let path = request.url().path();
         if path == HELD_PATH && request.method() == Method::Get {
             return Some(self.list());
--- a/crates/router/src/gateway/tokens.rs
+++ b/crates/router/src/gateway/tokens.rs
@@ -58,7 +58,7 @@
     /// Requests tokens whenever they are needed; never returns.
     pub(super) async fn run(self) {
         loop {
-            let needed = self.dispatch.tokens_wanted().next();
+            let needed = self.dispatch.tokens_needed().next();
             let requests = self
                 .dispatch
                 .with(|dispatcher, _now| dispatcher.take_token_requests());
--- a/crates/router/src/gateway/usage.rs
+++ b/crates/router/src/gateway/usage.rs
@@ -71,19 +71,19 @@
     /// Wraps the ports so that every store call is counted.
     pub fn count_store_calls(&self, ports: Ports) -> Ports {
         Ports {
-            configurations: self.counted("configurations", ports.configurations),
-            back_ends: self.counted("back-ends", ports.back_ends),
-            drained_zones: self.counted("drained-zones", ports.drained_zones),
-            leases: self.counted("leases", ports.leases),
-            ownership: self.counted("ownership", ports.ownership),
-            relays: self.counted("relays", ports.relays),
-            limit_holders: self.counted("limit-holders", ports.limit_holders),
-            held_requests: self.counted("held-requests", ports.held_requests),
+            configurations: self.wrap("configurations", ports.configurations),
+            back_ends: self.wrap("back-ends", ports.back_ends),
+            drained_zones: self.wrap("drained-zones", ports.drained_zones),
+            leases: self.wrap("leases", ports.leases),
+            ownership: self.wrap("ownership", ports.ownership),
+            relays: self.wrap("relays", ports.relays),
+            limit_holders: self.wrap("limit-holders", ports.limit_holders),
+            held_requests: self.wrap("held-requests", ports.held_requests),
             ..ports
         }
     }
 
-    fn counted<S: ?Sized>(&self, collection: &'static str, inner: Arc<S>) -> Arc<CallCounter<S>> {
+    fn wrap<S: ?Sized>(&self, collection: &'static str, inner: Arc<S>) -> Arc<CallCounter<S>> {
         Arc::new(CallCounter {
             inner,
             collection,
--- a/crates/router/tests/gateway/back_end_updates.rs
+++ b/crates/router/tests/gateway/back_end_updates.rs
@@ -1,4 +1,4 @@
-//! Back ends in use, told by what changed.
+//! Updates of the usable back ends.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,21 +14,22 @@
 
 use super::samples::{back_end, empty_state, entry};
 
-/// Who uses what was told so far.
+/// Applies updates as a consumer of them does.
 #[derive(Default)]
-struct User {
+struct Consumer {
     back_ends: BTreeMap<BackEndName, BackEnd>,
 }
 
-impl User {
-    fn take(&mut self, in_use: BackEndUpdate) {
-        match in_use {
+impl Consumer {
+    fn apply(&mut self, update: BackEndUpdate) {
+        match update {
             BackEndUpdate::All(all) => {
                 let named = all.iter().map(|each| (each.name.clone(), each.clone()));
                 self.back_ends = named.collect();
             }
             BackEndUpdate::Changed { changed, removed } => {
-                // One that came and went between two tellings was never in use.
+                // A back end that was added and removed between two updates was
+                // never used.
                 for name in removed {
                     self.back_ends.remove(&name);
                 }
@@ -39,7 +40,7 @@
     }
 }
 
-fn one_of(random: &mut ChaCha8Rng) -> BackEnd {
+fn random_back_end(random: &mut ChaCha8Rng) -> BackEnd {
     let id = format!("b-{}", random.random_range(0..12));
     let started = random.random_range(1..4);
     let mut drawn = back_end(&id, random.random_bool(0.2));
@@ -48,12 +49,13 @@
     drawn
 }
 
-fn update(random: &mut ChaCha8Rng, at: u64) -> Update<BackEnd> {
-    let back_end = one_of(random);
+fn random_update(random: &mut ChaCha8Rng, at: u64) -> Update<BackEnd> {
+    let back_end = random_back_end(random);
     let id = back_end.name.id().to_owned();
     let changes = match random.random_range(0..5) {
         0 => {
-            let entries = (0..8).map(|number| entry(&format!("b-{number}"), at, one_of(random)));
+            let entries =
+                (0..8).map(|number| entry(&format!("b-{number}"), at, random_back_end(random)));
             let mut entries: Vec<_> = entries.collect();
             for entry in &mut entries {
                 let drawn = entry.value.as_mut().expect("it can be read");
@@ -84,42 +86,43 @@
     state.apply_zones(Update::Changed(Changes { changes, at }), now);
 }
 
-/// Registrations, lapses, next lives, spoiled entries and zones in any order.
+/// Applies registrations, lapses, new incarnations, malformed entries and zone
+/// drains in random order.
 #[test]
-fn what_changed_adds_up_to_the_back_ends_in_use() {
+fn updates_add_up_to_the_usable_back_ends() {
     for seed in 0..60 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut state = empty_state();
-        let mut user = User::default();
+        let mut consumer = Consumer::default();
         let mut now = Timestamp::from_millis(1_000);
         for at in 1..150 {
             now = now + Duration::from_millis(200);
-            let awaited = random
+            let grace_until = random
                 .random_bool(0.4)
                 .then(|| now + Duration::from_secs(1));
-            state.set_lapse_grace(awaited);
+            state.set_lapse_grace(grace_until);
             match random.random_range(0..8) {
                 0 => drain(&mut random, &mut state, at, now),
                 1 => drop(state.expire_lapsed(now)),
-                _ => drop(state.apply_back_ends(update(&mut random, at), now)),
+                _ => drop(state.apply_back_ends(random_update(&mut random, at), now)),
             }
             if random.random_bool(0.5) {
                 continue;
             }
-            let Some(in_use) = state.take_in_use(now) else {
+            let Some(update) = state.take_in_use(now) else {
                 continue;
             };
-            user.take(in_use);
+            consumer.apply(update);
             let all = state.back_ends(now).expect("the zones are known");
-            let used: Vec<BackEnd> = user.back_ends.values().cloned().collect();
+            let used: Vec<BackEnd> = consumer.back_ends.values().cloned().collect();
             assert_eq!(used, all.to_vec(), "seed {seed}, step {at}");
         }
     }
 }
 
-/// Each gateway walked over all of them for every change.
+/// Guards against every gateway walking over all back ends for each change.
 #[test]
-fn one_change_among_thousands_of_back_ends_is_told_as_one() {
+fn one_change_among_thousands_of_back_ends_gives_a_small_update() {
     let mut state = empty_state();
     let now = Timestamp::from_millis(1_000);
     let numbered = |number: u32| {
--- a/crates/router/tests/gateway/crashing.rs
+++ b/crates/router/tests/gateway/crashing.rs
@@ -1,18 +1,15 @@
 //! Requests that crash each back end that runs them.
 //!
-//! What users saw: one request of one caller ended seven back ends of a service
-//! divided by key, one about every three seconds, and a tenth of the service's
-//! requests were refused meanwhile. Each time the caller's next try came at
-//! another gateway, with another id.
+//! Guards against this failure: one request of one caller ended seven back ends
+//! of a keyed service, one about every three seconds, and a tenth of the
+//! service's requests were refused meanwhile. A back end ran the request and
+//! ended, and the caller was told that the outcome was unknown. After three
+//! seconds the keys had their next owner, and the caller's next try, with
+//! another id and at another gateway, was sent there.
 //!
-//! Order of events: a back end runs the request and ends; the caller is told
-//! that its fate is unknown; the keys get their next owner after three
-//! seconds; the caller's next try is sent there, by a gateway that knows
-//! nothing of the crash.
-//!
-//! Cause: what a request did was forgotten with its try, and no gateway told
-//! another. Evidence: in the logs each run was a first attempt, at six
-//! gateways in turn, and one gateway sent it twice, ten seconds apart.
+//! Gateways forgot a crash together with the request, and did not inform each
+//! other: each run was a first attempt, at six gateways in turn, and one gateway
+//! sent the request twice, ten seconds apart.
 
 use std::time::Duration;
 
@@ -24,42 +21,43 @@
 
 /// Path of the request that crashes its back ends.
 const CRASHES: &str = "/safe/crashes";
-/// Back ends that may run it: with the third the fleet has enough evidence.
+/// Back ends that may run it. The third crash is enough evidence for the fleet
+/// to hold the request.
 const MOST_RUNS: usize = 3;
-/// Time between two tries of its caller.
+/// Delay between two tries of the caller.
 const BETWEEN_TRIES: Duration = Duration::from_millis(300);
-/// Back ends of the service.
+/// Number of back ends of the service.
 const BACK_ENDS: usize = 6;
 
-/// Three gateways of two zones, and back ends that come back after a crash.
+/// Three gateways in two zones, and back ends that are replaced after a crash.
 struct Fleet {
     world: World,
     others: Vec<Gateway>,
     running: Vec<StandInBackEnd>,
     ended: Vec<StandInBackEnd>,
-    crashing: CrashTrigger,
+    crash_trigger: CrashTrigger,
     started: usize,
     tries: usize,
 }
 
 impl Fleet {
-    /// Back ends end under the request, whoever sends it.
+    /// Starts back ends that crash on the request from any caller.
     fn start() -> Fleet {
         Fleet::start_with(None)
     }
 
-    /// Back ends end under the request of the caller with this cookie.
+    /// Starts back ends that crash only on requests with this cookie.
     fn start_with(cookie: Option<&str>) -> Fleet {
         let world = World::start();
-        for sound in &world.plain {
-            world.store.remove("servers", &sound.id);
+        for healthy in &world.plain {
+            world.store.remove("servers", &healthy.id);
         }
         let mut fleet = Fleet {
             world,
             others: Vec::new(),
             running: Vec::new(),
             ended: Vec::new(),
-            crashing: CrashTrigger {
+            crash_trigger: CrashTrigger {
                 target: CRASHES.to_owned(),
                 cookie: cookie.map(str::to_owned),
             },
@@ -89,7 +87,7 @@
         first.chain(&self.others).collect()
     }
 
-    /// Starts another process in place of each that ended.
+    /// Starts another process in place of each that crashed.
     fn replace_ended(&mut self) {
         let (ended, running): (Vec<_>, Vec<_>) = std::mem::take(&mut self.running)
             .into_iter()
@@ -103,7 +101,7 @@
             self.started += 1;
             let id = format!("crashing-{}", self.started);
             let back_end = block_on(StandInBackEnd::start(&id, false)).expect("a back end");
-            back_end.set_crash_trigger(self.crashing.clone());
+            back_end.set_crash_trigger(self.crash_trigger.clone());
             let entry = back_end.registration("plain", "ready");
             self.world.store.put("servers", &id, entry);
             self.running.push(back_end);
@@ -119,7 +117,7 @@
         }
     }
 
-    /// Waits until every gateway has its place among the three.
+    /// Waits until every gateway counts three gateways.
     fn await_joined(&self) {
         let line = "threadledge_gateway_fleet 3\n";
         for gateway in self.gateways() {
@@ -127,20 +125,21 @@
         }
     }
 
-    /// Waits until every gateway holds one request.
-    fn await_all_keys_held(&self) {
+    /// Waits until every gateway holds exactly one request.
+    fn await_request_held(&self) {
         let line = "threadledge_gateway_requests_held 1\n";
         for gateway in self.gateways() {
             eventually(|| gateway.metrics().contains(line).then_some(()));
         }
     }
 
-    /// The request comes so often, at one gateway after the other.
+    /// Sends the crashing request this many times, at one gateway after the
+    /// other.
     fn send_crashing(&mut self, times: usize) {
         for _ in 0..times {
             self.tries += 1;
             let id = format!("try-{}", self.tries);
-            let cookie = self.crashing.cookie.clone();
+            let cookie = self.crash_trigger.cookie.clone();
             let crashing = TestRequest {
                 target: CRASHES,
                 id: &id,
@@ -155,14 +154,15 @@
         }
     }
 
-    /// Times that a back end began to run a try of the crashing caller.
+    /// Counts how often a back end began to run a try of the crashing caller.
     fn crashes(&self) -> usize {
         let all = self.running.iter().chain(&self.ended);
         let runs = all.flat_map(StandInBackEnd::runs);
         runs.filter(|run| run.id.starts_with("try-")).count()
     }
 
-    /// Another caller's request for the same path is answered everywhere.
+    /// Checks that every gateway answers another caller's request for this
+    /// path.
     fn assert_others_served(&self, target: &str) {
         for gateway in self.gateways() {
             let other = TestRequest {
@@ -175,7 +175,7 @@
     }
 }
 
-fn ask_operators(gateway: &Gateway, method: &str, path: &str) -> (u16, String) {
+fn operator_request(gateway: &Gateway, method: &str, path: &str) -> (u16, String) {
     let request = http::Request::builder().method(method).uri(path);
     let request = request.body(Vec::new()).expect("valid");
     let client = HttpClient::default();
@@ -192,13 +192,12 @@
     fleet.assert_others_served("/safe/x");
 }
 
-/// A refusal is final and true: it says that this try has not run, and when
-/// coming back may help.
+/// The refusal states that this try has not run and when retrying may help.
 #[test]
 fn held_request_is_refused_at_once() {
     let mut fleet = Fleet::start();
     fleet.send_crashing(3);
-    fleet.await_all_keys_held();
+    fleet.await_request_held();
     let crashing = TestRequest {
         target: CRASHES,
         id: "refused",
@@ -212,8 +211,8 @@
     assert!(runs.into_iter().all(|run| run.id != "refused"));
 }
 
-/// The path is the same, the caller is not: others are served before, while
-/// and after the request is held.
+/// Other callers use the same path and are served before, while and after the
+/// request is held.
 #[test]
 fn same_path_of_other_callers_is_served_while_one_is_held() {
     let mut fleet = Fleet::start_with(Some("crashes"));
@@ -222,7 +221,7 @@
         fleet.send_crashing(1);
     }
     assert!(fleet.crashes() <= MOST_RUNS, "{} runs", fleet.crashes());
-    fleet.await_all_keys_held();
+    fleet.await_request_held();
     fleet.assert_others_served(CRASHES);
 }
 
@@ -230,39 +229,39 @@
 fn gateway_that_has_just_started_knows_what_others_hold() {
     let mut fleet = Fleet::start();
     fleet.send_crashing(3);
-    fleet.await_all_keys_held();
+    fleet.await_request_held();
     let store = fleet.world.store.address();
     fleet.others[0] = Gateway::start_named("router-2", store);
     fleet.others[0].await_ready();
-    fleet.await_all_keys_held();
+    fleet.await_request_held();
     fleet.others[1] = Gateway::start_in("zone-b", "router-3", store);
     fleet.others[1].await_ready();
-    fleet.await_all_keys_held();
+    fleet.await_request_held();
     fleet.send_crashing(6);
     assert!(fleet.crashes() <= MOST_RUNS, "{} runs", fleet.crashes());
 }
 
 #[test]
-fn what_is_held_outlives_all_gateways() {
+fn held_requests_outlive_all_gateways() {
     let mut fleet = Fleet::start();
     fleet.send_crashing(3);
-    fleet.await_all_keys_held();
-    let kept = || fleet.world.store.get("threadledge-held-requests", "all");
-    eventually(kept);
+    fleet.await_request_held();
+    let stored = || fleet.world.store.get("threadledge-held-requests", "all");
+    eventually(stored);
     let store = fleet.world.store.address();
     fleet.others.clear();
     fleet.world.gateway = Gateway::start(store);
     fleet.world.gateway.await_ready();
     fleet.start_others();
-    fleet.await_all_keys_held();
+    fleet.await_request_held();
     fleet.send_crashing(6);
     assert!(fleet.crashes() <= MOST_RUNS, "{} runs", fleet.crashes());
 }
 
-/// While the store says nothing gateways tell each other all the same, and
-/// what is held is written down when it is back.
+/// Gateways inform each other also while the store does not answer, and persist
+/// the held request once it is back.
 #[test]
-fn gateways_tell_each_other_while_the_store_is_silent() {
+fn gateways_inform_each_other_while_the_store_is_silent() {
     let mut fleet = Fleet::start();
     fleet.world.store.set_fault(Fault::Silent);
     fleet.send_crashing(5);
@@ -272,37 +271,46 @@
 }
 
 #[test]
-fn operator_sees_what_is_held_and_lets_it_go() {
+fn operator_lists_held_requests_and_releases_one() {
     let mut fleet = Fleet::start();
     fleet.send_crashing(3);
-    fleet.await_all_keys_held();
+    fleet.await_request_held();
     eventually(|| fleet.world.store.get("threadledge-held-requests", "all"));
     let path = "/threadledge/v1/held";
-    let (status, list) = ask_operators(fleet.gateways()[2], "GET", path);
+    let (status, list) = operator_request(fleet.gateways()[2], "GET", path);
     assert_eq!(status, 200);
     let held: serde_json::Value = serde_json::from_str(&list).expect("JSON");
     assert_eq!(held[0]["request"], "GET plain.example/safe/crashes");
     assert_eq!(held[0]["back-ends"].as_array().map(Vec::len), Some(3));
     let identity = held[0]["identity"].as_str().expect("text");
     let release = format!("{path}/release/{identity}");
-    assert_eq!(ask_operators(fleet.gateways()[2], "GET", &release).0, 405);
+    assert_eq!(
+        operator_request(fleet.gateways()[2], "GET", &release).0,
+        405
+    );
     let unknown = format!("{path}/release/0000000000000001");
-    assert_eq!(ask_operators(fleet.gateways()[2], "POST", &unknown).0, 404);
+    assert_eq!(
+        operator_request(fleet.gateways()[2], "POST", &unknown).0,
+        404
+    );
     let malformed = format!("{path}/release/x");
     assert_eq!(
-        ask_operators(fleet.gateways()[2], "POST", &malformed).0,
+        operator_request(fleet.gateways()[2], "POST", &malformed).0,
         400
     );
-    assert_eq!(ask_operators(fleet.gateways()[2], "POST", &release).0, 200);
+    assert_eq!(
+        operator_request(fleet.gateways()[2], "POST", &release).0,
+        200
+    );
     for gateway in fleet.gateways() {
         let line = "threadledge_gateway_requests_held 0\n";
         eventually(|| gateway.metrics().contains(line).then_some(()));
     }
     eventually(|| {
-        let kept = fleet.world.store.get("threadledge-held-requests", "all")?;
-        kept["held"].as_array()?.is_empty().then_some(())
+        let stored = fleet.world.store.get("threadledge-held-requests", "all")?;
+        stored["held"].as_array()?.is_empty().then_some(())
     });
-    // The back ends are mended.
+    // The back ends no longer crash.
     for back_end in &fleet.running {
         back_end.set_crash_trigger(CrashTrigger {
             target: "/none".to_owned(),
--- a/crates/router/tests/gateway/draining_back_ends.rs
+++ b/crates/router/tests/gateway/draining_back_ends.rs
@@ -5,7 +5,7 @@
 
 use threadledge_platform_stand_in::{Fault, StandInBackEnd};
 
-use super::pressed::{Fleet, Outcomes};
+use super::load::{Fleet, Outcomes};
 use super::process::TestRequest;
 
 /// Time after the announcement from which a back end must get no new requests.
@@ -40,7 +40,7 @@
     let leaving = &fleet.world.keyed[0];
     leaving.set_leaving(true);
     let announced = Instant::now();
-    let Outcomes { served, others } = fleet.press(&keyed(), &keys(), DRAIN_DELAY..RUN_TIME);
+    let Outcomes { served, others } = fleet.send_load(&keyed(), &keys(), DRAIN_DELAY..RUN_TIME);
     assert_eq!(late_arrivals(leaving, announced), 0);
     // The other owner holds its keys.
     assert!(others * 50 < served, "{served} served, {others} not");
@@ -53,7 +53,7 @@
     fleet.world.store.set_fault(Fault::Silent);
     leaving.set_leaving(true);
     let announced = Instant::now();
-    fleet.press(&keyed(), &keys(), DRAIN_DELAY..RUN_TIME);
+    fleet.send_load(&keyed(), &keys(), DRAIN_DELAY..RUN_TIME);
     assert_eq!(late_arrivals(leaving, announced), 0);
 }
 
@@ -64,7 +64,7 @@
     leaving.set_leaving(true);
     let announced = Instant::now();
     let Outcomes { served, others } =
-        fleet.press(&TestRequest::default(), &[], DRAIN_DELAY..RUN_TIME);
+        fleet.send_load(&TestRequest::default(), &[], DRAIN_DELAY..RUN_TIME);
     assert_eq!(late_arrivals(leaving, announced), 0);
     assert!(others * 50 < served, "{served} served, {others} not");
 }
--- a/crates/router/tests/gateway/limits.rs
+++ b/crates/router/tests/gateway/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of tenants over several gateways, through the real program.
+//! Rate limits of tenants over several gateways, through the real program.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 
 const HOT: &str = "hot-key";
 const CALM: &str = "calm-key";
-/// What the template of settings promises.
+/// The window, overage and slack that the settings template promises.
 const WINDOW: Duration = Duration::from_secs(5);
 const OVERAGE: f64 = 0.1;
 const SLACK: f64 = 20.0;
@@ -21,7 +21,7 @@
 const RATE: f64 = 30.0;
 const BURST: f64 = 15.0;
 
-fn limited(version: u64) -> Value {
+fn configuration_with_limits(version: u64) -> Value {
     let tenants = [("hot", &[HOT][..], None), ("calm", &[CALM][..], None)];
     let mut wanted = with_tenants(configuration(version), &tenants);
     for name in ["hot", "calm"] {
@@ -40,7 +40,9 @@
 impl Fleet {
     fn start() -> Fleet {
         let world = World::start();
-        world.store.put("config", "main", limited(2));
+        world
+            .store
+            .put("config", "main", configuration_with_limits(2));
         let store = world.store.address();
         let others = ["router-2", "router-3"].map(|name| Gateway::start_named(name, store));
         let mut fleet = Fleet {
@@ -59,16 +61,16 @@
         first.chain(&self.others).collect()
     }
 
-    /// Waits until one gateway keeps the ledger, whole, and all of them are
-    /// served by it.
+    /// Waits until one gateway keeps the ledger with its full rates and all
+    /// gateways are served by it.
     fn await_ledger(&self) {
         eventually(|| {
             let gateways = self.gateways();
-            let kept = gateways.iter().filter(|gateway| keeps_ledger(gateway));
+            let kept = gateways.iter().filter(|gateway| holds_ledger(gateway));
             (kept.count() == 1).then_some(())
         });
         for gateway in self.gateways() {
-            eventually(|| (ask(gateway, CALM).status() == 200).then_some(()));
+            eventually(|| (send_with_key(gateway, CALM).status() == 200).then_some(()));
         }
     }
 
@@ -81,8 +83,8 @@
         times
     }
 
-    /// Most requests that ran in any window.
-    fn busiest(&self, tenant: &str) -> usize {
+    /// Returns the maximum number of requests that ran in any window.
+    fn max_requests_per_window(&self, tenant: &str) -> usize {
         let runs = self.runs(tenant);
         let within = |at: &Instant| {
             let window = runs
@@ -98,40 +100,40 @@
     (RATE * WINDOW.as_secs_f64() + BURST) * (1.0 + OVERAGE) + SLACK
 }
 
-fn keeps_ledger(gateway: &Gateway) -> bool {
+fn holds_ledger(gateway: &Gateway) -> bool {
     let line = "threadledge_gateway_limit_ledger 1\n";
     gateway.metrics().contains(line)
 }
 
-fn ask(gateway: &Gateway, api_key: &str) -> Response<Vec<u8>> {
-    let ask = TestRequest {
+fn send_with_key(gateway: &Gateway, api_key: &str) -> Response<Vec<u8>> {
+    let request = TestRequest {
         api_key: Some(api_key),
         ..TestRequest::default()
     };
-    ask.send(gateway)
+    request.send(gateway)
 }
 
-/// Sends as fast as it is answered, at every gateway, while `act` runs; what
-/// was answered otherwise than with 200 or 429.
-fn press(gateways: &[&Gateway], act: impl FnOnce()) -> usize {
+/// Sends requests over the limit at every gateway while `act` runs. Returns the
+/// number of responses with a status other than 200 or 429.
+fn send_load(gateways: &[&Gateway], act: impl FnOnce()) -> usize {
     let done = AtomicBool::new(false);
-    let odd = AtomicUsize::new(0);
+    let unexpected = AtomicUsize::new(0);
     std::thread::scope(|scope| {
         for gateway in gateways {
             let callers = gateway.callers;
-            let (done, odd) = (&done, &odd);
+            let (done, unexpected) = (&done, &unexpected);
             scope.spawn(move || {
-                let ask = TestRequest {
+                let request = TestRequest {
                     api_key: Some(HOT),
                     ..TestRequest::default()
                 };
                 while !done.load(Ordering::Relaxed) {
-                    let status = block_on(ask.send_async(callers)).status().as_u16();
+                    let status = block_on(request.send_async(callers)).status().as_u16();
                     if !matches!(status, 200 | 429) {
-                        odd.fetch_add(1, Ordering::Relaxed);
+                        unexpected.fetch_add(1, Ordering::Relaxed);
                     }
-                    // A hundred a second at each gateway is ten times the
-                    // limit.
+                    // 100 requests per second at each gateway, together ten
+                    // times the limit.
                     std::thread::sleep(Duration::from_millis(10));
                 }
             });
@@ -139,34 +141,41 @@
         act();
         done.store(true, Ordering::Relaxed);
     });
-    odd.into_inner()
+    unexpected.into_inner()
 }
 
 #[test]
-fn tenant_beyond_its_limit_gets_it_over_all_gateways_and_another_is_never_refused() {
+fn tenant_over_its_limit_is_held_to_it_over_all_gateways_and_another_is_never_refused() {
     let fleet = Fleet::start();
     let gateways = fleet.gateways();
-    let odd = press(&gateways, || {
+    let unexpected = send_load(&gateways, || {
         for round in 0..120 {
-            let answer = ask(gateways[round % 3], CALM);
+            let answer = send_with_key(gateways[round % 3], CALM);
             assert_eq!(answer.status(), 200, "round {round}");
             std::thread::sleep(Duration::from_millis(50));
         }
     });
-    assert_eq!(odd, 0);
-    let (busiest, bound) = (fleet.busiest("hot") as f64, bound());
-    assert!(busiest <= bound, "{busiest} of {bound}");
-    // Six seconds are half as much again as what the limit needs for this.
-    assert!(busiest >= 0.8 * RATE * WINDOW.as_secs_f64(), "{busiest}");
+    assert_eq!(unexpected, 0);
+    let (max_requests_per_window, bound) = (fleet.max_requests_per_window("hot") as f64, bound());
+    assert!(
+        max_requests_per_window <= bound,
+        "{max_requests_per_window} of {bound}"
+    );
+    // The load lasts six seconds, 1.5 times what the limit needs to let this
+    // many requests run.
+    assert!(
+        max_requests_per_window >= 0.8 * RATE * WINDOW.as_secs_f64(),
+        "{max_requests_per_window}"
+    );
 }
 
 #[test]
 fn refusal_says_when_there_is_room_and_operators_see_why() {
     let fleet = Fleet::start();
     let mut refused = None;
-    press(&fleet.gateways(), || {
+    send_load(&fleet.gateways(), || {
         refused = Some(eventually(|| {
-            let answer = ask(&fleet.world.gateway, HOT);
+            let answer = send_with_key(&fleet.world.gateway, HOT);
             (answer.status() == 429).then_some(answer)
         }));
     });
@@ -189,7 +198,7 @@
 #[test]
 fn loss_of_the_ledger_keeps_the_bound_and_another_gateway_takes_it() {
     let mut fleet = Fleet::start();
-    let kept = |gateway: &Gateway| keeps_ledger(gateway);
+    let kept = |gateway: &Gateway| holds_ledger(gateway);
     let lost = match fleet.others.iter().position(kept) {
         Some(other) => fleet.others.remove(other),
         None => {
@@ -198,19 +207,22 @@
         }
     };
     let gateways = fleet.gateways();
-    press(&gateways, || {
+    send_load(&gateways, || {
         std::thread::sleep(Duration::from_secs(1));
         drop(lost);
         eventually(|| {
-            let kept = gateways.iter().any(|gateway| keeps_ledger(gateway));
+            let kept = gateways.iter().any(|gateway| holds_ledger(gateway));
             kept.then_some(())
         });
         std::thread::sleep(Duration::from_secs(2));
     });
-    let (busiest, bound) = (fleet.busiest("hot") as f64, bound());
-    assert!(busiest <= bound, "{busiest} of {bound}");
+    let (max_requests_per_window, bound) = (fleet.max_requests_per_window("hot") as f64, bound());
+    assert!(
+        max_requests_per_window <= bound,
+        "{max_requests_per_window} of {bound}"
+    );
     for gateway in fleet.gateways() {
-        eventually(|| (ask(gateway, CALM).status() == 200).then_some(()));
+        eventually(|| (send_with_key(gateway, CALM).status() == 200).then_some(()));
     }
 }
 
@@ -219,21 +231,24 @@
     let fleet = Fleet::start();
     let gateways = fleet.gateways();
     fleet.world.store.set_fault(Fault::Silent);
-    press(&gateways, || {
+    send_load(&gateways, || {
         for round in 0..60 {
-            let answer = ask(gateways[round % 3], CALM);
+            let answer = send_with_key(gateways[round % 3], CALM);
             assert_eq!(answer.status(), 200, "round {round}");
             std::thread::sleep(Duration::from_millis(50));
         }
     });
-    let (busiest, bound) = (fleet.busiest("hot") as f64, bound());
-    assert!(busiest <= bound, "{busiest} of {bound}");
+    let (max_requests_per_window, bound) = (fleet.max_requests_per_window("hot") as f64, bound());
+    assert!(
+        max_requests_per_window <= bound,
+        "{max_requests_per_window} of {bound}"
+    );
 }
 
 #[test]
 fn restart_of_all_gives_no_second_burst() {
     let mut fleet = Fleet::start();
-    press(&fleet.gateways(), || {
+    send_load(&fleet.gateways(), || {
         std::thread::sleep(Duration::from_secs(2));
     });
     let store = fleet.world.store.address();
@@ -246,9 +261,12 @@
         gateway.await_ready();
     }
     fleet.await_ledger();
-    press(&fleet.gateways(), || {
+    send_load(&fleet.gateways(), || {
         std::thread::sleep(Duration::from_secs(3));
     });
-    let (busiest, bound) = (fleet.busiest("hot") as f64, bound());
-    assert!(busiest <= bound, "{busiest} of {bound}");
+    let (max_requests_per_window, bound) = (fleet.max_requests_per_window("hot") as f64, bound());
+    assert!(
+        max_requests_per_window <= bound,
+        "{max_requests_per_window} of {bound}"
+    );
 }
--- a/crates/router/tests/gateway/pressed.rs
+++ b/crates/router/tests/gateway/load.rs
@@ -1,4 +1,4 @@
-//! Three gateways with callers at each of them, all the time.
+//! Three gateways under continuous load from callers at each of them.
 
 use std::ops::Range;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -8,18 +8,18 @@
 
 use super::process::{Gateway, TestRequest, World};
 
-/// Pause of each gateway's callers between two requests.
+/// Delay between two requests of each gateway's callers.
 const PAUSE: Duration = Duration::from_millis(25);
 
-/// What became of requests.
+/// Counts of the requests' outcomes.
 pub struct Outcomes {
-    /// Those that were answered with success.
+    /// Requests answered with status 200.
     pub served: usize,
-    /// All others.
+    /// All other requests.
     pub others: usize,
 }
 
-/// Three gateways with everything held.
+/// Three gateways with their stand-in platform and back ends.
 pub struct Fleet {
     pub world: World,
     others: Vec<Gateway>,
@@ -38,23 +38,28 @@
         Fleet { world, others }
     }
 
-    /// Sends at every gateway; see [`press`].
-    pub fn press(&self, ask: &TestRequest<'_>, keys: &[u16], counted: Range<Duration>) -> Outcomes {
+    /// Sends requests at every gateway; see [`send_load`].
+    pub fn send_load(
+        &self,
+        request: &TestRequest<'_>,
+        keys: &[u16],
+        counted: Range<Duration>,
+    ) -> Outcomes {
         let gateways = std::iter::once(&self.world.gateway);
         let gateways: Vec<&Gateway> = gateways.chain(&self.others).collect();
-        press(&gateways, ask, keys, counted)
+        send_load(&gateways, request, keys, counted)
     }
 }
 
-/// Sends at these gateways until the end of `counted`, from now; what became of
-/// requests that ended within it.
-pub fn press(
+/// Sends requests at these gateways from now until the end of `counted`.
+/// Returns the outcomes of the requests that ended within `counted`.
+pub fn send_load(
     gateways: &[&Gateway],
-    ask: &TestRequest<'_>,
+    request: &TestRequest<'_>,
     keys: &[u16],
     counted: Range<Duration>,
 ) -> Outcomes {
-    let begun = Instant::now();
+    let started = Instant::now();
     let done = AtomicBool::new(false);
     let (served, others) = (AtomicUsize::new(0), AtomicUsize::new(0));
     std::thread::scope(|scope| {
@@ -65,9 +70,9 @@
                 let mut keys = keys.iter().cycle();
                 while !done.load(Ordering::Relaxed) {
                     let key = keys.next().copied();
-                    let ask = TestRequest { key, ..*ask };
-                    let status = block_on(ask.send_async(callers)).status().as_u16();
-                    if begun.elapsed() > counted.start {
+                    let request = TestRequest { key, ..*request };
+                    let status = block_on(request.send_async(callers)).status().as_u16();
+                    if started.elapsed() > counted.start {
                         let count = if status == 200 { served } else { others };
                         count.fetch_add(1, Ordering::Relaxed);
                     }
--- a/crates/router/tests/gateway/main.rs
+++ b/crates/router/tests/gateway/main.rs
@@ -2,7 +2,9 @@
 //! filled settings template against stand-ins of the users' platform on
 //! loopback.
 
+mod back_end_limits;
 mod back_end_updates;
+mod backoff;
 mod caller_disconnects;
 mod changes;
 mod cluster_state;
@@ -11,20 +13,18 @@
 mod fleet;
 mod incarnations;
 mod key_regions;
-mod limited;
 mod limits;
-mod names;
+mod load;
 mod outage;
 mod partial_lists;
 mod peers;
 mod pipelined;
-mod pressed;
+mod platform_names;
 mod process;
 mod regions;
 mod relay;
 mod relay_records;
 mod requests;
-mod rest;
 mod samples;
 mod settings;
 mod stalled_connections;
--- a/crates/router/tests/gateway/pipelined.rs
+++ b/crates/router/tests/gateway/pipelined.rs
@@ -8,10 +8,10 @@
 
 use super::process::{World, eventually};
 
-/// Requests on one connection at once.
-const AT_ONCE: usize = 8;
+/// Number of requests sent at once on one connection.
+const CONCURRENT_REQUESTS: usize = 8;
 
-/// A caller that reads its answers when it likes.
+/// A caller that decides itself when to read its responses.
 struct Caller(BufReader<TcpStream>);
 
 impl Caller {
@@ -28,8 +28,9 @@
             .expect("sent");
     }
 
-    /// Status and body of the next answer, and whether it is the last.
-    fn answer(&mut self) -> (u16, String, bool) {
+    /// Reads the next response. Returns its status and body, and whether it
+    /// closes the connection.
+    fn read_response(&mut self) -> (u16, String, bool) {
         let mut lines = Vec::new();
         loop {
             let mut line = String::new();
@@ -56,13 +57,13 @@
     format!("GET /safe/x HTTP/1.1\r\nhost: plain.example\r\nx-request-id: {id}\r\n\r\n")
 }
 
-/// A request that changes something, by its route and not by its method.
+/// A request that is not repeatable, by its route and not by its method.
 fn changing(id: &str) -> String {
     format!("GET /unsafe/x HTTP/1.1\r\nhost: plain.example\r\nx-request-id: {id}\r\n\r\n")
 }
 
 fn ids(kind: &str) -> Vec<String> {
-    (0..AT_ONCE)
+    (0..CONCURRENT_REQUESTS)
         .map(|index| format!("{kind}-{index}"))
         .collect()
 }
@@ -73,7 +74,7 @@
     }
 }
 
-fn at_work(world: &World) -> usize {
+fn in_flight(world: &World) -> usize {
     world.plain.iter().map(StandInBackEnd::in_flight).sum()
 }
 
@@ -91,7 +92,7 @@
         .chain([&"change".to_owned()])
         .chain(behind.iter())
     {
-        let (status, body, _) = caller.answer();
+        let (status, body, _) = caller.read_response();
         assert_eq!(status, 200, "{id}: {body}");
         assert!(body.starts_with(&format!("answer to {id} ")), "{body}");
     }
@@ -109,7 +110,7 @@
     caller.send(&requests);
     eventually(|| ids.iter().all(|id| world.runs_of(id) > 0).then_some(()));
     drop(caller);
-    eventually(|| (at_work(&world) == 0).then_some(()));
+    eventually(|| (in_flight(&world) == 0).then_some(()));
     assert_eq!(world.runs_of("change"), 0);
 }
 
@@ -119,25 +120,25 @@
     set_all(&world, Behaviour::Silent);
     let mut caller = Caller::connect(world.gateway.callers);
     caller.send(&[safe("first")]);
-    // With the second attempt beside the first, which also stays silent.
+    // Counts the hedged attempt as well, which also gets no response.
     eventually(|| (world.runs_of("first") == 2).then_some(()));
     set_all(&world, Behaviour::Healthy);
     let behind = ids("behind");
     let requests: Vec<String> = behind.iter().map(|id| safe(id)).collect();
     caller.send(&requests);
     eventually(|| behind.iter().all(|id| world.runs_of(id) > 0).then_some(()));
-    eventually(|| (at_work(&world) == 2).then_some(()));
+    eventually(|| (in_flight(&world) == 2).then_some(()));
     world.gateway.signal("-TERM");
     eventually(|| (world.gateway.readiness() != Some(200)).then_some(()));
-    // The answers behind the first are here, so that nothing but the first
-    // ends with its back ends.
+    // The responses to the later requests have arrived, so that only the first
+    // request is cut off with its back ends.
     for back_end in &world.plain {
         back_end.crash();
     }
-    let (_, _, closes) = caller.answer();
+    let (_, _, closes) = caller.read_response();
     assert!(!closes, "there are answers behind it");
     for (index, id) in behind.iter().enumerate() {
-        let (status, body, closes) = caller.answer();
+        let (status, body, closes) = caller.read_response();
         assert_eq!(status, 200, "{id}: {body}");
         assert!(body.starts_with(&format!("answer to {id} ")), "{body}");
         assert_eq!(closes, index + 1 == behind.len());
--- a/crates/router/tests/gateway/names.rs
+++ b/crates/router/tests/gateway/platform_names.rs
@@ -1,11 +1,11 @@
-//! Nothing outside `platform/` knows the platform's names.
+//! Checks that only the adapter in `platform/` contains the platform's names.
 
 use std::path::{Path, PathBuf};
 
 use super::template::repository_root;
 
 /// Names of headers, paths, kinds, fields and variables of the platform.
-const NAMES: [&str; 18] = [
+const PLATFORM_NAMES: [&str; 18] = [
     "x-request-deadline-ms",
     "x-server-stamp",
     "x-expected-instance",
@@ -26,11 +26,11 @@
     "maxholds",
 ];
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
+fn collect_sources(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).expect("a folder") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            sources(&path, found);
+            collect_sources(&path, found);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             found.push(path);
         }
@@ -41,21 +41,21 @@
     let mut found = Vec::new();
     let crates = repository_root().join("crates");
     for entry in std::fs::read_dir(crates).expect("crates") {
-        sources(&entry.expect("a crate").path().join("src"), &mut found);
+        collect_sources(&entry.expect("a crate").path().join("src"), &mut found);
     }
     found
 }
 
 fn names_in(text: &str) -> Vec<&'static str> {
     let text = text.to_ascii_lowercase();
-    NAMES
+    PLATFORM_NAMES
         .into_iter()
         .filter(|name| text.contains(name))
         .collect()
 }
 
 #[test]
-fn nothing_outside_the_adapter_names_the_platforms_words() {
+fn only_the_adapter_contains_platform_names() {
     let sources = product_sources();
     assert!(sources.len() > 100, "only {} sources found", sources.len());
     for path in sources {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn check_finds_such_names_where_they_stand() {
+fn check_finds_the_names_in_the_adapter() {
     let adapter = repository_root().join("platform/src/headers.rs");
     let text = std::fs::read_to_string(adapter).expect("the adapter");
     assert!(names_in(&text).contains(&"x-shard-key"));
--- a/crates/router/tests/gateway/regions.rs
+++ b/crates/router/tests/gateway/regions.rs
@@ -5,11 +5,11 @@
 
 use super::process::{Gateway, TestRequest, World, configuration, eventually};
 
-/// The back ends are in `zone-a`.
+/// Regions of the zones. The back ends are in `zone-a`.
 const ZONES: [(&str, &str); 3] = [("zone-a", "home"), ("zone-b", "home"), ("zone-c", "away")];
 
 /// A configuration whose route for repeatable requests allows one region.
-fn allowing(version: u64, region: &str) -> Value {
+fn restricted_to(version: u64, region: &str) -> Value {
     let mut wanted = configuration(version);
     wanted["Routes"]["safe"]["AllowedRegions"] = json!([region]);
     wanted
@@ -25,7 +25,7 @@
     eventually(|| gateway.metrics().contains(&line).then_some(()));
 }
 
-/// The log line of the request with this id.
+/// Returns the log line of the request with this id.
 fn line_of<'a>(log: &'a [Value], id: &str) -> Option<&'a Value> {
     log.iter().find(|line| line["request"].as_str() == Some(id))
 }
@@ -35,20 +35,20 @@
     let World { store, plain, .. } = &World::start();
     let mut far = Gateway::start_in_region("zone-c", "router-2", store.address(), &ZONES);
     far.await_ready();
-    store.put("config", "main", allowing(2, "home"));
+    store.put("config", "main", restricted_to(2, "home"));
     await_version(&far, 2);
-    let ask = TestRequest {
+    let request = TestRequest {
         id: "restricted",
         ..TestRequest::default()
     };
-    assert_eq!(ask.send(&far).status(), 200);
+    assert_eq!(request.send(&far).status(), 200);
     let ran = plain.iter().flat_map(|back_end| back_end.runs());
     assert_eq!(ran.filter(|run| run.id == "restricted").count(), 1);
     let counted = "back_end_requests_total{choice=\"free\",distance=\"other-region\"} 1\n";
     let metrics = far.metrics();
     assert!(metrics.contains(counted), "{metrics}");
 
-    store.put("config", "main", allowing(3, "away"));
+    store.put("config", "main", restricted_to(3, "away"));
     await_version(&far, 3);
     let refused = TestRequest {
         id: "refused",
@@ -69,8 +69,8 @@
     }
 }
 
-/// Of the relays of a region's zones one watches the store; when it is lost,
-/// another does.
+/// One of the relays of a region's zones watches the store; if it is lost,
+/// another takes over.
 #[test]
 fn relays_of_one_region_share_a_watch_of_the_store() {
     let World { store, gateway, .. } = World::start();
@@ -79,24 +79,24 @@
     let mut first = start("zone-a", "router-2", store.address());
     first.await_ready();
     eventually(|| store.get("threadledge-relays", "region.home"));
-    let door = block_on(store.open_endpoint()).expect("another address");
-    let mut second = start("zone-b", "router-3", door.address());
+    let endpoint = block_on(store.open_endpoint()).expect("another address");
+    let mut second = start("zone-b", "router-3", endpoint.address());
     second.await_ready();
     eventually(|| follows(&second));
-    let watches = door.watches();
+    let watches = endpoint.watches();
     for version in 2..=4 {
         store.put("config", "main", configuration(version));
         await_version(&second, version);
     }
-    assert_eq!(door.watches(), watches);
+    assert_eq!(endpoint.watches(), watches);
     drop(first);
     store.put("config", "main", configuration(5));
     await_version(&second, 5);
     eventually(|| follows(&second).is_none().then_some(()));
 }
 
-/// Of two back ends that hold keys one is outside the region that a route to
-/// them allows.
+/// Of two back ends that could hold keys, one is outside the region that a
+/// route to them allows.
 #[test]
 fn keys_are_held_where_every_route_to_them_allows_it() {
     let world = World::start_without_configuration();
--- a/crates/router/tests/gateway/requests.rs
+++ b/crates/router/tests/gateway/requests.rs
@@ -1,4 +1,4 @@
-//! Requests through the real program.
+//! Tests of the request path through the real program.
 
 use threadledge_platform_stand_in::{Behaviour, Fault};
 
@@ -13,14 +13,14 @@
     let world = World::start();
     for key in [5, 40_000] {
         let id = format!("request-{key}");
-        let ask = TestRequest {
+        let request = TestRequest {
             host: "keyed.example",
             target: "/k/x?y=1",
             id: &id,
             key: Some(key),
             ..TestRequest::default()
         };
-        let answer = ask.send(&world.gateway);
+        let answer = request.send(&world.gateway);
         assert_eq!(answer.status(), 200, "{}", text(&answer));
         let owner = world
             .keyed
@@ -38,13 +38,13 @@
 #[test]
 fn method_path_and_body_reach_the_back_end_unchanged_with_the_time_left() {
     let world = World::start();
-    let ask = TestRequest {
+    let request = TestRequest {
         method: "POST",
         target: "/unsafe/a/b?c=d",
         body: "two invitations",
         ..TestRequest::default()
     };
-    assert_eq!(ask.send(&world.gateway).status(), 200);
+    assert_eq!(request.send(&world.gateway).status(), 200);
     let runs: Vec<_> = world.plain.iter().flat_map(|each| each.runs()).collect();
     assert_eq!(runs.len(), 1);
     assert_eq!(runs[0].method, "POST");
@@ -79,17 +79,17 @@
     for back_end in &world.plain {
         back_end.set_behaviour(Behaviour::Full);
     }
-    let ask = TestRequest {
+    let request = TestRequest {
         method: "POST",
         target: "/unsafe/x",
         ..TestRequest::default()
     };
-    let answer = ask.send(&world.gateway);
+    let answer = request.send(&world.gateway);
     assert_eq!(answer.status(), 503);
     let wait = answer.headers()["retry-after"].to_str().expect("text");
     assert!(wait.parse::<f64>().expect("a number") > 0.0);
     assert_eq!(
-        world.runs_of(ask.id),
+        world.runs_of(request.id),
         0,
         "a refusal promises that nothing ran"
     );
@@ -101,14 +101,14 @@
     for back_end in &world.plain {
         back_end.set_behaviour(Behaviour::Silent);
     }
-    let ask = TestRequest {
+    let request = TestRequest {
         method: "POST",
         target: "/unsafe/x",
         ..TestRequest::default()
     };
-    let answer = ask.send(&world.gateway);
+    let answer = request.send(&world.gateway);
     assert_eq!(answer.status(), 504);
-    assert_eq!(world.runs_of(ask.id), 1);
+    assert_eq!(world.runs_of(request.id), 1);
 }
 
 #[test]
@@ -118,12 +118,12 @@
         for back_end in &world.plain {
             back_end.set_behaviour(behaviour);
         }
-        let ask = TestRequest {
+        let request = TestRequest {
             method: "POST",
             target: "/unsafe/x",
             ..TestRequest::default()
         };
-        let answer = ask.send(&world.gateway);
+        let answer = request.send(&world.gateway);
         assert_eq!(answer.status(), 502, "{behaviour:?}");
         assert!(answer.headers().get("x-server-stamp").is_none());
     }
@@ -135,30 +135,30 @@
     world.plain[0].set_behaviour(Behaviour::Fails);
     for index in 0..6 {
         let id = format!("request-{index}");
-        let ask = TestRequest {
+        let request = TestRequest {
             id: &id,
             ..TestRequest::default()
         };
-        let answer = ask.send(&world.gateway);
+        let answer = request.send(&world.gateway);
         let stamp = answer.headers().get("x-server-stamp");
         let stamp = stamp.map(|stamp| stamp.to_str().expect("text").to_owned());
-        // Its budget for repeats is small while it has seen few requests.
+        // The retry budget is small while the gateway has seen few requests.
         if answer.status() == 200 {
             assert_eq!(stamp.as_deref(), Some("stamp-of-p-2"));
         }
     }
-    let unsafe_ask = TestRequest {
+    let unsafe_request = TestRequest {
         method: "POST",
         target: "/unsafe/x",
         id: "unsafe-1",
         ..TestRequest::default()
     };
-    unsafe_ask.send(&world.gateway);
+    unsafe_request.send(&world.gateway);
     assert_eq!(world.runs_of("unsafe-1"), 1);
 }
 
 #[test]
-fn draining_and_vanished_back_ends_get_nothing_new() {
+fn draining_and_removed_back_ends_get_nothing_new() {
     let world = World::start();
     let leaving = &world.plain[0];
     world.store.put(
@@ -167,13 +167,14 @@
         leaving.registration("plain", "draining"),
     );
     eventually(|| {
-        let ask = TestRequest::default();
-        let answer = ask.send(&world.gateway);
+        let request = TestRequest::default();
+        let answer = request.send(&world.gateway);
         let stamp = answer.headers()["x-server-stamp"].to_str().expect("text");
         (stamp == "stamp-of-p-2" && leaving.runs().len() < 1_000).then_some(())
     });
-    // The watch has told the gateway by now, or it goes on by chance: ask
-    // until the keyed service shows that a later change has arrived.
+    // The watch may already have delivered the change, or the loop above ended
+    // by chance. A later version of the configuration shows that the earlier
+    // change has arrived.
     world.store.put("config", "main", configuration(2));
     eventually(|| {
         let version = "threadledge_gateway_configuration_version 2";
@@ -182,11 +183,11 @@
     let before = leaving.runs().len();
     for index in 0..10 {
         let id = format!("later-{index}");
-        let ask = TestRequest {
+        let request = TestRequest {
             id: &id,
             ..TestRequest::default()
         };
-        assert_eq!(ask.send(&world.gateway).status(), 200);
+        assert_eq!(request.send(&world.gateway).status(), 200);
     }
     assert_eq!(leaving.runs().len(), before);
 }
@@ -201,13 +202,13 @@
     let other = &world.keyed[1 - owner];
     eventually(|| other.holds(key).then_some(()));
     eventually(|| {
-        let ask = TestRequest {
+        let request = TestRequest {
             host: "keyed.example",
             target: "/k/x",
             key: Some(key),
             ..TestRequest::default()
         };
-        (ask.send(&world.gateway).status() == 200).then_some(())
+        (request.send(&world.gateway).status() == 200).then_some(())
     });
 }
 
@@ -218,13 +219,13 @@
     let grants = || world.keyed.iter().map(|each| each.grants()).sum::<u64>();
     let before = grants();
     eventually(|| (grants() >= before + 6).then_some(()));
-    let ask = TestRequest {
+    let request = TestRequest {
         host: "keyed.example",
         target: "/k/x",
         key: Some(5),
         ..TestRequest::default()
     };
-    assert_eq!(ask.send(&world.gateway).status(), 200);
+    assert_eq!(request.send(&world.gateway).status(), 200);
 }
 
 #[test]
@@ -234,8 +235,8 @@
         .store
         .put("config", "main", serde_json::json!({"Version": "later"}));
     world.store.put("servers", "p-3", serde_json::json!({}));
-    let ask = TestRequest::default();
-    assert_eq!(ask.send(&world.gateway).status(), 200);
+    let request = TestRequest::default();
+    assert_eq!(request.send(&world.gateway).status(), 200);
     world.store.put("config", "main", configuration(3));
     eventually(|| {
         let version = "threadledge_gateway_configuration_version 3";
@@ -259,8 +260,9 @@
     assert!(shows("configuration_version 9").is_some());
 }
 
-/// Only watches would call the store, and they wait for 20 s: one that the
-/// store forgot while it was silent would go unnoticed for as long.
+/// Guards against a lost watch going unnoticed: without probes only watches
+/// call the store, and they wait for 20 s, so one that the store forgot while
+/// it was silent would be missed for that long.
 #[test]
 fn store_is_probed_where_no_service_is_divided_by_key() {
     let mut world = World::start_without_configuration();
--- a/crates/router/tests/gateway/settings.rs
+++ b/crates/router/tests/gateway/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway: what is refused, and with which remedy.
+//! Checks of a gateway's settings, and the remedies in their errors.
 
 use std::process::Command;
 
@@ -7,7 +7,7 @@
 
 use super::process::PROGRAM;
 
-const SOUND: &str = r#"
+const VALID: &str = r#"
 machine = "router-1"
 zone = "zone-a"
 [listen]
@@ -17,8 +17,8 @@
 store = "127.0.0.1:3"
 "#;
 
-fn refused(addition: &str) -> String {
-    let text = format!("{SOUND}{addition}");
+fn problem_with(addition: &str) -> String {
+    let text = format!("{VALID}{addition}");
     let settings: Result<GatewaySettings, _> = toml::from_str(&text);
     match settings {
         Ok(settings) => match settings.check() {
@@ -30,17 +30,17 @@
 }
 
 #[test]
-fn defaults_are_sound() {
-    assert_eq!(refused(""), "");
+fn defaults_are_valid() {
+    assert_eq!(problem_with(""), "");
 }
 
-/// Orders to another region may be long on their way; where zones lie in one
-/// region, nothing is far.
+/// Orders to another region may take long. If all zones belong to one region,
+/// no zone is far.
 #[test]
-fn zones_of_other_regions_are_far() {
+fn only_zones_of_this_region_are_near() {
     let near = |addition: &str| {
-        let text = SOUND.replace("[listen]", &format!("{addition}\n[listen]"));
-        let settings: GatewaySettings = toml::from_str(&text).expect("sound");
+        let text = VALID.replace("[listen]", &format!("{addition}\n[listen]"));
+        let settings: GatewaySettings = toml::from_str(&text).expect("valid");
         settings.coordination().near_zones
     };
     assert_eq!(near(""), None);
@@ -49,25 +49,25 @@
     let near = near(&format!("region = \"r-1\"\n{zones}")).expect("two regions");
     let expected: Vec<ZoneName> = vec!["zone-a".into(), "zone-b".into()];
     assert!(near.iter().eq(&expected), "{near:?}");
-    assert!(refused("[ownership]\nfar-order-s = 0.4").contains("far-order"));
+    assert!(problem_with("[ownership]\nfar-order-s = 0.4").contains("far-order"));
 }
 
 #[test]
 fn unknown_fields_and_bad_values_are_named() {
-    assert!(refused("colour = 1").contains("colour"));
-    assert!(refused("[bounds]\ngrace-s = 0").contains("bounds.grace-s is 0"));
-    assert!(refused("[bounds]\ngrace-s = nan").contains("bounds.grace-s"));
-    assert!(refused("[retry-budget]\nratio = -1.0").contains("retry-budget.ratio"));
-    assert!(refused("[bounds]\ngrace-s = 2").contains("bounds.leave-s"));
+    assert!(problem_with("colour = 1").contains("colour"));
+    assert!(problem_with("[bounds]\ngrace-s = 0").contains("bounds.grace-s is 0"));
+    assert!(problem_with("[bounds]\ngrace-s = nan").contains("bounds.grace-s"));
+    assert!(problem_with("[retry-budget]\nratio = -1.0").contains("retry-budget.ratio"));
+    assert!(problem_with("[bounds]\ngrace-s = 2").contains("bounds.leave-s"));
 }
 
 #[test]
 fn durations_that_contradict_each_other_are_refused() {
-    let hold = refused("[ownership]\nmax-hold-s = 2");
+    let hold = problem_with("[ownership]\nmax-hold-s = 2");
     assert!(hold.contains("ownership.hold-s is 3"), "{hold}");
-    let renewal = refused("[ownership]\ngrant-renewal-s = 3");
+    let renewal = problem_with("[ownership]\ngrant-renewal-s = 3");
     assert!(renewal.contains("grant-renewal-s must stay below ownership.hold-s"));
-    let lease = refused("[ownership]\nlease-renewal-s = 2");
+    let lease = problem_with("[ownership]\nlease-renewal-s = 2");
     assert!(lease.contains("takeover-after-s"), "{lease}");
 }
 
--- a/crates/router/tests/gateway/stop.rs
+++ b/crates/router/tests/gateway/stop.rs
@@ -23,19 +23,19 @@
 }
 
 #[test]
-fn planned_stop_leaves_first_then_answers_what_runs_and_ends() {
+fn planned_stop_becomes_unready_then_finishes_running_requests_and_exits() {
     let world = World::start();
     for back_end in &world.plain {
         back_end.set_behaviour(Behaviour::Silent);
     }
     let callers = world.gateway.callers;
     let running = task::spawn(async move {
-        let ask = TestRequest {
+        let request = TestRequest {
             method: "POST",
             target: "/unsafe/x",
             ..TestRequest::default()
         };
-        ask.send_async(callers).await
+        request.send_async(callers).await
     });
     eventually(|| (world.runs_of("request-1") == 1).then_some(()));
     world.gateway.signal("-TERM");
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn hangup_signal_ends_nothing() {
+fn hangup_signal_stops_nothing() {
     let world = World::start();
     world.gateway.signal("-HUP");
     assert_eq!(TestRequest::default().send(&world.gateway).status(), 200);
@@ -93,11 +93,11 @@
     for back_end in &world.plain {
         back_end.set_behaviour(Behaviour::Full);
     }
-    let ask = TestRequest {
+    let request = TestRequest {
         id: "wanted",
         ..TestRequest::default()
     };
-    assert_eq!(ask.send(&world.gateway).status(), 503);
+    assert_eq!(request.send(&world.gateway).status(), 503);
     world.gateway.signal("-TERM");
     let (_, log) = world.gateway.wait_for_exit();
     let line = log.iter().find(|line| line["request"] == "wanted");
--- a/crates/router/tests/gateway/template.rs
+++ b/crates/router/tests/gateway/template.rs
@@ -1,4 +1,4 @@
-//! Fills the settings template of the deploy file as the platform does.
+//! Fills the settings template of the deployment as the platform does.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Fills every gap; panics on one that has no value.
+/// Fills every placeholder; panics if one has no value.
 pub fn fill(values: &BTreeMap<&str, String>) -> String {
     let path = repository_root().join(TEMPLATE);
     let template = std::fs::read_to_string(path).expect("the template");
@@ -18,20 +18,20 @@
     let mut filled = String::new();
     let mut rest = template.as_str();
     while let Some((before, after)) = rest.split_once("{{") {
-        let (gap, after) = after.split_once("}}").expect("a closed gap");
+        let (placeholder, after) = after.split_once("}}").expect("a closed placeholder");
         filled.push_str(before);
-        filled.push_str(&value_of(gap, values));
+        filled.push_str(&value_of(placeholder, values));
         rest = after;
     }
     filled + rest
 }
 
-/// Keeps the sections whose value is given, and drops the others.
+/// Keeps the sections whose value is given and drops the others.
 fn without_sections(template: &str, values: &BTreeMap<&str, String>) -> String {
     let mut kept = String::new();
     let mut rest = template;
     while let Some((before, after)) = rest.split_once("{{#") {
-        let (name, after) = after.split_once("}}").expect("a closed gap");
+        let (name, after) = after.split_once("}}").expect("a closed placeholder");
         let end = format!("{{{{/{name}}}}}");
         let (section, after) = after.split_once(&end).expect("a closed section");
         kept.push_str(before);
@@ -43,10 +43,10 @@
     kept + rest
 }
 
-fn value_of(gap: &str, values: &BTreeMap<&str, String>) -> String {
-    let (name, as_json) = match gap.strip_suffix("|json") {
+fn value_of(placeholder: &str, values: &BTreeMap<&str, String>) -> String {
+    let (name, as_json) = match placeholder.strip_suffix("|json") {
         Some(name) => (name, true),
-        None => (gap, false),
+        None => (placeholder, false),
     };
     let value = values.get(name);
     let value = value.unwrap_or_else(|| panic!("the template asks for {name}"));
--- a/crates/router/tests/gateway/tenants.rs
+++ b/crates/router/tests/gateway/tenants.rs
@@ -1,4 +1,4 @@
-//! Callers with keys of tenants, through the real program.
+//! Callers with API keys of tenants, through the real program.
 
 use async_std::task::block_on;
 use http::Response;
@@ -16,7 +16,7 @@
     gateway.metrics().contains(line).then_some(())
 }
 
-/// Puts a version with tenants in force.
+/// Puts a configuration version with tenants in force.
 fn put(world: &World, version: u64, tenants: &[(&str, &[&str], Option<u32>)]) {
     let wanted = with_tenants(configuration(version), tenants);
     world.store.put("config", "main", wanted);
@@ -24,7 +24,8 @@
     eventually(|| shows(&world.gateway, &line));
 }
 
-/// Two tenants with a key each, and a second key of the first.
+/// Starts a world with two tenants with a key each, and a second key of the
+/// first.
 fn start() -> World {
     let world = World::start();
     let alpha = ("alpha", &[ALPHA, "alpha-key-two"][..], None);
@@ -36,8 +37,8 @@
     String::from_utf8_lossy(answer.body()).into_owned()
 }
 
-/// Tenant and key that the back end of a request saw.
-fn seen(world: &World, id: &str) -> (Option<String>, Option<String>) {
+/// Returns the tenant and the key that the back end of a request saw.
+fn tenant_and_key_seen(world: &World, id: &str) -> (Option<String>, Option<String>) {
     let all = world.keyed.iter().chain(&world.plain);
     let mut runs = all
         .flat_map(StandInBackEnd::runs)
@@ -50,18 +51,21 @@
 fn back_end_sees_the_tenant_that_holds_the_key_and_never_the_key() {
     let world = start();
     for (id, key, tenant) in [("a", ALPHA, "alpha"), ("b", BETA, "beta")] {
-        let ask = TestRequest {
+        let request = TestRequest {
             method: "POST",
             target: "/unsafe/x",
             body: "two invitations",
             id,
             api_key: Some(key),
-            // What a caller says of itself counts for nothing.
+            // The tenant name that a caller sends must be ignored.
             tenant: Some("alpha"),
             ..TestRequest::default()
         };
-        assert_eq!(ask.send(&world.gateway).status(), 200);
-        assert_eq!(seen(&world, id), (Some(tenant.to_owned()), None));
+        assert_eq!(request.send(&world.gateway).status(), 200);
+        assert_eq!(
+            tenant_and_key_seen(&world, id),
+            (Some(tenant.to_owned()), None)
+        );
     }
 }
 
@@ -73,7 +77,7 @@
         (Some("gamma-key"), "unknown-api-key\n"),
         (Some(""), "unknown-api-key\n"),
     ] {
-        let ask = TestRequest {
+        let request = TestRequest {
             method: "POST",
             target: "/unsafe/x",
             body: "two invitations",
@@ -81,55 +85,61 @@
             tenant: Some("alpha"),
             ..TestRequest::default()
         };
-        let answer = ask.send(&world.gateway);
+        let answer = request.send(&world.gateway);
         assert_eq!(answer.status(), 401);
         assert_eq!(text(&answer), reason);
         assert!(answer.headers().get("retry-after").is_none());
-        assert_eq!(world.runs_of(ask.id), 0);
+        assert_eq!(world.runs_of(request.id), 0);
     }
 }
 
 #[test]
-fn public_route_asks_for_no_key_and_takes_no_unknown_one() {
+fn public_route_requires_no_key_and_refuses_unknown_ones() {
     let world = start();
-    let ask = |id, api_key| TestRequest {
+    let request = |id, api_key| TestRequest {
         host: "open.example",
         id,
         api_key,
         tenant: Some("alpha"),
         ..TestRequest::default()
     };
-    assert_eq!(ask("none", None).send(&world.gateway).status(), 200);
-    assert_eq!(seen(&world, "none"), (None, None));
-    assert_eq!(ask("beta", Some(BETA)).send(&world.gateway).status(), 200);
-    assert_eq!(seen(&world, "beta"), (Some("beta".to_owned()), None));
-    let unknown = ask("unknown", Some("gamma-key"));
+    assert_eq!(request("none", None).send(&world.gateway).status(), 200);
+    assert_eq!(tenant_and_key_seen(&world, "none"), (None, None));
+    assert_eq!(
+        request("beta", Some(BETA)).send(&world.gateway).status(),
+        200
+    );
+    assert_eq!(
+        tenant_and_key_seen(&world, "beta"),
+        (Some("beta".to_owned()), None)
+    );
+    let unknown = request("unknown", Some("gamma-key"));
     assert_eq!(unknown.send(&world.gateway).status(), 401);
 }
 
 #[test]
-fn key_and_tenant_are_taken_out_also_where_nobody_asks_for_keys() {
+fn key_and_tenant_headers_are_removed_also_when_no_keys_are_required() {
     let world = World::start();
-    let ask = TestRequest {
+    let request = TestRequest {
         api_key: Some(ALPHA),
         tenant: Some("alpha"),
         ..TestRequest::default()
     };
-    assert_eq!(ask.send(&world.gateway).status(), 200);
-    assert_eq!(seen(&world, ask.id), (None, None));
+    assert_eq!(request.send(&world.gateway).status(), 200);
+    assert_eq!(tenant_and_key_seen(&world, request.id), (None, None));
 }
 
-/// Status of the answer to a request with a key.
+/// Returns the status of the response to a request with a key.
 fn status(gateway: &Gateway, api_key: &str) -> u16 {
-    let ask = TestRequest {
+    let request = TestRequest {
         api_key: Some(api_key),
         ..TestRequest::default()
     };
-    ask.send(gateway).status().as_u16()
+    request.send(gateway).status().as_u16()
 }
 
-/// Takes the first key of `alpha` away.
-fn take_away(store: &StandInStore, version: u64) {
+/// Revokes the first key of `alpha`.
+fn revoke_key(store: &StandInStore, version: u64) {
     let alpha = ("alpha", &["alpha-key-two"][..], None);
     let tenants = [alpha, ("beta", &[BETA], None)];
     let wanted = with_tenants(configuration(version), &tenants);
@@ -137,55 +147,56 @@
 }
 
 #[test]
-fn key_that_is_taken_away_is_refused_and_the_others_go_on() {
+fn revoked_key_is_refused_and_other_keys_still_work() {
     let world = start();
     assert_eq!(status(&world.gateway, ALPHA), 200);
-    take_away(&world.store, 3);
+    revoke_key(&world.store, 3);
     eventually(|| (status(&world.gateway, ALPHA) == 401).then_some(()));
     assert_eq!(status(&world.gateway, "alpha-key-two"), 200);
     assert_eq!(status(&world.gateway, BETA), 200);
 }
 
-/// The store turns a gateway away and serves the others: one of its zone that
-/// relays, or, where it is alone in its zone, any other one.
+/// The store refuses one gateway and serves the others. That gateway has to
+/// learn of the change from a relay of its zone or, if it is alone in its zone,
+/// from any other gateway.
 #[test]
-fn gateway_that_the_store_turns_away_hears_from_others_of_a_key_taken_away() {
+fn gateway_that_the_store_refuses_learns_of_a_revoked_key_from_others() {
     for zone in ["zone-a", "zone-b"] {
         let world = start();
-        let door = block_on(world.store.open_endpoint()).expect("another address");
-        let mut away = Gateway::start_in(zone, "router-2", door.address());
-        away.await_ready();
-        eventually(|| (status(&away, ALPHA) == 200).then_some(()));
-        door.set_fault(Fault::Busy);
-        take_away(&world.store, 3);
-        eventually(|| (status(&away, ALPHA) == 401).then_some(()));
-        assert_eq!(status(&away, BETA), 200);
+        let endpoint = block_on(world.store.open_endpoint()).expect("another address");
+        let mut cut_off = Gateway::start_in(zone, "router-2", endpoint.address());
+        cut_off.await_ready();
+        eventually(|| (status(&cut_off, ALPHA) == 200).then_some(()));
+        endpoint.set_fault(Fault::Busy);
+        revoke_key(&world.store, 3);
+        eventually(|| (status(&cut_off, ALPHA) == 401).then_some(()));
+        assert_eq!(status(&cut_off, BETA), 200);
     }
 }
 
 #[test]
-fn gateway_that_restarts_takes_no_key_before_it_knows_a_configuration() {
+fn restarted_gateway_accepts_no_key_before_it_has_a_configuration() {
     let world = start();
-    let door = block_on(world.store.open_endpoint()).expect("another address");
-    door.set_fault(Fault::Silent);
-    let away = Gateway::start_in("zone-c", "router-3", door.address());
-    eventually(|| away.readiness());
+    let endpoint = block_on(world.store.open_endpoint()).expect("another address");
+    endpoint.set_fault(Fault::Silent);
+    let cut_off = Gateway::start_in("zone-c", "router-3", endpoint.address());
+    eventually(|| cut_off.readiness());
     for api_key in [Some(ALPHA), Some("gamma-key"), None] {
-        let ask = TestRequest {
+        let request = TestRequest {
             api_key,
             ..TestRequest::default()
         };
-        let answer = ask.send(&away);
+        let answer = request.send(&cut_off);
         assert_eq!(answer.status(), 503, "{}", text(&answer));
     }
-    door.set_fault(Fault::None);
-    eventually(|| (status(&away, ALPHA) == 200).then_some(()));
-    eventually(|| (status(&away, "gamma-key") == 401).then_some(()));
+    endpoint.set_fault(Fault::None);
+    eventually(|| (status(&cut_off, ALPHA) == 200).then_some(()));
+    eventually(|| (status(&cut_off, "gamma-key") == 401).then_some(()));
 }
 
-/// Alone and without the store nobody can say which keys there are.
+/// A gateway without peers and store cannot know which keys are valid.
 #[test]
-fn gateway_that_hears_of_nobody_is_unsure_of_keys_and_refuses_all_if_it_fails_closed() {
+fn isolated_gateway_has_stale_keys_and_refuses_all_if_it_fails_closed() {
     for (more, known) in [
         (&[("Bounds.RevokeS", "3")][..], 200),
         (
@@ -194,23 +205,23 @@
         ),
     ] {
         let world = start();
-        let door = block_on(world.store.open_endpoint()).expect("another address");
-        let mut alone = Gateway::start_with("zone-b", "router-2", door.address(), more);
+        let endpoint = block_on(world.store.open_endpoint()).expect("another address");
+        let mut alone = Gateway::start_with("zone-b", "router-2", endpoint.address(), more);
         alone.await_ready();
         eventually(|| (status(&alone, ALPHA) == 200).then_some(()));
         eventually(|| (status(&alone, "gamma-key") == 401).then_some(()));
-        door.set_fault(Fault::Silent);
+        endpoint.set_fault(Fault::Silent);
         let World { gateway, .. } = world;
         drop(gateway);
         eventually(|| (status(&alone, "gamma-key") == 503).then_some(()));
         assert_eq!(status(&alone, ALPHA), known);
-        door.set_fault(Fault::None);
+        endpoint.set_fault(Fault::None);
         eventually(|| (status(&alone, "gamma-key") == 401).then_some(()));
         eventually(|| (status(&alone, ALPHA) == 200).then_some(()));
     }
 }
 
-/// Lists of the configuration that the store answered.
+/// Returns how many list calls for the configuration the store answered.
 fn lists(gateway: &Gateway) -> u64 {
     let wanted = r#"{call="list",collection="configurations",outcome="answered"} "#;
     let text = gateway.metrics();
@@ -218,9 +229,10 @@
     found.map_or(0, |(_, count)| count.parse().expect("a count"))
 }
 
-/// Watches of a quiet store wait longer than keys are sure.
+/// Watches of a quiet store wait longer than keys stay confirmed, so the
+/// gateway has to ask in between.
 #[test]
-fn gateway_without_others_asks_a_quiet_store_whether_its_keys_still_stand() {
+fn gateway_without_peers_confirms_its_keys_with_a_quiet_store() {
     let World { store, .. } = start();
     let more = [("Bounds.RevokeS", "1"), ("without-peers", "")];
     let mut alone = Gateway::start_with("zone-b", "router-2", store.address(), &more);
@@ -231,12 +243,12 @@
 }
 
 #[test]
-fn version_in_which_two_tenants_share_a_key_changes_nothing() {
+fn configuration_in_which_two_tenants_share_a_key_is_rejected() {
     let mut world = start();
     let alpha = ("alpha", &[ALPHA, BETA][..], None);
     let shared = with_tenants(configuration(3), &[alpha, ("beta", &[BETA], None)]);
     world.store.put("config", "main", shared);
-    take_away(&world.store, 4);
+    revoke_key(&world.store, 4);
     eventually(|| (status(&world.gateway, ALPHA) == 401).then_some(()));
     assert_eq!(status(&world.gateway, BETA), 200);
     world.gateway.await_ready();
@@ -271,14 +283,14 @@
     assert_eq!(wrong, "digest-is-64-hex-digits-of-sha-256\n");
 }
 
-/// Everything that a gateway writes, serves and tells others while callers
-/// show good, bad and lost keys, searched for the keys.
+/// Searches everything that a gateway logs, serves and sends to others, while
+/// callers use valid, invalid and revoked keys, for the keys.
 #[test]
-fn no_key_stands_in_anything_that_a_gateway_writes_or_tells() {
+fn no_key_appears_in_anything_that_a_gateway_writes_or_sends() {
     let world = start();
-    let door = block_on(world.store.open_endpoint()).expect("another address");
+    let endpoint = block_on(world.store.open_endpoint()).expect("another address");
     let everything = [("log.level", "trace")];
-    let mut second = Gateway::start_with("zone-a", "router-2", door.address(), &everything);
+    let mut second = Gateway::start_with("zone-a", "router-2", endpoint.address(), &everything);
     second.await_ready();
     let keys = [ALPHA, "alpha-key-two", BETA, "gamma-key"];
     for gateway in [&world.gateway, &second] {
@@ -287,7 +299,7 @@
         }
         TestRequest::default().send(gateway);
     }
-    take_away(&world.store, 3);
+    revoke_key(&world.store, 3);
     eventually(|| (status(&second, ALPHA) == 401).then_some(()));
     for back_end in &world.plain {
         back_end.set_behaviour(threadledge_platform_stand_in::Behaviour::Full);
@@ -295,9 +307,9 @@
     for key in keys {
         status(&second, key);
     }
-    let mut told = second.metrics();
-    told += &second.operator_get("/threadledge/v1/held");
-    told += &second.operator_get("/threadledge/v1/keys/gamma-key");
+    let mut output = second.metrics();
+    output += &second.operator_get("/threadledge/v1/held");
+    output += &second.operator_get("/threadledge/v1/keys/gamma-key");
     let marks = json!({"configuration": null, "back-ends": 0, "ownership": {}});
     let news = http::Request::post("/threadledge/v1/news")
         .body(marks.to_string().into_bytes())
@@ -306,7 +318,7 @@
     let news = block_on(client.send(second.peers, news, TIMEOUT)).expect("an answer");
     assert_eq!(news.status(), 200);
     let news = text(&news);
-    assert!(news.contains("beta"), "the tenants are told: {news}");
+    assert!(news.contains("beta"), "the tenants are sent: {news}");
     second.signal("-TERM");
     let (_, log) = second.wait_for_exit();
     let log: String = log.iter().map(|line| format!("{line}\n")).collect();
@@ -315,7 +327,7 @@
     for key in keys {
         let digest = serde_json::to_value(KeyDigest::of(key.as_bytes())).expect("written");
         let digest = digest.as_str().expect("text");
-        for (place, text) in [("told", &told), ("news", &news), ("log", &log)] {
+        for (place, text) in [("output", &output), ("news", &news), ("log", &log)] {
             assert!(!text.contains(key), "{key} stands in {place}: {text}");
             let tells = place != "news" && text.contains(digest);
             assert!(!tells, "the digest of {key} stands in {place}");
--- a/crates/router/tests/gateway/uploads.rs
+++ b/crates/router/tests/gateway/uploads.rs
@@ -1,5 +1,6 @@
-//! Long bodies, through the real program: whole at one back end or at none,
-//! sent again only where nothing ran, and bounded by the machine's memory.
+//! Long request bodies, through the real program: they reach one back end whole
+//! or none at all, are sent again only if nothing ran, and are bounded by the
+//! machine's memory.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,19 +12,19 @@
 
 use super::process::{Gateway, TestRequest, World, eventually};
 
-/// Length of a long body, in bytes: more than is read ahead, less than is
-/// kept.
-const LONG: usize = 300_000;
-/// Length of a body that is longer than what is kept, in bytes.
-const LONGER: usize = 1_200_000;
-/// Longest chunk, in bytes.
-const CHUNK: usize = 20_000;
-/// Uploads until the back end under test has surely had one.
+/// Length of a long body, in bytes: longer than what is read ahead, shorter
+/// than what is kept.
+const LONG_BODY: usize = 300_000;
+/// Length of a body longer than what is kept, in bytes.
+const LONGER_BODY: usize = 1_200_000;
+/// Maximum chunk length, in bytes.
+const MAX_CHUNK: usize = 20_000;
+/// Number of uploads, enough for the back end under test to get at least one.
 const UPLOADS: usize = 40;
-/// Slots of the sound back ends.
-const SLOTS: usize = 4;
+/// Slots of the other back ends together.
+const SLOTS_OF_OTHERS: usize = 4;
 
-/// Bytes that differ by place, so that a gap or a repetition shows.
+/// Bytes that vary by position, so that a gap or a repetition shows.
 fn body(length: usize) -> Vec<u8> {
     (0..length).map(|index| (index / 7 % 251) as u8).collect()
 }
@@ -43,7 +44,7 @@
 
 fn in_chunks(id: &str, body: &[u8]) -> Vec<u8> {
     let mut sent = head(id, "transfer-encoding: chunked").into_bytes();
-    for chunk in body.chunks(CHUNK) {
+    for chunk in body.chunks(MAX_CHUNK) {
         sent.extend_from_slice(format!("{:x}\r\n", chunk.len()).as_bytes());
         sent.extend_from_slice(chunk);
         sent.extend_from_slice(b"\r\n");
@@ -52,7 +53,8 @@
     sent
 }
 
-/// Status of the first answer; `None` when the connection ends first.
+/// Returns the status of the first response, or `None` if the connection ends
+/// first.
 fn status(stream: &TcpStream) -> Option<u16> {
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line).ok()?;
@@ -61,7 +63,7 @@
 
 fn upload(callers: SocketAddr, sent: &[u8]) -> Option<u16> {
     let mut stream = TcpStream::connect(callers).expect("connected");
-    // The answer may come before all is sent, and the connection end.
+    // The response may come, and the connection end, before everything is sent.
     let _ = stream.write_all(sent);
     status(&stream)
 }
@@ -73,15 +75,15 @@
     line.expect("a line").parse().expect("a count")
 }
 
-/// An upload of which half has come.
-fn stalled(gateway: &Gateway, id: &str) -> TcpStream {
-    let bytes = with_length(id, &body(LONG));
+/// Starts an upload and sends only half of it.
+fn start_stalled_upload(gateway: &Gateway, id: &str) -> TcpStream {
+    let bytes = with_length(id, &body(LONG_BODY));
     let mut stream = TcpStream::connect(gateway.callers).expect("connected");
-    stream.write_all(&bytes[..LONG / 2]).expect("sent");
+    stream.write_all(&bytes[..LONG_BODY / 2]).expect("sent");
     stream
 }
 
-/// Bodies with which a request ran.
+/// Returns the bodies with which a request ran.
 fn bodies_of(world: &World, id: &str) -> Vec<Vec<u8>> {
     let runs = world.plain.iter().flat_map(StandInBackEnd::runs);
     runs.filter(|run| run.id == id)
@@ -89,32 +91,32 @@
         .collect()
 }
 
-/// A back end that refuses every request with a body once it has its head,
-/// keeps the connection and reads the body.
+/// A back end that refuses every request with a body as soon as it has the
+/// head, keeps the connection open and reads the body.
 #[derive(Clone)]
-struct Hasty {
+struct EarlyRefuser {
     address: SocketAddr,
     refused: Arc<Mutex<Vec<String>>>,
-    /// Times that other bytes came where a body was due.
+    /// Times that other bytes arrived in place of an announced body.
     out_of_frame: Arc<AtomicUsize>,
 }
 
-impl Hasty {
-    fn start() -> Hasty {
+impl EarlyRefuser {
+    fn start() -> EarlyRefuser {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let hasty = Hasty {
+        let early_refuser = EarlyRefuser {
             address: listener.local_addr().expect("an address"),
             refused: Arc::default(),
             out_of_frame: Arc::default(),
         };
-        let shared = hasty.clone();
+        let shared = early_refuser.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let shared = shared.clone();
                 std::thread::spawn(move || shared.serve(stream));
             }
         });
-        hasty
+        early_refuser
     }
 
     fn serve(&self, stream: TcpStream) {
@@ -126,8 +128,8 @@
             if lines[0].starts_with("post") {
                 let id = value(&lines, "x-request-id: ").unwrap_or_default();
                 self.refused.lock().push(id);
-                let due = read_due(&mut reader, &lines);
-                if !body(LONG).starts_with(&due) {
+                let announced = read_announced_body(&mut reader, &lines);
+                if !body(LONG_BODY).starts_with(&announced) {
                     self.out_of_frame.fetch_add(1, Ordering::SeqCst);
                 }
             }
@@ -154,23 +156,23 @@
     Some(value.to_owned())
 }
 
-/// Reads the body that a head announces, as far as it comes.
-fn read_due(reader: &mut BufReader<TcpStream>, lines: &[String]) -> Vec<u8> {
-    let mut due = Vec::new();
+/// Reads the announced body as far as it arrives.
+fn read_announced_body(reader: &mut BufReader<TcpStream>, lines: &[String]) -> Vec<u8> {
+    let mut announced = Vec::new();
     if let Some(length) = value(lines, "content-length: ") {
         let length = length.parse().expect("a number");
-        // It may break off.
-        let _ = reader.take(length).read_to_end(&mut due);
-        return due;
+        // The body may be truncated.
+        let _ = reader.take(length).read_to_end(&mut announced);
+        return announced;
     }
     loop {
         let mut line = String::new();
         let read = reader.read_line(&mut line);
         let length = u64::from_str_radix(line.trim(), 16).unwrap_or(0);
-        let count = reader.take(length).read_to_end(&mut due);
+        let count = reader.take(length).read_to_end(&mut announced);
         let broke_off = read.is_err() || count.is_err();
         if broke_off || length == 0 || reader.read_line(&mut line).is_err() {
-            return due;
+            return announced;
         }
     }
 }
@@ -178,17 +180,18 @@
 #[test]
 fn upload_that_is_refused_before_its_body_is_in_runs_whole_at_another_back_end() {
     let world = World::start_with_long_timeouts();
-    // All slots of the others but one are taken, so that it gets requests too.
-    let _holding: Vec<TcpStream> = (0..SLOTS - 1)
-        .map(|index| stalled(&world.gateway, &format!("holding-{index}")))
+    // All but one of the other slots are taken, so that this back end gets
+    // requests too.
+    let _holding: Vec<TcpStream> = (0..SLOTS_OF_OTHERS - 1)
+        .map(|index| start_stalled_upload(&world.gateway, &format!("holding-{index}")))
         .collect();
-    eventually(|| (metric(&world.gateway, "running") == SLOTS - 1).then_some(()));
-    let hasty = Hasty::start();
-    let entry = world.plain[0].registration_at(hasty.address, "zone-a", "plain", "ready");
+    eventually(|| (metric(&world.gateway, "running") == SLOTS_OF_OTHERS - 1).then_some(()));
+    let early_refuser = EarlyRefuser::start();
+    let entry = world.plain[0].registration_at(early_refuser.address, "zone-a", "plain", "ready");
     world.store.put("servers", "hasty", entry);
     let all = world.keyed.len() + world.plain.len() + 1;
     eventually(|| (metric(&world.gateway, "back_ends") == all).then_some(()));
-    let sent = body(LONG);
+    let sent = body(LONG_BODY);
     let mut served = 0;
     for index in 0..UPLOADS {
         let id = format!("upload-{index}");
@@ -204,35 +207,35 @@
             other => panic!(
                 "{id}: {other:?}, ran with {:?} bytes, refused: {:?}",
                 ran.iter().map(Vec::len).collect::<Vec<_>>(),
-                hasty.refused.lock()
+                early_refuser.refused.lock()
             ),
         }
-        let was_refused = hasty.refused.lock().contains(&id);
+        let was_refused = early_refuser.refused.lock().contains(&id);
         served += usize::from(was_refused && status == Some(200));
     }
-    assert!(!hasty.refused.lock().is_empty(), "it had none");
+    assert!(!early_refuser.refused.lock().is_empty(), "it had none");
     assert!(
         served > 0,
         "{:?} were refused for good",
-        hasty.refused.lock()
+        early_refuser.refused.lock()
     );
-    assert_eq!(hasty.out_of_frame.load(Ordering::SeqCst), 0);
+    assert_eq!(early_refuser.out_of_frame.load(Ordering::SeqCst), 0);
 }
 
 #[test]
 fn long_body_that_comes_slowly_is_whole_at_each_of_two_back_ends() {
     let world = World::start_with_long_timeouts();
-    let whole = body(LONG);
+    let whole = body(LONG_BODY);
     let head = format!(
         "PUT /safe/x HTTP/1.1\r\nhost: plain.example\r\nx-request-id: slow\r\n\
-         x-request-deadline-ms: 20000\r\ncontent-length: {LONG}\r\n\r\n"
+         x-request-deadline-ms: 20000\r\ncontent-length: {LONG_BODY}\r\n\r\n"
     );
     let mut stream = TcpStream::connect(world.gateway.callers).expect("connected");
     stream.write_all(head.as_bytes()).expect("sent");
-    stream.write_all(&whole[..LONG / 2]).expect("sent");
-    // The second attempt begins while both wait for the rest.
+    stream.write_all(&whole[..LONG_BODY / 2]).expect("sent");
+    // The hedged attempt begins while both wait for the rest of the body.
     eventually(|| (metric(&world.gateway, "hedges") == 1).then_some(()));
-    stream.write_all(&whole[LONG / 2..]).expect("sent");
+    stream.write_all(&whole[LONG_BODY / 2..]).expect("sent");
     assert_eq!(status(&stream), Some(200));
     let ran = bodies_of(&world, "slow");
     assert!(!ran.is_empty());
@@ -242,7 +245,7 @@
 #[test]
 fn body_longer_than_what_is_kept_arrives_whole() {
     let world = World::start_with_long_timeouts();
-    let sent = body(LONGER);
+    let sent = body(LONGER_BODY);
     for (id, bytes) in [
         ("length", with_length("length", &sent)),
         ("chunks", in_chunks("chunks", &sent)),
@@ -255,11 +258,11 @@
 #[test]
 fn callers_that_break_off_their_bodies_count_against_no_back_end() {
     let world = World::start_with_long_timeouts();
-    let whole = body(LONG);
+    let whole = body(LONG_BODY);
     for index in 0..UPLOADS {
         let id = format!("broken-{index}");
-        let mut sent = in_chunks(&id, &whole[..LONG / 2]);
-        // In place of the end of the chunks.
+        let mut sent = in_chunks(&id, &whole[..LONG_BODY / 2]);
+        // Replaces the last chunk, which ends the body.
         sent.truncate(sent.len() - 5);
         sent.extend_from_slice(b"no chunk\r\n");
         let status = upload(world.gateway.callers, &sent);
@@ -277,7 +280,7 @@
     world.gateway.await_ready();
     let mut streams = Vec::new();
     let refused = loop {
-        let stream = stalled(&world.gateway, &format!("stalled-{}", streams.len()));
+        let stream = start_stalled_upload(&world.gateway, &format!("stalled-{}", streams.len()));
         let short = std::time::Duration::from_millis(100);
         stream.set_read_timeout(Some(short)).expect("set");
         match status(&stream) {
@@ -288,7 +291,7 @@
     };
     assert_eq!(refused, 503);
     assert!(!streams.is_empty());
-    // At back ends whose slots the stalled ones do not hold.
+    // Sent to back ends whose slots the stalled uploads do not hold.
     let short = TestRequest {
         host: "keyed.example",
         target: "/k/x",
@@ -298,7 +301,7 @@
     assert_eq!(short.send(&world.gateway).status(), 200);
     drop(streams);
     eventually(|| {
-        let sent = with_length("late", &body(LONG));
+        let sent = with_length("late", &body(LONG_BODY));
         (upload(world.gateway.callers, &sent) == Some(200)).then_some(())
     });
 }
--- a/crates/router/tests/gateway/usage.rs
+++ b/crates/router/tests/gateway/usage.rs
@@ -1,4 +1,4 @@
-//! What a gateway costs its operators shows in its metrics.
+//! Metrics of what a gateway costs its operators.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 use threadledge_coordination::action::Freshness;
 use threadledge_platform::ports;
 
-/// Nothing listens there.
-const NOBODY: ([u8; 4], u16) = ([127, 0, 0, 1], 9);
+/// Address on which nothing listens.
+const UNUSED_ADDRESS: ([u8; 4], u16) = ([127, 0, 0, 1], 9);
 
 fn text(registry: &Registry) -> String {
     let mut buffer = Vec::new();
@@ -23,7 +23,7 @@
 fn every_call_to_the_store_is_counted_with_its_outcome() {
     let registry = Registry::new();
     let usage = Usage::new(&registry).expect("registered");
-    let ports = usage.count_store_calls(ports(NOBODY.into(), Duration::from_secs(1)));
+    let ports = usage.count_store_calls(ports(UNUSED_ADDRESS.into(), Duration::from_secs(1)));
     let listed = task::block_on(ports.back_ends.list(Freshness::Stale));
     assert!(listed.is_err());
     let watch = ports.configurations.changes(1, Duration::from_secs(1));
