--- a/crates/router/src/gateway/limits/log.rs
+++ b/crates/router/src/gateway/limits/log.rs
@@ -37,10 +37,10 @@
     pub(super) fn log_ledger(&self, ledger: Option<(Term, bool)>) {
         let mut logged = self.ledger.lock();
         let before = std::mem::replace(&mut *logged, ledger);
-        let known = before.map(|(term, _)| term);
+        let previous_term = before.map(|(term, _)| term);
         match (before, ledger) {
             (Some((term, _)), None) => emit!(EventId::LedgerLost, term = term.0),
-            (_, Some((term, whole))) if known != Some(term) => {
+            (_, Some((term, whole))) if previous_term != Some(term) => {
                 emit!(EventId::LedgerTaken, term = term.0, whole);
             }
             (Some((_, false)), Some((term, true))) => emit!(EventId::LedgerWhole, term = term.0),
--- a/crates/router/src/gateway/limits/operator.rs
+++ b/crates/router/src/gateway/limits/operator.rs
@@ -60,9 +60,9 @@
             return Some(answer::json(&self.status()));
         }
         let tenant = TenantName::from(rest.strip_prefix('/')?);
-        let known = self.status().tenants.into_iter();
-        let mut known = known.filter(|status| status.tenant == tenant.as_str());
-        Some(match known.next() {
+        let statuses = self.status().tenants.into_iter();
+        let mut statuses = statuses.filter(|status| status.tenant == tenant.as_str());
+        Some(match statuses.next() {
             Some(status) => answer::json(&status),
             None => answer::text(404, "no-such-tenant-with-a-limit-was-seen-lately", None),
         })
--- a/crates/router/src/gateway/limits/state.rs
+++ b/crates/router/src/gateway/limits/state.rs
@@ -84,7 +84,7 @@
         term: Term,
         address: Option<SocketAddr>,
     ) {
-        if self.holder.is_none_or(|(known, _)| known <= term) {
+        if self.holder.is_none_or(|(known_term, _)| known_term <= term) {
             self.holder = Some((term, address));
         }
         self.rate_limiter.observe_term(now, term);
--- a/crates/router/src/gateway/requests.rs
+++ b/crates/router/src/gateway/requests.rs
@@ -29,7 +29,7 @@
 /// again.
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
 
-/// State shared by all requests of callers.
+/// Handler of callers' requests, with the state that they share.
 pub(super) struct RequestHandler {
     pub(super) attempts: Attempts,
     /// Rate limits of tenants.
--- a/crates/router/src/gateway/suspects.rs
+++ b/crates/router/src/gateway/suspects.rs
@@ -140,8 +140,8 @@
     /// Returns the suspects known here that concern the requesting gateway: all
     /// for a relay of another zone, otherwise those with repeated crashes.
     pub(super) fn known_suspects(&self, requester: Option<SocketAddr>) -> SuspectUpdate {
-        let others = self.neighbours.position().other_relays;
-        let scope = match requester.is_some_and(|requester| others.contains(&requester)) {
+        let other_relays = self.neighbours.position().other_relays;
+        let scope = match requester.is_some_and(|requester| other_relays.contains(&requester)) {
             true => UpdateScope::All,
             false => UpdateScope::Repeated,
         };
--- a/crates/router/src/gateway/suspects/gossip.rs
+++ b/crates/router/src/gateway/suspects/gossip.rs
@@ -39,31 +39,31 @@
 /// was sent or itself sent here.
 #[derive(Debug, Default)]
 pub(super) struct Cursors {
-    known: Mutex<BTreeMap<SocketAddr, u64>>,
+    cursors: Mutex<BTreeMap<SocketAddr, u64>>,
 }
 
 impl Cursors {
     /// Records that an update from `from` moved the local state from change
     /// `before` to `after`, so that it need not be sent back.
     pub(super) fn record_received(&self, from: SocketAddr, before: u64, after: u64) {
-        let mut known = self.known.lock();
-        if known.get(&from) == Some(&before) {
-            known.insert(from, after);
+        let mut cursors = self.cursors.lock();
+        if cursors.get(&from) == Some(&before) {
+            cursors.insert(from, after);
         }
     }
 
-    fn get(&self, of: SocketAddr) -> Option<u64> {
-        self.known.lock().get(&of).copied()
+    fn get(&self, target: SocketAddr) -> Option<u64> {
+        self.cursors.lock().get(&target).copied()
     }
 
     fn record_sent(&self, to: SocketAddr, changes: u64) {
-        let mut known = self.known.lock();
-        let cursor = known.entry(to).or_default();
+        let mut cursors = self.cursors.lock();
+        let cursor = cursors.entry(to).or_default();
         *cursor = (*cursor).max(changes);
     }
 
     fn retain_targets(&self, targets: &BTreeSet<SocketAddr>) {
-        self.known
+        self.cursors
             .lock()
             .retain(|target, _| targets.contains(target));
     }
--- a/crates/router/src/gateway/suspects/neighbours.rs
+++ b/crates/router/src/gateway/suspects/neighbours.rs
@@ -40,12 +40,12 @@
     }
 
     /// Sets the relays of the other zones.
-    pub(in super::super) fn set_other_relays(&self, others: Vec<SocketAddr>) {
+    pub(in super::super) fn set_other_relays(&self, other_relays: Vec<SocketAddr>) {
         let mut position = self.position.lock();
-        if position.other_relays == others {
+        if position.other_relays == other_relays {
             return;
         }
-        position.other_relays = others;
+        position.other_relays = other_relays;
         drop(position);
         self.changed.notify();
     }
--- a/crates/router/tests/gateway/crashing.rs
+++ b/crates/router/tests/gateway/crashing.rs
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn gateway_that_has_just_started_knows_what_others_hold() {
+fn newly_started_gateway_learns_the_held_requests() {
     let mut fleet = Fleet::start();
     fleet.send_crashing(3);
     fleet.await_request_held();
--- a/crates/router/tests/gateway/limits.rs
+++ b/crates/router/tests/gateway/limits.rs
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn refusal_says_when_there_is_room_and_operators_see_why() {
+fn refusal_has_a_retry_delay_and_operators_see_the_reason() {
     let fleet = Fleet::start();
     let mut refused = None;
     send_load(&fleet.gateways(), || {
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn loss_of_the_ledger_keeps_the_bound_and_another_gateway_takes_it() {
+fn limit_holds_while_another_gateway_takes_over_a_lost_ledger() {
     let mut fleet = Fleet::start();
     let kept = |gateway: &Gateway| holds_ledger(gateway);
     let lost = match fleet.others.iter().position(kept) {
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn silent_store_ends_no_limit_and_no_service() {
+fn silent_store_affects_neither_limits_nor_service() {
     let fleet = Fleet::start();
     let gateways = fleet.gateways();
     fleet.world.store.set_fault(Fault::Silent);
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn restart_of_all_gives_no_second_burst() {
+fn restart_of_all_gateways_gives_no_second_burst() {
     let mut fleet = Fleet::start();
     send_load(&fleet.gateways(), || {
         std::thread::sleep(Duration::from_secs(2));
--- a/crates/router/tests/gateway/pipelined.rs
+++ b/crates/router/tests/gateway/pipelined.rs
@@ -53,12 +53,12 @@
     }
 }
 
-fn safe(id: &str) -> String {
+fn repeatable(id: &str) -> String {
     format!("GET /safe/x HTTP/1.1\r\nhost: plain.example\r\nx-request-id: {id}\r\n\r\n")
 }
 
 /// A request that is not repeatable, by its route and not by its method.
-fn changing(id: &str) -> String {
+fn unrepeatable(id: &str) -> String {
     format!("GET /unsafe/x HTTP/1.1\r\nhost: plain.example\r\nx-request-id: {id}\r\n\r\n")
 }
 
@@ -79,13 +79,13 @@
 }
 
 #[test]
-fn every_answer_comes_in_its_turn() {
+fn responses_come_in_the_order_of_the_requests() {
     let world = World::start();
     let mut caller = Caller::connect(world.gateway.callers);
     let (before, behind) = (ids("before"), ids("behind"));
-    let mut requests: Vec<String> = before.iter().map(|id| safe(id)).collect();
-    requests.push(changing("change"));
-    requests.extend(behind.iter().map(|id| safe(id)));
+    let mut requests: Vec<String> = before.iter().map(|id| repeatable(id)).collect();
+    requests.push(unrepeatable("change"));
+    requests.extend(behind.iter().map(|id| repeatable(id)));
     caller.send(&requests);
     for id in before
         .iter()
@@ -100,13 +100,13 @@
 }
 
 #[test]
-fn safe_requests_are_at_back_ends_together_and_one_that_changes_something_waits() {
+fn repeatable_requests_run_concurrently_and_an_unrepeatable_one_waits() {
     let world = World::start_with_long_timeouts();
     set_all(&world, Behaviour::Silent);
     let mut caller = Caller::connect(world.gateway.callers);
     let ids = ids("together");
-    let mut requests: Vec<String> = ids.iter().map(|id| safe(id)).collect();
-    requests.push(changing("change"));
+    let mut requests: Vec<String> = ids.iter().map(|id| repeatable(id)).collect();
+    requests.push(unrepeatable("change"));
     caller.send(&requests);
     eventually(|| ids.iter().all(|id| world.runs_of(id) > 0).then_some(()));
     drop(caller);
@@ -115,16 +115,16 @@
 }
 
 #[test]
-fn planned_stop_answers_what_was_sent_on_and_says_so_in_the_last_answer() {
+fn planned_stop_answers_running_requests_and_closes_with_the_last_response() {
     let world = World::start_with_long_timeouts();
     set_all(&world, Behaviour::Silent);
     let mut caller = Caller::connect(world.gateway.callers);
-    caller.send(&[safe("first")]);
+    caller.send(&[repeatable("first")]);
     // Counts the hedged attempt as well, which also gets no response.
     eventually(|| (world.runs_of("first") == 2).then_some(()));
     set_all(&world, Behaviour::Healthy);
     let behind = ids("behind");
-    let requests: Vec<String> = behind.iter().map(|id| safe(id)).collect();
+    let requests: Vec<String> = behind.iter().map(|id| repeatable(id)).collect();
     caller.send(&requests);
     eventually(|| behind.iter().all(|id| world.runs_of(id) > 0).then_some(()));
     eventually(|| (in_flight(&world) == 2).then_some(()));
--- a/crates/router/tests/gateway/platform_names.rs
+++ b/crates/router/tests/gateway/platform_names.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn check_finds_the_names_in_the_adapter() {
+fn check_finds_such_names_where_they_stand() {
     let adapter = repository_root().join("platform/src/headers.rs");
     let text = std::fs::read_to_string(adapter).expect("the adapter");
     assert!(names_in(&text).contains(&"x-shard-key"));
--- a/crates/router/tests/gateway/regions.rs
+++ b/crates/router/tests/gateway/regions.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn request_that_must_not_leave_a_region_is_passed_on_and_not_kept() {
+fn request_restricted_to_another_region_is_forwarded_and_not_logged_here() {
     let World { store, plain, .. } = &World::start();
     let mut far = Gateway::start_in_region("zone-c", "router-2", store.address(), &ZONES);
     far.await_ready();
--- a/crates/router/tests/gateway/requests.rs
+++ b/crates/router/tests/gateway/requests.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn full_back_ends_lead_to_a_refusal_with_the_time_to_come_back() {
+fn full_back_ends_lead_to_a_refusal_with_a_retry_delay() {
     let world = World::start();
     for back_end in &world.plain {
         back_end.set_behaviour(Behaviour::Full);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn answer_of_another_request_or_without_the_mark_reaches_nobody() {
+fn response_to_another_request_or_without_a_stamp_reaches_no_caller() {
     let world = World::start();
     for behaviour in [Behaviour::WrongRequestId, Behaviour::NoStamp] {
         for back_end in &world.plain {
@@ -158,19 +158,19 @@
 }
 
 #[test]
-fn draining_and_removed_back_ends_get_nothing_new() {
+fn draining_back_ends_get_no_new_requests() {
     let world = World::start();
-    let leaving = &world.plain[0];
+    let draining = &world.plain[0];
     world.store.put(
         "servers",
-        &leaving.id,
-        leaving.registration("plain", "draining"),
+        &draining.id,
+        draining.registration("plain", "draining"),
     );
     eventually(|| {
         let request = TestRequest::default();
         let answer = request.send(&world.gateway);
         let stamp = answer.headers()["x-server-stamp"].to_str().expect("text");
-        (stamp == "stamp-of-p-2" && leaving.runs().len() < 1_000).then_some(())
+        (stamp == "stamp-of-p-2" && draining.runs().len() < 1_000).then_some(())
     });
     // The watch may already have delivered the change, or the loop above ended
     // by chance. A later version of the configuration shows that the earlier
@@ -180,7 +180,7 @@
         let version = "threadledge_gateway_configuration_version 2";
         world.gateway.metrics().contains(version).then_some(())
     });
-    let before = leaving.runs().len();
+    let before = draining.runs().len();
     for index in 0..10 {
         let id = format!("later-{index}");
         let request = TestRequest {
@@ -189,7 +189,7 @@
         };
         assert_eq!(request.send(&world.gateway).status(), 200);
     }
-    assert_eq!(leaving.runs().len(), before);
+    assert_eq!(draining.runs().len(), before);
 }
 
 #[test]
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn malformed_configuration_leaves_the_last_one_in_force() {
+fn malformed_configuration_leaves_the_previous_one_in_force() {
     let world = World::start();
     world
         .store
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn older_configuration_never_follows_a_later_one() {
+fn older_configuration_never_replaces_a_later_one() {
     let world = World::start();
     world.store.put("config", "main", configuration(9));
     let shows = |version: &str| world.gateway.metrics().contains(version).then_some(());
@@ -264,7 +264,7 @@
 /// call the store, and they wait for 20 s, so one that the store forgot while
 /// it was silent would be missed for that long.
 #[test]
-fn store_is_probed_where_no_service_is_divided_by_key() {
+fn store_is_probed_without_keyed_services() {
     let mut world = World::start_without_configuration();
     let mut plain = configuration(1);
     let tables = ["Routes", "Services"];
--- a/crates/router/tests/gateway/settings.rs
+++ b/crates/router/tests/gateway/settings.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn program_ends_with_the_place_and_the_remedy() {
+fn program_exits_with_the_place_and_the_remedy() {
     let path = std::env::temp_dir().join(format!("threadledge-bad-{}.toml", std::process::id()));
     std::fs::write(&path, "machine = 7").expect("written");
     let output = Command::new(PROGRAM)
--- a/crates/router/tests/gateway/stop.rs
+++ b/crates/router/tests/gateway/stop.rs
@@ -63,17 +63,14 @@
     let (status, log) = world.gateway.wait_for_exit();
     assert_eq!(status.code(), Some(0));
     let numbers = numbers(&log);
-    for wanted in [101, 102, 103, 106, 107, 310] {
-        assert!(numbers.contains(&wanted), "{wanted} not in {numbers:?}");
+    for expected in [101, 102, 103, 106, 107, 310] {
+        assert!(numbers.contains(&expected), "{expected} not in {numbers:?}");
     }
     let lease = world
         .store
         .get("threadledge-leases", "keyed")
         .expect("a lease");
-    assert!(
-        lease["holder"].is_null(),
-        "the office was handed back: {lease}"
-    );
+    assert!(lease["holder"].is_null(), "the lease was resigned: {lease}");
 }
 
 #[test]
--- a/crates/router/tests/gateway/uploads.rs
+++ b/crates/router/tests/gateway/uploads.rs
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn upload_that_is_refused_before_its_body_is_in_runs_whole_at_another_back_end() {
+fn upload_refused_before_its_body_has_arrived_runs_whole_at_another_back_end() {
     let world = World::start_with_long_timeouts();
     // All but one of the other slots are taken, so that this back end gets
     // requests too.
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn callers_that_break_off_their_bodies_count_against_no_back_end() {
+fn bodies_truncated_by_callers_count_against_no_back_end() {
     let world = World::start_with_long_timeouts();
     let whole = body(LONG_BODY);
     for index in 0..UPLOADS {
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn uploads_beyond_the_memory_are_refused_and_short_requests_are_served() {
+fn uploads_beyond_the_memory_budget_are_refused_and_short_requests_are_served() {
     let mut world = World::start_with_long_timeouts();
     world.gateway = Gateway::start_small("router-2", world.store.address(), 16);
     world.gateway.await_ready();
