--- a/crates/router/src/check.rs
+++ b/crates/router/src/check.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct CheckProblem {
     /// The file, with line and column where they are known.
-    pub place: String,
+    pub location: String,
     /// What is wrong, and the remedy.
     pub kind: CheckProblemKind,
 }
@@ -47,12 +47,12 @@
     Empty,
     /// The name does not tell what the file holds.
     #[error("has an unknown ending; name settings .toml, and objects .json, .yaml or .yml")]
-    UnknownEnding,
+    UnknownExtension,
 }
 
 impl fmt::Display for CheckProblem {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}: {}", self.place, self.kind)
+        write!(formatter, "{}: {}", self.location, self.kind)
     }
 }
 
@@ -67,8 +67,8 @@
             "toml" => problems.extend(check_settings(file)),
             "json" | "yaml" | "yml" => problems.extend(objects.add(file)),
             _ => problems.push(CheckProblem {
-                place: file.display().to_string(),
-                kind: CheckProblemKind::UnknownEnding,
+                location: file.display().to_string(),
+                kind: CheckProblemKind::UnknownExtension,
             }),
         }
     }
@@ -83,10 +83,10 @@
 }
 
 fn check_settings(file: &Path) -> impl Iterator<Item = CheckProblem> {
-    settings::examine(file)
+    settings::find_problems(file)
         .into_iter()
         .map(|problem| CheckProblem {
-            place: problem.place.to_string(),
+            location: problem.location.to_string(),
             kind: CheckProblemKind::Settings(problem.kind),
         })
 }
@@ -101,7 +101,7 @@
 fn check_gateway(file: &Path) -> Option<CheckProblem> {
     let fault = GatewaySettings::read(file).err()?;
     Some(CheckProblem {
-        place: file.display().to_string(),
+        location: file.display().to_string(),
         kind: CheckProblemKind::Gateway(fault.to_string()),
     })
 }
--- a/crates/router/src/check/objects.rs
+++ b/crates/router/src/check/objects.rs
@@ -105,7 +105,7 @@
 }
 
 fn syntax(file: &Path, error: &serde_norway::Error) -> CheckProblem {
-    let place = match error.location() {
+    let location = match error.location() {
         Some(location) => format!(
             "{}:{}:{}",
             file.display(),
@@ -115,14 +115,14 @@
         None => file.display().to_string(),
     };
     CheckProblem {
-        place,
+        location,
         kind: CheckProblemKind::Syntax(error.to_string()),
     }
 }
 
 fn problem(file: &Path, kind: CheckProblemKind) -> CheckProblem {
     CheckProblem {
-        place: file.display().to_string(),
+        location: file.display().to_string(),
         kind,
     }
 }
--- a/crates/router/src/control_shell/availability.rs
+++ b/crates/router/src/control_shell/availability.rs
@@ -38,7 +38,7 @@
 
 impl Availability {
     /// A use failed.
-    pub fn failed(&mut self, of: PlatformUse) -> Option<AvailabilityChange> {
+    pub fn record_failure(&mut self, of: PlatformUse) -> Option<AvailabilityChange> {
         self.failing.insert(of);
         let was_lost = std::mem::replace(&mut self.is_lost, true);
         (!was_lost).then_some(AvailabilityChange::Lost)
@@ -46,7 +46,7 @@
 
     /// A use succeeded. While another one still fails, nothing is restored:
     /// a store that answers one of two watches would fill the log.
-    pub fn succeeded(&mut self, of: PlatformUse) -> Option<AvailabilityChange> {
+    pub fn record_success(&mut self, of: PlatformUse) -> Option<AvailabilityChange> {
         self.failing.remove(&of);
         self.failing.remove(&PlatformUse::Single);
         let is_restored = self.is_lost && self.failing.is_empty();
@@ -55,7 +55,7 @@
     }
 
     /// A use ended without telling more. The next success restores.
-    pub fn ended(&mut self, of: PlatformUse) {
+    pub fn clear(&mut self, of: PlatformUse) {
         self.failing.remove(&of);
     }
 }
@@ -91,18 +91,18 @@
 
 impl AvailabilityLog {
     /// A use succeeded.
-    pub fn succeeded(&self, of: PlatformUse) {
-        if self.availability.lock().succeeded(of).is_some() {
+    pub fn record_success(&self, of: PlatformUse) {
+        if self.availability.lock().record_success(of).is_some() {
             emit!(EventId::PlatformRestored);
         }
     }
 
     /// A use failed. An answer that refuses one request is a success here.
-    pub fn failed(&self, of: PlatformUse, error: &PlatformError) {
+    pub fn record_failure(&self, of: PlatformUse, error: &PlatformError) {
         if !means_unavailable(&error.kind) {
-            return self.succeeded(of);
+            return self.record_success(of);
         }
-        if self.availability.lock().failed(of).is_some() {
+        if self.availability.lock().record_failure(of).is_some() {
             emit!(EventId::PlatformUnavailable, %error);
         }
     }
@@ -110,7 +110,7 @@
     /// The watches ended.
     pub fn watches_ended(&self) {
         let mut availability = self.availability.lock();
-        availability.ended(PlatformUse::WatchBackEnds);
-        availability.ended(PlatformUse::WatchServices);
+        availability.clear(PlatformUse::WatchBackEnds);
+        availability.clear(PlatformUse::WatchServices);
     }
 }
--- a/crates/router/src/control_shell/configuration.rs
+++ b/crates/router/src/control_shell/configuration.rs
@@ -76,8 +76,8 @@
         task::spawn(async move {
             let read = client.get::<RouterGroupObject>(&key).await;
             match &read {
-                Ok(_) => log.succeeded(PlatformUse::Single),
-                Err(error) => log.failed(PlatformUse::Single, error),
+                Ok(_) => log.record_success(PlatformUse::Single),
+                Err(error) => log.record_failure(PlatformUse::Single, error),
             }
             shell.input(Input::GroupObject(group_state(read)));
         });
@@ -103,7 +103,7 @@
         task::spawn(async move {
             let written = write_resolved(&client, &write, &settings).await;
             match &written {
-                Ok(_) => log.succeeded(PlatformUse::Single),
+                Ok(_) => log.record_success(PlatformUse::Single),
                 Err(error) => log_failed_founding(&log, error),
             }
             let result = match written {
@@ -214,5 +214,5 @@
     if error.is_ambiguous() {
         emit!(EventId::WriteAmbiguous, %error);
     }
-    log.failed(PlatformUse::Single, error);
+    log.record_failure(PlatformUse::Single, error);
 }
--- a/crates/router/src/control_shell/configuration/statuses.rs
+++ b/crates/router/src/control_shell/configuration/statuses.rs
@@ -61,9 +61,9 @@
         let mut last = None;
         for _ in 0..STATUS_ATTEMPTS {
             match self.try_write::<K>(key, write).await {
-                Ok(()) => return self.log.succeeded(PlatformUse::Single),
+                Ok(()) => return self.log.record_success(PlatformUse::Single),
                 Err(error) => {
-                    self.log.failed(PlatformUse::Single, &error);
+                    self.log.record_failure(PlatformUse::Single, &error);
                     last = Some(error);
                 }
             }
--- a/crates/router/src/control_shell/configuration/updates.rs
+++ b/crates/router/src/control_shell/configuration/updates.rs
@@ -31,10 +31,10 @@
     let mut seen = StoreSeen::default();
     while let Ok(update) = updates.recv().await {
         if let WatchUpdate::Interrupted { error, .. } = &update {
-            log.failed(K::WATCH, error);
+            log.record_failure(K::WATCH, error);
             continue;
         }
-        log.succeeded(K::WATCH);
+        log.record_success(K::WATCH);
         if let Some(event) = seen.event_of(update) {
             shell.input(Input::Configuration(Box::new(event)));
         }
--- a/crates/router/src/control_shell/explain.rs
+++ b/crates/router/src/control_shell/explain.rs
@@ -10,7 +10,7 @@
 
 use super::status::selected_back_ends;
 use crate::operations::{
-    ExplainError, ExplainRequest, Explanation, ExplanationOwner, RouteOfService, SelectedBackEnd,
+    ExplainError, ExplainRequest, Explanation, MatchedRoute, SelectedBackEnd, SliceOwner,
 };
 
 /// Headers of an explained request.
@@ -43,7 +43,7 @@
     let slice = slice_of(node, &matched).ok_or(ExplainError::NotReady)?;
     Ok(Explanation {
         service: record.id.clone(),
-        route: RouteOfService {
+        route: MatchedRoute {
             name: route.name.clone(),
             key: route.key.clone(),
             repeatable: matched.repeatable,
@@ -166,10 +166,10 @@
         .collect()
 }
 
-fn owner(node: &ControlNode, slice: &SliceRecord) -> Option<ExplanationOwner> {
+fn owner(node: &ControlNode, slice: &SliceRecord) -> Option<SliceOwner> {
     let session = slice.owner.clone()?;
     let back_end = node.replica().back_end(&session.back_end);
-    Some(ExplanationOwner {
+    Some(SliceOwner {
         address: back_end.map(|record| record.spec.address),
         session,
     })
--- a/crates/router/src/control_shell/machines.rs
+++ b/crates/router/src/control_shell/machines.rs
@@ -17,7 +17,11 @@
 const READ_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Reads the list until the process stops.
-pub async fn read_machines(shell: ControlShell, address: SocketAddr, transport: TransportSettings) {
+pub async fn poll_machine_list(
+    shell: ControlShell,
+    address: SocketAddr,
+    transport: TransportSettings,
+) {
     let client = MachineListClient::new(address, transport);
     let mut available = true;
     while !shell.stop_signal().is_stopped() {
--- a/crates/router/src/control_shell/peers.rs
+++ b/crates/router/src/control_shell/peers.rs
@@ -65,7 +65,7 @@
         Peers {
             client: HttpClient::new(settings),
             queues: Mutex::new(HashMap::new()),
-            path: safety.stated_in(PEER_PATH),
+            path: safety.add_to_path(PEER_PATH),
             safety,
             differing: Mutex::new(BTreeSet::new()),
         }
--- a/crates/router/src/control_shell/safety.rs
+++ b/crates/router/src/control_shell/safety.rs
@@ -54,7 +54,7 @@
 
 impl SafetySettings {
     /// The safety settings among the durations.
-    pub fn of(timing: &Timing) -> Self {
+    pub fn from_timing(timing: &Timing) -> Self {
         SafetySettings {
             lease_ms: timing.lease_ms,
             drift_percent: timing.drift_percent,
@@ -63,7 +63,7 @@
     }
 
     /// `path` with the settings as query parameters.
-    pub fn stated_in(&self, path: &str) -> String {
+    pub fn add_to_path(&self, path: &str) -> String {
         let SafetySettings {
             lease_ms,
             drift_percent,
--- a/crates/router/src/control_shell/shared.rs
+++ b/crates/router/src/control_shell/shared.rs
@@ -15,7 +15,7 @@
 
 use super::configuration::Configuration;
 use super::leases::LeaseClient;
-use super::machines::read_machines;
+use super::machines::poll_machine_list;
 use super::observe;
 use super::peers::Peers;
 use super::safety::SafetySettings;
@@ -70,7 +70,7 @@
         let shell = ControlShell {
             shared: Arc::new(Shared {
                 node: Mutex::new(parts.node),
-                peers: Peers::new(SafetySettings::of(&parts.settings.timing)),
+                peers: Peers::new(SafetySettings::from_timing(&parts.settings.timing)),
                 leases: LeaseClient::new(lease_timeout),
                 configuration: Configuration::new(
                     &parts.settings,
@@ -84,7 +84,11 @@
             }),
         };
         task::spawn(tick(shell.clone()));
-        task::spawn(read_machines(shell.clone(), machine_list, parts.platform));
+        task::spawn(poll_machine_list(
+            shell.clone(),
+            machine_list,
+            parts.platform,
+        ));
         shell
     }
 
@@ -113,7 +117,7 @@
     }
 
     /// Whether a router is known that has other safety settings.
-    pub fn knows_differing_routers(&self) -> bool {
+    pub fn has_differing_routers(&self) -> bool {
         self.shared.peers.any_differ()
     }
 
@@ -164,7 +168,7 @@
     /// known there is a group that this one cannot see; it must not found a
     /// second one, whatever the store shows.
     fn found_group(&self, generation: Generation, expected: Option<GroupObjectVersion>) {
-        if !self.knows_differing_routers() {
+        if !self.has_differing_routers() {
             let configuration = &self.shared.configuration;
             return configuration.found_group(self, generation, expected);
         }
--- a/crates/router/src/gateway/attempt.rs
+++ b/crates/router/src/gateway/attempt.rs
@@ -12,11 +12,11 @@
 
 use super::dispatch::Dispatch;
 use super::usage::Usage;
-use crate::proxy::answer::{AnswerBody, read_ahead, read_over};
-use crate::proxy::budget::Budget;
+use crate::proxy::answer::{AnswerBody, drain_available, read_ahead};
 use crate::proxy::headers;
 use crate::proxy::inbound::Inbound;
-use crate::proxy::replay::Replay;
+use crate::proxy::memory_budget::MemoryBudget;
+use crate::proxy::replayable_request::ReplayableRequest;
 
 /// Response bodies of up to this size, in bytes, are read before any of the
 /// response is passed on, so that a truncated response can lead to another
@@ -30,7 +30,7 @@
 pub(super) struct Attempts {
     pub(super) dispatch: Arc<Dispatch>,
     pub(super) pool: Pool,
-    pub(super) budget: Budget,
+    pub(super) budget: MemoryBudget,
     pub(super) header_codec: Arc<dyn HeaderCodec>,
     pub(super) usage: Usage,
 }
@@ -58,7 +58,7 @@
 /// The request that every attempt of one exchange sends.
 #[derive(Debug)]
 pub(super) struct OutboundRequest {
-    replay: Replay,
+    replay: ReplayableRequest,
     request_id: Option<String>,
     /// Tenant of the caller.
     pub(super) tenant: Option<TenantName>,
@@ -67,14 +67,14 @@
 impl OutboundRequest {
     pub(super) fn new(inbound: Inbound, request_id: Option<String>) -> Self {
         OutboundRequest {
-            replay: Replay::new(inbound),
+            replay: ReplayableRequest::new(inbound),
             request_id,
             tenant: None,
         }
     }
 
     pub(super) fn replayable(&self) -> bool {
-        self.replay.is_held()
+        self.replay.is_replayable()
     }
 }
 
@@ -140,7 +140,7 @@
         }
         if let Some(reason) = head.not_run {
             self.usage.record_back_end_response(attempt, response.len());
-            read_over(response.take_body_keeping_headers());
+            drain_available(response.take_body_keeping_headers());
             let load = head.load;
             return AttemptResult::without_response(AttemptEnd::NotRun { reason, load });
         }
@@ -179,7 +179,7 @@
         }
         Ok(
             match read_ahead(body, MAX_READ_AHEAD_BYTES, &self.budget).await? {
-                AnswerBody::Whole(body) => body,
+                AnswerBody::Complete(body) => body,
                 AnswerBody::Streamed { body, length } => Body::from_reader(body, length),
             },
         )
--- a/crates/router/src/gateway/bodies.rs
+++ b/crates/router/src/gateway/bodies.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use crate::events::{EventId, emit};
-use crate::proxy::budget::{Budget, Reservation};
-use crate::proxy::inbound::{Inbound, PASSING, RequestBody};
+use crate::proxy::inbound::{Inbound, RequestBody, STREAMING_BUFFER_BYTES};
+use crate::proxy::memory_budget::{MemoryBudget, Reservation};
 
 /// Bodies of up to this size, in bytes, are kept while they are streamed to a
 /// back end, so that they can be sent again. The value is above the largest
@@ -20,9 +20,9 @@
 /// more memory than the machine has, and all its requests with it.
 pub(super) struct Bodies {
     /// Budget for bodies that are held or kept, and for responses.
-    held: Budget,
+    held: MemoryBudget,
     /// Budget for bodies that are streamed and not kept.
-    passing: Budget,
+    passing: MemoryBudget,
     /// Whether the most recent long body was refused for lack of memory.
     refusing: AtomicBool,
 }
@@ -36,10 +36,10 @@
 impl Bodies {
     /// Creates the budgets: `held` is shared with responses, and
     /// `passing_bytes` is reserved in addition for streamed bodies.
-    pub(super) fn new(held: Budget, passing_bytes: usize) -> Self {
+    pub(super) fn new(held: MemoryBudget, passing_bytes: usize) -> Self {
         Bodies {
             held,
-            passing: Budget::new(passing_bytes),
+            passing: MemoryBudget::new(passing_bytes),
             refusing: AtomicBool::new(false),
         }
     }
@@ -47,14 +47,14 @@
     /// Keeps a long body if there is memory for it, or else lets it be
     /// streamed. Returns `None` when there is memory for neither.
     pub(super) fn admit(&self, inbound: &mut Inbound) -> Option<BodyReservation> {
-        if matches!(inbound.body, RequestBody::Whole(_)) {
+        if matches!(inbound.body, RequestBody::Buffered(_)) {
             return Some(BodyReservation { _passing: None });
         }
-        inbound.keep(MAX_KEPT_BYTES, &self.held);
+        inbound.make_replayable(MAX_KEPT_BYTES, &self.held);
         let passing = match inbound.body {
-            RequestBody::Whole(_) | RequestBody::Kept(_) => None,
+            RequestBody::Buffered(_) | RequestBody::Replayable(_) => None,
             RequestBody::Streamed(_) => {
-                let Some(passing) = self.passing.reserve(PASSING) else {
+                let Some(passing) = self.passing.reserve(STREAMING_BUFFER_BYTES) else {
                     self.record_refusing(true);
                     return None;
                 };
--- a/crates/router/src/gateway/dispatch.rs
+++ b/crates/router/src/gateway/dispatch.rs
@@ -100,7 +100,7 @@
             .collect();
         drop(state);
         for signal in signals {
-            signal.give();
+            signal.notify();
         }
         retry_denials.iter().for_each(log_retry_denial);
         back_end_events.iter().for_each(log_back_end_event);
--- a/crates/router/src/gateway/run.rs
+++ b/crates/router/src/gateway/run.rs
@@ -48,7 +48,7 @@
 use super::tokens::TokenRequester;
 use crate::events::{EventId, emit};
 use crate::proxy::Clock;
-use crate::proxy::budget::Budget;
+use crate::proxy::memory_budget::MemoryBudget;
 
 /// Timeout for opening a connection to a back end.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
@@ -193,7 +193,7 @@
         let sources = Arc::new(Sources::new(clock, store_health.clone()));
         let metrics = GatewayMetrics::new(dispatch.clone(), sources.clone())?;
         let ports = metrics.usage().count_store_calls(ports);
-        let budget = Budget::new(settings.limits.held_bytes());
+        let budget = MemoryBudget::new(settings.limits.held_bytes());
         let identity = NodeIdentity {
             node: MachineName(settings.machine.clone()),
             incarnation: Incarnation(rand::random()),
--- a/crates/router/src/operations.rs
+++ b/crates/router/src/operations.rs
@@ -12,11 +12,11 @@
 
 pub use client::{ClientError, OperatorClient};
 pub use report::{
-    ExplainRequest, Explanation, ExplanationOwner, GroupStatus, MemberState, MemberStatus,
-    NotReadyReason, Readiness, RouteOfService, SelectedBackEnd, ServiceStatus, SessionStatus,
+    ExplainRequest, Explanation, GroupStatus, MatchedRoute, MemberState, MemberStatus,
+    NotReadyReason, Readiness, SelectedBackEnd, ServiceStatus, SessionStatus, SliceOwner,
     StatusReport,
 };
-pub use service::{Operations, ProblemBody, serve};
+pub use service::{OperatorService, ProblemBody, serve};
 pub use signals::stop_on_signal;
 pub use text::{explanation_text, status_text};
 pub use view::{ExplainError, RouterView};
--- a/crates/router/src/operations/report.rs
+++ b/crates/router/src/operations/report.rs
@@ -230,7 +230,7 @@
     /// Service that answers to the host.
     pub service: ServiceId,
     /// Route that matches.
-    pub route: RouteOfService,
+    pub route: MatchedRoute,
     /// Text of the service's back end selector.
     pub selector: String,
     /// Back ends that the selector matches.
@@ -242,7 +242,7 @@
     /// Slice of the point.
     pub slice: Slice,
     /// Owner of the slice, if any.
-    pub owner: Option<ExplanationOwner>,
+    pub owner: Option<SliceOwner>,
     /// Fencing token of the slice's last assignment.
     pub epoch: Epoch,
     /// Back end that is being prepared to take over.
@@ -254,7 +254,7 @@
 /// The route of an explained request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct RouteOfService {
+pub struct MatchedRoute {
     /// Name of the route.
     pub name: String,
     /// Where the key stands.
@@ -284,7 +284,7 @@
 /// Owner of an explained request's slice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct ExplanationOwner {
+pub struct SliceOwner {
     /// The session that owns the slice.
     pub session: SessionId,
     /// Where requests go; `None` when its object is gone.
--- a/crates/router/src/operations/service.rs
+++ b/crates/router/src/operations/service.rs
@@ -36,15 +36,15 @@
 
 /// Answers operators' requests about one router.
 #[derive(Clone)]
-pub struct Operations {
+pub struct OperatorService {
     view: Arc<dyn RouterView>,
     metrics: Metrics,
 }
 
-impl Operations {
+impl OperatorService {
     /// Answers from `view` and `metrics`.
     pub fn new(view: Arc<dyn RouterView>, metrics: Metrics) -> Self {
-        Operations { view, metrics }
+        OperatorService { view, metrics }
     }
 
     /// Answers one request.
@@ -108,7 +108,11 @@
 ///
 /// Give `stop` only when the router has nothing left to do, so that operators
 /// can watch a planned stop to its end.
-pub async fn serve(listener: TcpListener, operations: Operations, stop: StopSignal) -> ServeReport {
+pub async fn serve(
+    listener: TcpListener,
+    operations: OperatorService,
+    stop: StopSignal,
+) -> ServeReport {
     let limits = ServerLimits {
         max_connections: MAX_CONNECTIONS,
         max_body_bytes: MAX_BODY_BYTES,
--- a/crates/router/src/operations/text.rs
+++ b/crates/router/src/operations/text.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use super::report::{Explanation, ExplanationOwner, SelectedBackEnd, StatusReport};
+use super::report::{Explanation, SelectedBackEnd, SliceOwner, StatusReport};
 
 /// The status as lines of text.
 pub fn status_text(report: &StatusReport) -> String {
@@ -149,7 +149,7 @@
     }
 }
 
-fn owner_text(owner: Option<&ExplanationOwner>) -> String {
+fn owner_text(owner: Option<&SliceOwner>) -> String {
     match owner {
         None => "none: requests are refused as not run until there is one".to_owned(),
         Some(owner) => match owner.address {
--- a/crates/router/src/planned_stop.rs
+++ b/crates/router/src/planned_stop.rs
@@ -57,7 +57,7 @@
 
 /// A route whose requests a planned stop could cut off.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LongRoute<'a> {
+pub struct LongDeadlineRoute<'a> {
     /// Service of the route.
     pub service: &'a ServiceId,
     /// The route.
@@ -65,17 +65,17 @@
 }
 
 /// Routes among the changed services with a deadline beyond `drain_timeout`.
-pub fn long_routes(
+pub fn routes_beyond_drain(
     delta: &RecordDelta,
     drain_timeout: Duration,
-) -> impl Iterator<Item = LongRoute<'_>> {
+) -> impl Iterator<Item = LongDeadlineRoute<'_>> {
     let services = delta.changes.iter().filter_map(|change| match change {
         RecordChange::Service(record) => Some(record),
         _ => None,
     });
     let routes = services.flat_map(|record| {
         let routes = record.spec.routes.iter();
-        routes.map(|route| LongRoute {
+        routes.map(|route| LongDeadlineRoute {
             service: &record.id,
             route,
         })
@@ -85,15 +85,15 @@
 
 /// Writes an event for each route whose requests a planned stop could cut
 /// off.
-pub fn report_long_routes(delta: &RecordDelta, drain_timeout: Duration) {
-    for LongRoute { service, route } in long_routes(delta, drain_timeout) {
+pub fn log_routes_beyond_drain(delta: &RecordDelta, drain_timeout: Duration) {
+    for LongDeadlineRoute { service, route } in routes_beyond_drain(delta, drain_timeout) {
         let deadline_ms = route.deadline_ms;
         emit!(EventId::DeadlineBeyondDrain, %service, route = %route.name, deadline_ms);
     }
 }
 
 /// Writes the last event of the process.
-pub fn report_stop(report: &ServeReport) {
+pub fn log_stop(report: &ServeReport) {
     if report.aborted == 0 {
         emit!(EventId::StopFinished, requests = report.requests);
     } else {
--- a/crates/router/src/proxy/answer.rs
+++ b/crates/router/src/proxy/answer.rs
@@ -9,9 +9,9 @@
 use threadledge_routing::AttemptFailure;
 use threadledge_types::session::{REFUSAL_HEADER, REQUEST_ID_HEADER, Refusal};
 
-use super::budget::{Budget, Held, buffer_for};
 use super::headers;
-use super::stream::Prefixed;
+use super::memory_budget::{BufferedBody, MemoryBudget, buffer_for};
+use super::stream::PrefixedBody;
 
 /// Bytes of a refusal's body that are read to keep its connection.
 const MAX_REFUSAL_BODY: u64 = 4 * 1024;
@@ -29,11 +29,11 @@
 #[derive(Debug)]
 pub(crate) enum AnswerBody {
     /// It is here whole, or the answer has none.
-    Whole(Body),
+    Complete(Body),
     /// Its end is still to come.
     Streamed {
         /// What came, and the rest.
-        body: Prefixed,
+        body: PrefixedBody,
         /// Length that the head told.
         length: Option<usize>,
     },
@@ -56,7 +56,7 @@
     method: Method,
     request_id: &str,
     max_buffered: usize,
-    budget: &Budget,
+    budget: &MemoryBudget,
 ) -> Said {
     // Invariant: no caller gets the answer to another's request. HTTP/1.1
     // pairs requests and answers by their order alone; a back end that echoes
@@ -66,7 +66,7 @@
         return Said::Failed(AttemptFailure::BadAnswer);
     }
     if let Some(refusal) = refusal_of(&response) {
-        read_over(response.take_body_keeping_headers());
+        drain_available(response.take_body_keeping_headers());
         return Said::Refused(refusal);
     }
     let body = response.take_body_keeping_headers();
@@ -78,7 +78,7 @@
         );
     let body = if bodiless {
         // Its length, if any, speaks of a body that does not follow.
-        AnswerBody::Whole(body)
+        AnswerBody::Complete(body)
     } else {
         match read_ahead(body, max_buffered, budget).await {
             Ok(body) => body,
@@ -99,7 +99,7 @@
 
 /// Reads a body over if it is here already, so that its connection can be
 /// used again.
-pub(crate) fn read_over(body: Body) {
+pub(crate) fn drain_available(body: Body) {
     let mut sink = Vec::new();
     let _ = body
         .take(MAX_REFUSAL_BODY)
@@ -110,7 +110,7 @@
 pub(crate) async fn read_ahead(
     mut body: Body,
     max_buffered: usize,
-    budget: &Budget,
+    budget: &MemoryBudget,
 ) -> io::Result<AnswerBody> {
     let length = body.len();
     let wanted = length.unwrap_or(max_buffered);
@@ -118,16 +118,18 @@
         .filter(|wanted| *wanted <= max_buffered)
         .and_then(|wanted| budget.reserve(wanted));
     if reservation.is_none() {
-        let body = Prefixed::new(Vec::new(), body);
+        let body = PrefixedBody::new(Vec::new(), body);
         return Ok(AnswerBody::Streamed { body, length });
     }
     let mut start = buffer_for(length);
     let limit = max_buffered as u64 + 1;
     (&mut body).take(limit).read_to_end(&mut start).await?;
     if start.len() <= max_buffered {
-        return Ok(AnswerBody::Whole(Held::new(start, reservation).into_body()));
+        return Ok(AnswerBody::Complete(
+            BufferedBody::new(start, reservation).into_body(),
+        ));
     }
-    let body = Prefixed::new(start, body);
+    let body = PrefixedBody::new(start, body);
     Ok(AnswerBody::Streamed { body, length })
 }
 
--- a/crates/router/src/proxy/attempt.rs
+++ b/crates/router/src/proxy/attempt.rs
@@ -7,8 +7,8 @@
 use threadledge_routing::{Attempt, AttemptEvent, AttemptFailure, ExchangeId, SendDecision};
 
 use super::answer::{self, Answer, Said};
-use super::budget::Budget;
 use super::dispatch::Dispatch;
+use super::memory_budget::MemoryBudget;
 use super::outbound::{Outbound, request_id_text};
 
 /// An attempt outlives its deadline by this much, so that it is the
@@ -31,7 +31,7 @@
 pub(super) struct Attempts {
     pub(super) dispatch: Arc<Dispatch>,
     pub(super) pool: Pool,
-    pub(super) budget: Budget,
+    pub(super) budget: MemoryBudget,
     pub(super) max_buffered_response: usize,
 }
 
--- a/crates/router/src/proxy/delivery.rs
+++ b/crates/router/src/proxy/delivery.rs
@@ -13,8 +13,8 @@
 use threadledge_net::{BodyFault, Instant, timer};
 use threadledge_routing::{AttemptEvent, AttemptFailure, AttemptNumber};
 
-use super::drive::Conclusion;
-use super::stream::Prefixed;
+use super::exchange::Conclusion;
+use super::stream::PrefixedBody;
 
 /// An answer on its way to the caller. It tells the dispatcher how it ended;
 /// one that is dropped before its end tells that the caller is gone.
@@ -51,7 +51,7 @@
 /// unless the body has been read to its end.
 #[derive(Debug)]
 struct Passing {
-    body: Prefixed,
+    body: PrefixedBody,
     left: Option<u64>,
     attempt: AttemptNumber,
     conclusion: Conclusion,
@@ -60,7 +60,7 @@
 impl Delivery {
     /// The body for the caller's answer. It breaks off at `deadline`.
     pub(super) fn start(
-        body: Prefixed,
+        body: PrefixedBody,
         length: Option<usize>,
         attempt: AttemptNumber,
         conclusion: Conclusion,
--- a/crates/router/src/proxy/dispatch.rs
+++ b/crates/router/src/proxy/dispatch.rs
@@ -24,7 +24,7 @@
 }
 
 impl Signal {
-    pub(crate) fn give(&self) {
+    pub(crate) fn notify(&self) {
         self.given.store(true, Ordering::Release);
         self.waker.wake();
     }
@@ -159,7 +159,7 @@
         let woken = state.take_woken(own);
         drop(state);
         for signal in woken {
-            signal.give();
+            signal.notify();
         }
         result
     }
--- a/crates/router/src/proxy/drive.rs
+++ b/crates/router/src/proxy/exchange.rs
@@ -143,7 +143,7 @@
             AttemptOutcome::Ended(event) => Some(event),
             AttemptOutcome::Answered(answer) => {
                 let event = match answer.body {
-                    AnswerBody::Whole(_) => AttemptEvent::Completed,
+                    AnswerBody::Complete(_) => AttemptEvent::Completed,
                     AnswerBody::Streamed { .. } => AttemptEvent::ResponseHead {
                         status: u16::from(answer.response.status()),
                     },
@@ -187,7 +187,7 @@
                 Outcome::Answered,
                 Some(Answer {
                     response,
-                    body: AnswerBody::Whole(body),
+                    body: AnswerBody::Complete(body),
                 }),
             ) => answered(response, body),
             (Outcome::Answered, _) => {
--- a/crates/router/src/proxy/inbound.rs
+++ b/crates/router/src/proxy/inbound.rs
@@ -12,23 +12,23 @@
 use threadledge_suspects::BodyDigest;
 use threadledge_types::NotRunReason;
 
-use super::budget::{Budget, Held, buffer_for};
 use super::headers;
-use super::kept::KeptBody;
-use super::stream::Prefixed;
+use super::memory_budget::{BufferedBody, MemoryBudget, buffer_for};
+use super::replayable_body::ReplayableBody;
+use super::stream::PrefixedBody;
 
 /// Memory that passing a body on takes, in bytes: what was read ahead of it
 /// (64 KB), what was read and not taken (64 KB at most), and what was gathered
 /// to be written (32 KB), with some room for requests and answers.
-pub(crate) const PASSING: usize = 192 * 1024;
+pub(crate) const STREAMING_BUFFER_BYTES: usize = 192 * 1024;
 
 /// The request's body.
 #[derive(Debug)]
 pub(crate) enum RequestBody {
     /// Held whole: it can be sent again.
-    Whole(Held),
+    Buffered(BufferedBody),
     /// Comes while it is sent, and is kept: it can be sent again.
-    Kept(KeptBody),
+    Replayable(ReplayableBody),
     /// Comes while it is sent: it can be sent once.
     Streamed(Body),
 }
@@ -49,10 +49,10 @@
     pub(crate) async fn read(
         mut request: Request,
         max_buffered: usize,
-        budget: &Budget,
+        budget: &MemoryBudget,
     ) -> Result<Inbound, (NotRunReason, String)> {
         if request.is_empty() == Some(true) {
-            let body = RequestBody::Whole(Held::new(Vec::new(), None));
+            let body = RequestBody::Buffered(BufferedBody::new(Vec::new(), None));
             let digest = BodyDigest::new(Some(0), &[]);
             return Ok(Inbound {
                 request,
@@ -76,7 +76,7 @@
 
     /// Keeps a body that streams, as far as the budget has room for up to
     /// `most` bytes of it.
-    pub(crate) fn keep(&mut self, most: usize, budget: &Budget) {
+    pub(crate) fn make_replayable(&mut self, most: usize, budget: &MemoryBudget) {
         let RequestBody::Streamed(body) = &mut self.body else {
             return;
         };
@@ -84,9 +84,9 @@
         if wanted > most {
             return;
         }
-        if let Some(reservation) = budget.reserve(wanted + PASSING) {
+        if let Some(reservation) = budget.reserve(wanted + STREAMING_BUFFER_BYTES) {
             let body = std::mem::replace(body, Body::empty());
-            self.body = RequestBody::Kept(KeptBody::new(body, wanted, reservation));
+            self.body = RequestBody::Replayable(ReplayableBody::new(body, wanted, reservation));
         }
     }
 
@@ -119,7 +119,7 @@
 async fn read_ahead(
     mut body: Body,
     max_buffered: usize,
-    budget: &Budget,
+    budget: &MemoryBudget,
 ) -> io::Result<(RequestBody, BodyDigest)> {
     let length = body.len();
     let told = length.map(|length| length as u64);
@@ -134,11 +134,11 @@
     if start.len() <= max_buffered {
         // Chunks or a length: the same body is the same request.
         let digest = BodyDigest::new(Some(start.len() as u64), &start);
-        let held = Held::new(start, Some(reservation));
-        return Ok((RequestBody::Whole(held), digest));
+        let held = BufferedBody::new(start, Some(reservation));
+        return Ok((RequestBody::Buffered(held), digest));
     }
     let digest = BodyDigest::new(told, &start);
-    let streamed = Prefixed::new(start, body);
+    let streamed = PrefixedBody::new(start, body);
     let streamed = Body::from_reader(streamed, length);
     Ok((RequestBody::Streamed(streamed), digest))
 }
--- a/crates/router/src/proxy/budget.rs
+++ b/crates/router/src/proxy/memory_budget.rs
@@ -22,7 +22,7 @@
 
 /// Bytes that may be held at once, over all requests. Clones share them.
 #[derive(Clone, Debug)]
-pub(crate) struct Budget {
+pub(crate) struct MemoryBudget {
     left: Arc<AtomicUsize>,
 }
 
@@ -33,9 +33,9 @@
     bytes: usize,
 }
 
-impl Budget {
+impl MemoryBudget {
     pub(crate) fn new(bytes: usize) -> Self {
-        Budget {
+        MemoryBudget {
             left: Arc::new(AtomicUsize::new(bytes)),
         }
     }
@@ -61,15 +61,15 @@
 
 /// Bytes with the part of the budget that they take.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct BufferedBody {
     bytes: Vec<u8>,
     used: usize,
     _reservation: Option<Reservation>,
 }
 
-impl Held {
+impl BufferedBody {
     pub(crate) fn new(bytes: Vec<u8>, reservation: Option<Reservation>) -> Self {
-        Held {
+        BufferedBody {
             bytes,
             used: 0,
             _reservation: reservation,
@@ -88,7 +88,7 @@
     }
 }
 
-impl AsyncBufRead for Held {
+impl AsyncBufRead for BufferedBody {
     fn poll_fill_buf(self: Pin<&mut Self>, _context: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let held = self.get_mut();
         Poll::Ready(Ok(&held.bytes[held.used..]))
@@ -99,7 +99,7 @@
     }
 }
 
-impl AsyncRead for Held {
+impl AsyncRead for BufferedBody {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/router/src/proxy/mod.rs
+++ b/crates/router/src/proxy/mod.rs
@@ -7,18 +7,18 @@
 
 pub(crate) mod answer;
 mod attempt;
-pub(crate) mod budget;
 mod clock;
 mod delivery;
 mod dispatch;
-mod drive;
+mod exchange;
 pub(crate) mod headers;
 pub(crate) mod inbound;
-pub(crate) mod kept;
+pub(crate) mod memory_budget;
 mod metrics;
 mod observe;
 mod outbound;
-pub(crate) mod replay;
+pub(crate) mod replayable_body;
+pub(crate) mod replayable_request;
 mod settings;
 pub(crate) mod stream;
 
@@ -35,10 +35,10 @@
 use threadledge_types::records::RecordDelta;
 
 use attempt::Attempts;
-use budget::Budget;
 use dispatch::{Admission, Dispatch};
-use drive::Exchange;
+use exchange::Exchange;
 use inbound::Inbound;
+use memory_budget::MemoryBudget;
 
 pub use clock::Clock;
 pub(crate) use dispatch::Signal;
@@ -67,7 +67,7 @@
     dispatch: Arc<Dispatch>,
     attempts: Attempts,
     observer: Observer,
-    budget: Budget,
+    budget: MemoryBudget,
     max_buffered_request: usize,
 }
 
@@ -83,7 +83,7 @@
     ) -> Proxy {
         let dispatcher = Dispatcher::new(settings.routing, settings.seed, clock.now());
         let dispatch = Arc::new(Dispatch::new(dispatcher, clock));
-        let budget = Budget::new(settings.max_buffered_total);
+        let budget = MemoryBudget::new(settings.max_buffered_total);
         let attempts = Attempts {
             dispatch: dispatch.clone(),
             pool: Pool::new(settings.pool),
@@ -180,7 +180,7 @@
                 .observer
                 .observe(&Observation::refused(refused.reason, started));
             let outcome = Outcome::NotRun(refused.reason);
-            drive::own_answer(outcome, refused.retry_after, 0)
+            exchange::own_answer(outcome, refused.retry_after, 0)
         }
         Admission::Admitted(admitted) => {
             let exchange = Exchange::new(shared, inbound, admitted, started);
--- a/crates/router/src/proxy/outbound.rs
+++ b/crates/router/src/proxy/outbound.rs
@@ -9,18 +9,18 @@
 };
 
 use super::inbound::Inbound;
-use super::replay::Replay;
+use super::replayable_request::ReplayableRequest;
 
 /// What every attempt of one exchange sends.
 #[derive(Debug)]
 pub(super) struct Outbound {
-    replay: Replay,
+    replay: ReplayableRequest,
 }
 
 impl Outbound {
     pub(super) fn new(inbound: Inbound) -> Self {
         Outbound {
-            replay: Replay::new(inbound),
+            replay: ReplayableRequest::new(inbound),
         }
     }
 
--- a/crates/router/src/proxy/kept.rs
+++ b/crates/router/src/proxy/replayable_body.rs
@@ -11,7 +11,7 @@
 use parking_lot::Mutex;
 use threadledge_net::BodyFault;
 
-use super::budget::Reservation;
+use super::memory_budget::Reservation;
 use super::stream::poll_read_buffered;
 
 /// Bytes that a reader takes at once: as many as leave in one write.
@@ -19,7 +19,7 @@
 
 /// A body under way, with what came of it. Clones share it.
 #[derive(Clone, Debug)]
-pub(crate) struct KeptBody {
+pub(crate) struct ReplayableBody {
     kept: Arc<Mutex<Kept>>,
     length: Option<usize>,
 }
@@ -51,7 +51,7 @@
     Taken,
 }
 
-impl KeptBody {
+impl ReplayableBody {
     /// Keeps up to `most` bytes, for which the reservation has room.
     pub(crate) fn new(source: Body, most: usize, reservation: Reservation) -> Self {
         let length = source.len();
@@ -64,7 +64,7 @@
             readers: 0,
             _reservation: reservation,
         };
-        KeptBody {
+        ReplayableBody {
             kept: Arc::new(Mutex::new(kept)),
             length,
         }
--- a/crates/router/src/proxy/replay.rs
+++ b/crates/router/src/proxy/replayable_request.rs
@@ -5,40 +5,40 @@
 use parking_lot::Mutex;
 use threadledge_net::message::Message;
 
-use super::budget::Held;
 use super::headers;
 use super::inbound::{Inbound, RequestBody};
-use super::kept::KeptBody;
+use super::memory_budget::BufferedBody;
+use super::replayable_body::ReplayableBody;
 
 /// What every attempt of one exchange sends, but for what is added for the
 /// one back end.
 #[derive(Debug)]
-pub(crate) struct Replay {
+pub(crate) struct ReplayableRequest {
     template: Request,
     body: ReplayBody,
 }
 
 #[derive(Debug)]
 enum ReplayBody {
-    Whole(Held),
+    Buffered(BufferedBody),
     /// Some of it may still be coming.
-    Kept(KeptBody),
+    Replayable(ReplayableBody),
     /// Taken by the attempt that sends it. Invariant: a body that streams is
     /// sent at most once.
     Once(Mutex<Option<Body>>),
 }
 
-impl Replay {
+impl ReplayableRequest {
     pub(crate) fn new(inbound: Inbound) -> Self {
         let mut template = inbound.request;
         headers::strip(&mut template);
         template.remove_header(CONTENT_LENGTH);
         let body = match inbound.body {
-            RequestBody::Whole(held) => ReplayBody::Whole(held),
-            RequestBody::Kept(kept) => ReplayBody::Kept(kept),
+            RequestBody::Buffered(held) => ReplayBody::Buffered(held),
+            RequestBody::Replayable(kept) => ReplayBody::Replayable(kept),
             RequestBody::Streamed(body) => ReplayBody::Once(Mutex::new(Some(body))),
         };
-        Replay { template, body }
+        ReplayableRequest { template, body }
     }
 
     pub(crate) fn method(&self) -> Method {
@@ -46,7 +46,7 @@
     }
 
     /// Whether it can be sent more than once.
-    pub(crate) fn is_held(&self) -> bool {
+    pub(crate) fn is_replayable(&self) -> bool {
         !matches!(self.body, ReplayBody::Once(_))
     }
 
@@ -54,11 +54,11 @@
     pub(crate) fn request(&self) -> Option<Request> {
         let mut request = self.template.clone();
         match &self.body {
-            ReplayBody::Whole(held) if held.bytes().is_empty() => {}
-            ReplayBody::Whole(held) => {
+            ReplayBody::Buffered(held) if held.bytes().is_empty() => {}
+            ReplayBody::Buffered(held) => {
                 request.replace_body_keeping_headers(Body::from_bytes(held.bytes().to_vec()));
             }
-            ReplayBody::Kept(kept) => {
+            ReplayBody::Replayable(kept) => {
                 request.replace_body_keeping_headers(kept.body()?);
             }
             ReplayBody::Once(body) => {
--- a/crates/router/src/proxy/stream.rs
+++ b/crates/router/src/proxy/stream.rs
@@ -9,15 +9,15 @@
 
 /// A body whose first bytes have been read already.
 #[derive(Debug)]
-pub(crate) struct Prefixed {
+pub(crate) struct PrefixedBody {
     start: Vec<u8>,
     used: usize,
     rest: Body,
 }
 
-impl Prefixed {
+impl PrefixedBody {
     pub(crate) fn new(start: Vec<u8>, rest: Body) -> Self {
-        Prefixed {
+        PrefixedBody {
             start,
             used: 0,
             rest,
@@ -25,7 +25,7 @@
     }
 }
 
-impl AsyncBufRead for Prefixed {
+impl AsyncBufRead for PrefixedBody {
     fn poll_fill_buf(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let body = self.get_mut();
         if body.used < body.start.len() {
@@ -43,7 +43,7 @@
     }
 }
 
-impl AsyncRead for Prefixed {
+impl AsyncRead for PrefixedBody {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -15,8 +15,8 @@
 use crate::control_shell::{ControlShell, ControlShellSettings, serve_peers};
 use crate::events::{EventId, emit};
 use crate::metrics::Metrics;
-use crate::operations::{Operations, stop_on_signal};
-use crate::planned_stop::{report_long_routes, report_stop, stop_gracefully};
+use crate::operations::{OperatorService, stop_on_signal};
+use crate::planned_stop::{log_routes_beyond_drain, log_stop, stop_gracefully};
 use crate::platform_token::{TokenError, platform_transport};
 use crate::proxy::{Clock, Observation, Observer, Proxy, ProxyHandle, ProxyMetrics, ProxySettings};
 use crate::request_log::RequestLog;
@@ -96,7 +96,7 @@
         let finished = &self.finished;
         let peers = serve_peers(shell.clone(), listeners.peers, finished.clone());
         let router = self.running_router(&shell, &proxy);
-        let operations = Operations::new(Arc::new(router.clone()), self.metrics.clone());
+        let operations = OperatorService::new(Arc::new(router.clone()), self.metrics.clone());
         let operators = crate::operations::serve(listeners.operators, operations, finished.clone());
         let servers = [task::spawn(peers), task::spawn(operators)];
         let requests = task::spawn(requests.run(finished.clone()));
@@ -115,7 +115,7 @@
             server.await;
         }
         requests.await;
-        report_stop(&report);
+        log_stop(&report);
     }
 
     fn start_proxy(
@@ -158,7 +158,7 @@
             platform: self.platform.clone(),
             clock: self.clock,
             records: Box::new(move |delta| {
-                report_long_routes(delta, drain_timeout);
+                log_routes_beyond_drain(delta, drain_timeout);
                 if let Err(error) = proxy.apply(delta) {
                     tracing::error!(%error, "records do not fit the data path's copy");
                 }
--- a/crates/router/src/running_router.rs
+++ b/crates/router/src/running_router.rs
@@ -51,7 +51,7 @@
         let mut readiness = status::readiness(node, now, self.confirm_bound);
         // A router that has its configuration is not put out by a newcomer
         // that differs from it.
-        if !readiness.is_ready() && self.shell.knows_differing_routers() {
+        if !readiness.is_ready() && self.shell.has_differing_routers() {
             readiness.reasons.push(NotReadyReason::SafetySettingsDiffer);
         }
         if self.drain.is_stopped() {
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -18,8 +18,8 @@
 use serde::{Deserialize, Serialize};
 use threadledge_types::{MachineName, RegionName, Timing, ZoneName};
 
-pub use error::{Place, Problem, SettingsError, SettingsProblem};
-pub use load::{Override, examine, load};
+pub use error::{Location, Problem, SettingsError, SettingsProblem};
+pub use load::{Override, find_problems, load};
 
 /// Everything a routing machine is told from outside.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -172,7 +172,12 @@
     /// Every contradiction found, each with its remedy.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let problems = validate::contradictions(self);
-        SettingsError::from_problems(problems.into_iter().map(Problem::without_place).collect())
+        SettingsError::from_problems(
+            problems
+                .into_iter()
+                .map(Problem::without_location)
+                .collect(),
+        )
     }
 
     /// The settings as the text of a settings file.
--- a/crates/router/src/settings/error.rs
+++ b/crates/router/src/settings/error.rs
@@ -7,7 +7,7 @@
 
 /// Where a problem stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Location {
     /// In a file.
     File {
         /// The file.
@@ -21,32 +21,32 @@
     Whole,
 }
 
-impl Place {
+impl Location {
     /// Order in which problems are listed: by position in the file, then what
     /// has no position, then flags.
-    pub(super) fn order(&self) -> (u8, usize, usize) {
+    pub(super) fn sort_key(&self) -> (u8, usize, usize) {
         match self {
-            Place::File {
+            Location::File {
                 position: Some((line, column)),
                 ..
             } => (0, *line, *column),
-            Place::File { .. } => (1, 0, 0),
-            Place::Whole => (2, 0, 0),
-            Place::Flag(_) => (3, 0, 0),
+            Location::File { .. } => (1, 0, 0),
+            Location::Whole => (2, 0, 0),
+            Location::Flag(_) => (3, 0, 0),
         }
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Place::File {
+            Location::File {
                 path,
                 position: Some((line, column)),
             } => write!(formatter, "{}:{line}:{column}", path.display()),
-            Place::File { path, .. } => write!(formatter, "{}", path.display()),
-            Place::Flag(flag) => write!(formatter, "--{flag}"),
-            Place::Whole => formatter.write_str("settings"),
+            Location::File { path, .. } => write!(formatter, "{}", path.display()),
+            Location::Flag(flag) => write!(formatter, "--{flag}"),
+            Location::Whole => formatter.write_str("settings"),
         }
     }
 }
@@ -65,7 +65,7 @@
     UnknownKey {
         /// The key.
         key: String,
-        /// What to write in its place.
+        /// What to write instead.
         remedy: String,
     },
     /// A key without a default is absent.
@@ -172,16 +172,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Problem {
     /// Where.
-    pub place: Place,
+    pub location: Location,
     /// What, and the remedy.
     pub kind: SettingsProblem,
 }
 
 impl Problem {
     /// A problem of the settings as a whole.
-    pub fn without_place(kind: SettingsProblem) -> Self {
+    pub fn without_location(kind: SettingsProblem) -> Self {
         Problem {
-            place: Place::Whole,
+            location: Location::Whole,
             kind,
         }
     }
@@ -189,7 +189,7 @@
 
 impl fmt::Display for Problem {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}: {}", self.place, self.kind)
+        write!(formatter, "{}: {}", self.location, self.kind)
     }
 }
 
--- a/crates/router/src/settings/load.rs
+++ b/crates/router/src/settings/load.rs
@@ -8,7 +8,7 @@
 
 use super::keys::{self, KEYS, SettingKey};
 use super::values::{fitting, plain_value, value_of_flag, wrong_type};
-use super::{Place, Problem, Settings, SettingsError, SettingsProblem, validate};
+use super::{Location, Problem, Settings, SettingsError, SettingsProblem, validate};
 
 /// A value given on the command line.
 #[derive(Clone, Debug, PartialEq)]
@@ -23,7 +23,7 @@
 ///
 /// # Errors
 ///
-/// Every problem found, with its place and remedy.
+/// Every problem found, with its location and remedy.
 pub fn load(file: Option<&Path>, overrides: &[Override]) -> Result<Settings, SettingsError> {
     let mut draft = Draft::default();
     if let Some(path) = file {
@@ -37,7 +37,7 @@
 
 /// Every problem of a settings file by itself. The keys that flags must give
 /// count as missing.
-pub fn examine(path: &Path) -> Vec<Problem> {
+pub fn find_problems(path: &Path) -> Vec<Problem> {
     match load(Some(path), &[]) {
         Ok(_) => Vec::new(),
         Err(error) => error.problems,
@@ -49,7 +49,7 @@
 struct Draft {
     file: Option<PathBuf>,
     values: BTreeMap<String, Value>,
-    places: BTreeMap<String, Place>,
+    locations: BTreeMap<String, Location>,
     problems: Vec<Problem>,
 }
 
@@ -60,7 +60,7 @@
             Ok(text) => text,
             Err(error) => {
                 let kind = SettingsProblem::Unreadable(error.to_string());
-                return self.report(self.place_in_file(None), kind);
+                return self.report(self.location_in_file(None), kind);
             }
         };
         match DeTable::parse(&text) {
@@ -68,7 +68,7 @@
             Err(error) => {
                 let position = error.span().map(|span| position_of(&text, span.start));
                 let kind = SettingsProblem::Syntax(error.message().to_owned());
-                self.report(self.place_in_file(position), kind);
+                self.report(self.location_in_file(position), kind);
             }
         }
     }
@@ -76,16 +76,16 @@
     fn read_table(&mut self, text: &str, table: &str, content: &DeTable<'_>) {
         for (name, value) in content {
             let position = position_of(text, name.span().start);
-            let place = self.place_in_file(Some(position));
+            let location = self.location_in_file(Some(position));
             let name = name.get_ref().as_ref();
             match (value.get_ref(), keys::find(table, name)) {
                 (DeValue::Table(inner), None) if table.is_empty() && is_table(name) => {
                     self.read_table(text, name, inner);
                 }
-                (_, None) => self.report(place, unknown_key(table, name)),
+                (_, None) => self.report(location, unknown_key(table, name)),
                 (value, Some(key)) => {
                     let value = plain_value(value);
-                    self.take(key, value, place);
+                    self.take(key, value, location);
                 }
             }
         }
@@ -96,11 +96,11 @@
             return;
         };
         let value = value_of_flag(key, &given.value);
-        self.take(key, value, Place::Flag(key.flag));
+        self.take(key, value, Location::Flag(key.flag));
     }
 
     /// Takes one value, or reports why not.
-    fn take(&mut self, key: &SettingKey, value: Option<Value>, place: Place) {
+    fn take(&mut self, key: &SettingKey, value: Option<Value>, location: Location) {
         let path = key.path();
         match value
             .ok_or_else(|| wrong_type(key))
@@ -108,9 +108,9 @@
         {
             Ok(value) => {
                 self.values.insert(path.clone(), value);
-                self.places.insert(path, place);
+                self.locations.insert(path, location);
             }
-            Err(kind) => self.report(place, kind),
+            Err(kind) => self.report(location, kind),
         }
     }
 
@@ -118,10 +118,11 @@
         self.report_missing();
         let settings = self.read_settings();
         for kind in settings.iter().flat_map(validate::contradictions) {
-            let place = self.place_of(&kind);
-            self.report(place, kind);
+            let location = self.location_of(&kind);
+            self.report(location, kind);
         }
-        self.problems.sort_by_key(|problem| problem.place.order());
+        self.problems
+            .sort_by_key(|problem| problem.location.sort_key());
         match settings {
             Some(settings) if self.problems.is_empty() => Ok(settings),
             _ => Err(SettingsError {
@@ -139,7 +140,7 @@
             Ok(settings) => Some(settings),
             Err(error) => {
                 let kind = SettingsProblem::Syntax(error.to_string());
-                self.report(Place::Whole, kind);
+                self.report(Location::Whole, kind);
                 None
             }
         }
@@ -167,7 +168,7 @@
                     key: path,
                     flag: key.flag,
                 };
-                self.report(self.place_in_file(None), kind);
+                self.report(self.location_in_file(None), kind);
             }
         }
     }
@@ -192,24 +193,24 @@
         table
     }
 
-    fn place_of(&self, kind: &SettingsProblem) -> Place {
+    fn location_of(&self, kind: &SettingsProblem) -> Location {
         kind.key()
-            .and_then(|key| self.places.get(key).cloned())
-            .unwrap_or_else(|| self.place_in_file(None))
+            .and_then(|key| self.locations.get(key).cloned())
+            .unwrap_or_else(|| self.location_in_file(None))
     }
 
-    fn place_in_file(&self, position: Option<(usize, usize)>) -> Place {
+    fn location_in_file(&self, position: Option<(usize, usize)>) -> Location {
         match &self.file {
-            Some(path) => Place::File {
+            Some(path) => Location::File {
                 path: path.clone(),
                 position,
             },
-            None => Place::Whole,
+            None => Location::Whole,
         }
     }
 
-    fn report(&mut self, place: Place, kind: SettingsProblem) {
-        self.problems.push(Problem { place, kind });
+    fn report(&mut self, location: Location, kind: SettingsProblem) {
+        self.problems.push(Problem { location, kind });
     }
 }
 
--- a/crates/router/tests/availability.rs
+++ b/crates/router/tests/availability.rs
@@ -8,39 +8,51 @@
 #[test]
 fn repeated_failures_are_one_loss() {
     let mut availability = Availability::default();
-    let first = availability.failed(PlatformUse::WatchBackEnds);
+    let first = availability.record_failure(PlatformUse::WatchBackEnds);
     assert_eq!(first, Some(AvailabilityChange::Lost));
-    assert_eq!(availability.failed(PlatformUse::WatchBackEnds), None);
-    assert_eq!(availability.failed(PlatformUse::WatchServices), None);
-    assert_eq!(availability.failed(PlatformUse::Single), None);
+    assert_eq!(
+        availability.record_failure(PlatformUse::WatchBackEnds),
+        None
+    );
+    assert_eq!(
+        availability.record_failure(PlatformUse::WatchServices),
+        None
+    );
+    assert_eq!(availability.record_failure(PlatformUse::Single), None);
 }
 
 #[test]
 fn one_watch_that_works_does_not_restore_while_the_other_fails() {
     let mut availability = Availability::default();
-    availability.failed(PlatformUse::WatchBackEnds);
-    availability.failed(PlatformUse::WatchServices);
-    assert_eq!(availability.succeeded(PlatformUse::WatchBackEnds), None);
-    let restored = availability.succeeded(PlatformUse::WatchServices);
+    availability.record_failure(PlatformUse::WatchBackEnds);
+    availability.record_failure(PlatformUse::WatchServices);
+    assert_eq!(
+        availability.record_success(PlatformUse::WatchBackEnds),
+        None
+    );
+    let restored = availability.record_success(PlatformUse::WatchServices);
     assert_eq!(restored, Some(AvailabilityChange::Restored));
-    assert_eq!(availability.succeeded(PlatformUse::WatchServices), None);
+    assert_eq!(
+        availability.record_success(PlatformUse::WatchServices),
+        None
+    );
 }
 
 #[test]
 fn any_success_ends_the_failure_of_a_single_request() {
     let mut availability = Availability::default();
-    availability.failed(PlatformUse::Single);
-    let restored = availability.succeeded(PlatformUse::WatchBackEnds);
+    availability.record_failure(PlatformUse::Single);
+    let restored = availability.record_success(PlatformUse::WatchBackEnds);
     assert_eq!(restored, Some(AvailabilityChange::Restored));
 }
 
 #[test]
 fn ended_watch_neither_restores_nor_holds_up_the_next_success() {
     let mut availability = Availability::default();
-    availability.failed(PlatformUse::WatchBackEnds);
-    availability.ended(PlatformUse::WatchBackEnds);
-    assert_eq!(availability.failed(PlatformUse::Single), None);
-    let restored = availability.succeeded(PlatformUse::Single);
+    availability.record_failure(PlatformUse::WatchBackEnds);
+    availability.clear(PlatformUse::WatchBackEnds);
+    assert_eq!(availability.record_failure(PlatformUse::Single), None);
+    let restored = availability.record_success(PlatformUse::Single);
     assert_eq!(restored, Some(AvailabilityChange::Restored));
 }
 
--- a/crates/router/tests/check.rs
+++ b/crates/router/tests/check.rs
@@ -89,9 +89,9 @@
     assert_eq!(problems.len(), 2, "{problems:?}");
     assert!(matches!(problems[1].kind, CheckProblemKind::Syntax(_)));
     assert!(
-        problems[1].place.contains("objects.yml:"),
+        problems[1].location.contains("objects.yml:"),
         "{}",
-        problems[1].place
+        problems[1].location
     );
 }
 
@@ -104,7 +104,7 @@
     ];
     let problems = check(&files);
     assert_eq!(problems.len(), 1, "{problems:?}");
-    assert!(problems[0].place.ends_with("two.yaml"));
+    assert!(problems[0].location.ends_with("two.yaml"));
     assert!(problems[0].to_string().contains("belongs to hearts/one"));
 }
 
@@ -127,7 +127,10 @@
     ];
     let problems = check(&files);
     assert!(matches!(problems[0].kind, CheckProblemKind::Empty));
-    assert!(matches!(problems[1].kind, CheckProblemKind::UnknownEnding));
+    assert!(matches!(
+        problems[1].kind,
+        CheckProblemKind::UnknownExtension
+    ));
     assert!(matches!(problems[2].kind, CheckProblemKind::Unreadable(_)));
     assert!(matches!(problems[3].kind, CheckProblemKind::Settings(_)));
 }
--- a/crates/router/tests/control_shell/peers.rs
+++ b/crates/router/tests/control_shell/peers.rs
@@ -14,7 +14,7 @@
 #[async_std::test]
 async fn malformed_batch_is_refused_with_the_remedy() {
     let world = World::start(Timing::default()).await;
-    let path = world.shell.safety().stated_in(PEER_PATH);
+    let path = world.shell.safety().add_to_path(PEER_PATH);
     for body in [&b""[..], b"{", b"[]", br#"{"from": 1}"#, b"\xff\xfe"] {
         let (status, text) = world.send(post(&path, body)).await;
         assert_eq!(status, 400, "{text}");
@@ -39,7 +39,7 @@
 async fn oversized_batch_is_refused_before_it_is_read() {
     use async_std::io::{ReadExt, WriteExt};
     let world = World::start(Timing::default()).await;
-    let path = world.shell.safety().stated_in(PEER_PATH);
+    let path = world.shell.safety().add_to_path(PEER_PATH);
     let mut stream = async_std::net::TcpStream::connect(world.peer_address)
         .await
         .expect("connected");
--- a/crates/router/tests/control_shell/safety.rs
+++ b/crates/router/tests/control_shell/safety.rs
@@ -22,8 +22,8 @@
 
 #[test]
 fn each_safety_setting_is_compared() {
-    let own = SafetySettings::of(&Timing::default());
-    assert_eq!(own.check(&url(&own.stated_in(PEER_PATH))), Ok(()));
+    let own = SafetySettings::from_timing(&Timing::default());
+    assert_eq!(own.check(&url(&own.add_to_path(PEER_PATH))), Ok(()));
     for theirs in [
         SafetySettings { lease_ms: 1, ..own },
         SafetySettings {
@@ -35,14 +35,14 @@
             ..own
         },
     ] {
-        let refused = own.check(&url(&theirs.stated_in(PEER_PATH)));
+        let refused = own.check(&url(&theirs.add_to_path(PEER_PATH)));
         assert_eq!(refused, Err(SafetyError::Differ { theirs, own }));
     }
 }
 
 #[test]
 fn settings_that_are_not_stated_are_refused() {
-    let own = SafetySettings::of(&Timing::default());
+    let own = SafetySettings::from_timing(&Timing::default());
     let refused = own.check(&url(PEER_PATH));
     assert_eq!(refused, Err(SafetyError::Missing("lease-ms")));
     let partial = url("/peer?lease-ms=2000&drift-percent=much");
@@ -55,7 +55,7 @@
 #[async_std::test]
 async fn batch_of_a_differing_router_is_refused_unread() {
     let world = World::start(Timing::default()).await;
-    let theirs = SafetySettings::of(&shorter_lease());
+    let theirs = SafetySettings::from_timing(&shorter_lease());
     let batch = PeerBatch {
         from: identity(world.peer_address),
         to: None,
@@ -66,12 +66,12 @@
             .body(serde_json::to_vec(&batch).expect("JSON"))
             .expect("a valid request")
     };
-    let (status, text) = world.send(request(theirs.stated_in(PEER_PATH))).await;
+    let (status, text) = world.send(request(theirs.add_to_path(PEER_PATH))).await;
     assert_eq!(status, 409);
     assert!(text.contains("lease-ms 1500"), "{text}");
     assert!(text.contains("give every router of the region the same"));
     let own = world.shell.safety();
-    let (status, text) = world.send(request(own.stated_in(PEER_PATH))).await;
+    let (status, text) = world.send(request(own.add_to_path(PEER_PATH))).await;
     assert_eq!(status, 200, "{text}");
 }
 
@@ -99,7 +99,7 @@
     let old = World::start(Timing::default()).await;
     let new = World::start(shorter_lease()).await;
     introduce(&new, &old);
-    eventually(|| new.shell.knows_differing_routers()).await;
+    eventually(|| new.shell.has_differing_routers()).await;
     assert_eq!((live_routers(&old), live_routers(&new)), (1, 1));
 }
 
@@ -110,5 +110,5 @@
     introduce(&second, &first);
     eventually(|| live_routers(&first) == 2).await;
     eventually(|| live_routers(&second) == 2).await;
-    assert!(!first.shell.knows_differing_routers());
+    assert!(!first.shell.has_differing_routers());
 }
--- a/crates/router/tests/control_shell/views.rs
+++ b/crates/router/tests/control_shell/views.rs
@@ -4,7 +4,7 @@
 
 use threadledge::control_shell::{explain, status};
 use threadledge::operations::{ExplainError, ExplainRequest, NotReadyReason};
-use threadledge::planned_stop::long_routes;
+use threadledge::planned_stop::routes_beyond_drain;
 use threadledge_types::records::{RecordChange, RecordDelta};
 use threadledge_types::{BackEndId, Revision};
 
@@ -98,7 +98,7 @@
         changes: changes.collect(),
     };
     let found = |drain_ms| {
-        let long = long_routes(&delta, Duration::from_millis(drain_ms));
+        let long = routes_beyond_drain(&delta, Duration::from_millis(drain_ms));
         let names = long.map(|long| (long.service.name.as_str(), long.route.name.as_str()));
         names.collect::<Vec<_>>()
     };
--- a/crates/router/tests/operations.rs
+++ b/crates/router/tests/operations.rs
@@ -9,9 +9,9 @@
 use async_std::task;
 use threadledge::metrics::{ControlState, Metrics};
 use threadledge::operations::{
-    ClientError, ExplainError, ExplainRequest, Explanation, ExplanationOwner, MemberState,
-    MemberStatus, NotReadyReason, Operations, OperatorClient, Readiness, RouteOfService,
-    RouterView, SelectedBackEnd, ServiceStatus, SessionStatus, StatusReport, explanation_text,
+    ClientError, ExplainError, ExplainRequest, Explanation, MatchedRoute, MemberState,
+    MemberStatus, NotReadyReason, OperatorClient, OperatorService, Readiness, RouterView,
+    SelectedBackEnd, ServiceStatus, SessionStatus, SliceOwner, StatusReport, explanation_text,
     serve, status_text,
 };
 use threadledge_net::{HttpClient, StopSignal};
@@ -114,7 +114,7 @@
     let point = hash_key(key.as_bytes());
     Explanation {
         service: ServiceId::new("hearts", "gallery"),
-        route: RouteOfService {
+        route: MatchedRoute {
             name: "browse".to_owned(),
             key: KeySource::Header("x-member".to_owned()),
             repeatable: true,
@@ -131,7 +131,7 @@
         key,
         point,
         slice: Slice::ALL,
-        owner: Some(ExplanationOwner {
+        owner: Some(SliceOwner {
             session: session(),
             address: Some(([127, 0, 0, 1], 9_000).into()),
         }),
@@ -147,7 +147,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("bound");
         let metrics = Metrics::new(SystemTime::UNIX_EPOCH).expect("names are valid");
-        let operations = Operations::new(Arc::new(FakeRouter::default()), metrics.clone());
+        let operations = OperatorService::new(Arc::new(FakeRouter::default()), metrics.clone());
         let stop = StopSignal::new();
         let server = task::spawn(serve(listener, operations, stop.clone()));
         test(address, metrics).await;
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -4,7 +4,7 @@
 
 use threadledge::settings::keys::{KEYS, ValueKind};
 use threadledge::settings::{
-    LogFormat, Override, Place, Settings, SettingsError, SettingsProblem, load,
+    Location, LogFormat, Override, Settings, SettingsError, SettingsProblem, load,
 };
 
 const COMPLETE: &str = r#"
@@ -120,8 +120,8 @@
     let problems = file.load(&[("zone", "a")]).expect_err("refused").problems;
     let lines: Vec<usize> = problems
         .iter()
-        .filter_map(|problem| match &problem.place {
-            Place::File {
+        .filter_map(|problem| match &problem.location {
+            Location::File {
                 position: Some((line, _)),
                 ..
             } => Some(*line),
@@ -242,7 +242,7 @@
         ("namespace-share", "half"),
     ] {
         let error = file.load(&[(flag, value)]).expect_err("refused");
-        assert_eq!(error.problems[0].place, Place::Flag(flag));
+        assert_eq!(error.problems[0].location, Location::Flag(flag));
     }
 }
 
