--- a/crates/router/src/proxy/answer.rs
+++ b/crates/router/src/proxy/answer.rs
@@ -1,4 +1,4 @@
-//! A back end's answer, read ahead as far as it is small.
+//! A back end's response, which is read ahead if it is small.
 
 use std::io;
 
@@ -13,61 +13,62 @@
 use super::memory_budget::{BufferedBody, MemoryBudget, buffer_for};
 use super::stream::PrefixedBody;
 
-/// Bytes of a refusal's body that are read to keep its connection.
+/// Maximum number of bytes of a refusal's body that are read so that its
+/// connection can be reused.
 const MAX_REFUSAL_BODY: u64 = 4 * 1024;
 
-/// An answer that may go to the caller.
+/// A response that may be forwarded to the caller.
 #[derive(Debug)]
 pub(crate) struct Answer {
-    /// Its head.
+    /// The response without its body.
     pub(crate) response: Response,
-    /// Its body.
+    /// The body.
     pub(crate) body: AnswerBody,
 }
 
-/// An answer's body.
+/// The body of a response.
 #[derive(Debug)]
 pub(crate) enum AnswerBody {
-    /// It is here whole, or the answer has none.
+    /// The body has been received completely, or the response has none.
     Complete(Body),
-    /// Its end is still to come.
+    /// The body is still arriving.
     Streamed {
-        /// What came, and the rest.
+        /// The bytes received so far, followed by the remaining ones.
         body: PrefixedBody,
-        /// Length that the head told.
+        /// Length announced by the head.
         length: Option<usize>,
     },
 }
 
-/// What a back end said.
+/// Result of reading a back end's response.
 #[derive(Debug)]
-pub(crate) enum Said {
-    /// The typed refusal: it did not run the request.
+pub(crate) enum ReadOutcome {
+    /// A typed refusal: the back end did not run the request.
     Refused(Refusal),
-    /// An answer.
+    /// A response for the caller.
     Answered(Box<Answer>),
-    /// Something that is no answer to this request.
+    /// Not a valid response to this request.
     Failed(AttemptFailure),
 }
 
-/// Reads what a back end said to the request numbered `request_id`.
+/// Reads a back end's response to the request with the id `request_id`.
 pub(crate) async fn read(
     mut response: Response,
     method: Method,
     request_id: &str,
     max_buffered: usize,
     budget: &MemoryBudget,
-) -> Said {
-    // Invariant: no caller gets the answer to another's request. HTTP/1.1
-    // pairs requests and answers by their order alone; a back end that echoes
-    // the number lets a wrong pair be seen.
+) -> ReadOutcome {
+    // Invariant: no caller receives the response to another caller's request.
+    // HTTP/1.1 matches responses to requests by their order alone; if the back
+    // end echoes the request id, a mismatch can be detected.
     let echoed = response.header(REQUEST_ID_HEADER);
     if echoed.is_some_and(|echoed| echoed.last().as_str() != request_id) {
-        return Said::Failed(AttemptFailure::BadAnswer);
+        return ReadOutcome::Failed(AttemptFailure::BadAnswer);
     }
     if let Some(refusal) = refusal_of(&response) {
         drain_available(response.take_body_keeping_headers());
-        return Said::Refused(refusal);
+        return ReadOutcome::Refused(refusal);
     }
     let body = response.take_body_keeping_headers();
     headers::strip(&mut response);
@@ -77,19 +78,19 @@
             StatusCode::NoContent | StatusCode::NotModified
         );
     let body = if bodiless {
-        // Its length, if any, speaks of a body that does not follow.
+        // The announced length, if any, is that of a body that does not follow.
         AnswerBody::Complete(body)
     } else {
         match read_ahead(body, max_buffered, budget).await {
             Ok(body) => body,
-            Err(error) => return Said::Failed(failure(&error)),
+            Err(error) => return ReadOutcome::Failed(failure(&error)),
         }
     };
-    Said::Answered(Box::new(Answer { response, body }))
+    ReadOutcome::Answered(Box::new(Answer { response, body }))
 }
 
-/// The refusal that a response carries. Both status and header must say so:
-/// only then has the back end promised that nothing ran.
+/// Returns the refusal that a response carries. Both status and header must
+/// indicate it: only then has the back end promised that nothing ran.
 fn refusal_of(response: &Response) -> Option<Refusal> {
     let value = headers::single(response.as_ref(), REFUSAL_HEADER)?;
     let refusal = Refusal::parse(value)?;
@@ -97,8 +98,8 @@
     matches!(status, 421 | 503).then_some(refusal)
 }
 
-/// Reads a body over if it is here already, so that its connection can be
-/// used again.
+/// Reads and discards a body that has already been received, so that its
+/// connection can be reused.
 pub(crate) fn drain_available(body: Body) {
     let mut sink = Vec::new();
     let _ = body
@@ -107,6 +108,8 @@
         .now_or_never();
 }
 
+/// Buffers a body of up to `max_buffered` bytes, as far as `budget` allows; a
+/// larger one is returned as a stream.
 pub(crate) async fn read_ahead(
     mut body: Body,
     max_buffered: usize,
@@ -133,6 +136,7 @@
     Ok(AnswerBody::Streamed { body, length })
 }
 
+/// Classifies an error of reading a response body.
 pub(crate) fn failure(error: &io::Error) -> AttemptFailure {
     match BodyFault::from_io_error(error) {
         Some(BodyFault::TooSlow) | None => AttemptFailure::ConnectionLost,
--- a/crates/router/src/proxy/attempt.rs
+++ b/crates/router/src/proxy/attempt.rs
@@ -1,4 +1,4 @@
-//! Carries out one attempt.
+//! Execution of a single attempt of a request at a back end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,27 +6,27 @@
 use threadledge_net::{ExchangeError, ExchangeFault, Instant, Pool, Stage};
 use threadledge_routing::{Attempt, AttemptEvent, AttemptFailure, ExchangeId, SendDecision};
 
-use super::answer::{self, Answer, Said};
+use super::answer::{self, Answer, ReadOutcome};
 use super::dispatch::Dispatch;
 use super::memory_budget::MemoryBudget;
 use super::outbound::{Outbound, request_id_text};
 
-/// An attempt outlives its deadline by this much, so that it is the
-/// dispatcher that ends it and says why.
+/// Time by which an attempt's timeout exceeds its deadline, so that the
+/// dispatcher ends it first and records the reason.
 const DEADLINE_GRACE: Duration = Duration::from_millis(50);
 
-/// How an attempt ended, or began to be answered.
+/// Result of an attempt.
 #[derive(Debug)]
 pub(super) enum AttemptOutcome {
-    /// The dispatcher no longer wanted it. Nothing was sent.
+    /// The dispatcher no longer needed the attempt. Nothing was sent.
     Abandoned,
-    /// It ended without an answer for the caller.
+    /// The attempt ended without a response for the caller.
     Ended(AttemptEvent),
-    /// It has an answer.
+    /// The back end responded. The body may still be streaming.
     Answered(Box<Answer>),
 }
 
-/// What attempts need.
+/// Resources shared by all attempts.
 #[derive(Clone, Debug)]
 pub(super) struct Attempts {
     pub(super) dispatch: Arc<Dispatch>,
@@ -53,8 +53,9 @@
             Ok(connection) => connection,
             Err(error) => return AttemptOutcome::Ended(event_of(&error)),
         };
-        // Invariant: "not run" is true. No byte is written without leave, and
-        // from here on the request counts as one that may have run.
+        // Invariant: an outcome of `not-run` is true. No byte is written without
+        // the dispatcher's permission, and once it is given the request counts
+        // as one that may have run.
         let decision = self.dispatch.start_sending(exchange, attempt.number);
         let SendDecision::Proceed { deadline_left } = decision else {
             return AttemptOutcome::Abandoned;
@@ -67,24 +68,25 @@
             Err(error) => return AttemptOutcome::Ended(event_of(&error)),
         };
         let request_id = request_id_text(attempt.request_id);
-        let said = answer::read(
+        let read = answer::read(
             response,
             outbound.method(),
             &request_id,
             self.max_buffered_response,
             &self.budget,
         );
-        match said.await {
-            Said::Refused(refusal) => AttemptOutcome::Ended(AttemptEvent::Refused(refusal)),
-            Said::Failed(failure) => AttemptOutcome::Ended(AttemptEvent::Failed(failure)),
-            Said::Answered(answer) => AttemptOutcome::Answered(answer),
+        match read.await {
+            ReadOutcome::Refused(refusal) => AttemptOutcome::Ended(AttemptEvent::Refused(refusal)),
+            ReadOutcome::Failed(failure) => AttemptOutcome::Ended(AttemptEvent::Failed(failure)),
+            ReadOutcome::Answered(answer) => AttemptOutcome::Answered(answer),
         }
     }
 }
 
 fn event_of(error: &ExchangeError) -> AttemptEvent {
     match (error.stage, &error.fault) {
-        // This router's own limit says nothing about the back end.
+        // The router's own connection limit was reached, which is no fault of
+        // the back end.
         (Stage::ConnectFailed, ExchangeFault::NoConnectionFree) => AttemptEvent::SentNothing,
         (Stage::ConnectFailed, _) => AttemptEvent::ConnectFailed,
         (Stage::NothingSent, _) => AttemptEvent::SentNothing,
--- a/crates/router/src/proxy/clock.rs
+++ b/crates/router/src/proxy/clock.rs
@@ -1,45 +1,47 @@
-//! The process's clock, both as the cores and as timers take it.
+//! The process's clock, converted between the timestamps of the protocol cores
+//! and the instants of timers.
 //!
-//! It goes on while the machine is suspended. If it stood still, a leader on a
-//! machine that was suspended and resumed would believe for a moment that its
-//! leader lease still holds, and could renew a back end's lease beyond the time
-//! that its successor waits for.
+//! The clock includes the time during which the machine is suspended.
+//! Otherwise a leader on a machine that was suspended and resumed would believe
+//! for a moment that it still holds the leader lease, and could renew a back
+//! end's lease beyond the time for which its successor waits.
 
 use threadledge_net::Instant;
 use threadledge_types::Timestamp;
 
-/// What the clock reads at first. Cores turn ages that others tell into times
-/// of their own; ages up to this can be told. With a clock that began at zero
-/// what was older than the process looked as young as the process: a gateway
-/// that had just started called its news fresh before it had any.
-pub const STARTS_AT: Timestamp = Timestamp::from_millis(24 * 3_600 * 1_000);
+/// Initial reading of the clock, 24 hours. Cores convert ages reported by other
+/// processes into their own timestamps; ages up to this value can be
+/// represented. With a clock that started at zero, anything older than the
+/// process appeared to be as recent as the process: a gateway that had just
+/// started reported its state as fresh before it had received any.
+pub const INITIAL_READING: Timestamp = Timestamp::from_millis(24 * 3_600 * 1_000);
 
-/// Reads time as the cores take it, and turns it back into the time that
-/// timers take.
+/// Reads the time as a [`Timestamp`] for the cores, and converts timestamps to
+/// an [`Instant`] for timers.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now, at [`STARTS_AT`].
+    /// Starts a clock that reads [`INITIAL_READING`] now.
     pub fn start() -> Self {
         Clock {
             origin: Instant::now(),
         }
     }
 
-    /// Its reading, suspended time included.
+    /// Returns the current reading, which includes suspended time.
     pub fn now(&self) -> Timestamp {
-        STARTS_AT + self.origin.elapsed()
+        INITIAL_READING + self.origin.elapsed()
     }
 
-    /// When the clock reads `timestamp`. Cores know whole microseconds: the
-    /// time returned is never before the clock shows them.
+    /// Returns the instant at which the clock reads `timestamp`. Timestamps are
+    /// whole microseconds; the instant is never before the clock reaches them.
     pub fn instant(&self, timestamp: Timestamp) -> Instant {
-        // The clocks are read one after the other, this one first: what
-        // passes in between makes the result later, never earlier.
-        let left = timestamp.since(self.now());
-        Instant::now() + left
+        // This clock is read first: the time that passes between the two
+        // readings makes the result later, never earlier.
+        let remaining = timestamp.since(self.now());
+        Instant::now() + remaining
     }
 }
--- a/crates/router/src/proxy/delivery.rs
+++ b/crates/router/src/proxy/delivery.rs
@@ -1,4 +1,4 @@
-//! Answers on their way to the caller while their end is still to come.
+//! Forwarding of responses that are still arriving from the back end.
 
 use std::io;
 use std::pin::Pin;
@@ -13,139 +13,148 @@
 use threadledge_net::{BodyFault, Instant, timer};
 use threadledge_routing::{AttemptEvent, AttemptFailure, AttemptNumber};
 
-use super::exchange::Conclusion;
+use super::exchange::Completion;
 use super::stream::PrefixedBody;
 
-/// An answer on its way to the caller. It tells the dispatcher how it ended;
-/// one that is dropped before its end tells that the caller is gone.
+/// The body of a streamed response. It reports to the dispatcher how the
+/// response ended; if it is dropped before its end, it reports that the caller
+/// disconnected.
 ///
-/// Each caller gets its whole answer or sees that it did not: a fault of the
-/// back end becomes a fault of this body, at which the server breaks the
-/// connection off instead of ending the answer.
+/// A caller receives the whole response or can tell that it did not: a fault
+/// of the back end becomes a read error of this body, on which the server
+/// closes the connection instead of completing the response.
 ///
-/// The deadline holds for the whole answer. A task of its own watches it,
-/// because nobody reads the body while the caller takes nothing of it: slot
-/// and connection are free at the deadline whatever back end and caller do.
+/// The deadline covers the whole response. A separate task enforces it,
+/// because the body is not polled while the caller does not read: slot and
+/// connection are released at the deadline whatever back end and caller do.
 #[derive(Debug)]
 pub(super) struct Delivery {
     shared: Arc<Shared>,
-    watch: AbortHandle,
+    deadline_task: AbortHandle,
 }
 
 #[derive(Debug)]
 struct Shared {
-    /// `None` once the answer has ended.
-    passing: Mutex<Option<Passing>>,
+    /// `None` once the response has ended.
+    active: Mutex<Option<ActiveResponse>>,
     ended: Mutex<Ended>,
     reader: AtomicWaker,
 }
 
-/// How reading goes on after the end.
+/// How the response ended, which determines what later reads return.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Ended {
-    Whole,
-    Cut,
+    Complete,
+    Truncated,
 }
 
-/// What is passed on. Dropping it closes the connection to the back end
-/// unless the body has been read to its end.
+/// A response that is being forwarded. Dropping it closes the connection to
+/// the back end unless the body has been read to its end.
 #[derive(Debug)]
-struct Passing {
+struct ActiveResponse {
     body: PrefixedBody,
-    left: Option<u64>,
+    remaining: Option<u64>,
     attempt: AttemptNumber,
-    conclusion: Conclusion,
+    completion: Completion,
 }
 
 impl Delivery {
-    /// The body for the caller's answer. It breaks off at `deadline`.
+    /// Returns the body for the caller's response. Reading it fails once
+    /// `deadline` has passed.
     pub(super) fn start(
         body: PrefixedBody,
         length: Option<usize>,
         attempt: AttemptNumber,
-        conclusion: Conclusion,
+        completion: Completion,
         deadline: Instant,
     ) -> Body {
         let shared = Arc::new(Shared {
-            passing: Mutex::new(Some(Passing {
+            active: Mutex::new(Some(ActiveResponse {
                 body,
-                left: length.map(|length| length as u64),
+                remaining: length.map(|length| length as u64),
                 attempt,
-                conclusion,
+                completion,
             })),
-            ended: Mutex::new(Ended::Cut),
+            ended: Mutex::new(Ended::Truncated),
             reader: AtomicWaker::new(),
         });
-        let watched = shared.clone();
-        let (watching, watch) = abortable(async move {
+        let task_shared = shared.clone();
+        let (enforce_deadline, deadline_task) = abortable(async move {
             timer::sleep_until(deadline).await;
-            watched.end_at_deadline();
+            task_shared.end_at_deadline();
         });
-        async_std::task::spawn(watching);
-        let delivery = Delivery { shared, watch };
+        async_std::task::spawn(enforce_deadline);
+        let delivery = Delivery {
+            shared,
+            deadline_task,
+        };
         Body::from_reader(BufReader::new(delivery), length)
     }
 }
 
 impl Drop for Delivery {
     fn drop(&mut self) {
-        self.watch.abort();
-        drop(self.shared.passing.lock().take());
+        self.deadline_task.abort();
+        drop(self.shared.active.lock().take());
     }
 }
 
 impl Shared {
     fn end_at_deadline(&self) {
-        let Some(passing) = self.passing.lock().take() else {
+        let Some(active) = self.active.lock().take() else {
             return;
         };
-        passing.conclusion.conclude_at_deadline();
-        drop(passing.body);
+        active.completion.complete_at_deadline();
+        drop(active.body);
         self.reader.wake();
     }
 
-    /// Reads on. The answer ends with its last byte, with an empty read or
-    /// with a fault.
+    /// Reads the next bytes. The response ends with its last byte, an empty read
+    /// or a read error.
     fn poll_read(&self, context: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
         self.reader.register(context.waker());
-        let mut slot = self.passing.lock();
-        let Some(passing) = slot.as_mut() else {
+        let mut slot = self.active.lock();
+        let Some(active) = slot.as_mut() else {
             return Poll::Ready(self.read_after_end());
         };
-        let read = ready!(Pin::new(&mut passing.body).poll_read(context, buffer));
+        let read = ready!(Pin::new(&mut active.body).poll_read(context, buffer));
         let event = match &read {
             Ok(0) => Some(AttemptEvent::Completed),
-            // A reader that knows the length does not ask once more.
-            Ok(count) => passing.take(*count).then_some(AttemptEvent::Completed),
+            // A reader that knows the length does not read again after the last
+            // byte.
+            Ok(count) => active
+                .count_forwarded(*count)
+                .then_some(AttemptEvent::Completed),
             Err(error) => Some(AttemptEvent::Failed(failure(error))),
         };
         let ended = event.and_then(|event| Some((event, slot.take()?)));
         drop(slot);
-        if let Some((event, passing)) = ended {
+        if let Some((event, active)) = ended {
             if event == AttemptEvent::Completed {
-                *self.ended.lock() = Ended::Whole;
+                *self.ended.lock() = Ended::Complete;
             }
-            passing.conclusion.conclude(passing.attempt, event);
+            active.completion.complete(active.attempt, event);
         }
         Poll::Ready(read)
     }
 
     fn read_after_end(&self) -> io::Result<usize> {
         match *self.ended.lock() {
-            Ended::Whole => Ok(0),
-            Ended::Cut => Err(io::Error::new(io::ErrorKind::TimedOut, BodyFault::TooSlow)),
+            Ended::Complete => Ok(0),
+            Ended::Truncated => Err(io::Error::new(io::ErrorKind::TimedOut, BodyFault::TooSlow)),
         }
     }
 }
 
-impl Passing {
-    /// Counts bytes that were passed on; says whether they were the last.
-    fn take(&mut self, count: usize) -> bool {
-        let Some(left) = &mut self.left else {
+impl ActiveResponse {
+    /// Subtracts forwarded bytes from the remaining length. Returns whether they
+    /// were the last.
+    fn count_forwarded(&mut self, count: usize) -> bool {
+        let Some(remaining) = &mut self.remaining else {
             return false;
         };
-        *left = left.saturating_sub(count as u64);
-        *left == 0
+        *remaining = remaining.saturating_sub(count as u64);
+        *remaining == 0
     }
 }
 
--- a/crates/router/src/proxy/dispatch.rs
+++ b/crates/router/src/proxy/dispatch.rs
@@ -1,4 +1,5 @@
-//! The dispatcher behind a lock, and the tasks that wait for its decisions.
+//! Locked access to the dispatcher, and wakeups of the tasks that wait for its
+//! decisions.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,33 +17,35 @@
 use super::clock::Clock;
 use super::inbound::Inbound;
 
-/// Wakes the task of one exchange.
+/// Wakes the task of an exchange. A notification that arrives while the task
+/// does not wait is kept for its next poll.
 #[derive(Debug, Default)]
 pub(crate) struct Signal {
-    given: AtomicBool,
+    notified: AtomicBool,
     waker: AtomicWaker,
 }
 
 impl Signal {
+    /// Wakes the task.
     pub(crate) fn notify(&self) {
-        self.given.store(true, Ordering::Release);
+        self.notified.store(true, Ordering::Release);
         self.waker.wake();
     }
 
-    /// Resolves when something may have changed since the last time.
+    /// Is ready if there was a notification since the last poll that was ready.
     pub(crate) fn poll(&self, context: &mut Context<'_>) -> Poll<()> {
-        if self.given.swap(false, Ordering::AcqRel) {
+        if self.notified.swap(false, Ordering::AcqRel) {
             return Poll::Ready(());
         }
         self.waker.register(context.waker());
-        if self.given.swap(false, Ordering::AcqRel) {
+        if self.notified.swap(false, Ordering::AcqRel) {
             return Poll::Ready(());
         }
         Poll::Pending
     }
 }
 
-/// An exchange that has begun.
+/// An admitted exchange.
 #[derive(Debug)]
 pub(super) struct Admitted {
     pub(super) id: ExchangeId,
@@ -51,7 +54,7 @@
     pub(super) steps: Vec<Step>,
 }
 
-/// Whether a request was taken.
+/// Result of the admission of a request.
 #[derive(Debug)]
 pub(super) enum Admission {
     Admitted(Admitted),
@@ -59,7 +62,7 @@
 }
 
 /// The dispatcher with its clock. The clock is read under the lock, so that
-/// the dispatcher sees time that never goes back.
+/// time never goes backwards for the dispatcher.
 #[derive(Debug)]
 pub(super) struct Dispatch {
     clock: Clock,
@@ -88,18 +91,18 @@
         self.clock
     }
 
-    /// Does something with the dispatcher and wakes whom it concerns.
+    /// Runs `act` with the dispatcher and wakes the exchanges that it affects.
     pub(super) fn with<R>(&self, act: impl FnOnce(&mut Dispatcher, Timestamp) -> R) -> R {
-        self.locked(None, |state, now| act(&mut state.dispatcher, now))
+        self.with_lock(None, |state, now| act(&mut state.dispatcher, now))
     }
 
-    /// Admits a request and takes its first steps.
+    /// Asks the dispatcher to admit a request and returns its first steps.
     pub(super) fn begin(&self, inbound: &Inbound) -> Admission {
         let signal = Arc::new(Signal::default());
         inbound.with_head(|head| {
-            self.locked(None, |state, now| {
+            self.with_lock(None, |state, now| {
                 let (id, matched) = match state.dispatcher.begin_matched(now, head) {
-                    Ok(begun) => begun,
+                    Ok(started) => started,
                     Err(refused) => return Admission::Refused(refused),
                 };
                 state.signals.insert(id, signal.clone());
@@ -113,42 +116,43 @@
         })
     }
 
-    /// What to do for an exchange, in order. The last one says how long to
-    /// wait, or that the exchange is over.
+    /// Returns the next steps of an exchange, in order. The last one is the time
+    /// until which to wait, or the end of the exchange.
     pub(super) fn steps(&self, id: ExchangeId) -> Vec<Step> {
-        self.locked(Some(id), |state, now| state.steps(now, id))
+        self.with_lock(Some(id), |state, now| state.steps(now, id))
     }
 
-    /// Reports what happened to an attempt; returns what to do next.
+    /// Reports an event of an attempt and returns the next steps.
     pub(super) fn report(
         &self,
         id: ExchangeId,
         attempt: AttemptNumber,
         event: AttemptEvent,
     ) -> Vec<Step> {
-        self.locked(Some(id), |state, now| {
+        self.with_lock(Some(id), |state, now| {
             state.dispatcher.on_event(now, id, attempt, event);
             state.steps(now, id)
         })
     }
 
+    /// Asks for permission to send an attempt's request.
     pub(super) fn start_sending(&self, id: ExchangeId, attempt: AttemptNumber) -> SendDecision {
-        self.locked(Some(id), |state, now| {
+        self.with_lock(Some(id), |state, now| {
             state.dispatcher.start_sending(now, id, attempt)
         })
     }
 
-    /// The caller hung up.
+    /// Reports that the caller disconnected.
     pub(super) fn caller_gone(&self, id: ExchangeId) {
-        self.locked(Some(id), |state, now| {
+        self.with_lock(Some(id), |state, now| {
             state.dispatcher.caller_gone(now, id);
             state.signals.remove(&id);
         });
     }
 
-    /// `own` is the exchange whose task is running this: it looks at its
-    /// steps anyway and need not be woken.
-    fn locked<R>(
+    /// Runs `act` under the lock. `own` is the exchange whose task calls this;
+    /// that task reads its steps anyway and need not be woken.
+    fn with_lock<R>(
         &self,
         own: Option<ExchangeId>,
         act: impl FnOnce(&mut State, Timestamp) -> R,
@@ -156,9 +160,9 @@
         let mut state = self.state.lock();
         let now = self.clock.now();
         let result = act(&mut state, now);
-        let woken = state.take_woken(own);
+        let signals = state.take_signals(own);
         drop(state);
-        for signal in woken {
+        for signal in signals {
             signal.notify();
         }
         result
@@ -185,7 +189,9 @@
         }
     }
 
-    fn take_woken(&mut self, own: Option<ExchangeId>) -> Vec<Arc<Signal>> {
+    /// Returns the signals of the exchanges that the dispatcher wants to wake,
+    /// except `own`.
+    fn take_signals(&mut self, own: Option<ExchangeId>) -> Vec<Arc<Signal>> {
         let woken = self.dispatcher.take_wakeups();
         woken
             .into_iter()
--- a/crates/router/src/proxy/exchange.rs
+++ b/crates/router/src/proxy/exchange.rs
@@ -1,4 +1,4 @@
-//! Drives one exchange from its admission to its outcome.
+//! Execution of one exchange, from its admission to its outcome.
 
 use std::future::{Future, poll_fn};
 use std::ops::ControlFlow;
@@ -28,9 +28,9 @@
 
 type RunningAttempt = Pin<Box<dyn Future<Output = AttemptOutcome> + Send>>;
 
-/// One exchange and its attempts.
+/// An exchange and its running attempts.
 pub(super) struct Exchange {
-    conclusion: Conclusion,
+    completion: Completion,
     signal: Arc<Signal>,
     steps: Vec<Step>,
     outbound: Arc<Outbound>,
@@ -46,12 +46,12 @@
         started: Instant,
     ) -> Self {
         Exchange {
-            conclusion: Conclusion {
+            completion: Completion {
                 shared,
                 id: admitted.id,
                 matched: admitted.matched,
                 started,
-                concluded: false,
+                completed: false,
             },
             signal: admitted.signal,
             steps: admitted.steps,
@@ -61,20 +61,20 @@
         }
     }
 
-    /// Runs to the head of the answer. A body that is not here whole reports
-    /// the rest itself.
+    /// Runs the exchange until a response is available. If its body is still
+    /// streaming, the body reports the end of the exchange.
     pub(super) async fn run(mut self) -> Response {
         loop {
-            match self.carry_out() {
+            match self.execute_steps() {
                 ControlFlow::Break(response) => return response,
                 ControlFlow::Continue(until) => self.steps = self.wait(until).await,
             }
         }
     }
 
-    /// Carries the steps out. Goes on with how long to wait, or breaks with
-    /// the response.
-    fn carry_out(&mut self) -> ControlFlow<Response, Timestamp> {
+    /// Executes the pending steps. Continues with the time until which to wait,
+    /// or breaks with the response.
+    fn execute_steps(&mut self) -> ControlFlow<Response, Timestamp> {
         let mut chosen = None;
         for step in std::mem::take(&mut self.steps) {
             match step {
@@ -86,18 +86,18 @@
                     None => return ControlFlow::Continue(until),
                 },
                 Step::Finish(finish) => return ControlFlow::Break(self.finish(finish, chosen)),
-                Step::Gone => return ControlFlow::Break(self.gone()),
+                Step::Gone => return ControlFlow::Break(self.finish_unknown()),
             }
         }
         // The steps always end with one of the last three.
-        ControlFlow::Break(self.gone())
+        ControlFlow::Break(self.finish_unknown())
     }
 
     fn start(&mut self, attempt: Attempt) {
         let number = attempt.number;
-        let attempts = self.conclusion.shared.attempts.clone();
+        let attempts = self.completion.shared.attempts.clone();
         let outbound = self.outbound.clone();
-        let run = attempts.run(self.conclusion.id, attempt, outbound);
+        let run = attempts.run(self.completion.id, attempt, outbound);
         self.running.push((number, Box::pin(run)));
     }
 
@@ -107,12 +107,12 @@
         self.answers.retain(|(answered, _)| *answered != number);
     }
 
-    /// Waits until an attempt has something to report, the dispatcher says
-    /// that something changed, or `until`; returns what to do then.
+    /// Waits until an attempt makes progress, the dispatcher signals a change,
+    /// or `until` has passed. Returns the next steps.
     async fn wait(&mut self, until: Timestamp) -> Vec<Step> {
-        let dispatch = self.conclusion.shared.dispatch.clone();
+        let dispatch = self.completion.shared.dispatch.clone();
         let mut sleep = timer::sleep_until(dispatch.clock().instant(until));
-        let id = self.conclusion.id;
+        let id = self.completion.id;
         let ended = poll_fn(|context| {
             for index in 0..self.running.len() {
                 let (number, attempt) = &mut self.running[index];
@@ -160,7 +160,7 @@
         Some(*self.answers.swap_remove(position).1)
     }
 
-    /// Passes on an answer whose end is still to come, until `deadline`.
+    /// Starts to forward a streamed response, at most until `deadline`.
     fn deliver(&mut self, number: AttemptNumber, deadline: Timestamp) -> Response {
         self.running.clear();
         match self.take_answer(number) {
@@ -168,19 +168,20 @@
                 response,
                 body: AnswerBody::Streamed { body, length },
             }) => {
-                let conclusion = self.conclusion.hand_over();
-                let clock = self.conclusion.shared.dispatch.clock();
+                let completion = self.completion.transfer();
+                let clock = self.completion.shared.dispatch.clock();
                 let deadline = clock.instant(deadline);
-                let body = Delivery::start(body, length, number, conclusion, deadline);
-                answered(response, body)
+                let body = Delivery::start(body, length, number, completion, deadline);
+                back_end_response(response, body)
             }
-            _ => self.gone(),
+            _ => self.finish_unknown(),
         }
     }
 
     fn finish(&mut self, finish: Finish, chosen: Option<AttemptNumber>) -> Response {
         self.running.clear();
-        self.conclusion.observe(finish.outcome, finish.attempts);
+        self.completion
+            .record_outcome(finish.outcome, finish.attempts);
         let answer = chosen.and_then(|number| self.take_answer(number));
         match (finish.outcome, answer) {
             (
@@ -189,61 +190,64 @@
                     response,
                     body: AnswerBody::Complete(body),
                 }),
-            ) => answered(response, body),
+            ) => back_end_response(response, body),
             (Outcome::Answered, _) => {
                 let lost = Outcome::Unknown(UnknownReason::BadAnswer);
-                own_answer(lost, None, finish.attempts)
+                router_response(lost, None, finish.attempts)
             }
-            (outcome, _) => own_answer(outcome, finish.retry_after, finish.attempts),
+            (outcome, _) => router_response(outcome, finish.retry_after, finish.attempts),
         }
     }
 
-    /// The dispatcher does not know the exchange. It tells each outcome once,
-    /// so that this does not happen; if it did, nothing could be promised.
-    fn gone(&mut self) -> Response {
+    /// Handles an exchange that the dispatcher does not know. The dispatcher
+    /// reports each outcome once, so this should not happen; if it does, it is
+    /// unknown whether the request ran.
+    fn finish_unknown(&mut self) -> Response {
         let lost = Outcome::Unknown(UnknownReason::ConnectionLost);
-        self.conclusion.observe(lost, 0);
-        own_answer(lost, None, 0)
+        self.completion.record_outcome(lost, 0);
+        router_response(lost, None, 0)
     }
 }
 
-/// The end of an exchange: told once, or the caller is gone.
+/// Reports the end of an exchange exactly once. If it is dropped before that,
+/// it reports that the caller disconnected.
 #[derive(Debug)]
-pub(super) struct Conclusion {
+pub(super) struct Completion {
     shared: Arc<Shared>,
     id: ExchangeId,
     matched: Matched,
     started: Instant,
-    concluded: bool,
+    completed: bool,
 }
 
-impl Conclusion {
-    /// Reports how an answer on its way to the caller ended.
-    pub(super) fn conclude(self, attempt: AttemptNumber, event: AttemptEvent) {
+impl Completion {
+    /// Reports how a streamed response ended.
+    pub(super) fn complete(self, attempt: AttemptNumber, event: AttemptEvent) {
         let steps = self.shared.dispatch.report(self.id, attempt, event);
-        self.conclude_with(steps);
+        self.finish_with(steps);
     }
 
-    /// Lets the dispatcher end an answer that is still on its way.
-    pub(super) fn conclude_at_deadline(self) {
+    /// Lets the dispatcher end a response that is still streaming at its
+    /// deadline.
+    pub(super) fn complete_at_deadline(self) {
         let steps = self.shared.dispatch.steps(self.id);
-        self.conclude_with(steps);
+        self.finish_with(steps);
     }
 
-    fn conclude_with(mut self, steps: Vec<Step>) {
+    fn finish_with(mut self, steps: Vec<Step>) {
         for step in steps {
             if let Step::Finish(finish) = step {
-                self.observe(finish.outcome, finish.attempts);
+                self.record_outcome(finish.outcome, finish.attempts);
             }
         }
     }
 
-    fn observe(&mut self, outcome: Outcome, attempts: u32) {
-        self.concluded = true;
-        self.tell(Some(outcome), attempts);
+    fn record_outcome(&mut self, outcome: Outcome, attempts: u32) {
+        self.completed = true;
+        self.notify_observer(Some(outcome), attempts);
     }
 
-    fn tell(&self, outcome: Option<Outcome>, attempts: u32) {
+    fn notify_observer(&self, outcome: Option<Outcome>, attempts: u32) {
         self.shared.observer.observe(&Observation {
             service: Some(self.matched.service.clone()),
             route: Some(self.matched.route.clone()),
@@ -253,37 +257,37 @@
         });
     }
 
-    /// Passes the duty to conclude on.
-    fn hand_over(&mut self) -> Conclusion {
-        let successor = Conclusion {
+    /// Transfers the duty to report to the returned value.
+    fn transfer(&mut self) -> Completion {
+        let successor = Completion {
             shared: self.shared.clone(),
             id: self.id,
             matched: self.matched.clone(),
             started: self.started,
-            concluded: self.concluded,
+            completed: self.completed,
         };
-        self.concluded = true;
+        self.completed = true;
         successor
     }
 }
 
-impl Drop for Conclusion {
+impl Drop for Completion {
     fn drop(&mut self) {
-        if !self.concluded {
+        if !self.completed {
             self.shared.dispatch.caller_gone(self.id);
-            self.tell(None, 0);
+            self.notify_observer(None, 0);
         }
     }
 }
 
-fn answered(mut response: Response, body: Body) -> Response {
+fn back_end_response(mut response: Response, body: Body) -> Response {
     response.replace_body_keeping_headers(body);
     response.insert_header(OUTCOME_HEADER, Outcome::Answered.as_str());
     response
 }
 
-/// The router's own answer to a request that no back end answered.
-pub(super) fn own_answer(
+/// Returns the router's own response to a request that no back end answered.
+pub(super) fn router_response(
     outcome: Outcome,
     retry_after: Option<Duration>,
     attempts: u32,
--- a/crates/router/src/proxy/headers.rs
+++ b/crates/router/src/proxy/headers.rs
@@ -1,9 +1,9 @@
-//! Which headers are passed on.
+//! Selection of the headers that are forwarded.
 
 use http_types::Headers;
 use http_types::headers::{CONNECTION, HeaderName, HeaderValues};
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which apply to a single connection.
 const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "expect",
@@ -17,42 +17,43 @@
     "upgrade",
 ];
 
-/// Start of the names that routers and back ends use among themselves.
+/// Prefix of the headers that routers and back ends use among themselves.
 const RESERVED_PREFIX: &str = "threadledge-";
 
-/// Takes out what must not be passed on: headers of the connection, those
-/// that `Connection` names, and all that begin with `threadledge-`, so that no
-/// caller can pose as a router and no back end as another's outcome.
+/// Removes the headers that must not be forwarded: hop-by-hop headers, those
+/// that `Connection` names, and all that begin with `threadledge-`. Otherwise
+/// a caller could pose as a router, or a back end could forge an outcome.
 pub(crate) fn strip<M: AsMut<Headers> + AsRef<Headers>>(message: &mut M) {
     let headers: &Headers = message.as_ref();
     let connection = headers.get(CONNECTION);
-    let doomed: Vec<HeaderName> = headers
+    let removed: Vec<HeaderName> = headers
         .names()
         .filter(|name| is_hop_by_hop(name.as_str(), connection))
         .cloned()
         .collect();
-    for name in doomed {
+    for name in removed {
         message.as_mut().remove(name);
     }
 }
 
-/// Whether a header concerns one connection, or routers only.
+/// Returns whether a header applies to a single connection or is reserved for
+/// routers and back ends.
 pub(crate) fn is_hop_by_hop(name: &str, connection: Option<&HeaderValues>) -> bool {
     HOP_BY_HOP.contains(&name)
         || name.starts_with(RESERVED_PREFIX)
-        || connection.is_some_and(|connection| names(connection, name))
+        || connection.is_some_and(|connection| lists_header(connection, name))
 }
 
-/// Whether a `Connection` header names another one.
-fn names(connection: &HeaderValues, name: &str) -> bool {
+/// Returns whether a `Connection` header lists the header `name`.
+fn lists_header(connection: &HeaderValues, name: &str) -> bool {
     connection
         .iter()
         .flat_map(|value| value.as_str().split(','))
         .any(|token| token.trim().eq_ignore_ascii_case(name))
 }
 
-/// The only value of a header; `None` when it is absent or stands more than
-/// once, because then two readers may take two different values.
+/// Returns the only value of a header. Returns `None` if it is absent or
+/// occurs more than once, because two readers could then use different values.
 pub(crate) fn single<'a>(headers: &'a Headers, name: &str) -> Option<&'a str> {
     let mut values = headers.get(name)?.iter();
     let value = values.next()?;
--- a/crates/router/src/proxy/inbound.rs
+++ b/crates/router/src/proxy/inbound.rs
@@ -1,4 +1,4 @@
-//! A caller's request, with its body read ahead as far as it is small.
+//! A caller's request, whose body is read ahead if it is small.
 
 use std::io;
 
@@ -17,35 +17,37 @@
 use super::replayable_body::ReplayableBody;
 use super::stream::PrefixedBody;
 
-/// Memory that passing a body on takes, in bytes: what was read ahead of it
-/// (64 KB), what was read and not taken (64 KB at most), and what was gathered
-/// to be written (32 KB), with some room for requests and answers.
+/// Memory needed to stream a body, in bytes: the part that was read ahead
+/// (64 KB), the part that was read and not yet consumed (at max_bytes 64 KB) and the
+/// part that is gathered for writing (32 KB), with some room for the heads of
+/// requests and responses.
 pub(crate) const STREAMING_BUFFER_BYTES: usize = 192 * 1024;
 
-/// The request's body.
+/// The body of a request.
 #[derive(Debug)]
 pub(crate) enum RequestBody {
-    /// Held whole: it can be sent again.
+    /// Buffered completely: it can be sent again.
     Buffered(BufferedBody),
-    /// Comes while it is sent, and is kept: it can be sent again.
+    /// Sent while it arrives, and buffered as well: it can be sent again.
     Replayable(ReplayableBody),
-    /// Comes while it is sent: it can be sent once.
+    /// Sent while it arrives: it can be sent once.
     Streamed(Body),
 }
 
 /// A request from a caller.
 #[derive(Debug)]
 pub(crate) struct Inbound {
-    /// Its head.
+    /// The request without its body.
     pub(crate) request: Request,
-    /// Its body.
+    /// The body.
     pub(crate) body: RequestBody,
-    /// What of the body tells requests apart.
+    /// Digest of the body's start and length, which distinguishes requests.
     pub(crate) digest: BodyDigest,
 }
 
 impl Inbound {
-    /// Reads the body up to `max_buffered` bytes.
+    /// Reads up to `max_buffered` bytes of the body. A body that is larger, or
+    /// for which `budget` has no room, is streamed.
     pub(crate) async fn read(
         mut request: Request,
         max_buffered: usize,
@@ -64,8 +66,8 @@
         let (body, digest) = read_ahead(body, max_buffered, budget)
             .await
             .map_err(refused)?;
-        // The server can look for the caller only now that the body is read,
-        // and does so before it polls again.
+        // The server can detect that the caller disconnected only after the body
+        // has been read, and checks for it before it polls this task again.
         task::yield_now().await;
         Ok(Inbound {
             request,
@@ -74,28 +76,29 @@
         })
     }
 
-    /// Keeps a body that streams, as far as the budget has room for up to
-    /// `most` bytes of it.
-    pub(crate) fn make_replayable(&mut self, most: usize, budget: &MemoryBudget) {
+    /// Makes a streamed body replayable if it has at max_bytes `max_bytes` bytes and
+    /// the budget has room for it.
+    pub(crate) fn make_replayable(&mut self, max_bytes: usize, budget: &MemoryBudget) {
         let RequestBody::Streamed(body) = &mut self.body else {
             return;
         };
-        let wanted = body.len().unwrap_or(most);
-        if wanted > most {
+        let reserved_bytes = body.len().unwrap_or(max_bytes);
+        if reserved_bytes > max_bytes {
             return;
         }
-        if let Some(reservation) = budget.reserve(wanted + STREAMING_BUFFER_BYTES) {
+        if let Some(reservation) = budget.reserve(reserved_bytes + STREAMING_BUFFER_BYTES) {
             let body = std::mem::replace(body, Body::empty());
-            self.body = RequestBody::Replayable(ReplayableBody::new(body, wanted, reservation));
+            self.body =
+                RequestBody::Replayable(ReplayableBody::new(body, reserved_bytes, reservation));
         }
     }
 
-    /// The parts that decisions depend on.
-    pub(crate) fn with_head<R>(&self, look: impl FnOnce(&RequestHead<'_>) -> R) -> R {
+    /// Calls `read` with the parts of the request that routing depends on.
+    pub(crate) fn with_head<R>(&self, read: impl FnOnce(&RequestHead<'_>) -> R) -> R {
         let request = &self.request;
         let url = request.url();
         let headers = Lookup(request.as_ref());
-        look(&RequestHead {
+        read(&RequestHead {
             method: request.method().as_ref(),
             host: request
                 .header(HOST)
@@ -122,22 +125,23 @@
     budget: &MemoryBudget,
 ) -> io::Result<(RequestBody, BodyDigest)> {
     let length = body.len();
-    let told = length.map(|length| length as u64);
-    let wanted = length.unwrap_or(max_buffered).min(max_buffered);
-    let Some(reservation) = budget.reserve(wanted) else {
-        let digest = BodyDigest::new(told, &[]);
+    let announced = length.map(|length| length as u64);
+    let reserved_bytes = length.unwrap_or(max_buffered).min(max_buffered);
+    let Some(reservation) = budget.reserve(reserved_bytes) else {
+        let digest = BodyDigest::new(announced, &[]);
         return Ok((RequestBody::Streamed(body), digest));
     };
-    let mut start = buffer_for(Some(wanted));
+    let mut start = buffer_for(Some(reserved_bytes));
     let limit = max_buffered as u64 + 1;
     (&mut body).take(limit).read_to_end(&mut start).await?;
     if start.len() <= max_buffered {
-        // Chunks or a length: the same body is the same request.
+        // The length is known here even if the body was chunked, so that the same
+        // body yields the same digest in both encodings.
         let digest = BodyDigest::new(Some(start.len() as u64), &start);
-        let held = BufferedBody::new(start, Some(reservation));
-        return Ok((RequestBody::Buffered(held), digest));
+        let buffered = BufferedBody::new(start, Some(reservation));
+        return Ok((RequestBody::Buffered(buffered), digest));
     }
-    let digest = BodyDigest::new(told, &start);
+    let digest = BodyDigest::new(announced, &start);
     let streamed = PrefixedBody::new(start, body);
     let streamed = Body::from_reader(streamed, length);
     Ok((RequestBody::Streamed(streamed), digest))
--- a/crates/router/src/proxy/memory_budget.rs
+++ b/crates/router/src/proxy/memory_budget.rs
@@ -1,4 +1,4 @@
-//! A common bound on the memory of bodies that are held.
+//! A shared limit on the memory of buffered bodies.
 
 use std::io;
 use std::pin::Pin;
@@ -11,22 +11,23 @@
 
 use super::stream::poll_read_buffered;
 
-/// Room beyond a body of known length in which reading finds its end. Without
-/// it the whole buffer would be moved to a larger one.
-const END_ROOM: usize = 32;
+/// Spare capacity beyond a body of known length. The read that finds the end
+/// of the body needs it; otherwise the whole buffer would be reallocated.
+const SPARE_CAPACITY: usize = 32;
 
-/// An empty buffer for a body.
+/// Returns an empty buffer with capacity for a body of `length` bytes.
 pub(crate) fn buffer_for(length: Option<usize>) -> Vec<u8> {
-    Vec::with_capacity(length.map_or(0, |length| length + END_ROOM))
+    Vec::with_capacity(length.map_or(0, |length| length + SPARE_CAPACITY))
 }
 
-/// Bytes that may be held at once, over all requests. Clones share them.
+/// Number of bytes that may still be buffered, over all requests. Clones share
+/// it.
 #[derive(Clone, Debug)]
 pub(crate) struct MemoryBudget {
     left: Arc<AtomicUsize>,
 }
 
-/// A part of the budget, given back when it is dropped.
+/// Part of the budget that is in use. Dropping it releases the bytes.
 #[derive(Debug)]
 pub(crate) struct Reservation {
     left: Arc<AtomicUsize>,
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Takes `bytes`; `None` when fewer are left.
+    /// Reserves `bytes`. Returns `None` if fewer are left.
     pub(crate) fn reserve(&self, bytes: usize) -> Option<Reservation> {
         let take = |left: usize| left.checked_sub(bytes);
         self.left
@@ -59,11 +60,11 @@
     }
 }
 
-/// Bytes with the part of the budget that they take.
+/// A completely buffered body with its reservation.
 #[derive(Debug)]
 pub(crate) struct BufferedBody {
     bytes: Vec<u8>,
-    used: usize,
+    consumed: usize,
     _reservation: Option<Reservation>,
 }
 
@@ -71,17 +72,18 @@
     pub(crate) fn new(bytes: Vec<u8>, reservation: Option<Reservation>) -> Self {
         BufferedBody {
             bytes,
-            used: 0,
+            consumed: 0,
             _reservation: reservation,
         }
     }
 
-    /// All the bytes.
+    /// Returns the whole body.
     pub(crate) fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// A body that gives the budget back once it has been sent.
+    /// Converts to an HTTP body, which releases the reservation when it is
+    /// dropped.
     pub(crate) fn into_body(self) -> Body {
         let length = self.bytes.len();
         Body::from_reader(self, Some(length))
@@ -90,12 +92,12 @@
 
 impl AsyncBufRead for BufferedBody {
     fn poll_fill_buf(self: Pin<&mut Self>, _context: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
-        let held = self.get_mut();
-        Poll::Ready(Ok(&held.bytes[held.used..]))
+        let body = self.get_mut();
+        Poll::Ready(Ok(&body.bytes[body.consumed..]))
     }
 
     fn consume(mut self: Pin<&mut Self>, amount: usize) {
-        self.used += amount;
+        self.consumed += amount;
     }
 }
 
--- a/crates/router/src/proxy/metrics.rs
+++ b/crates/router/src/proxy/metrics.rs
@@ -1,4 +1,4 @@
-//! What the data path decided and holds, as metrics.
+//! Metrics of the proxy's decisions and load.
 
 use prometheus::core::{Collector, Desc};
 use prometheus::proto::MetricFamily;
@@ -8,15 +8,15 @@
 
 use super::ProxyHandle;
 
-/// Reads the dispatcher's counts whenever metrics are asked for. Between two
-/// looks it costs requests nothing.
+/// A collector that reads the dispatcher's counters when metrics are scraped.
+/// Between scrapes it adds no cost to requests.
 #[derive(Debug)]
 pub struct ProxyMetrics {
     proxy: ProxyHandle,
     descriptions: Vec<Desc>,
 }
 
-/// The metrics of one look, empty or filled.
+/// The metric families of one scrape.
 struct Families {
     decisions: IntCounterVec,
     refusals: IntCounterVec,
@@ -25,11 +25,12 @@
 }
 
 impl ProxyMetrics {
-    /// Metrics of a running data path.
+    /// Creates the collector of a running proxy.
     ///
     /// # Errors
     ///
-    /// Never with the names compiled in; the library checks them at run time.
+    /// The library checks metric names at run time. The names here are constants
+    /// and valid, so this does not fail.
     pub fn new(proxy: ProxyHandle) -> Result<Self, prometheus::Error> {
         let families = Families::new()?;
         let collectors = families.collectors().into_iter();
@@ -51,9 +52,9 @@
             return Vec::new();
         };
         let (counters, load) = self.proxy.counters_and_load();
-        families.count(&counters);
+        families.add_counters(&counters);
         for back_end in &load.back_ends {
-            families.look_at(back_end);
+            families.add_back_end(back_end);
         }
         let collectors = families.collectors().into_iter();
         collectors.flat_map(|family| family.collect()).collect()
@@ -102,7 +103,7 @@
         ]
     }
 
-    fn count(&self, counters: &Counters) {
+    fn add_counters(&self, counters: &Counters) {
         for (decision, count) in decisions(counters) {
             self.decisions.with_label_values(&[decision]).inc_by(count);
         }
@@ -112,7 +113,7 @@
         }
     }
 
-    fn look_at(&self, load: &BackEndLoad) {
+    fn add_back_end(&self, load: &BackEndLoad) {
         let back_end = load.back_end.to_string();
         let queued = i64::try_from(load.queued).unwrap_or(i64::MAX);
         let states = [
--- a/crates/router/src/proxy/mod.rs
+++ b/crates/router/src/proxy/mod.rs
@@ -1,9 +1,10 @@
-//! The data path's shell: takes callers' requests, lets
-//! [`threadledge_routing::Dispatcher`] decide, and carries its decisions out
-//! over pooled connections to back ends.
+//! The reverse proxy of a router: accepts callers' requests, asks
+//! [`threadledge_routing::Dispatcher`] what to do with each, and executes its
+//! decisions over pooled connections to back ends.
 //!
-//! One task a request. It alone holds the request's attempts, so that dropping
-//! it, as the server does when the caller hangs up, closes their connections.
+//! Each request has one task, which alone owns the request's attempts.
+//! Dropping the task, as the server does when the caller disconnects, closes
+//! the attempts' connections.
 
 pub(crate) mod answer;
 mod attempt;
@@ -46,22 +47,23 @@
 pub use observe::{Observation, Observer};
 pub use settings::ProxySettings;
 
-/// A running data path.
+/// A running proxy.
 #[derive(Debug)]
 pub struct Proxy {
-    /// Commands it.
+    /// Controls the proxy.
     pub handle: ProxyHandle,
-    /// Ends after a planned stop, with what was served.
+    /// The server's task. It finishes after a planned stop and returns what
+    /// was served.
     pub served: JoinHandle<ServeReport>,
 }
 
-/// Commands a running data path. Clones command the same one.
+/// Controls a running proxy. Clones control the same one.
 #[derive(Clone, Debug)]
 pub struct ProxyHandle {
     shared: Arc<Shared>,
 }
 
-/// What all requests share.
+/// State shared by all requests.
 #[derive(Debug)]
 struct Shared {
     dispatch: Arc<Dispatch>,
@@ -72,8 +74,8 @@
 }
 
 impl ProxyHandle {
-    /// Serves callers on `listener` until `stop` is given. No request is
-    /// taken before [`ProxyHandle::set_ready`].
+    /// Serves callers on `listener` until `stop` is signalled. No request is
+    /// accepted before [`ProxyHandle::set_ready`].
     pub fn start(
         settings: ProxySettings,
         clock: Clock,
@@ -106,66 +108,69 @@
         }
     }
 
-    /// Applies a delta of the group's records.
+    /// Applies a delta of the group's records to the proxy's copy.
     ///
     /// # Errors
     ///
-    /// [`ApplyError`] when the delta does not fit the copy.
+    /// Returns [`ApplyError`] if the delta does not fit the copy.
     pub fn apply(&self, delta: &RecordDelta) -> Result<(), ApplyError> {
         self.shared
             .dispatch
             .with(|dispatcher, now| dispatcher.apply(now, delta))
     }
 
-    /// Number of live routers among which slots and connections are divided.
+    /// Sets the number of live routers among which slots and connections are
+    /// divided.
     pub fn set_router_count(&self, count: u32) {
         self.shared
             .dispatch
             .with(|dispatcher, now| dispatcher.set_router_count(now, count));
     }
 
-    /// Says whether new requests are taken. While not they are answered
-    /// `not-run`, `not-ready`; requests already taken go on.
+    /// Sets whether new requests are accepted. While they are not, they are
+    /// answered with outcome `not-run` and reason `not-ready`; requests that
+    /// were accepted before continue.
     pub fn set_ready(&self, ready: bool) {
         self.shared
             .dispatch
             .with(|dispatcher, _now| dispatcher.set_accepting(ready));
     }
 
-    /// Counts of what the dispatcher did.
+    /// Returns the dispatcher's counters.
     pub fn counters(&self) -> Counters {
         self.with_dispatcher(|dispatcher| dispatcher.counters().clone())
     }
 
-    /// Counts and load of one moment.
+    /// Returns counters and load as of the same moment.
     fn counters_and_load(&self) -> (Counters, LoadSnapshot) {
-        let look = |dispatcher: &mut Dispatcher, now| {
+        let read = |dispatcher: &mut Dispatcher, now| {
             (dispatcher.counters().clone(), dispatcher.load(now))
         };
-        self.shared.dispatch.with(look)
+        self.shared.dispatch.with(read)
     }
 
-    /// Takes what the dispatcher has noticed about back ends since the last
-    /// time. It keeps them until then.
+    /// Takes the notices about back ends that the dispatcher has collected
+    /// since the last call.
     pub fn take_notices(&self) -> Vec<Notice> {
         let dispatch = &self.shared.dispatch;
         dispatch.with(|dispatcher, _now| dispatcher.take_notices())
     }
 
-    /// Looks at the dispatcher, for status pages. Holds up every request
-    /// while it runs.
-    pub fn with_dispatcher<R>(&self, look: impl FnOnce(&Dispatcher) -> R) -> R {
+    /// Reads the dispatcher's state, for status pages. The dispatcher is locked
+    /// meanwhile, so every request waits until `read` returns.
+    pub fn with_dispatcher<R>(&self, read: impl FnOnce(&Dispatcher) -> R) -> R {
         self.shared
             .dispatch
-            .with(|dispatcher, _now| look(dispatcher))
+            .with(|dispatcher, _now| read(dispatcher))
     }
 }
 
-/// One request from its head to the head of its answer.
+/// Handles one request and returns the response, whose body may still be
+/// streaming.
 async fn handle(shared: Arc<Shared>, request: Request) -> Response {
     let started = Instant::now();
-    let read = Inbound::read(request, shared.max_buffered_request, &shared.budget);
-    let inbound = match read.await {
+    let read_request = Inbound::read(request, shared.max_buffered_request, &shared.budget);
+    let inbound = match read_request.await {
         Ok(inbound) => inbound,
         Err((reason, detail)) => {
             shared
@@ -180,7 +185,7 @@
                 .observer
                 .observe(&Observation::refused(refused.reason, started));
             let outcome = Outcome::NotRun(refused.reason);
-            exchange::own_answer(outcome, refused.retry_after, 0)
+            exchange::router_response(outcome, refused.retry_after, 0)
         }
         Admission::Admitted(admitted) => {
             let exchange = Exchange::new(shared, inbound, admitted, started);
--- a/crates/router/src/proxy/observe.rs
+++ b/crates/router/src/proxy/observe.rs
@@ -1,4 +1,4 @@
-//! What became of each request, for metrics and logs.
+//! Observation of finished requests, for metrics and logs.
 
 use std::fmt;
 use std::sync::Arc;
@@ -7,19 +7,18 @@
 use threadledge_net::Instant;
 use threadledge_types::{NotRunReason, Outcome, ServiceId};
 
-/// One request that has its outcome.
+/// A finished request.
 #[derive(Clone, Debug)]
 pub struct Observation {
-    /// The service, if a route matched.
+    /// Service of the matched route, if any.
     pub service: Option<Arc<ServiceId>>,
-    /// Name of the route, if one matched.
+    /// Name of the matched route, if any.
     pub route: Option<Arc<str>>,
-    /// What became of it; `None` when the caller hung up before that was
-    /// known.
+    /// The outcome; `None` if the caller disconnected before it was known.
     pub outcome: Option<Outcome>,
-    /// Time from the request's head to the end of its answer.
+    /// Time from the request's head to the end of its response.
     pub elapsed: Duration,
-    /// Attempts that were made.
+    /// Number of attempts made.
     pub attempts: u32,
 }
 
@@ -35,17 +34,17 @@
     }
 }
 
-/// Called with each observation.
+/// A callback that receives each observation.
 #[derive(Clone)]
 pub struct Observer(Arc<dyn Fn(&Observation) + Send + Sync>);
 
 impl Observer {
-    /// Calls `observe` with each observation.
+    /// Creates an observer that calls `observe`.
     pub fn new(observe: impl Fn(&Observation) + Send + Sync + 'static) -> Self {
         Observer(Arc::new(observe))
     }
 
-    /// Looks at nothing.
+    /// Creates an observer that does nothing.
     pub fn none() -> Self {
         Observer::new(|_| {})
     }
--- a/crates/router/src/proxy/outbound.rs
+++ b/crates/router/src/proxy/outbound.rs
@@ -1,4 +1,4 @@
-//! A caller's request as back ends get it.
+//! A caller's request as it is sent to back ends.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use super::inbound::Inbound;
 use super::replayable_request::ReplayableRequest;
 
-/// What every attempt of one exchange sends.
+/// The request that every attempt of an exchange sends.
 #[derive(Debug)]
 pub(super) struct Outbound {
     replay: ReplayableRequest,
@@ -28,7 +28,8 @@
         self.replay.method()
     }
 
-    /// The request of one attempt; `None` when its body is gone.
+    /// Returns the request for one attempt, or `None` if its body can no longer
+    /// be sent.
     pub(super) fn request(&self, attempt: &Attempt, deadline_left: Duration) -> Option<Request> {
         let mut request = self.replay.request()?;
         request.insert_header(EPOCH_HEADER, attempt.epoch.to_string());
@@ -40,7 +41,7 @@
     }
 }
 
-/// Header form of a request's number.
+/// Formats a request id for its header.
 pub(super) fn request_id_text(request_id: u64) -> String {
     format!("{request_id:016x}")
 }
--- a/crates/router/src/proxy/replayable_body.rs
+++ b/crates/router/src/proxy/replayable_body.rs
@@ -1,5 +1,5 @@
-//! A body that is passed on while it comes and kept as well, so that it can
-//! be sent again from its start.
+//! A request body that is forwarded while it arrives and buffered as well, so
+//! that it can be sent again from its start.
 
 use std::io;
 use std::pin::Pin;
@@ -14,150 +14,159 @@
 use super::memory_budget::Reservation;
 use super::stream::poll_read_buffered;
 
-/// Bytes that a reader takes at once: as many as leave in one write.
-const PIECE: usize = 32 * 1024;
+/// Bytes that a reader copies from the buffer at once: as many as are sent in
+/// one write.
+const CHUNK_BYTES: usize = 32 * 1024;
 
-/// A body under way, with what came of it. Clones share it.
+/// A body that is still arriving, with the bytes received so far. Clones share
+/// them.
 #[derive(Clone, Debug)]
 pub(crate) struct ReplayableBody {
-    kept: Arc<Mutex<Kept>>,
+    buffer: Arc<Mutex<Buffer>>,
     length: Option<usize>,
 }
 
+/// The bytes received so far and the source of the remaining ones.
 #[derive(Debug)]
-struct Kept {
+struct Buffer {
     bytes: Vec<u8>,
     source: Source,
-    /// Bytes that are kept at most.
-    most: usize,
-    /// The reader that the source wakes. A source knows one, and wakes it when
-    /// another takes its place: two would wake each other without end.
-    asking: Option<u64>,
-    /// The others that wait for more.
+    /// Maximum number of bytes that are buffered.
+    max_bytes: usize,
+    /// The reader whose waker is registered with the source. A source holds
+    /// one waker and wakes it when another replaces it, so two readers that
+    /// polled it would wake each other forever.
+    polling_reader: Option<u64>,
+    /// Wakers of the other readers that wait for more bytes.
     waiting: Vec<Waker>,
-    /// Readers there were.
-    readers: u64,
+    /// Number of readers created so far.
+    reader_count: u64,
     _reservation: Reservation,
 }
 
-/// Where the rest comes from.
+/// The source of the bytes that are not buffered yet.
 #[derive(Debug)]
 enum Source {
     Open(Body),
     Ended,
-    /// It could not be read to its end.
+    /// It failed before its end.
     Failed(Option<BodyFault>),
-    /// More came than is kept: the one reader that came so far has the rest.
-    Taken,
+    /// The body exceeded the buffer and the reader that got furthest took the
+    /// source over. The body can no longer be replayed.
+    HandedOver,
 }
 
 impl ReplayableBody {
-    /// Keeps up to `most` bytes, for which the reservation has room.
-    pub(crate) fn new(source: Body, most: usize, reservation: Reservation) -> Self {
+    /// Buffers up to `max_bytes` bytes, which `reservation` must cover.
+    pub(crate) fn new(source: Body, max_bytes: usize, reservation: Reservation) -> Self {
         let length = source.len();
-        let kept = Kept {
+        let buffer = Buffer {
             bytes: Vec::with_capacity(length.unwrap_or(0)),
             source: Source::Open(source),
-            most,
-            asking: None,
+            max_bytes,
+            polling_reader: None,
             waiting: Vec::new(),
-            readers: 0,
+            reader_count: 0,
             _reservation: reservation,
         };
         ReplayableBody {
-            kept: Arc::new(Mutex::new(kept)),
+            buffer: Arc::new(Mutex::new(buffer)),
             length,
         }
     }
 
-    /// The body from its start; `None` when more came than is kept.
+    /// Returns the body from its start, or `None` when it exceeded the buffer
+    /// and can no longer be replayed.
     pub(crate) fn body(&self) -> Option<Body> {
-        let mut kept = self.kept.lock();
-        if matches!(kept.source, Source::Taken) {
+        let mut buffer = self.buffer.lock();
+        if matches!(buffer.source, Source::HandedOver) {
             return None;
         }
-        kept.readers += 1;
-        let reader = KeptReader {
-            number: kept.readers,
-            kept: self.kept.clone(),
-            read: 0,
-            piece: Vec::new(),
-            used: 0,
-            rest: None,
+        buffer.reader_count += 1;
+        let reader = BodyReader {
+            number: buffer.reader_count,
+            buffer: self.buffer.clone(),
+            offset: 0,
+            chunk: Vec::new(),
+            consumed: 0,
+            remainder: None,
         };
         Some(Body::from_reader(reader, self.length))
     }
 }
 
-/// What the source had.
+/// Result of polling the source.
 #[derive(PartialEq, Eq)]
-enum Found {
-    /// Its end, its failure, or bytes that are kept now.
-    Kept,
-    /// More than is kept.
-    More,
+enum SourcePoll {
+    /// The source delivered bytes, which are buffered now, or it ended or
+    /// failed.
+    Buffered,
+    /// The source has more bytes than the buffer may hold.
+    LimitReached,
 }
 
-/// What a reader gets beyond a place.
-enum More {
-    Piece(Vec<u8>),
+/// The next part of the body for a reader.
+enum NextPart {
+    Chunk(Vec<u8>),
     End,
-    Rest(Body),
+    /// The unbuffered remainder, to be read from the source directly.
+    Remainder(Body),
 }
 
-impl Kept {
-    fn poll_beyond(
+impl Buffer {
+    /// Returns the part of the body that starts at `offset`.
+    fn poll_next_part(
         &mut self,
         reader: u64,
-        place: usize,
+        offset: usize,
         context: &mut Context<'_>,
-    ) -> Poll<io::Result<More>> {
-        if place == self.bytes.len() {
+    ) -> Poll<io::Result<NextPart>> {
+        if offset == self.bytes.len() {
             match &mut self.source {
                 Source::Open(_) => {}
-                Source::Ended => return Poll::Ready(Ok(More::End)),
+                Source::Ended => return Poll::Ready(Ok(NextPart::End)),
                 Source::Failed(fault) => return Poll::Ready(Err(failure(*fault))),
-                Source::Taken => return Poll::Ready(Err(failure(None))),
+                Source::HandedOver => return Poll::Ready(Err(failure(None))),
             }
-            if ready!(self.poll_source(reader, context)) == Found::More {
-                return Poll::Ready(Ok(self.take_rest()));
+            if ready!(self.poll_source(reader, context)) == SourcePoll::LimitReached {
+                return Poll::Ready(Ok(self.hand_over_source()));
             }
-            return self.poll_beyond(reader, place, context);
+            return self.poll_next_part(reader, offset, context);
         }
-        let end = self.bytes.len().min(place + PIECE);
-        Poll::Ready(Ok(More::Piece(self.bytes[place..end].to_vec())))
+        let end = self.bytes.len().min(offset + CHUNK_BYTES);
+        Poll::Ready(Ok(NextPart::Chunk(self.bytes[offset..end].to_vec())))
     }
 
-    fn take_rest(&mut self) -> More {
-        let taken = std::mem::replace(&mut self.source, Source::Taken);
+    fn hand_over_source(&mut self) -> NextPart {
+        let source = std::mem::replace(&mut self.source, Source::HandedOver);
         self.wake_all();
-        match taken {
-            Source::Open(rest) => More::Rest(rest),
-            Source::Ended | Source::Failed(_) | Source::Taken => More::End,
+        match source {
+            Source::Open(remainder) => NextPart::Remainder(remainder),
+            Source::Ended | Source::Failed(_) | Source::HandedOver => NextPart::End,
         }
     }
 
-    /// Takes what came, as far as it is kept.
-    fn poll_source(&mut self, reader: u64, context: &mut Context<'_>) -> Poll<Found> {
-        if self.asking.is_some_and(|asking| asking != reader) {
+    /// Moves available bytes from the source into the buffer, up to its limit.
+    fn poll_source(&mut self, reader: u64, context: &mut Context<'_>) -> Poll<SourcePoll> {
+        if self.polling_reader.is_some_and(|polling| polling != reader) {
             self.waiting.push(context.waker().clone());
             return Poll::Pending;
         }
         let Source::Open(source) = &mut self.source else {
-            return Poll::Ready(Found::Kept);
+            return Poll::Ready(SourcePoll::Buffered);
         };
-        let room = self.most - self.bytes.len();
+        let room = self.max_bytes - self.bytes.len();
         let mut source = Pin::new(source);
         match source.as_mut().poll_fill_buf(context) {
             Poll::Pending => {
-                self.asking = Some(reader);
+                self.polling_reader = Some(reader);
                 return Poll::Pending;
             }
             Poll::Ready(Ok([])) => self.source = Source::Ended,
-            Poll::Ready(Ok(_)) if room == 0 => return Poll::Ready(Found::More),
-            Poll::Ready(Ok(came)) => {
-                let count = came.len().min(room);
-                self.bytes.extend_from_slice(&came[..count]);
+            Poll::Ready(Ok(_)) if room == 0 => return Poll::Ready(SourcePoll::LimitReached),
+            Poll::Ready(Ok(available)) => {
+                let count = available.len().min(room);
+                self.bytes.extend_from_slice(&available[..count]);
                 source.consume(count);
             }
             Poll::Ready(Err(error)) => {
@@ -165,11 +174,11 @@
             }
         }
         self.wake_all();
-        Poll::Ready(Found::Kept)
+        Poll::Ready(SourcePoll::Buffered)
     }
 
     fn wake_all(&mut self) {
-        self.asking = None;
+        self.polling_reader = None;
         for waker in self.waiting.drain(..) {
             waker.wake();
         }
@@ -183,70 +192,71 @@
     }
 }
 
-/// Reads a kept body from its start.
-struct KeptReader {
+/// Reads a replayable body from its start.
+struct BodyReader {
     number: u64,
-    kept: Arc<Mutex<Kept>>,
-    /// Bytes taken from what is kept.
-    read: usize,
-    piece: Vec<u8>,
-    used: usize,
-    /// What comes beyond what is kept.
-    rest: Option<Body>,
+    buffer: Arc<Mutex<Buffer>>,
+    /// Number of bytes copied from the shared buffer so far.
+    offset: usize,
+    chunk: Vec<u8>,
+    /// Number of bytes of `chunk` that have been read.
+    consumed: usize,
+    /// The source, once this reader has taken it over.
+    remainder: Option<Body>,
 }
 
-impl KeptReader {
-    fn poll_piece(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let more = ready!(
-            self.kept
+impl BodyReader {
+    fn poll_chunk(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        let part = ready!(
+            self.buffer
                 .lock()
-                .poll_beyond(self.number, self.read, context)
+                .poll_next_part(self.number, self.offset, context)
         )?;
-        self.used = 0;
-        self.piece.clear();
-        match more {
-            More::Piece(piece) => {
-                self.read += piece.len();
-                self.piece = piece;
+        self.consumed = 0;
+        self.chunk.clear();
+        match part {
+            NextPart::Chunk(chunk) => {
+                self.offset += chunk.len();
+                self.chunk = chunk;
             }
-            More::End => {}
-            More::Rest(rest) => self.rest = Some(rest),
+            NextPart::End => {}
+            NextPart::Remainder(remainder) => self.remainder = Some(remainder),
         }
         Poll::Ready(Ok(()))
     }
 }
 
-impl Drop for KeptReader {
+impl Drop for BodyReader {
     fn drop(&mut self) {
-        let mut kept = self.kept.lock();
-        if kept.asking == Some(self.number) {
-            // Another one has to ask in its place.
-            kept.wake_all();
+        let mut buffer = self.buffer.lock();
+        if buffer.polling_reader == Some(self.number) {
+            // Another reader has to poll the source instead.
+            buffer.wake_all();
         }
     }
 }
 
-impl AsyncBufRead for KeptReader {
+impl AsyncBufRead for BodyReader {
     fn poll_fill_buf(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let reader = self.get_mut();
-        if reader.used == reader.piece.len() && reader.rest.is_none() {
-            ready!(reader.poll_piece(context))?;
+        if reader.consumed == reader.chunk.len() && reader.remainder.is_none() {
+            ready!(reader.poll_chunk(context))?;
         }
-        match &mut reader.rest {
-            Some(rest) => Pin::new(rest).poll_fill_buf(context),
-            None => Poll::Ready(Ok(&reader.piece[reader.used..])),
+        match &mut reader.remainder {
+            Some(remainder) => Pin::new(remainder).poll_fill_buf(context),
+            None => Poll::Ready(Ok(&reader.chunk[reader.consumed..])),
         }
     }
 
     fn consume(mut self: Pin<&mut Self>, amount: usize) {
-        match &mut self.rest {
-            Some(rest) => Pin::new(rest).consume(amount),
-            None => self.used += amount,
+        match &mut self.remainder {
+            Some(remainder) => Pin::new(remainder).consume(amount),
+            None => self.consumed += amount,
         }
     }
 }
 
-impl AsyncRead for KeptReader {
+impl AsyncRead for BodyReader {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/router/src/proxy/replayable_request.rs
+++ b/crates/router/src/proxy/replayable_request.rs
@@ -1,4 +1,4 @@
-//! A caller's request that can be sent more than once, if its body is held.
+//! A caller's request that can be sent more than once if its body is buffered.
 
 use http_types::headers::CONTENT_LENGTH;
 use http_types::{Body, Method, Request};
@@ -10,8 +10,8 @@
 use super::memory_budget::BufferedBody;
 use super::replayable_body::ReplayableBody;
 
-/// What every attempt of one exchange sends, but for what is added for the
-/// one back end.
+/// The request that every attempt of an exchange sends, without the headers
+/// that are added for a particular back end.
 #[derive(Debug)]
 pub(crate) struct ReplayableRequest {
     template: Request,
@@ -21,10 +21,10 @@
 #[derive(Debug)]
 enum ReplayBody {
     Buffered(BufferedBody),
-    /// Some of it may still be coming.
+    /// Part of the body may still be arriving.
     Replayable(ReplayableBody),
-    /// Taken by the attempt that sends it. Invariant: a body that streams is
-    /// sent at most once.
+    /// Taken by the attempt that sends it. Invariant: a streamed body is sent at
+    /// most once.
     Once(Mutex<Option<Body>>),
 }
 
@@ -34,8 +34,8 @@
         headers::strip(&mut template);
         template.remove_header(CONTENT_LENGTH);
         let body = match inbound.body {
-            RequestBody::Buffered(held) => ReplayBody::Buffered(held),
-            RequestBody::Replayable(kept) => ReplayBody::Replayable(kept),
+            RequestBody::Buffered(buffered) => ReplayBody::Buffered(buffered),
+            RequestBody::Replayable(replayable) => ReplayBody::Replayable(replayable),
             RequestBody::Streamed(body) => ReplayBody::Once(Mutex::new(Some(body))),
         };
         ReplayableRequest { template, body }
@@ -45,21 +45,22 @@
         self.template.method()
     }
 
-    /// Whether it can be sent more than once.
+    /// Returns whether the request can be sent more than once.
     pub(crate) fn is_replayable(&self) -> bool {
         !matches!(self.body, ReplayBody::Once(_))
     }
 
-    /// The request of one attempt; `None` when its body is gone.
+    /// Returns the request for one attempt, or `None` if its body can no longer
+    /// be sent.
     pub(crate) fn request(&self) -> Option<Request> {
         let mut request = self.template.clone();
         match &self.body {
-            ReplayBody::Buffered(held) if held.bytes().is_empty() => {}
-            ReplayBody::Buffered(held) => {
-                request.replace_body_keeping_headers(Body::from_bytes(held.bytes().to_vec()));
+            ReplayBody::Buffered(buffered) if buffered.bytes().is_empty() => {}
+            ReplayBody::Buffered(buffered) => {
+                request.replace_body_keeping_headers(Body::from_bytes(buffered.bytes().to_vec()));
             }
-            ReplayBody::Replayable(kept) => {
-                request.replace_body_keeping_headers(kept.body()?);
+            ReplayBody::Replayable(replayable) => {
+                request.replace_body_keeping_headers(replayable.body()?);
             }
             ReplayBody::Once(body) => {
                 request.replace_body_keeping_headers(body.lock().take()?);
--- a/crates/router/src/proxy/settings.rs
+++ b/crates/router/src/proxy/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the data path.
+//! Settings of the proxy.
 
 use threadledge_net::{PoolSettings, ServerLimits};
 
@@ -12,32 +12,34 @@
 /// Default of [`ProxySettings::max_buffered_total`].
 const DEFAULT_BUFFERED_TOTAL: usize = 16 * 1024 * 1024;
 
-/// Bounds of the data path.
+/// Limits of the proxy.
 #[derive(Clone, Debug)]
 pub struct ProxySettings {
-    /// Bounds on callers.
+    /// Limits on callers.
     pub server: ServerLimits,
-    /// Bounds on connections to back ends.
+    /// Limits on connections to back ends.
     pub pool: PoolSettings,
-    /// Limits and waits of the decisions.
+    /// Limits and timeouts of the dispatcher.
     pub routing: threadledge_routing::Settings,
-    /// Bodies of requests up to this size are read before anything is sent,
-    /// in bytes, so that a refused request can be sent again. Larger ones
-    /// stream, and are sent again only while nothing of them was sent.
+    /// Maximum size of a buffered request body, in bytes. A buffered body is
+    /// read completely before anything is sent, so that a refused request can
+    /// be sent again. Larger bodies are streamed, and are sent again only if
+    /// nothing of them has been sent yet.
     pub max_buffered_request: usize,
-    /// Bodies of answers up to this size are read before anything is passed
-    /// on, in bytes, so that an answer cut short becomes a typed outcome.
-    /// Larger ones stream; one cut short is cut short for the caller too.
+    /// Maximum size of a buffered response body, in bytes. A buffered body is
+    /// read completely before anything is forwarded, so that a truncated
+    /// response becomes a typed outcome. Larger bodies are streamed; if one is
+    /// truncated, the caller's response is truncated too.
     pub max_buffered_response: usize,
-    /// Bytes of bodies held at once, over all requests. Bodies for which
-    /// nothing is left stream, whatever their size.
+    /// Maximum size of all buffered bodies together, in bytes. Bodies that do
+    /// not fit are streamed, whatever their size.
     pub max_buffered_total: usize,
-    /// Drawn at random at process start.
+    /// Seed of the dispatcher's random choices, drawn at process start.
     pub seed: u64,
 }
 
 impl ProxySettings {
-    /// Defaults, with a seed drawn at random.
+    /// Returns the defaults with the given seed.
     pub fn with_seed(seed: u64) -> Self {
         ProxySettings {
             server: ServerLimits::default(),
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Takes the operators' limits over.
+    /// Applies the limits of the router's settings.
     pub fn with_limits(mut self, limits: &Limits) -> Self {
         self.server.max_head_bytes = limits.max_head_bytes;
         self.server.max_body_bytes = limits.max_body_bytes;
--- a/crates/router/src/proxy/stream.rs
+++ b/crates/router/src/proxy/stream.rs
@@ -1,4 +1,4 @@
-//! Bodies whose start has been read already.
+//! Bodies of which the first bytes have already been read.
 
 use std::io;
 use std::pin::Pin;
@@ -7,20 +7,20 @@
 use futures::io::{AsyncBufRead, AsyncRead};
 use http_types::Body;
 
-/// A body whose first bytes have been read already.
+/// A body whose first bytes were read ahead, followed by the remaining ones.
 #[derive(Debug)]
 pub(crate) struct PrefixedBody {
-    start: Vec<u8>,
-    used: usize,
-    rest: Body,
+    prefix: Vec<u8>,
+    consumed: usize,
+    remainder: Body,
 }
 
 impl PrefixedBody {
-    pub(crate) fn new(start: Vec<u8>, rest: Body) -> Self {
+    pub(crate) fn new(prefix: Vec<u8>, remainder: Body) -> Self {
         PrefixedBody {
-            start,
-            used: 0,
-            rest,
+            prefix,
+            consumed: 0,
+            remainder,
         }
     }
 }
@@ -28,17 +28,17 @@
 impl AsyncBufRead for PrefixedBody {
     fn poll_fill_buf(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let body = self.get_mut();
-        if body.used < body.start.len() {
-            return Poll::Ready(Ok(&body.start[body.used..]));
+        if body.consumed < body.prefix.len() {
+            return Poll::Ready(Ok(&body.prefix[body.consumed..]));
         }
-        Pin::new(&mut body.rest).poll_fill_buf(context)
+        Pin::new(&mut body.remainder).poll_fill_buf(context)
     }
 
     fn consume(mut self: Pin<&mut Self>, amount: usize) {
-        if self.used < self.start.len() {
-            self.used += amount;
+        if self.consumed < self.prefix.len() {
+            self.consumed += amount;
         } else {
-            Pin::new(&mut self.rest).consume(amount);
+            Pin::new(&mut self.remainder).consume(amount);
         }
     }
 }
@@ -53,7 +53,7 @@
     }
 }
 
-/// Reads through a reader's own buffer.
+/// Implements `poll_read` for a reader with its own buffer.
 pub(crate) fn poll_read_buffered<R: AsyncBufRead>(
     mut reader: Pin<&mut R>,
     context: &mut Context<'_>,
