--- a/crates/router/src/check.rs
+++ b/crates/router/src/check.rs
@@ -1,8 +1,8 @@
 //! Offline check of settings and object files.
 //!
 //! Settings files end in `.toml`, object files in `.json`, `.yaml` or `.yml`.
-//! All object files of one run are judged together, because a host or an
-//! address may be claimed once only.
+//! All object files of a run are validated together, because each host and each
+//! address may be claimed only once.
 
 mod objects;
 
@@ -15,25 +15,25 @@
 use crate::gateway::GatewaySettings;
 use crate::settings::{self, SettingsProblem};
 
-/// One problem and where it stands.
+/// A problem and its location.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CheckProblem {
-    /// The file, with line and column where they are known.
+    /// The file, with line and column if known.
     pub location: String,
-    /// What is wrong, and the remedy.
+    /// The kind of problem. Its text includes the remedy.
     pub kind: CheckProblemKind,
 }
 
-/// What is wrong.
+/// Kind of a problem.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum CheckProblemKind {
-    /// In a settings file.
+    /// A problem in a settings file.
     #[error(transparent)]
     Settings(SettingsProblem),
-    /// In the settings of a gateway.
+    /// A problem in the settings of a gateway.
     #[error("{0}")]
     Gateway(String),
-    /// In an object.
+    /// A problem in an object.
     #[error(transparent)]
     Object(validation::Problem),
     /// The file cannot be read.
@@ -45,8 +45,8 @@
     /// The file holds no object.
     #[error("holds no object; add one, or leave the file out")]
     Empty,
-    /// The name does not tell what the file holds.
-    #[error("has an unknown ending; name settings .toml, and objects .json, .yaml or .yml")]
+    /// The file's type cannot be told from its extension.
+    #[error("has an unknown extension; name settings .toml, and objects .json, .yaml or .yml")]
     UnknownExtension,
 }
 
@@ -56,13 +56,13 @@
     }
 }
 
-/// Checks every file and returns every problem, in the order of the files;
-/// problems that only all object files together show come last.
+/// Checks every file and returns all problems in the order of the files.
+/// Conflicts between objects come last.
 pub fn check(files: &[PathBuf]) -> Vec<CheckProblem> {
     let mut objects = objects::ObjectFiles::default();
     let mut problems = Vec::new();
     for file in files {
-        match ending(file) {
+        match extension(file) {
             "toml" if is_for_gateway(file) => problems.extend(check_gateway(file)),
             "toml" => problems.extend(check_settings(file)),
             "json" | "yaml" | "yml" => problems.extend(objects.add(file)),
@@ -72,13 +72,13 @@
             }),
         }
     }
-    problems.extend(objects.finish());
+    problems.extend(objects.cross_object_problems());
     problems
 }
 
-fn ending(file: &Path) -> &str {
+fn extension(file: &Path) -> &str {
     file.extension()
-        .and_then(|ending| ending.to_str())
+        .and_then(|extension| extension.to_str())
         .unwrap_or_default()
 }
 
@@ -91,7 +91,8 @@
         })
 }
 
-/// Settings of a gateway say where to listen in a table of their own.
+/// Returns whether a settings file is for a gateway: only those have a table
+/// `listen`.
 fn is_for_gateway(file: &Path) -> bool {
     let text = std::fs::read_to_string(file).unwrap_or_default();
     let table: Option<toml::Table> = text.parse().ok();
@@ -99,9 +100,9 @@
 }
 
 fn check_gateway(file: &Path) -> Option<CheckProblem> {
-    let fault = GatewaySettings::read(file).err()?;
+    let error = GatewaySettings::read(file).err()?;
     Some(CheckProblem {
         location: file.display().to_string(),
-        kind: CheckProblemKind::Gateway(fault.to_string()),
+        kind: CheckProblemKind::Gateway(error.to_string()),
     })
 }
--- a/crates/router/src/check/objects.rs
+++ b/crates/router/src/check/objects.rs
@@ -1,4 +1,4 @@
-//! Check of object files.
+//! Checking of object files.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -9,11 +9,11 @@
 
 use super::{CheckProblem, CheckProblemKind};
 
-/// The object files of one run.
+/// The object files of a run.
 #[derive(Default)]
 pub(super) struct ObjectFiles {
     objects: ObjectSet,
-    /// File of each object, by kind, namespace and name.
+    /// The file of each object, by kind, namespace and name.
     file_of: BTreeMap<(String, String, String), PathBuf>,
 }
 
@@ -42,8 +42,9 @@
                     }
                 }
                 Err(error) => {
-                    // What follows a syntax error cannot be told apart.
-                    problems.push(syntax(file, &error));
+                    // After a syntax error the following documents cannot be
+                    // separated.
+                    problems.push(syntax_problem(file, &error));
                     break;
                 }
             }
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Problems that only all files together show.
-    pub(super) fn finish(&self) -> Vec<CheckProblem> {
+    /// Returns the conflicts between objects of all files.
+    pub(super) fn cross_object_problems(&self) -> Vec<CheckProblem> {
         self.objects
             .cross_object_problems()
             .into_iter()
@@ -97,14 +98,15 @@
     }
 }
 
-/// The documents of a file; JSON is read as the part of YAML that it is.
+/// Parses the documents of a file. JSON is parsed as YAML, of which it is a
+/// subset.
 fn documents(text: &str) -> impl Iterator<Item = Result<Value, serde_norway::Error>> {
     serde_norway::Deserializer::from_str(text)
         .map(Value::deserialize)
         .filter(|document| !matches!(document, Ok(Value::Null)))
 }
 
-fn syntax(file: &Path, error: &serde_norway::Error) -> CheckProblem {
+fn syntax_problem(file: &Path, error: &serde_norway::Error) -> CheckProblem {
     let location = match error.location() {
         Some(location) => format!(
             "{}:{}:{}",
--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -1,4 +1,4 @@
-//! Command line.
+//! The command line of the program.
 
 mod commands;
 mod parse;
@@ -11,12 +11,12 @@
 
 use crate::settings::{self, Settings, SettingsError};
 
-/// Exit code of a run that found problems.
+/// Exit code of a run that failed or found problems.
 const FAILURE: u8 = 1;
-/// Exit code of arguments that cannot be understood.
+/// Exit code for invalid arguments or settings.
 const USAGE: u8 = 2;
 
-/// Runs the program with `arguments`, the program's name left out.
+/// Runs the program with `arguments`, which exclude the program's name.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let arguments: Vec<OsString> = arguments.into_iter().collect();
     match options().run_inner(arguments.as_slice()) {
@@ -25,8 +25,9 @@
     }
 }
 
-/// Runs the subcommand `router` with `arguments`, which follow the word
-/// `router`. Other binaries use it to start a router through themselves.
+/// Runs the subcommand `router` with the arguments that follow the word
+/// `router`. Other binaries use this to run a router as a process of their own
+/// executable.
 pub fn run_router_command(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let arguments: Vec<OsString> = arguments.into_iter().collect();
     match parse::router_options().run_inner(arguments.as_slice()) {
@@ -36,11 +37,11 @@
 }
 
 impl RouterArguments {
-    /// The settings that the file and the flags give together.
+    /// Loads the settings from the file and the flags.
     ///
     /// # Errors
     ///
-    /// Every problem found, with its place and remedy.
+    /// Returns every problem found, with its location and remedy.
     pub fn settings(&self) -> Result<Settings, SettingsError> {
         let file: Option<&PathBuf> = self.settings_file.as_ref();
         settings::load(file.map(PathBuf::as_path), &self.overrides)
--- a/crates/router/src/cli/commands.rs
+++ b/crates/router/src/cli/commands.rs
@@ -1,4 +1,4 @@
-//! What each subcommand does.
+//! Implementation of the subcommands.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -14,11 +14,11 @@
 use crate::{check, log_trace, logging, run};
 
 pub(super) fn run(command: Command) -> ExitCode {
-    finish(execute(command))
+    exit_code(execute(command))
 }
 
 pub(super) fn run_router(arguments: &RouterArguments) -> ExitCode {
-    finish(start_router(arguments))
+    exit_code(start_router(arguments))
 }
 
 fn execute(command: Command) -> eyre::Result<ExitCode> {
@@ -100,19 +100,19 @@
 }
 
 fn print<T: Serialize>(
-    answer: &T,
+    report: &T,
     as_text: fn(&T) -> String,
     output: OutputFormat,
 ) -> eyre::Result<ExitCode> {
     match output {
-        OutputFormat::Text => print!("{}", as_text(answer)),
-        OutputFormat::Json => println!("{}", serde_json::to_string_pretty(answer)?),
+        OutputFormat::Text => print!("{}", as_text(report)),
+        OutputFormat::Json => println!("{}", serde_json::to_string_pretty(report)?),
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// Messages name their causes themselves, so that no chain is printed.
-fn finish(result: eyre::Result<ExitCode>) -> ExitCode {
+/// Prints only the outermost error: messages include their causes.
+fn exit_code(result: eyre::Result<ExitCode>) -> ExitCode {
     result.unwrap_or_else(|report| fail(FAILURE, &report))
 }
 
--- a/crates/router/src/cli/parse.rs
+++ b/crates/router/src/cli/parse.rs
@@ -1,4 +1,4 @@
-//! Arguments of the subcommands.
+//! Parsing of command-line arguments.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,7 +12,7 @@
 /// Description of the subcommand `router`.
 const ROUTER_DESCRIPTION: &str = "Run one routing machine; SIGTERM starts a planned stop";
 
-/// One run of the program.
+/// A subcommand with its arguments.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Run one routing machine.
@@ -22,11 +22,11 @@
         /// The settings file.
         settings: PathBuf,
     },
-    /// Tell from logs what became of a request.
+    /// Trace a request through the logs of gateways.
     Trace {
         /// The request's id.
         request: String,
-        /// Logs of gateways.
+        /// The gateways' log files.
         files: Vec<PathBuf>,
     },
     /// Check settings and object files.
@@ -34,20 +34,20 @@
         /// The files.
         files: Vec<PathBuf>,
     },
-    /// Ask a router what would become of a request.
+    /// Ask a router how it would route a request.
     Explain {
         /// Operators' address of the router.
         operator: SocketAddr,
         /// The request.
         request: ExplainRequest,
-        /// Form of the answer.
+        /// Output format.
         output: OutputFormat,
     },
     /// Ask a router for its state.
     Status {
         /// Operators' address of the router.
         operator: SocketAddr,
-        /// Form of the answer.
+        /// Output format.
         output: OutputFormat,
     },
     /// Start the planned stop of a router.
@@ -66,17 +66,17 @@
     pub overrides: Vec<Override>,
 }
 
-/// Form of an answer.
+/// Output format of a report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OutputFormat {
-    /// Text for people.
+    /// Human-readable text.
     #[default]
     Text,
     /// JSON.
     Json,
 }
 
-/// The whole command line.
+/// Returns the parser of the whole command line.
 pub fn options() -> OptionParser<Command> {
     let router = router_arguments()
         .map(Command::Router)
@@ -89,13 +89,13 @@
         .help("Run one gateway on a platform whose store keeps all state");
     let trace = trace_options()
         .command("trace")
-        .help("Tell from the logs of gateways what became of a request");
+        .help("Trace a request through the logs of gateways");
     let check = check_options()
         .command("check")
         .help("Check settings files (TOML) and object files (JSON, YAML) offline");
     let explain = explain_options()
         .command("explain")
-        .help("Ask a running router what would become of a request");
+        .help("Ask a running router how it would route a request");
     let status = status_options()
         .command("status")
         .help("Ask a running router for members, groups, sessions, slices and revision");
@@ -108,7 +108,7 @@
         .version(env!("CARGO_PKG_VERSION"))
 }
 
-/// Options of the subcommand `router`.
+/// Returns the parser of the subcommand `router`.
 pub(super) fn router_options() -> OptionParser<RouterArguments> {
     router_arguments().to_options().descr(ROUTER_DESCRIPTION)
 }
@@ -126,7 +126,7 @@
     })
 }
 
-/// One optional flag for each key of the settings file.
+/// Parses one optional flag for each key of the settings file.
 fn override_flags() -> Box<dyn Parser<Vec<Override>>> {
     let none: Box<dyn Parser<Vec<Override>>> = Box::new(bpaf::pure(Vec::new()));
     KEYS.iter().fold(none, |earlier, key| {
@@ -168,7 +168,9 @@
         .some("name the logs of all gateways");
     construct!(Command::Trace { request, files })
         .to_options()
-        .descr("Print a request's lines and the beliefs that they rest on, in order of time")
+        .descr(
+            "Print a request's log lines and the state changes that affected it, in order of time",
+        )
 }
 
 fn check_options() -> OptionParser<Command> {
@@ -177,7 +179,7 @@
         .some("name at least one file");
     construct!(Command::Check { files })
         .to_options()
-        .descr("Check settings and object files; every problem is listed with place and remedy")
+        .descr("Check settings and object files; every problem is listed with location and remedy")
 }
 
 fn explain_options() -> OptionParser<Command> {
@@ -238,7 +240,7 @@
     let operator = operator();
     construct!(Command::Drain { operator })
         .to_options()
-        .descr("Start a planned stop: no new work, finish what runs, hand over, exit")
+        .descr("Start a planned stop: no new work, finish requests in flight, hand over, exit")
 }
 
 fn operator() -> impl Parser<SocketAddr> {
@@ -249,7 +251,7 @@
 
 fn output() -> impl Parser<OutputFormat> {
     long("output")
-        .help("Form of the answer: text or json")
+        .help("Output format: text or json")
         .argument::<String>("FORM")
         .parse(|text| match text.as_str() {
             "text" => Ok(OutputFormat::Text),
--- a/crates/router/src/control_shell.rs
+++ b/crates/router/src/control_shell.rs
@@ -1,10 +1,10 @@
-//! The I/O shell around [`threadledge_control::ControlNode`].
+//! The I/O shell around the core [`threadledge_control::ControlNode`].
 //!
-//! The core decides; this module carries messages to other routers, lease
-//! requests to back ends and writes to the platform, and feeds back what they
-//! answer. All inputs pass one lock, under which the clock is read: the core
-//! sees time that never goes back and that is later than the event it
-//! describes.
+//! The core makes the decisions and performs no I/O. This module sends its
+//! messages to other routers, its lease requests to back ends and its writes to
+//! the platform, and feeds the responses back into the core. All inputs pass
+//! through one lock, under which the clock is read, so that the core's time
+//! never goes backwards and is never before the event of an input.
 
 pub mod availability;
 mod configuration;
@@ -22,5 +22,5 @@
 pub use peer_server::serve_peers;
 pub use shared::{ControlShell, ControlShellSettings, RecordSink};
 
-/// Path on which routers post batches to each other.
+/// Path to which routers post message batches to each other.
 pub const PEER_PATH: &str = "/threadledge/v1/peer";
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -1,7 +1,7 @@
-//! Numbered events of the log.
+//! Numbered log events.
 //!
-//! Every event that operators may act on has a number that never changes
-//! its meaning. docs/EVENTS.md is the catalogue; a test keeps it equal to
+//! Every event that operators may act on has a number whose meaning never
+//! changes. docs/EVENTS.md is the catalogue; a test compares it with
 //! [`EventId::ALL`].
 
 mod catalogue;
@@ -10,7 +10,7 @@
 
 pub use catalogue::EventId;
 
-/// Target of every event, whichever crate emits it.
+/// The `tracing` target of every event, whichever crate emits it.
 pub const TARGET: &str = "threadledge::events";
 
 /// Severity of an event.
@@ -18,7 +18,7 @@
 pub enum EventLevel {
     /// An operator should act.
     Error,
-    /// Something is degraded; the system works round it.
+    /// Something is degraded, but the system continues to work.
     Warn,
     /// A change of state.
     Info,
--- a/crates/router/src/events/catalogue.rs
+++ b/crates/router/src/events/catalogue.rs
@@ -13,38 +13,38 @@
         }
 
         impl EventId {
-            /// Every event, in the order of the numbers.
+            /// Every event, in the order of their numbers.
             pub const ALL: &'static [EventId] = &[$(EventId::$variant,)*];
 
-            /// Number; never given to another event.
+            /// Returns the event's number, which is never reused for another event.
             pub const fn number(self) -> u32 {
                 match self {
                     $(EventId::$variant => $number,)*
                 }
             }
 
-            /// Short name in kebab case.
+            /// Returns the short name in kebab case.
             pub const fn name(self) -> &'static str {
                 match self {
                     $(EventId::$variant => $name,)*
                 }
             }
 
-            /// Severity.
+            /// Returns the severity.
             pub const fn level(self) -> EventLevel {
                 match self {
                     $(EventId::$variant => EventLevel::$level,)*
                 }
             }
 
-            /// What happened.
+            /// Returns a description of what happened.
             pub const fn meaning(self) -> &'static str {
                 match self {
                     $(EventId::$variant => $meaning,)*
                 }
             }
 
-            /// What an operator should do.
+            /// Returns what an operator should do.
             pub const fn action(self) -> &'static str {
                 match self {
                     $(EventId::$variant => $action,)*
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,5 +1,5 @@
-//! The routing machine: command line, settings, logging and composition of
-//! the cores with their shells.
+//! The router and gateway programs: command line, settings, logging, and the
+//! components that run the protocol cores with their I/O.
 
 pub mod check;
 pub mod cli;
--- a/crates/router/src/log_trace.rs
+++ b/crates/router/src/log_trace.rs
@@ -1,5 +1,6 @@
-//! Reads the logs of gateways and tells what became of one request: its lines,
-//! and what the gateways believed of its key and its back ends meanwhile.
+//! Traces one request through the logs of gateways: its own lines, and the
+//! latest state changes of its key, its back ends and the gateway's
+//! dependencies before it ended.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -11,7 +12,7 @@
 
 use crate::events::EventId;
 
-/// Events on one back end that matter to its requests.
+/// Events about a back end that affect its requests.
 const BACK_END_EVENTS: [EventId; 5] = [
     EventId::HolderLost,
     EventId::BackEndRegistered,
@@ -20,14 +21,14 @@
     EventId::BackEndGone,
 ];
 
-/// Events on ranges of keys.
+/// Events about key ranges.
 const KEY_EVENTS: [EventId; 3] = [
     EventId::ReleaseStarted,
     EventId::KeysAssigned,
     EventId::OrderFenced,
 ];
 
-/// Events on what a gateway depends on.
+/// Events about the dependencies of a gateway.
 const DEPENDENCY_EVENTS: [EventId; 10] = [
     EventId::StoreLost,
     EventId::StoreRegained,
@@ -41,7 +42,7 @@
     EventId::RouterStarted,
 ];
 
-/// Why there is nothing to tell.
+/// Error of a trace.
 #[derive(Debug, Error)]
 pub enum TraceError {
     /// A file cannot be read.
@@ -54,7 +55,7 @@
     },
     /// No line names the request.
     #[error(
-        "no line names request {request}; plain successes are written by sample only, and the \
+        "no line names request {request}; ordinary successes are only sampled, and the \
          logs of every gateway are needed"
     )]
     NotFound {
@@ -63,7 +64,7 @@
     },
 }
 
-/// One line of a log, as far as a trace needs it.
+/// The fields of a log line that a trace needs.
 #[derive(Clone, Debug, Deserialize)]
 struct Line {
     timestamp: String,
@@ -78,20 +79,20 @@
     attempts: Option<String>,
 }
 
-/// A line with the gateway that wrote it.
+/// A log line with the gateway that wrote it.
 #[derive(Clone, Debug)]
-struct Written {
+struct LogEntry {
     source: String,
     line: Line,
     text: String,
 }
 
-/// What became of one request.
+/// The trace of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trace {
-    /// Lines in the order of time: gateway and text.
+    /// The lines in the order of time, each with the gateway that wrote it.
     pub lines: Vec<(String, String)>,
-    /// Lines of the files that are no events, and were passed over.
+    /// Number of lines that were skipped because they are not events.
     pub skipped: usize,
 }
 
@@ -100,7 +101,7 @@
         for (source, text) in &self.lines {
             writeln!(formatter, "{source}: {text}")?;
         }
-        write!(formatter, "{} other lines passed over", self.skipped)
+        write!(formatter, "{} other lines skipped", self.skipped)
     }
 }
 
@@ -108,9 +109,9 @@
 ///
 /// # Errors
 ///
-/// A file cannot be read, or no line names the request.
+/// Fails if a file cannot be read or no line names the request.
 pub fn trace(request: &str, files: &[PathBuf]) -> Result<Trace, TraceError> {
-    let mut written = Vec::new();
+    let mut entries = Vec::new();
     let mut skipped = 0;
     for path in files {
         let text = std::fs::read(path).map_err(|cause| TraceError::Unreadable {
@@ -120,13 +121,13 @@
         let file = path.file_stem().unwrap_or_default().to_string_lossy();
         for line in String::from_utf8_lossy(&text).lines() {
             match read_line(&file, line) {
-                Some(line) => written.push(line),
+                Some(line) => entries.push(line),
                 None => skipped += 1,
             }
         }
     }
-    written.sort_by(|left, right| left.line.timestamp.cmp(&right.line.timestamp));
-    let lines = relevant(request, &written);
+    entries.sort_by(|left, right| left.line.timestamp.cmp(&right.line.timestamp));
+    let lines = relevant_lines(request, &entries);
     if lines.is_empty() {
         let request = request.to_owned();
         return Err(TraceError::NotFound { request });
@@ -134,74 +135,76 @@
     Ok(Trace { lines, skipped })
 }
 
-/// Reads one line; what stands before the JSON names the gateway.
-fn read_line(file: &str, text: &str) -> Option<Written> {
+/// Parses one line. The last word before the JSON object, if any, is the name
+/// of the gateway.
+fn read_line(file: &str, text: &str) -> Option<LogEntry> {
     let start = text.find('{')?;
     let line: Line = serde_json::from_str(&text[start..]).ok()?;
     let before = text[..start].split_whitespace().last();
-    Some(Written {
+    Some(LogEntry {
         source: before.unwrap_or(file).to_owned(),
         line,
         text: text[start..].to_owned(),
     })
 }
 
-/// The request's own lines, and the last change before its end of each thing
-/// that it depended on.
-fn relevant(request: &str, written: &[Written]) -> Vec<(String, String)> {
-    let names = |line: &Line| line.request.as_deref() == Some(request);
-    let Some(last) = written.iter().rposition(|each| names(&each.line)) else {
+/// Returns the request's own lines, and for each subject on which it depended
+/// the last change before its end.
+fn relevant_lines(request: &str, entries: &[LogEntry]) -> Vec<(String, String)> {
+    let is_own = |line: &Line| line.request.as_deref() == Some(request);
+    let Some(last) = entries.iter().rposition(|entry| is_own(&entry.line)) else {
         return Vec::new();
     };
-    let own: Vec<&Written> = written.iter().filter(|each| names(&each.line)).collect();
-    let mut told: BTreeSet<usize> = BTreeSet::new();
-    for (index, each) in written.iter().enumerate() {
-        if names(&each.line) {
-            told.insert(index);
+    let own: Vec<&LogEntry> = entries.iter().filter(|entry| is_own(&entry.line)).collect();
+    let mut selected: BTreeSet<usize> = BTreeSet::new();
+    for (index, entry) in entries.iter().enumerate() {
+        if is_own(&entry.line) {
+            selected.insert(index);
         }
     }
-    let mut things: BTreeSet<String> = BTreeSet::new();
-    for (index, each) in written.iter().enumerate().take(last).rev() {
-        let Some(thing) = concern(each, &own) else {
+    let mut subjects: BTreeSet<String> = BTreeSet::new();
+    for (index, entry) in entries.iter().enumerate().take(last).rev() {
+        let Some(subject) = relevant_subject(entry, &own) else {
             continue;
         };
-        if things.insert(thing) {
-            told.insert(index);
+        if subjects.insert(subject) {
+            selected.insert(index);
         }
     }
-    told.into_iter()
-        .map(|index| (written[index].source.clone(), describe(&written[index])))
+    selected
+        .into_iter()
+        .map(|index| (entries[index].source.clone(), describe(&entries[index])))
         .collect()
 }
 
-/// What a line is about, if it concerns one of the request's own lines.
-fn concern(each: &Written, own: &[&Written]) -> Option<String> {
-    let line = &each.line;
+/// Returns the subject of a line if it affected one of the request's own lines.
+fn relevant_subject(entry: &LogEntry, own: &[&LogEntry]) -> Option<String> {
+    let line = &entry.line;
     let is = |events: &[EventId]| events.iter().any(|event| event.number() == line.event);
     if is(&KEY_EVENTS) {
         let range = line.keys.as_deref().and_then(parse_range)?;
-        let holds = |own: &&Written| {
+        let has_key = |own: &&LogEntry| {
             let key = own
                 .line
                 .key
                 .is_some_and(|key| range.contains(ShardKey(key)));
             key && own.line.service == line.service
         };
-        return own.iter().any(holds).then(|| line.name.clone());
+        return own.iter().any(has_key).then(|| line.name.clone());
     }
     if is(&BACK_END_EVENTS) {
         let name = line.owner.as_deref().or(line.back_end.as_deref())?;
-        let asked = |own: &&Written| {
+        let was_called = |own: &&LogEntry| {
             let answered = own.line.back_end.as_deref() == Some(name);
             let attempts = own.line.attempts.as_deref().unwrap_or_default();
             answered || attempts.contains(name)
         };
-        return own.iter().any(asked).then(|| name.to_owned());
+        return own.iter().any(was_called).then(|| name.to_owned());
     }
     if is(&DEPENDENCY_EVENTS) {
-        let at_hand = own.iter().any(|own| own.source == each.source);
+        let same_gateway = own.iter().any(|own| own.source == entry.source);
         let election = line.event / 10 == EventId::CoordinatorElected.number() / 10;
-        return (at_hand || election).then(|| format!("{} {}", each.source, line.name));
+        return (same_gateway || election).then(|| format!("{} {}", entry.source, line.name));
     }
     None
 }
@@ -211,16 +214,16 @@
     KeyRange::new(first.parse().ok()?, last.parse().ok()?)
 }
 
-fn describe(each: &Written) -> String {
+fn describe(entry: &LogEntry) -> String {
     let value: serde_json::Map<String, serde_json::Value> =
-        serde_json::from_str(&each.text).unwrap_or_default();
+        serde_json::from_str(&entry.text).unwrap_or_default();
     let hidden = ["timestamp", "level", "target", "event", "name"];
     let fields: Vec<String> = value
         .iter()
         .filter(|(name, value)| !hidden.contains(&name.as_str()) && value.as_str() != Some(""))
         .map(|(name, value)| format!("{name}={value}"))
         .collect();
-    let line = &each.line;
+    let line = &entry.line;
     format!(
         "{} {} {} {}",
         line.timestamp,
--- a/crates/router/src/logging.rs
+++ b/crates/router/src/logging.rs
@@ -1,5 +1,5 @@
-//! Log output: lines for people or JSON, on standard error for the router of
-//! the object API and on standard output for a gateway.
+//! Log output, as human-readable text or JSON: on standard error for a router,
+//! on standard output for a gateway.
 
 use thiserror::Error;
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
@@ -9,7 +9,7 @@
 
 use crate::settings::{LogFormat, LogLevel, LogSettings};
 
-/// The log could not be set up.
+/// Error of installing the logger.
 #[derive(Debug, Error)]
 pub enum LoggingError {
     /// A logger is installed already.
@@ -21,40 +21,39 @@
 ///
 /// # Errors
 ///
-/// A logger is installed already.
+/// Fails if a logger is installed already.
 pub fn install(settings: &LogSettings) -> Result<(), LoggingError> {
     subscriber(settings, std::io::stderr)
         .try_init()
         .map_err(|error| LoggingError::Installed(error.to_string()))
 }
 
-/// Lines of the log that wait to be written; further ones are dropped and
-/// counted.
-const WAITING_LINES: usize = 4_096;
+/// Maximum number of log lines that wait to be written. Further lines are
+/// dropped and counted.
+const MAX_QUEUED_LINES: usize = 4_096;
 
-/// Writes the lines that wait, when it is dropped at the end of the process.
+/// Writes the queued lines when it is dropped at the end of the process.
 pub struct LogGuard {
     _worker: WorkerGuard,
     dropped: ErrorCounter,
 }
 
 impl LogGuard {
-    /// Lines dropped so far because too many waited.
+    /// Returns the number of lines dropped so far because the queue was full.
     pub fn dropped(&self) -> usize {
         self.dropped.dropped_lines()
     }
 }
 
-/// Installs the logger of the process on standard output. Whoever logs never
-/// waits for the output: lines wait in a bounded queue and are dropped when it
-/// is full.
+/// Installs the logger of the process on standard output. Logging never blocks:
+/// lines are put into a bounded queue and dropped when it is full.
 ///
 /// # Errors
 ///
-/// A logger is installed already.
+/// Fails if a logger is installed already.
 pub fn install_queued(settings: &LogSettings) -> Result<LogGuard, LoggingError> {
     let (writer, worker) = NonBlockingBuilder::default()
-        .buffered_lines_limit(WAITING_LINES)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
         .lossy(true)
         .finish(std::io::stdout());
     let dropped = writer.error_counter();
@@ -67,7 +66,7 @@
     })
 }
 
-/// A subscriber that writes to `writer`.
+/// Returns a subscriber that writes to `writer`.
 pub fn subscriber<W>(
     settings: &LogSettings,
     writer: W,
@@ -85,14 +84,15 @@
     }
 }
 
-/// Only this project's own crates below `warn`: libraries are chatty.
+/// Limits libraries to `warn`, because they log a lot; `level` applies only to
+/// this program.
 fn filter(level: LogLevel) -> EnvFilter {
-    let word = level.as_str();
-    EnvFilter::new(format!("warn,threadledge={word}"))
+    let level_name = level.as_str();
+    EnvFilter::new(format!("warn,threadledge={level_name}"))
 }
 
 impl LogLevel {
-    /// The word in the settings.
+    /// Returns the name of the level in the settings.
     pub const fn as_str(self) -> &'static str {
         match self {
             LogLevel::Error => "error",
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -14,7 +14,8 @@
     0.0005, 0.001, 0.002, 0.004, 0.008, 0.016, 0.032, 0.064, 0.128, 0.256, 0.512, 1.0, 2.0, 4.0,
 ];
 
-/// The registry and the metrics that every router has. Clones share them.
+/// The metrics registry and the metrics that every router has. Clones share
+/// them.
 #[derive(Clone)]
 pub struct Metrics {
     registry: Registry,
@@ -23,7 +24,7 @@
     control: ControlGauges,
 }
 
-/// State of the control path.
+/// Gauges of the control plane's state.
 #[derive(Clone)]
 struct ControlGauges {
     term: IntGauge,
@@ -33,14 +34,14 @@
     confirmed_age: Gauge,
 }
 
-/// Values of the control gauges.
+/// State of the control plane, as shown by its gauges.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ControlState {
     /// Consensus term of the group.
     pub term: u64,
-    /// Revision of this router's copy.
+    /// Revision of this router's copy of the records.
     pub revision: Revision,
-    /// Routers believed alive.
+    /// Number of routers believed alive.
     pub members: u64,
     /// Time since the revision was confirmed; `None` before the first time.
     pub confirmed_age: Option<Duration>,
@@ -50,11 +51,12 @@
     /// Content type of [`Metrics::encode`].
     pub const CONTENT_TYPE: &'static str = "text/plain; version=0.0.4";
 
-    /// A registry with the metrics that every router has.
+    /// Creates a registry with the metrics that every router has.
     ///
     /// # Errors
     ///
-    /// Never with the names compiled in; the library checks them at run time.
+    /// The library checks metric names at run time. The names here are constants
+    /// and valid, so this does not fail.
     pub fn new(started: SystemTime) -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
         register_process_start(&registry, started)?;
@@ -81,17 +83,17 @@
         })
     }
 
-    /// Adds another module's metric.
+    /// Registers the metrics of another module.
     ///
     /// # Errors
     ///
-    /// The name is taken or malformed.
+    /// Fails if a name is malformed or already registered.
     pub fn register(&self, collector: impl Collector + 'static) -> Result<(), prometheus::Error> {
         self.registry.register(Box::new(collector))
     }
 
-    /// Counts one request that has its outcome. `service` and `route` are
-    /// empty when none matched.
+    /// Counts a finished request. `service` is `None` and `route` is empty if no
+    /// route matched.
     pub fn count_request(
         &self,
         service: Option<&ServiceId>,
@@ -114,11 +116,11 @@
         self.control.set(state);
     }
 
-    /// The metrics as text.
+    /// Encodes all metrics as text.
     ///
     /// # Errors
     ///
-    /// A metric that another module registered cannot be written as text.
+    /// Fails if a metric of another module cannot be encoded.
     pub fn encode(&self) -> Result<String, prometheus::Error> {
         let mut bytes = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut bytes)?;
@@ -151,16 +153,16 @@
     }
 
     fn set(&self, state: &ControlState) {
-        self.term.set(saturating(state.term));
+        self.term.set(to_i64_saturating(state.term));
         self.generation.set(i64::from(state.revision.generation.0));
-        self.revision.set(saturating(state.revision.index));
-        self.members.set(saturating(state.members));
+        self.revision.set(to_i64_saturating(state.revision.index));
+        self.members.set(to_i64_saturating(state.members));
         self.confirmed_age
             .set(state.confirmed_age.map_or(-1.0, |age| age.as_secs_f64()));
     }
 }
 
-fn saturating(value: u64) -> i64 {
+fn to_i64_saturating(value: u64) -> i64 {
     i64::try_from(value).unwrap_or(i64::MAX)
 }
 
--- a/crates/router/src/operations.rs
+++ b/crates/router/src/operations.rs
@@ -1,7 +1,7 @@
-//! The operators' HTTP service and the client of it.
+//! The operators' HTTP service and its client.
 //!
-//! The service is defined over [`RouterView`], which the running router
-//! implements; nothing here knows how a router is put together.
+//! The service uses the trait [`RouterView`], which the running router
+//! implements, and does not depend on how a router is composed.
 
 pub mod client;
 pub mod report;
--- a/crates/router/src/planned_stop.rs
+++ b/crates/router/src/planned_stop.rs
@@ -1,4 +1,5 @@
-//! A planned stop, from the last accepted connection to the end.
+//! Planned stop of a router: drain requests in flight and hand over the group's
+//! duties.
 
 use std::time::Duration;
 
@@ -13,37 +14,40 @@
 use crate::events::{EventId, emit};
 use crate::proxy::Proxy;
 
-/// Shortest time for which a planned stop waits for the group to do without
+/// Minimum time for which a planned stop waits until the group no longer needs
 /// this router. It waits longer while requests are in flight.
-const HANDOVER_LIMIT: Duration = Duration::from_secs(8);
-/// Pause between looks at whether the group does without this router.
+const MIN_HANDOVER_WAIT: Duration = Duration::from_secs(8);
+/// Interval at which a planned stop checks whether the group still needs this
+/// router.
 const HANDOVER_POLL: Duration = Duration::from_millis(20);
-/// Time that a stopping router stays reachable after its last duty, for
-/// messages on their way.
-const LINGER: Duration = Duration::from_millis(200);
+/// Time for which a stopping router stays reachable after the handover, for
+/// messages that are still in transit.
+const EXIT_DELAY: Duration = Duration::from_millis(200);
 
-/// Finishes what runs and hands over the group's duties, both at once.
+/// Drains the proxy and hands over the group's duties concurrently. Returns the
+/// proxy's report.
 ///
-/// Kept here: *a planned stop cuts off no request in flight*. The proxy ends
-/// when its last request is answered. Until then and until the group does
-/// without this router, the control core goes on: requests in flight still
-/// learn of owners that change, and other routers still get the records.
+/// Invariant: *a planned stop cuts off no request in flight*. The proxy ends
+/// when its last request is answered. Until then, and until the group no longer
+/// needs this router, the control core continues: requests in flight still
+/// learn of changed owners, and other routers still receive the records.
 pub async fn stop_gracefully(shell: &ControlShell, proxy: Proxy) -> ServeReport {
     shell.input(Input::Leave);
     let served = StopSignal::new();
-    let handover = task::spawn(hand_over(shell.clone(), served.clone()));
+    let handover = task::spawn(await_handover(shell.clone(), served.clone()));
     let report = proxy.served.await;
     served.stop();
     if !handover.await {
         emit!(EventId::HandoverIncomplete);
     }
-    task::sleep(LINGER).await;
+    task::sleep(EXIT_DELAY).await;
     report
 }
 
-/// Waits until the group does without this router. Returns whether it does.
-async fn hand_over(shell: ControlShell, served: StopSignal) -> bool {
-    let limit = shell.clock().now() + HANDOVER_LIMIT;
+/// Waits until the group no longer needs this router. Returns `false` if it
+/// still does when the proxy has ended and the minimum wait is over.
+async fn await_handover(shell: ControlShell, served: StopSignal) -> bool {
+    let limit = shell.clock().now() + MIN_HANDOVER_WAIT;
     loop {
         if shell.with_node(ControlNode::may_stop) {
             return true;
@@ -55,7 +59,8 @@
     }
 }
 
-/// A route whose requests a planned stop could cut off.
+/// A route whose deadline exceeds the drain timeout, so that a planned stop
+/// could cut off its requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LongDeadlineRoute<'a> {
     /// Service of the route.
@@ -64,7 +69,8 @@
     pub route: &'a RouteRule,
 }
 
-/// Routes among the changed services with a deadline beyond `drain_timeout`.
+/// Returns the routes of the changed services whose deadline exceeds
+/// `drain_timeout`.
 pub fn routes_beyond_drain(
     delta: &RecordDelta,
     drain_timeout: Duration,
@@ -83,8 +89,8 @@
     routes.filter(move |long| Duration::from_millis(long.route.deadline_ms) > drain_timeout)
 }
 
-/// Writes an event for each route whose requests a planned stop could cut
-/// off.
+/// Logs an event for each route of the changed services whose deadline exceeds
+/// `drain_timeout`.
 pub fn log_routes_beyond_drain(delta: &RecordDelta, drain_timeout: Duration) {
     for LongDeadlineRoute { service, route } in routes_beyond_drain(delta, drain_timeout) {
         let deadline_ms = route.deadline_ms;
@@ -92,7 +98,7 @@
     }
 }
 
-/// Writes the last event of the process.
+/// Logs the end of the planned stop, the last event of the process.
 pub fn log_stop(report: &ServeReport) {
     if report.aborted == 0 {
         emit!(EventId::StopFinished, requests = report.requests);
--- a/crates/router/src/platform_token.rs
+++ b/crates/router/src/platform_token.rs
@@ -1,4 +1,5 @@
-//! The token that the platform's services ask for.
+//! Loading of the token that authenticates the router to the platform's
+//! services.
 
 use std::path::{Path, PathBuf};
 
@@ -7,10 +8,11 @@
 
 use crate::settings::Settings;
 
-/// Largest token, in bytes. A head of the platform must hold it.
+/// Maximum size of a token, in bytes. It must fit into the head of a request to
+/// the platform.
 const MAX_TOKEN_BYTES: usize = 4_096;
 
-/// Why a token file is refused. No message holds any part of the token.
+/// Error of loading a token file. No message includes any part of the token.
 #[derive(Debug, Error)]
 pub enum TokenError {
     /// The file cannot be read.
@@ -24,7 +26,7 @@
     /// The file holds no token.
     #[error("the token file {} is empty; write the token into it", .0.display())]
     Empty(PathBuf),
-    /// The file holds something that no header can carry.
+    /// The content is too long or cannot be sent in a header.
     #[error(
         "the token file {} holds more than one word of at most 4096 visible ASCII letters; write the token alone into it",
         .0.display()
@@ -32,11 +34,12 @@
     NotAToken(PathBuf),
 }
 
-/// How to reach the platform's services, with the token of the settings.
+/// Returns the transport settings for the platform's services, with the token
+/// that the settings refer to.
 ///
 /// # Errors
 ///
-/// The settings name a token file that is of no use.
+/// Fails if the settings name a token file that cannot be used.
 pub fn platform_transport(settings: &Settings) -> Result<TransportSettings, TokenError> {
     let token = match &settings.platform_token_file {
         Some(path) => Some(read_token(path)?),
@@ -48,11 +51,11 @@
     })
 }
 
-/// Reads a token; white space around it does not belong to it.
+/// Reads a token from a file. Surrounding white space is removed.
 ///
 /// # Errors
 ///
-/// The file cannot be read or holds no token.
+/// Fails if the file cannot be read or does not hold a valid token.
 pub fn read_token(path: &Path) -> Result<String, TokenError> {
     let text = std::fs::read_to_string(path).map_err(|cause| TokenError::Unreadable {
         path: path.to_owned(),
--- a/crates/router/src/proxy/dispatch.rs
+++ b/crates/router/src/proxy/dispatch.rs
@@ -32,7 +32,8 @@
         self.waker.wake();
     }
 
-    /// Is ready if there was a notification since the last poll that was ready.
+    /// Resolves when something may have changed, that is, if there was a
+    /// notification since the last time that it resolved.
     pub(crate) fn poll(&self, context: &mut Context<'_>) -> Poll<()> {
         if self.notified.swap(false, Ordering::AcqRel) {
             return Poll::Ready(());
--- a/crates/router/src/request_log.rs
+++ b/crates/router/src/request_log.rs
@@ -1,7 +1,8 @@
-//! Events about requests, a few lines for each interval whatever the load.
+//! Log events about failed requests, aggregated so that each interval has only
+//! a few lines whatever the load.
 //!
-//! Callers can cause any number of refusals, so that single ones are only
-//! counted here; metrics have the exact numbers.
+//! Callers can cause any number of refusals, so individual ones are counted
+//! instead of logged; metrics have the exact numbers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,14 +16,14 @@
 use crate::events::{EventId, emit};
 use crate::proxy::Observation;
 
-/// Time over which outcomes are added up before they are written.
+/// Interval over which outcomes are counted before they are logged.
 const INTERVAL: Duration = Duration::from_secs(5);
-/// Pause between looks at the stop signal.
+/// Interval at which the stop signal is checked.
 const STOP_POLL: Duration = Duration::from_millis(100);
 
-/// What is counted apart: the service, if a route matched, and the outcome.
+/// Key of a counter: the service, if a route matched, and the outcome.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Kind {
+struct CountKey {
     service: Option<Arc<ServiceId>>,
     event: EventId,
     reason: &'static str,
@@ -37,59 +38,60 @@
     pub service: Option<Arc<ServiceId>>,
     /// Reason of the outcome.
     pub reason: &'static str,
-    /// Requests that ended so since the last lines.
+    /// Number of requests that ended this way since the last lines.
     pub requests: u64,
 }
 
-/// Adds up the outcomes that are no answers.
+/// Counts requests that were not answered by a back end.
 #[derive(Clone, Debug, Default)]
 pub struct RequestTally {
-    counts: BTreeMap<Kind, u64>,
-    /// Limits that were reached in the last interval, and are in the log.
-    pressed: Vec<EventId>,
+    counts: BTreeMap<CountKey, u64>,
+    /// Limits that were reached in the last interval and have been logged.
+    reached_limits: Vec<EventId>,
 }
 
 impl RequestTally {
-    /// Counts one request that ended.
+    /// Counts a finished request.
     pub fn count(&mut self, service: Option<&Arc<ServiceId>>, outcome: Outcome) {
         let event = match outcome {
             Outcome::Answered => return,
             Outcome::NotRun(_) => EventId::RequestsRefused,
             Outcome::Unknown(_) => EventId::RequestsUnknown,
         };
-        let kind = Kind {
+        let key = CountKey {
             service: service.cloned(),
             event,
             reason: outcome.reason().unwrap_or_default(),
         };
-        *self.counts.entry(kind).or_default() += 1;
+        *self.counts.entry(key).or_default() += 1;
     }
 
-    /// The lines of the interval that ends now. A limit that is reached has a
-    /// line of its own in the first interval of several in a row.
+    /// Returns the lines of the interval that ends now and resets the counts. A
+    /// limit that is reached has an additional line, but only in the first of
+    /// consecutive intervals.
     pub fn take_lines(&mut self) -> Vec<RequestLine> {
         let counts = std::mem::take(&mut self.counts);
         let mut lines: Vec<RequestLine> = counts
             .into_iter()
-            .map(|(kind, requests)| RequestLine {
-                event: kind.event,
-                service: kind.service,
-                reason: kind.reason,
+            .map(|(key, requests)| RequestLine {
+                event: key.event,
+                service: key.service,
+                reason: key.reason,
                 requests,
             })
             .collect();
-        let before = std::mem::take(&mut self.pressed);
+        let already_logged = std::mem::take(&mut self.reached_limits);
         for limit in [NotRunReason::Overloaded, NotRunReason::ShareExhausted] {
-            lines.extend(self.pressed_line(limit, &lines, &before));
+            lines.extend(self.limit_line(limit, &lines, &already_logged));
         }
         lines
     }
 
-    fn pressed_line(
+    fn limit_line(
         &mut self,
         limit: NotRunReason,
         lines: &[RequestLine],
-        before: &[EventId],
+        already_logged: &[EventId],
     ) -> Option<RequestLine> {
         let event = match limit {
             NotRunReason::ShareExhausted => EventId::ShareExhausted,
@@ -99,9 +101,9 @@
             line.event == EventId::RequestsRefused && line.reason == limit.as_str()
         };
         let first = lines.iter().find(refused)?;
-        self.pressed.push(event);
+        self.reached_limits.push(event);
         let requests = lines.iter().filter(refused).map(|line| line.requests);
-        (!before.contains(&event)).then(|| RequestLine {
+        (!already_logged.contains(&event)).then(|| RequestLine {
             event,
             service: first.service.clone(),
             reason: limit.as_str(),
@@ -110,14 +112,14 @@
     }
 }
 
-/// Shared tally of a running router. Clones share it.
+/// The request counts of a running router. Clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct RequestLog {
     tally: Arc<Mutex<RequestTally>>,
 }
 
 impl RequestLog {
-    /// Counts one request that ended; answered ones cost nothing.
+    /// Counts a finished request. Answered requests return without locking.
     pub fn observe(&self, observation: &Observation) {
         if let Some(outcome) = observation.outcome
             && outcome != Outcome::Answered
@@ -127,7 +129,8 @@
         }
     }
 
-    /// Writes what was counted, every few seconds and once more after `stop`.
+    /// Logs the counts every few seconds, and once more after `stop` is
+    /// signalled.
     pub async fn run(self, stop: StopSignal) {
         loop {
             let mut waited = Duration::ZERO;
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -1,4 +1,4 @@
-//! Composition: one routing machine from its settings.
+//! Composition of a running router from its settings.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 use crate::running_router::{RunningRouter, watch_readiness};
 use crate::settings::Settings;
 
-/// Why a router stopped with an error.
+/// Error that prevents a router from starting.
 #[derive(Debug, Error)]
 pub enum RunError {
     /// An address cannot be listened on.
@@ -34,29 +34,29 @@
         /// What failed.
         cause: std::io::Error,
     },
-    /// The signals that ask for a planned stop cannot be registered.
+    /// The signals that request a planned stop cannot be registered.
     #[error("signals cannot be registered ({0}); check the limits of the process")]
     Signals(std::io::Error),
     /// The metrics cannot be registered.
-    #[error("metrics cannot be registered ({0}); report this as a fault")]
+    #[error("metrics cannot be registered ({0}); please report this bug")]
     Metrics(prometheus::Error),
-    /// The platform's token cannot be had.
+    /// The platform's token cannot be loaded.
     #[error(transparent)]
     PlatformToken(#[from] TokenError),
 }
 
-/// Listening sockets of one router.
+/// Listening sockets of a router.
 struct Listeners {
     callers: TcpListener,
     peers: TcpListener,
     operators: TcpListener,
 }
 
-/// Runs one routing machine until its planned stop has ended.
+/// Runs a router until its planned stop has ended.
 ///
 /// # Errors
 ///
-/// It cannot start.
+/// Fails if the router cannot start.
 pub async fn run(settings: Settings) -> Result<(), RunError> {
     let platform = platform_transport(&settings)?;
     let listeners = listen(&settings).await?;
@@ -75,15 +75,15 @@
     Ok(())
 }
 
-/// What the parts of one running router share.
+/// State shared by the components of a running router.
 struct Process {
     settings: Settings,
     platform: TransportSettings,
     metrics: Metrics,
     clock: Clock,
-    /// Begins the planned stop.
+    /// Requests the planned stop.
     drain: StopSignal,
-    /// Given when the router has nothing left to do.
+    /// Signalled when the planned stop has ended, to end the other tasks.
     finished: StopSignal,
 }
 
@@ -140,7 +140,7 @@
         let metrics = ProxyMetrics::new(proxy.clone());
         let registered = metrics.and_then(|metrics| self.metrics.register(metrics));
         if let Err(error) = registered {
-            tracing::error!(%error, "the data path has no metrics; report this as a fault");
+            tracing::error!(%error, "the proxy's metrics cannot be registered; please report this bug");
         }
     }
 
@@ -160,7 +160,7 @@
             records: Box::new(move |delta| {
                 log_routes_beyond_drain(delta, drain_timeout);
                 if let Err(error) = proxy.apply(delta) {
-                    tracing::error!(%error, "records do not fit the data path's copy");
+                    tracing::error!(%error, "the proxy cannot apply a record delta");
                 }
             }),
             stop: self.finished.clone(),
@@ -204,8 +204,8 @@
     })
 }
 
-/// A new process is a new router: its id is drawn at random and its
-/// incarnation is the wall time of its start.
+/// Returns the identity of this process. Each process is a new router with a
+/// random id; its incarnation is the wall-clock time of its start.
 fn identity(settings: &Settings) -> RouterIdentity {
     let started = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = started.unwrap_or_default().as_millis();
--- a/crates/router/src/running_router.rs
+++ b/crates/router/src/running_router.rs
@@ -1,4 +1,4 @@
-//! The running router as its operators see and command it.
+//! Operators' view of a running router.
 
 use std::time::Duration;
 
@@ -16,10 +16,10 @@
 };
 use crate::proxy::ProxyHandle;
 
-/// Pause between looks at the readiness.
+/// Interval at which readiness is updated.
 const READINESS_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Views and commands of one running router. Clones share it.
+/// Reports the state of a running router and controls it. Clones share it.
 #[derive(Clone)]
 pub struct RunningRouter {
     shell: ControlShell,
@@ -30,7 +30,7 @@
 }
 
 impl RunningRouter {
-    /// Composes the views from the running parts.
+    /// Creates the view from the running components.
     pub fn new(
         shell: ControlShell,
         proxy: ProxyHandle,
@@ -49,8 +49,8 @@
 
     fn readiness_of(&self, node: &ControlNode, now: Timestamp) -> Readiness {
         let mut readiness = status::readiness(node, now, self.confirm_bound);
-        // A router that has its configuration is not put out by a newcomer
-        // that differs from it.
+        // A router that has its configuration stays ready when another router
+        // with different settings appears.
         if !readiness.is_ready() && self.shell.has_differing_routers() {
             readiness.reasons.push(NotReadyReason::SafetySettingsDiffer);
         }
@@ -60,9 +60,9 @@
         readiness
     }
 
-    /// Reads the clock under the core's lock, so that no confirmation lies in
-    /// the future.
-    fn look<R>(&self, read: impl FnOnce(&ControlNode, Timestamp) -> R) -> R {
+    /// Calls `read` with the core and the time. The clock is read under the
+    /// core's lock, so that no confirmation lies in the future.
+    fn with_node_and_time<R>(&self, read: impl FnOnce(&ControlNode, Timestamp) -> R) -> R {
         let clock = self.shell.clock();
         self.shell.with_node(|node| read(node, clock.now()))
     }
@@ -74,7 +74,7 @@
         let load = self
             .proxy
             .with_dispatcher(|dispatcher| dispatcher.load(load_at));
-        self.look(|node, now| StatusReport {
+        self.with_node_and_time(|node, now| StatusReport {
             router: node.identity().clone(),
             uptime_ms: now.as_millis(),
             readiness: self.readiness_of(node, now),
@@ -93,7 +93,7 @@
     }
 
     fn readiness(&self) -> Readiness {
-        self.look(|node, now| self.readiness_of(node, now))
+        self.with_node_and_time(|node, now| self.readiness_of(node, now))
     }
 
     fn start_drain(&self) {
@@ -108,18 +108,19 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Keeps the data path's readiness and the control metrics up to date, and
-/// writes what the data path noticed about back ends, until `stop` is given.
+/// Updates the proxy's readiness and the control metrics, and logs the proxy's
+/// notices about back ends, until `stop` is signalled.
 pub async fn watch_readiness(router: RunningRouter, stop: StopSignal) {
-    let mut announced = None;
+    let mut logged = None;
     while !stop.is_stopped() {
-        let (readiness, state) =
-            router.look(|node, now| (router.readiness_of(node, now), control_state(node, now)));
-        router.proxy.set_ready(may_take_work(&readiness));
+        let (readiness, state) = router.with_node_and_time(|node, now| {
+            (router.readiness_of(node, now), control_state(node, now))
+        });
+        router.proxy.set_ready(accepts_requests(&readiness));
         let routers = u32::try_from(state.members).unwrap_or(u32::MAX);
         router.proxy.set_router_count(routers);
         router.metrics.set_control(&state);
-        announce(&mut announced, &readiness);
+        log_readiness_change(&mut logged, &readiness);
         router.proxy.take_notices().iter().for_each(log_notice);
         task::sleep(READINESS_INTERVAL).await;
     }
@@ -134,9 +135,9 @@
     }
 }
 
-/// A stopping router still answers what reaches it; only a router that may
-/// lack configuration refuses.
-fn may_take_work(readiness: &Readiness) -> bool {
+/// Returns whether the proxy may accept requests. A draining router still
+/// serves requests that reach it; one that may lack configuration refuses them.
+fn accepts_requests(readiness: &Readiness) -> bool {
     let mut reasons = readiness.reasons.iter();
     reasons.all(|reason| *reason == NotReadyReason::Draining)
 }
@@ -148,12 +149,13 @@
     }
 }
 
-fn announce(announced: &mut Option<Readiness>, readiness: &Readiness) {
-    if announced.as_ref() == Some(readiness) {
+/// Logs a change of the readiness since the last call.
+fn log_readiness_change(logged: &mut Option<Readiness>, readiness: &Readiness) {
+    if logged.as_ref() == Some(readiness) {
         return;
     }
     let unconfirmed = NotReadyReason::RevisionNotConfirmed;
-    let was_unconfirmed = announced
+    let was_unconfirmed = logged
         .as_ref()
         .is_some_and(|former| former.reasons.contains(&unconfirmed));
     if readiness.reasons.contains(&unconfirmed) && !was_unconfirmed {
@@ -169,5 +171,5 @@
             .collect();
         emit!(EventId::NotReady, reasons = reasons.join(","));
     }
-    *announced = Some(readiness.clone());
+    *logged = Some(readiness.clone());
 }
