--- a/crates/router/src/control_shell/availability.rs
+++ b/crates/router/src/control_shell/availability.rs
@@ -1,5 +1,5 @@
-//! Whether the platform's object API can be used, as a state that changes,
-//! so that the log has one line for each change and none for each attempt.
+//! Availability of the platform's object API, tracked as a state so that the log
+//! has one line for each change instead of one for each failed attempt.
 
 use std::collections::BTreeSet;
 
@@ -8,28 +8,28 @@
 
 use crate::events::{EventId, emit};
 
-/// What the object API is used for.
+/// A use of the object API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PlatformUse {
     /// Watching the back ends.
     WatchBackEnds,
     /// Watching the services.
     WatchServices,
-    /// A single request. Nothing tells whether another one will follow, so
-    /// that the success of any use ends its failure.
+    /// A single request. It may not be repeated, so the success of any use
+    /// clears its failure.
     Single,
 }
 
 /// A change of the availability.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AvailabilityChange {
-    /// The object API can no longer be used.
+    /// The object API became unavailable.
     Lost,
-    /// It can be used again.
+    /// The object API became available again.
     Restored,
 }
 
-/// Availability of the object API, from what its uses report.
+/// Availability of the object API, derived from the results of its uses.
 #[derive(Clone, Debug, Default)]
 pub struct Availability {
     failing: BTreeSet<PlatformUse>,
@@ -37,31 +37,35 @@
 }
 
 impl Availability {
-    /// A use failed.
-    pub fn record_failure(&mut self, of: PlatformUse) -> Option<AvailabilityChange> {
-        self.failing.insert(of);
+    /// Records the failure of a use. Returns the change of the availability, if
+    /// any.
+    pub fn record_failure(&mut self, platform_use: PlatformUse) -> Option<AvailabilityChange> {
+        self.failing.insert(platform_use);
         let was_lost = std::mem::replace(&mut self.is_lost, true);
         (!was_lost).then_some(AvailabilityChange::Lost)
     }
 
-    /// A use succeeded. While another one still fails, nothing is restored:
-    /// a store that answers one of two watches would fill the log.
-    pub fn record_success(&mut self, of: PlatformUse) -> Option<AvailabilityChange> {
-        self.failing.remove(&of);
+    /// Records the success of a use. Returns the change of the availability, if
+    /// any. Availability is not restored while another use still fails;
+    /// otherwise a store that answers only one of two watches would fill the
+    /// log.
+    pub fn record_success(&mut self, platform_use: PlatformUse) -> Option<AvailabilityChange> {
+        self.failing.remove(&platform_use);
         self.failing.remove(&PlatformUse::Single);
         let is_restored = self.is_lost && self.failing.is_empty();
         self.is_lost &= !is_restored;
         is_restored.then_some(AvailabilityChange::Restored)
     }
 
-    /// A use ended without telling more. The next success restores.
-    pub fn clear(&mut self, of: PlatformUse) {
-        self.failing.remove(&of);
+    /// Forgets the failure of a use that has ended. The next success restores the
+    /// availability.
+    pub fn clear(&mut self, platform_use: PlatformUse) {
+        self.failing.remove(&platform_use);
     }
 }
 
-/// Whether a failure means that the object API cannot be used, rather than
-/// that it answered with a refusal of one request.
+/// Returns whether an error means that the object API is unavailable, rather
+/// than that it refused a single request.
 pub fn means_unavailable(kind: &PlatformErrorKind) -> bool {
     match kind {
         PlatformErrorKind::Unreachable(_)
@@ -83,32 +87,43 @@
     }
 }
 
-/// Writes the changes of the availability to the log.
+/// Logs the changes of the availability.
 #[derive(Debug, Default)]
 pub(super) struct AvailabilityLog {
     availability: Mutex<Availability>,
 }
 
 impl AvailabilityLog {
-    /// A use succeeded.
-    pub fn record_success(&self, of: PlatformUse) {
-        if self.availability.lock().record_success(of).is_some() {
+    /// Records the success of a use.
+    pub fn record_success(&self, platform_use: PlatformUse) {
+        if self
+            .availability
+            .lock()
+            .record_success(platform_use)
+            .is_some()
+        {
             emit!(EventId::PlatformRestored);
         }
     }
 
-    /// A use failed. An answer that refuses one request is a success here.
-    pub fn record_failure(&self, of: PlatformUse, error: &PlatformError) {
+    /// Records the failure of a use. A response that refuses a single request
+    /// counts as a success.
+    pub fn record_failure(&self, platform_use: PlatformUse, error: &PlatformError) {
         if !means_unavailable(&error.kind) {
-            return self.record_success(of);
+            return self.record_success(platform_use);
         }
-        if self.availability.lock().record_failure(of).is_some() {
+        if self
+            .availability
+            .lock()
+            .record_failure(platform_use)
+            .is_some()
+        {
             emit!(EventId::PlatformUnavailable, %error);
         }
     }
 
-    /// The watches ended.
-    pub fn watches_ended(&self) {
+    /// Forgets the failures of the watches, which have ended.
+    pub fn clear_watches(&self) {
         let mut availability = self.availability.lock();
         availability.clear(PlatformUse::WatchBackEnds);
         availability.clear(PlatformUse::WatchServices);
--- a/crates/router/src/control_shell/configuration.rs
+++ b/crates/router/src/control_shell/configuration.rs
@@ -1,5 +1,5 @@
-//! The platform's object API: watching the configuration, writing statuses
-//! and founding the group.
+//! Client of the platform's object API, which watches the configuration, writes
+//! statuses and founds the group.
 
 mod kinds;
 mod statuses;
@@ -28,17 +28,18 @@
 use super::shared::ControlShell;
 use crate::events::{EventId, emit};
 use crate::settings::Settings;
-use kinds::Configured;
+use kinds::ConfigurationObject;
 use statuses::StatusWriter;
 
-/// Updates that may wait for the core.
+/// Maximum number of updates that wait for the core.
 const UPDATE_QUEUE: usize = 64;
-/// Statuses that may wait to be written. More are dropped: the next leader,
-/// or the next look at the object, writes them.
+/// Maximum number of statuses that wait to be written. Further ones are
+/// dropped; the next leader, or this one when it next reads the object, writes
+/// them.
 const STATUS_QUEUE: usize = 8_192;
 
-/// The shell's side of the object API.
-pub struct Configuration {
+/// Reads and writes the platform's object API for the control core.
+pub struct ConfigurationClient {
     client: ObjectClient,
     group_key: ObjectKey,
     own: RouterId,
@@ -49,15 +50,15 @@
     seed: u64,
 }
 
-impl Configuration {
-    /// A client of the object API that nothing is asked of yet.
+impl ConfigurationClient {
+    /// Creates a client and starts the task that writes statuses.
     pub fn new(settings: &Settings, transport: TransportSettings, own: RouterId) -> Self {
         let client = ObjectClient::new(settings.platform_address, transport);
         let log = Arc::new(AvailabilityLog::default());
         let (statuses, queue) = bounded(STATUS_QUEUE);
         let writer = StatusWriter::new(client.clone(), log.clone());
         task::spawn(writer.run(queue));
-        Configuration {
+        ConfigurationClient {
             client,
             group_key: group_key(&settings.region),
             own,
@@ -83,7 +84,7 @@
         });
     }
 
-    /// Writes the group object and reports what became of the write.
+    /// Writes the group object and reports the result to the core.
     pub fn found_group(
         &self,
         shell: &ControlShell,
@@ -115,29 +116,29 @@
         });
     }
 
-    /// Starts watching. Only the group's leader watches, so that the store
-    /// has few readers.
+    /// Starts to watch back ends and services. Only the group's leader watches,
+    /// so that the store has few readers.
     pub fn watch(&self, shell: &ControlShell, known: &[KnownObject]) {
         self.stop_watching();
         let mut watches = self.watches.lock();
-        watches.extend(self.follow::<BackEndObject>(shell, known));
-        watches.extend(self.follow::<KeyedServiceObject>(shell, known));
+        watches.extend(self.start_watch::<BackEndObject>(shell, known));
+        watches.extend(self.start_watch::<KeyedServiceObject>(shell, known));
     }
 
-    /// Stops watching.
+    /// Stops the watches.
     pub fn stop_watching(&self) {
         for watch in self.watches.lock().drain(..) {
             task::spawn(watch.cancel());
         }
-        self.log.watches_ended();
+        self.log.clear_watches();
     }
 
-    /// Queues a status to be written.
+    /// Queues a status to be written. Drops it if the queue is full.
     pub fn write_status(&self, write: StatusWrite) {
         let _ = self.statuses.try_send(write);
     }
 
-    fn follow<K: Configured>(
+    fn start_watch<K: ConfigurationObject>(
         &self,
         shell: &ControlShell,
         known: &[KnownObject],
@@ -184,7 +185,7 @@
     }
 }
 
-/// Name of a region's group object.
+/// Returns the key of a region's group object.
 fn group_key(region: &RegionName) -> ObjectKey {
     ObjectKey::new(SYSTEM_NAMESPACE, region.to_string())
 }
@@ -208,8 +209,9 @@
     }
 }
 
-/// A founding write whose answer was lost is not repeated: the core reads the
-/// object back and finds itself named as founder, or not.
+/// Logs a failed write of the group object. If its response was lost, the write
+/// is not repeated: the core reads the object back and sees whether it names
+/// this router as the founder.
 fn log_failed_founding(log: &AvailabilityLog, error: &PlatformError) {
     if error.is_ambiguous() {
         emit!(EventId::WriteAmbiguous, %error);
--- a/crates/router/src/control_shell/configuration/kinds.rs
+++ b/crates/router/src/control_shell/configuration/kinds.rs
@@ -1,4 +1,4 @@
-//! The kinds of objects that the control core takes in.
+//! Kinds of configuration objects that are fed to the control core.
 
 use threadledge_control::{ConfigurationEvent, Listing, ObjectRef, ObservedObject};
 use threadledge_object_api::{ApiObject, ObjectKey};
@@ -7,39 +7,39 @@
 
 use crate::control_shell::availability::PlatformUse;
 
-/// A kind of object that the core takes in.
-pub(super) trait Configured: ApiObject {
-    /// Name of the watch in the availability of the platform.
-    const WATCH: PlatformUse;
+/// A kind of configuration object.
+pub(super) trait ConfigurationObject: ApiObject {
+    /// The watch of this kind, for the platform's availability.
+    const PLATFORM_USE: PlatformUse;
 
-    /// The core's name of an object.
-    fn reference(key: &ObjectKey) -> ObjectRef;
+    /// Returns the core's reference to an object.
+    fn object_ref(key: &ObjectKey) -> ObjectRef;
 
-    /// The core's input for a whole list.
-    fn listed(listing: Listing<Self>) -> ConfigurationEvent;
+    /// Returns the core's event for a complete list.
+    fn list_event(listing: Listing<Self>) -> ConfigurationEvent;
 
-    /// The core's input for one object.
-    fn changed(observed: ObservedObject<Self>) -> ConfigurationEvent;
+    /// Returns the core's event for a changed object.
+    fn change_event(observed: ObservedObject<Self>) -> ConfigurationEvent;
 
-    /// The status, if the object has one.
+    /// Returns the status, if the object has one.
     fn status(&self) -> Option<&AcceptanceStatus>;
 
-    /// The object with another status.
+    /// Returns the object with another status.
     fn with_status(self, status: AcceptanceStatus) -> Self;
 }
 
-impl Configured for BackEndObject {
-    const WATCH: PlatformUse = PlatformUse::WatchBackEnds;
+impl ConfigurationObject for BackEndObject {
+    const PLATFORM_USE: PlatformUse = PlatformUse::WatchBackEnds;
 
-    fn reference(key: &ObjectKey) -> ObjectRef {
+    fn object_ref(key: &ObjectKey) -> ObjectRef {
         ObjectRef::BackEnd(BackEndId::new(&key.namespace, &key.name))
     }
 
-    fn listed(listing: Listing<Self>) -> ConfigurationEvent {
+    fn list_event(listing: Listing<Self>) -> ConfigurationEvent {
         ConfigurationEvent::BackEndsListed(listing)
     }
 
-    fn changed(observed: ObservedObject<Self>) -> ConfigurationEvent {
+    fn change_event(observed: ObservedObject<Self>) -> ConfigurationEvent {
         ConfigurationEvent::BackEndChanged(observed)
     }
 
@@ -53,18 +53,18 @@
     }
 }
 
-impl Configured for KeyedServiceObject {
-    const WATCH: PlatformUse = PlatformUse::WatchServices;
+impl ConfigurationObject for KeyedServiceObject {
+    const PLATFORM_USE: PlatformUse = PlatformUse::WatchServices;
 
-    fn reference(key: &ObjectKey) -> ObjectRef {
+    fn object_ref(key: &ObjectKey) -> ObjectRef {
         ObjectRef::Service(ServiceId::new(&key.namespace, &key.name))
     }
 
-    fn listed(listing: Listing<Self>) -> ConfigurationEvent {
+    fn list_event(listing: Listing<Self>) -> ConfigurationEvent {
         ConfigurationEvent::ServicesListed(listing)
     }
 
-    fn changed(observed: ObservedObject<Self>) -> ConfigurationEvent {
+    fn change_event(observed: ObservedObject<Self>) -> ConfigurationEvent {
         ConfigurationEvent::ServiceChanged(observed)
     }
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// Name of an object in the store.
+/// Returns the key of an object in the store.
 pub(super) fn object_key(object: &ObjectRef) -> ObjectKey {
     match object {
         ObjectRef::BackEnd(id) => ObjectKey::new(&id.namespace, &id.name),
--- a/crates/router/src/control_shell/configuration/statuses.rs
+++ b/crates/router/src/control_shell/configuration/statuses.rs
@@ -1,4 +1,4 @@
-//! Writing the statuses of configuration objects.
+//! Writer of the statuses of configuration objects.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,29 +15,29 @@
     ACCEPTED_CONDITION, AcceptanceStatus, BackEndObject, KeyedServiceObject,
 };
 
-use super::kinds::{Configured, object_key};
+use super::kinds::{ConfigurationObject, object_key};
 use crate::control_shell::availability::{AvailabilityLog, PlatformUse, means_unavailable};
 use crate::events::{EventId, emit};
 
-/// Attempts at one status.
+/// Maximum number of attempts to write a status.
 const STATUS_ATTEMPTS: usize = 5;
-/// Pause between attempts at one status.
-const STATUS_RETRY: Duration = Duration::from_millis(300);
+/// Delay between attempts to write a status.
+const STATUS_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Writes statuses one after the other.
+/// Writes queued statuses one after the other.
 pub(super) struct StatusWriter {
     client: ObjectClient,
     log: Arc<AvailabilityLog>,
 }
 
 impl StatusWriter {
-    /// A writer that reports to `log` how the object API answers.
+    /// Creates a writer that reports the availability of the object API to `log`.
     pub fn new(client: ObjectClient, log: Arc<AvailabilityLog>) -> Self {
         StatusWriter { client, log }
     }
 
-    /// Writes until the queue is closed. Of several statuses for one object
-    /// that wait, only the last is written.
+    /// Writes until the queue is closed. If several statuses of an object are
+    /// queued, only the last is written.
     pub async fn run(self, queue: Receiver<StatusWrite>) {
         while let Ok(first) = queue.recv().await {
             let mut latest = BTreeMap::from([(first.object.clone(), first)]);
@@ -54,10 +54,11 @@
         }
     }
 
-    /// A conflict means that somebody changed the object in between: it is
-    /// read again. Only an attempt that the platform refuses to the end is
-    /// worth a line; when the platform cannot be used, that is told once.
-    async fn write<K: Configured>(&self, key: &ObjectKey, write: &StatusWrite) {
+    /// Writes one status, with retries. A conflict means that the object was
+    /// changed between reading and writing; it is read again. A failure is
+    /// logged only if the platform still refuses the last attempt; an
+    /// unavailable platform is logged once by the availability log.
+    async fn write<K: ConfigurationObject>(&self, key: &ObjectKey, write: &StatusWrite) {
         let mut last = None;
         for _ in 0..STATUS_ATTEMPTS {
             match self.try_write::<K>(key, write).await {
@@ -67,16 +68,16 @@
                     last = Some(error);
                 }
             }
-            task::sleep(STATUS_RETRY).await;
+            task::sleep(STATUS_RETRY_DELAY).await;
         }
         if let Some(error) = last.filter(|error| !means_unavailable(&error.kind)) {
             emit!(EventId::StatusNotWritten, object = %key, %error);
         }
     }
 
-    /// Reads the object, sets its status and writes it back on the condition
-    /// that nobody changed it in between.
-    async fn try_write<K: Configured>(
+    /// Reads the object, sets its status and writes it back, provided that it was
+    /// not changed in between.
+    async fn try_write<K: ConfigurationObject>(
         &self,
         key: &ObjectKey,
         write: &StatusWrite,
@@ -86,8 +87,8 @@
             Err(error) if error.kind == PlatformErrorKind::NotFound => return Ok(()),
             Err(error) => return Err(error),
         };
-        // A changed specification is judged anew; an unreadable object cannot
-        // be written back without loss.
+        // A changed specification is validated again and gets another status. An
+        // object that cannot be parsed cannot be written back without loss.
         let Ok(object) = stored.content else {
             return Ok(());
         };
--- a/crates/router/src/control_shell/configuration/updates.rs
+++ b/crates/router/src/control_shell/configuration/updates.rs
@@ -1,4 +1,4 @@
-//! From a watcher's updates to the control core's inputs.
+//! Conversion of a watcher's updates into inputs of the control core.
 
 use std::sync::Arc;
 
@@ -6,53 +6,58 @@
 use threadledge_control::{ConfigurationEvent, Input, KnownObject, Listing, ObservedObject};
 use threadledge_object_api::{Change, ObjectTracker, StoredObject, WatchUpdate, Withheld};
 
-use super::kinds::{Configured, object_key};
+use super::kinds::{ConfigurationObject, object_key};
 use crate::control_shell::availability::AvailabilityLog;
 use crate::control_shell::shared::ControlShell;
 use crate::events::{EventId, emit};
 
-/// A tracker that knows what the group has applied, so that a new leader
-/// distrusts a store that went back meanwhile.
-pub(super) fn tracker<K: Configured>(known: &[KnownObject]) -> ObjectTracker {
+/// Returns a tracker of the versions that the group has applied, so that a new
+/// leader does not accept older versions from a store that was reset to an
+/// earlier state.
+pub(super) fn tracker<K: ConfigurationObject>(known: &[KnownObject]) -> ObjectTracker {
     let of_kind = known.iter().filter_map(|known| {
         let key = object_key(&known.object);
-        let same_kind = K::reference(&key) == known.object;
+        let same_kind = K::object_ref(&key) == known.object;
         same_kind.then_some((key, known.resource_version))
     });
     ObjectTracker::with_delivered(of_kind)
 }
 
 /// Feeds a watcher's updates to the core, in order.
-pub(super) async fn feed<K: Configured>(
+pub(super) async fn feed<K: ConfigurationObject>(
     shell: ControlShell,
     log: Arc<AvailabilityLog>,
     updates: Receiver<WatchUpdate<K>>,
 ) {
-    let mut seen = StoreSeen::default();
+    let mut store_version = StoreVersion::default();
     while let Ok(update) = updates.recv().await {
         if let WatchUpdate::Interrupted { error, .. } = &update {
-            log.record_failure(K::WATCH, error);
+            log.record_failure(K::PLATFORM_USE, error);
             continue;
         }
-        log.record_success(K::WATCH);
-        if let Some(event) = seen.event_of(update) {
+        log.record_success(K::PLATFORM_USE);
+        if let Some(event) = store_version.to_event(update) {
             shell.input(Input::Configuration(Box::new(event)));
         }
     }
 }
 
-/// What one watch has shown of the store.
+/// Version of the store as seen by one watch.
 #[derive(Debug, Default)]
-struct StoreSeen {
-    /// Latest version.
-    version: u64,
-    /// The store shows less than was seen before, and the log says so.
+struct StoreVersion {
+    /// Latest version seen.
+    latest: u64,
+    /// Whether the store returned an older version than was seen before, which
+    /// has been logged.
     is_behind: bool,
 }
 
-impl StoreSeen {
-    /// The core's input for an update, if it needs one.
-    fn event_of<K: Configured>(&mut self, update: WatchUpdate<K>) -> Option<ConfigurationEvent> {
+impl StoreVersion {
+    /// Returns the core's event for an update, if it needs one.
+    fn to_event<K: ConfigurationObject>(
+        &mut self,
+        update: WatchUpdate<K>,
+    ) -> Option<ConfigurationEvent> {
         match update {
             WatchUpdate::Snapshot {
                 objects,
@@ -60,25 +65,25 @@
                 resource_version,
                 ..
             } => {
-                self.shown(resource_version);
+                self.record_version(resource_version);
                 log_withheld(&withheld);
-                let withheld = withheld.iter().map(|withheld| K::reference(&withheld.key));
-                Some(K::listed(Listing {
+                let withheld = withheld.iter().map(|withheld| K::object_ref(&withheld.key));
+                Some(K::list_event(Listing {
                     withheld: withheld.collect(),
                     objects: objects.into_iter().map(observed).collect(),
                     resource_version,
                 }))
             }
             WatchUpdate::Change(Change::Applied(stored)) => {
-                self.shown(stored.resource_version);
-                Some(K::changed(observed(stored)))
+                self.record_version(stored.resource_version);
+                Some(K::change_event(observed(stored)))
             }
             WatchUpdate::Change(Change::Removed(key)) => Some(ConfigurationEvent::Deleted {
-                object: K::reference(&key),
-                resource_version: self.version + 1,
+                object: K::object_ref(&key),
+                resource_version: self.latest + 1,
             }),
             WatchUpdate::Confirmed(version) => {
-                self.shown(version);
+                self.record_version(version);
                 None
             }
             WatchUpdate::OlderStore { seen, shown } => {
@@ -91,8 +96,8 @@
         }
     }
 
-    fn shown(&mut self, version: u64) {
-        self.version = self.version.max(version);
+    fn record_version(&mut self, version: u64) {
+        self.latest = self.latest.max(version);
         self.is_behind = false;
     }
 }
@@ -103,9 +108,9 @@
     }
 }
 
-fn observed<K: Configured>(stored: StoredObject<K>) -> ObservedObject<K> {
+fn observed<K: ConfigurationObject>(stored: StoredObject<K>) -> ObservedObject<K> {
     ObservedObject {
-        object: K::reference(&stored.key),
+        object: K::object_ref(&stored.key),
         generation: stored.generation,
         content: stored.content.map_err(|problem| *problem),
     }
--- a/crates/router/src/control_shell/explain.rs
+++ b/crates/router/src/control_shell/explain.rs
@@ -1,4 +1,5 @@
-//! What would become of a request, by the records of this router.
+//! Explanation of how a request would be routed according to this router's
+//! records.
 
 use threadledge_control::ControlNode;
 use threadledge_routing::key::extract_key;
@@ -13,7 +14,7 @@
     ExplainError, ExplainRequest, Explanation, MatchedRoute, SelectedBackEnd, SliceOwner,
 };
 
-/// Headers of an explained request.
+/// Headers of the request to explain.
 struct Headers<'a>(&'a [(String, String)]);
 
 impl HeaderLookup for Headers<'_> {
@@ -25,11 +26,11 @@
     }
 }
 
-/// Explains one request.
+/// Explains how a request would be routed.
 ///
 /// # Errors
 ///
-/// The request would not reach a slice.
+/// Fails if the request would not reach a slice.
 pub fn explain(node: &ControlNode, request: &ExplainRequest) -> Result<Explanation, ExplainError> {
     let headers = Headers(&request.headers);
     let head = request_head(request, &headers);
@@ -39,7 +40,7 @@
         .service(&matched.service)
         .ok_or(ExplainError::NotReady)?;
     let route = route_named(record, &matched.route).ok_or(ExplainError::NotReady)?;
-    let key = extract_key(&route.key, &head).map_err(|_| missing_key(route))?;
+    let key = extract_key(&route.key, &head).map_err(|_| missing_key_error(route))?;
     let slice = slice_of(node, &matched).ok_or(ExplainError::NotReady)?;
     Ok(Explanation {
         service: record.id.clone(),
@@ -52,10 +53,10 @@
             may_queue: matched.may_queue,
         },
         selector: selector_text(record),
-        selected: selected(node, record),
+        selected: selected_statuses(node, record),
         key: String::from_utf8_lossy(&key).into_owned(),
         point: matched.point,
-        owner: owner(node, &slice),
+        owner: slice_owner(node, &slice),
         slice: slice.slice,
         epoch: slice.epoch,
         next: slice.next,
@@ -78,7 +79,8 @@
     }
 }
 
-/// Matches by the same code as the data path, over the accepted services.
+/// Matches the request against the accepted services with the proxy's routing
+/// table, so that the result is the same.
 fn match_request(
     node: &ControlNode,
     request: &ExplainRequest,
@@ -101,10 +103,10 @@
     };
     table.apply(&delta).map_err(|_| ExplainError::NotReady)?;
     let matched = table.match_request(head);
-    matched.map_err(|reason| unmatched(node, request, reason))
+    matched.map_err(|reason| match_error(node, request, reason))
 }
 
-fn unmatched(node: &ControlNode, request: &ExplainRequest, reason: NotRunReason) -> ExplainError {
+fn match_error(node: &ControlNode, request: &ExplainRequest, reason: NotRunReason) -> ExplainError {
     let host = threadledge_routing::host::normalize_host(&request.host);
     let mut services = node.replica().services();
     let service = services.find(|record| record.spec.hosts.iter().any(|known| *known == host));
@@ -124,7 +126,7 @@
     }
 }
 
-fn missing_key(route: &RouteRule) -> ExplainError {
+fn missing_key_error(route: &RouteRule) -> ExplainError {
     ExplainError::MissingKey {
         route: route.name.clone(),
         source_of_key: match &route.key {
@@ -150,7 +152,7 @@
         .unwrap_or_default()
 }
 
-fn selected(node: &ControlNode, record: &ServiceRecord) -> Vec<SelectedBackEnd> {
+fn selected_statuses(node: &ControlNode, record: &ServiceRecord) -> Vec<SelectedBackEnd> {
     let sessions: Vec<_> = node.replica().sessions().collect();
     let back_ends = selected_back_ends(node, record).into_iter();
     back_ends
@@ -166,7 +168,7 @@
         .collect()
 }
 
-fn owner(node: &ControlNode, slice: &SliceRecord) -> Option<SliceOwner> {
+fn slice_owner(node: &ControlNode, slice: &SliceRecord) -> Option<SliceOwner> {
     let session = slice.owner.clone()?;
     let back_end = node.replica().back_end(&session.back_end);
     Some(SliceOwner {
--- a/crates/router/src/control_shell/leases.rs
+++ b/crates/router/src/control_shell/leases.rs
@@ -1,4 +1,4 @@
-//! Lease requests to back ends.
+//! Client that sends lease requests to back ends.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,9 +10,9 @@
 
 use super::shared::ControlShell;
 
-/// Connections to one back end's control address: one exchange at a time,
-/// and room for a few that hang.
-const CONNECTIONS: usize = 4;
+/// Maximum number of connections to a back end's control address: one request
+/// is sent at a time, and a few more may hang.
+const MAX_CONNECTIONS: usize = 4;
 
 /// Client of the back ends' control addresses.
 pub struct LeaseClient {
@@ -21,10 +21,10 @@
 }
 
 impl LeaseClient {
-    /// A client that gives an exchange up after `timeout`.
+    /// Creates a client whose requests time out after `timeout`.
     pub fn new(timeout: Duration) -> Self {
         let settings = PoolSettings {
-            connections_per_address: CONNECTIONS,
+            connections_per_address: MAX_CONNECTIONS,
             connect_timeout: timeout,
             ..Default::default()
         };
@@ -34,16 +34,16 @@
         }
     }
 
-    /// Sends one request in the background and reports what came of it.
+    /// Sends a request in the background and reports the result to the core.
     pub fn send(&self, shell: &ControlShell, to: SocketAddr, request: LeaseRequest) {
         let shell = shell.clone();
         let client = self.client.clone();
         let timeout = self.timeout;
         task::spawn(async move {
-            let answer = client
+            let result = client
                 .post_json::<_, LeaseResponse>(to, LEASE_PATH, &request, timeout)
                 .await;
-            shell.input(match answer {
+            shell.input(match result {
                 Ok(response) => Input::LeaseAnswered {
                     back_end: request.back_end,
                     response: Box::new(response),
--- a/crates/router/src/control_shell/machines.rs
+++ b/crates/router/src/control_shell/machines.rs
@@ -1,4 +1,4 @@
-//! Regular readings of the platform's machine list.
+//! Polling of the platform's machine list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,12 +11,12 @@
 use super::shared::ControlShell;
 use crate::events::{EventId, emit};
 
-/// Pause between readings until one other router is known.
+/// Poll interval until another router is known.
 const SEARCH_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause between readings afterwards: routers then find each other.
-const READ_INTERVAL: Duration = Duration::from_secs(5);
+/// Poll interval afterwards, when routers learn about others from each other.
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Reads the list until the process stops.
+/// Polls the list and feeds it to the core until the process stops.
 pub async fn poll_machine_list(
     shell: ControlShell,
     address: SocketAddr,
@@ -39,7 +39,7 @@
             Err(_) => {}
         }
         task::sleep(if shell.knows_other_routers() {
-            READ_INTERVAL
+            POLL_INTERVAL
         } else {
             SEARCH_INTERVAL
         })
--- a/crates/router/src/control_shell/observe.rs
+++ b/crates/router/src/control_shell/observe.rs
@@ -1,11 +1,11 @@
-//! Log lines for what the control core observes.
+//! Logging of the control core's observations.
 
 use threadledge_control::{Observation, SliceChange};
 use threadledge_ownership::grantor::Observation as SessionObservation;
 
 use crate::events::{EventId, emit};
 
-/// Writes the log line of one observation.
+/// Logs one observation.
 pub fn log(observation: &Observation) {
     match observation {
         Observation::RouterUp(id) => emit!(EventId::PeerFound, router = %id),
@@ -62,8 +62,8 @@
     }
 }
 
-/// The grantor's own observations explain the numbered events above; they are
-/// for whoever looks into one session and carry no number of their own.
+/// Logs an observation of the lease grantor. These are details of a session
+/// behind the numbered events above, so they have no event number.
 fn log_session(observation: &SessionObservation) {
     tracing::debug!(?observation, "grantor");
 }
--- a/crates/router/src/control_shell/peer_server.rs
+++ b/crates/router/src/control_shell/peer_server.rs
@@ -1,4 +1,4 @@
-//! The server side of messages between routers.
+//! Server for messages from other routers.
 
 use async_std::net::TcpListener;
 use http_types::{Method, Request, Response, StatusCode};
@@ -11,25 +11,27 @@
 use super::shared::ControlShell;
 use crate::operations::ProblemBody;
 
-/// Largest batch, in bytes: a snapshot travels in one message.
+/// Maximum size of a batch, in bytes. A snapshot is sent as one message, so this
+/// must be large.
 const MAX_BATCH_BYTES: u64 = 256 * 1024 * 1024;
 
-/// Why a request on the peer address is refused. Nothing of it was looked at.
+/// Reason why a request on the peer address is refused. Its messages were not
+/// processed.
 #[derive(Debug, Error)]
 enum PeerRefusal {
-    /// Another path.
+    /// The path is not [`PEER_PATH`].
     #[error("no such path; post batches to {PEER_PATH}")]
     Path,
-    /// Another method.
+    /// The method is not POST.
     #[error("{0} is not allowed here; use POST")]
     Method(Method),
-    /// The body did not come whole.
-    #[error("the batch did not come whole ({0}); send it again")]
+    /// The body was not received completely.
+    #[error("the batch was not received completely ({0}); send it again")]
     Incomplete(String),
-    /// The body is no batch.
+    /// The body is not a batch.
     #[error("the batch cannot be read ({0}); run the same version on every router of the region")]
     Malformed(serde_json::Error),
-    /// The sender has other safety settings.
+    /// The sender has different safety settings.
     #[error(transparent)]
     Safety(#[from] SafetyError),
 }
@@ -45,7 +47,7 @@
     }
 }
 
-/// Answers other routers until `stop` is given.
+/// Serves other routers until `stop` is signalled.
 pub async fn serve_peers(
     shell: ControlShell,
     listener: TcpListener,
@@ -94,7 +96,7 @@
 
 fn refuse(status: StatusCode, message: &str) -> Response {
     let message = message.to_owned();
-    // A body of one text always has a JSON form.
+    // A struct of one string can always be serialized.
     let body = serde_json::to_vec(&ProblemBody { message }).unwrap_or_default();
     json(status, body)
 }
--- a/crates/router/src/control_shell/peers.rs
+++ b/crates/router/src/control_shell/peers.rs
@@ -1,5 +1,6 @@
-//! Messages to other routers: one queue and one request at a time for each
-//! receiver, so that messages keep their order and share requests.
+//! Client that sends messages to other routers. Each receiver has a queue and at
+//! most one request in flight, so that messages keep their order and are sent in
+//! batches.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -21,42 +22,42 @@
 use crate::events::{EventId, emit};
 use crate::operations::ProblemBody;
 
-/// Messages that may wait for one receiver. More are dropped: every protocol
-/// between routers repeats what matters.
+/// Maximum number of messages that wait for a receiver. Further ones are
+/// dropped; the protocols between routers retransmit what they need.
 const QUEUE_LIMIT: usize = 1_024;
-/// Messages in one batch.
+/// Maximum number of messages in a batch.
 const BATCH_LIMIT: usize = 128;
-/// A receiver that has not answered a small batch by then counts as
-/// unreachable for now.
+/// Timeout of a small batch. A receiver that has not responded by then is
+/// treated as unreachable for now.
 const POST_TIMEOUT: Duration = Duration::from_millis(500);
-/// Slowest receipt of a batch that is not given up. A snapshot is one message
-/// of any size: with the same time for all batches, a large one would be sent
-/// again and again and never arrive.
-const LEAST_BYTES_PER_SECOND: u64 = 10 * 1024 * 1024;
-/// A queue unused for this long is given up.
-const QUEUE_IDLE: Duration = Duration::from_secs(10);
+/// Minimum throughput, by which the timeout of a batch grows with its size. A
+/// snapshot is one message of any size: with a fixed timeout, a large one would
+/// be sent again and again and never arrive.
+const MIN_BYTES_PER_SECOND: u64 = 10 * 1024 * 1024;
+/// Time after which an unused queue is removed.
+const QUEUE_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 const JSON: &str = "application/json";
 
-/// Where messages go: an address and, when known, the process meant.
+/// Receiver of messages: an address and, if known, the id of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Destination {
     address: SocketAddr,
     id: Option<RouterId>,
 }
 
-/// Queues to all other routers.
+/// Message queues to all other routers.
 pub struct Peers {
     client: HttpClient,
     queues: Mutex<HashMap<Destination, Sender<PeerMessage>>>,
     safety: SafetySettings,
-    /// Path of a post, with the safety settings.
+    /// Request path, with the safety settings as query parameters.
     path: String,
-    /// Routers that refused a post for their safety settings.
+    /// Routers that refused a batch because their safety settings differ.
     differing: Mutex<BTreeSet<SocketAddr>>,
 }
 
 impl Peers {
-    /// No queues yet.
+    /// Creates a client without queues.
     pub fn new(safety: SafetySettings) -> Self {
         let settings = PoolSettings {
             connect_timeout: POST_TIMEOUT,
@@ -71,17 +72,18 @@
         }
     }
 
-    /// Settings that other routers must share.
+    /// Returns the settings that other routers must share.
     pub fn safety(&self) -> SafetySettings {
         self.safety
     }
 
-    /// Whether a router is known that has other safety settings.
+    /// Returns whether a router with different safety settings is known.
     pub fn any_differ(&self) -> bool {
         !self.differing.lock().is_empty()
     }
 
-    /// Posts a batch. `None` if there is no answer, or a refusal.
+    /// Posts a batch and returns the response. Returns `None` if there is none or
+    /// the batch was refused.
     async fn post(&self, address: SocketAddr, batch: &PeerBatch) -> Option<PeerBatch> {
         let body = serde_json::to_vec(batch).ok()?;
         let timeout = post_timeout(body.len());
@@ -90,15 +92,15 @@
             .body(body)
             .ok()?;
         let response = self.client.send(address, request, timeout).await.ok()?;
-        self.note_safety(address, response.status(), response.body());
+        self.record_safety(address, response.status(), response.body());
         if !response.status().is_success() {
             return None;
         }
         serde_json::from_slice(response.body()).ok()
     }
 
-    /// Notes whether a router shares the safety settings.
-    fn note_safety(&self, address: SocketAddr, status: StatusCode, body: &[u8]) {
+    /// Records from a response whether a router shares the safety settings.
+    fn record_safety(&self, address: SocketAddr, status: StatusCode, body: &[u8]) {
         let mut differing = self.differing.lock();
         if status.is_success() {
             differing.remove(&address);
@@ -133,8 +135,9 @@
         task::spawn(drain_queue(shell.clone(), destination, queue));
     }
 
-    /// Ends the queue unless a message came in meanwhile.
-    fn retire(&self, destination: &Destination, queue: &Receiver<PeerMessage>) -> bool {
+    /// Closes and removes a queue unless a message was added meanwhile. Returns
+    /// whether it was closed.
+    fn close_if_empty(&self, destination: &Destination, queue: &Receiver<PeerMessage>) -> bool {
         let mut queues = self.queues.lock();
         if !queue.is_empty() {
             return false;
@@ -145,12 +148,13 @@
     }
 }
 
+/// Posts the messages of a queue in batches until the queue is closed.
 async fn drain_queue(shell: ControlShell, destination: Destination, queue: Receiver<PeerMessage>) {
     loop {
-        match timeout(QUEUE_IDLE, queue.recv()).await {
+        match timeout(QUEUE_IDLE_TIMEOUT, queue.recv()).await {
             Ok(Ok(first)) => post_batch(&shell, destination, first, &queue).await,
             Ok(Err(_)) => return,
-            Err(_) if shell.peers().retire(&destination, &queue) => return,
+            Err(_) if shell.peers().close_if_empty(&destination, &queue) => return,
             Err(_) => {}
         }
     }
@@ -174,7 +178,7 @@
         to: destination.id,
         messages,
     };
-    // A lost batch needs no handling: the cores repeat what matters.
+    // A lost batch needs no handling: the cores retransmit what they need.
     if let Some(answer) = shell.peers().post(destination.address, &batch).await
         && !answer.messages.is_empty()
     {
@@ -182,8 +186,8 @@
     }
 }
 
-/// Longest wait for the answer to a batch of this many bytes.
+/// Returns the timeout of a batch of `bytes` bytes.
 fn post_timeout(bytes: usize) -> Duration {
-    let millis = (bytes as u64).saturating_mul(1_000) / LEAST_BYTES_PER_SECOND;
+    let millis = (bytes as u64).saturating_mul(1_000) / MIN_BYTES_PER_SECOND;
     POST_TIMEOUT + Duration::from_millis(millis)
 }
--- a/crates/router/src/control_shell/safety.rs
+++ b/crates/router/src/control_shell/safety.rs
@@ -1,11 +1,13 @@
-//! Settings that two routers must share before either believes the other.
+//! Settings that two routers must share before they accept each other's
+//! messages.
 //!
-//! Kept here: *one owner per key*. A leader waits until the leases that
-//! earlier leaders gave have run out, and a voter grants no vote while the
-//! leader lease may hold. Both are counted by the router's own settings, so
-//! that they only mean something among routers with the same ones. Routers
-//! that differ exchange nothing: neither ever votes for, follows or replaces
-//! the other. docs/design/0012-safety-settings.md has the ways weighed.
+//! Invariant: *one owner per key*. A leader waits until the leases granted by
+//! earlier leaders have expired, and a voter grants no vote while the leader
+//! lease may be valid. Each router computes both times from its own settings,
+//! so they are correct only among routers with the same settings. Routers with
+//! different settings exchange no messages: neither ever votes for, follows or
+//! replaces the other. docs/design/0012-safety-settings.md discusses the
+//! alternatives.
 
 use std::fmt;
 
@@ -15,27 +17,27 @@
 
 /// Query parameter of the lease length.
 const LEASE: &str = "lease-ms";
-/// Query parameter of the clocks' drift.
+/// Query parameter of the maximum clock drift.
 const DRIFT: &str = "drift-percent";
-/// Query parameter of the shortest election timeout, which bounds the leader
+/// Query parameter of the minimum election timeout, which limits the leader
 /// lease.
 const ELECTION: &str = "election-min-ms";
 
-/// The settings on which *one owner per key* rests.
+/// The settings on which the invariant *one owner per key* depends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SafetySettings {
     /// Length of a session lease, in milliseconds.
     pub lease_ms: u64,
-    /// Largest difference in rate between two clocks, in percent.
+    /// Maximum difference in rate between two clocks, in percent.
     pub drift_percent: u64,
-    /// Shortest election timeout, in milliseconds.
+    /// Minimum election timeout, in milliseconds.
     pub election_min_ms: u64,
 }
 
-/// Why a batch of another router is not looked at.
+/// Reason why a batch of another router is refused.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SafetyError {
-    /// The request does not state the sender's settings.
+    /// The request lacks one of the sender's settings.
     #[error(
         "the safety setting '{0}' of the sender is missing; run the same version on every router of the region"
     )]
@@ -53,7 +55,7 @@
 }
 
 impl SafetySettings {
-    /// The safety settings among the durations.
+    /// Extracts the safety settings from the timing settings.
     pub fn from_timing(timing: &Timing) -> Self {
         SafetySettings {
             lease_ms: timing.lease_ms,
@@ -62,7 +64,7 @@
         }
     }
 
-    /// `path` with the settings as query parameters.
+    /// Returns `path` with the settings as query parameters.
     pub fn add_to_path(&self, path: &str) -> String {
         let SafetySettings {
             lease_ms,
@@ -72,11 +74,11 @@
         format!("{path}?{LEASE}={lease_ms}&{DRIFT}={drift_percent}&{ELECTION}={election_min_ms}")
     }
 
-    /// Compares with what the sender of a request stated.
+    /// Compares the settings with those in the URL of a request.
     ///
     /// # Errors
     ///
-    /// The sender stated nothing, or other settings.
+    /// Fails if a setting is missing from the URL or differs.
     pub fn check(&self, url: &Url) -> Result<(), SafetyError> {
         let theirs = SafetySettings {
             lease_ms: parameter(url, LEASE)?,
--- a/crates/router/src/control_shell/shared.rs
+++ b/crates/router/src/control_shell/shared.rs
@@ -1,4 +1,4 @@
-//! The one lock around the control core and the carrying out of its outputs.
+//! The lock around the control core, and the execution of its outputs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use threadledge_types::records::RecordDelta;
 use threadledge_types::{Generation, RouterId, RouterIdentity};
 
-use super::configuration::Configuration;
+use super::configuration::ConfigurationClient;
 use super::leases::LeaseClient;
 use super::machines::poll_machine_list;
 use super::observe;
@@ -22,23 +22,23 @@
 use crate::proxy::Clock;
 use crate::settings::Settings;
 
-/// Pause between ticks of the core.
+/// Interval between ticks of the core.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Receives every change of the records, in order.
+/// A callback that receives every change of the records, in order.
 pub type RecordSink = Box<dyn Fn(&RecordDelta) + Send + Sync>;
 
-/// What a control shell is made of.
+/// Components and settings of a control shell.
 pub struct ControlShellSettings {
     /// The router's settings.
     pub settings: Settings,
     /// The core to run.
     pub node: ControlNode,
-    /// How to reach the platform's services.
+    /// Transport settings for the platform's services.
     pub platform: TransportSettings,
-    /// Clock whose readings the core was made with.
+    /// Clock with which the core was created.
     pub clock: Clock,
-    /// Where changes of the records go.
+    /// Receives changes of the records.
     pub records: RecordSink,
     /// Ends the background tasks.
     pub stop: StopSignal,
@@ -57,7 +57,7 @@
     records: RecordSink,
     peers: Peers,
     leases: LeaseClient,
-    configuration: Configuration,
+    configuration: ConfigurationClient,
     stop: StopSignal,
 }
 
@@ -72,7 +72,7 @@
                 node: Mutex::new(parts.node),
                 peers: Peers::new(SafetySettings::from_timing(&parts.settings.timing)),
                 leases: LeaseClient::new(lease_timeout),
-                configuration: Configuration::new(
+                configuration: ConfigurationClient::new(
                     &parts.settings,
                     parts.platform.clone(),
                     identity.id,
@@ -92,17 +92,17 @@
         shell
     }
 
-    /// This router.
+    /// Returns this router's identity.
     pub fn identity(&self) -> &RouterIdentity {
         &self.shared.identity
     }
 
-    /// Ends the background tasks when given.
+    /// Returns the signal that ends the background tasks.
     pub fn stop_signal(&self) -> &StopSignal {
         &self.shared.stop
     }
 
-    /// Clock of the core.
+    /// Returns the clock of the core.
     pub fn clock(&self) -> Clock {
         self.shared.clock
     }
@@ -111,76 +111,76 @@
         &self.shared.peers
     }
 
-    /// Settings that other routers must share.
+    /// Returns the settings that other routers must share.
     pub fn safety(&self) -> SafetySettings {
         self.shared.peers.safety()
     }
 
-    /// Whether a router is known that has other safety settings.
+    /// Returns whether a router with different safety settings is known.
     pub fn has_differing_routers(&self) -> bool {
         self.shared.peers.any_differ()
     }
 
-    /// Reads the core's state.
+    /// Reads the core's state under the lock.
     pub fn with_node<R>(&self, read: impl FnOnce(&ControlNode) -> R) -> R {
         read(&self.shared.node.lock())
     }
 
-    /// Whether another router was ever seen alive.
+    /// Returns whether another router is believed alive.
     pub fn knows_other_routers(&self) -> bool {
         self.with_node(|node| node.live_routers() > 1)
     }
 
-    /// Feeds one input to the core and carries out what it asks for.
+    /// Feeds an input to the core and executes its outputs.
     pub fn input(&self, input: Input) {
         self.step(input, None);
     }
 
-    /// Feeds a batch of another router; what the core has to say to that
-    /// router at once is the answer.
+    /// Feeds a batch of another router to the core. Returns the messages that the
+    /// core sends to that router in response.
     pub fn answer_batch(&self, batch: PeerBatch) -> PeerBatch {
-        let asker = batch.from.id;
+        let sender = batch.from.id;
         PeerBatch {
             from: self.shared.identity.clone(),
-            to: Some(asker),
-            messages: self.step(Input::Peer(batch), Some(asker)),
+            to: Some(sender),
+            messages: self.step(Input::Peer(batch), Some(sender)),
         }
     }
 
-    /// Steps the core. Returns the messages to `asker` instead of sending
-    /// them. The outputs are started under the lock, which keeps their order.
-    fn step(&self, input: Input, asker: Option<RouterId>) -> Vec<PeerMessage> {
+    /// Steps the core. Messages to `sender` are returned instead of sent. Outputs
+    /// are started under the lock, which preserves their order.
+    fn step(&self, input: Input, sender: Option<RouterId>) -> Vec<PeerMessage> {
         let mut answers = Vec::new();
         let mut node = self.shared.node.lock();
         let now = self.shared.clock.now();
         for output in node.step(now, input) {
             match output {
-                Output::SendPeer { to_id, message, .. } if asker.is_some() && to_id == asker => {
+                Output::SendPeer { to_id, message, .. } if sender.is_some() && to_id == sender => {
                     answers.push(*message);
                 }
-                other => self.carry_out(other),
+                other => self.execute(other),
             }
         }
         answers
     }
 
-    /// Writes the group object. While a router with other safety settings is
-    /// known there is a group that this one cannot see; it must not found a
-    /// second one, whatever the store shows.
+    /// Writes the group object. While a router with different safety settings is
+    /// known, there is a group that this router cannot see; it must not found a
+    /// second one, whatever the store contains.
     fn found_group(&self, generation: Generation, expected: Option<GroupObjectVersion>) {
         if !self.has_differing_routers() {
             let configuration = &self.shared.configuration;
             return configuration.found_group(self, generation, expected);
         }
         let shell = self.clone();
-        // Not at once: the core is being stepped.
+        // Reported from a task, because the core is locked while it is stepped.
         task::spawn(async move {
             let result = FoundingResult::Unavailable;
             shell.input(Input::Founded { generation, result });
         });
     }
 
-    fn carry_out(&self, output: Output) {
+    fn execute(&self, output: Output) {
         match output {
             Output::SendPeer { to, to_id, message } => {
                 self.shared.peers.send(self, to, to_id, *message);
--- a/crates/router/src/control_shell/status.rs
+++ b/crates/router/src/control_shell/status.rs
@@ -1,4 +1,4 @@
-//! What the control core knows, as a report for operators.
+//! Status of the control core for operators.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,16 +14,18 @@
     GroupStatus, MemberState, MemberStatus, NotReadyReason, Readiness, ServiceStatus, SessionStatus,
 };
 
-/// Age of the last confirmation that the router's records are the latest.
+/// Returns the time since it was last confirmed that the router's records are
+/// the latest.
 pub fn confirmed_age(node: &ControlNode, now: Timestamp) -> Option<Duration> {
     node.confirmed_as_of().map(|confirmed| now.since(confirmed))
 }
 
-/// Whether the control side lets the router take new work.
+/// Returns whether the state of the control core allows the router to accept
+/// new requests.
 ///
-/// Kept here: *accepted configuration is in force on every router within
-/// seconds*. A router that cannot confirm its revision within `bound` takes
-/// no new work.
+/// Invariant: *accepted configuration is in force on every router within
+/// seconds*. A router that cannot confirm its revision within `bound` accepts
+/// no new requests.
 pub fn readiness(node: &ControlNode, now: Timestamp, bound: Duration) -> Readiness {
     match confirmed_age(node, now) {
         None => Readiness::not_ready(NotReadyReason::NoConfiguration),
@@ -32,7 +34,7 @@
     }
 }
 
-/// All routers known, this one first.
+/// Returns all known routers, this one first.
 pub fn members(node: &ControlNode) -> Vec<MemberStatus> {
     let own = MemberStatus {
         identity: node.identity().clone(),
@@ -54,7 +56,7 @@
     std::iter::once(own).chain(others).collect()
 }
 
-/// The region's group as this router knows it.
+/// Returns the state of the region's group as known to this router.
 pub fn group(node: &ControlNode) -> Option<GroupStatus> {
     let view = node.view()?;
     let is_member = matches!(node.role(), Role::Leader | Role::Follower | Role::Learner);
@@ -74,7 +76,7 @@
     })
 }
 
-/// Open sessions with the slices each owns.
+/// Returns the open sessions with the number of slices each owns.
 pub fn sessions(node: &ControlNode) -> Vec<SessionStatus> {
     let mut owned: BTreeMap<BackEndId, u64> = BTreeMap::new();
     for slice in node.replica().slices() {
@@ -92,13 +94,15 @@
         .collect()
 }
 
-/// Services with their slices counted.
+/// Returns the services with the numbers of their slices.
 pub fn services(node: &ControlNode) -> Vec<ServiceStatus> {
     let services = node.replica().services();
-    services.map(|record| service(node, record)).collect()
+    services
+        .map(|record| service_status(node, record))
+        .collect()
 }
 
-fn service(node: &ControlNode, record: &ServiceRecord) -> ServiceStatus {
+fn service_status(node: &ControlNode, record: &ServiceRecord) -> ServiceStatus {
     let slices: Vec<SliceRecord> = node.replica().slices_of(&record.id).collect();
     let unowned = slices.iter().filter(|slice| slice.owner.is_none()).count();
     let moving = slices.iter().filter(|slice| slice.next.is_some()).count();
@@ -115,7 +119,7 @@
     }
 }
 
-/// Back ends that the service's selector selects.
+/// Returns the back ends that the service's selector matches.
 pub fn selected_back_ends(node: &ControlNode, record: &ServiceRecord) -> Vec<BackEndId> {
     use kube_core::SelectorExt;
     let Ok(selector) = compile_selector(&record.spec.back_end_selector) else {
