--- a/crates/router/src/operations/client.rs
+++ b/crates/router/src/operations/client.rs
@@ -1,4 +1,4 @@
-//! Client of the operators' service, for the subcommands and for tests.
+//! Client of the operators' service, for the subcommands and tests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,18 +11,18 @@
 use super::report::{ExplainRequest, Explanation, StatusReport};
 use super::service::{HEADER_PARAMETER, ProblemBody, path};
 
-/// Longest wait for one answer.
+/// Timeout of a request.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why an operator's request failed.
+/// Error of an operator's request.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// No answer came.
+    /// The router did not respond.
     #[error(
         "{address} did not answer ({cause}); check that the router runs and that this is its operator-address"
     )]
     NoAnswer {
-        /// Address asked.
+        /// Address of the router.
         address: SocketAddr,
         /// What failed.
         cause: String,
@@ -35,12 +35,12 @@
         /// What is wrong and what to do about it.
         message: String,
     },
-    /// The answer cannot be read.
-    #[error("the answer cannot be read ({0}); use the same version on both sides")]
+    /// The response cannot be parsed.
+    #[error("the response cannot be parsed ({0}); use the same version on both sides")]
     Unreadable(#[from] serde_json::Error),
 }
 
-/// Asks one router's operators' service.
+/// Client of one router's operators' service.
 #[derive(Clone, Debug)]
 pub struct OperatorClient {
     address: SocketAddr,
@@ -48,7 +48,7 @@
 }
 
 impl OperatorClient {
-    /// A client of the router whose `operator-address` is `address`.
+    /// Creates a client of the router whose `operator-address` is `address`.
     pub fn new(address: SocketAddr) -> Self {
         OperatorClient {
             address,
@@ -56,23 +56,23 @@
         }
     }
 
-    /// State of the router.
+    /// Returns the state of the router.
     ///
     /// # Errors
     ///
     /// See [`ClientError`].
     pub async fn status(&self) -> Result<StatusReport, ClientError> {
-        self.ask("GET", path::STATUS).await
+        self.get_json(path::STATUS).await
     }
 
-    /// What would become of a request.
+    /// Returns how the router would route a request.
     ///
     /// # Errors
     ///
-    /// See [`ClientError`]; a request that reaches no slice is refused with
-    /// the status that its caller would get.
+    /// See [`ClientError`]. A request that would reach no slice is refused with
+    /// the status that its caller would receive.
     pub async fn explain(&self, request: &ExplainRequest) -> Result<Explanation, ClientError> {
-        self.ask("GET", &explain_path(request)).await
+        self.get_json(&explain_path(request)).await
     }
 
     /// Starts a planned stop.
@@ -84,8 +84,8 @@
         self.send("POST", path::DRAIN).await.map(drop)
     }
 
-    async fn ask<T: DeserializeOwned>(&self, method: &str, path: &str) -> Result<T, ClientError> {
-        let body = self.send(method, path).await?;
+    async fn get_json<T: DeserializeOwned>(&self, path: &str) -> Result<T, ClientError> {
+        let body = self.send("GET", path).await?;
         Ok(serde_json::from_slice(&body)?)
     }
 
@@ -112,20 +112,20 @@
         } else {
             Err(ClientError::Refused {
                 status,
-                message: message_of(&body),
+                message: refusal_message(&body),
             })
         }
     }
 }
 
-fn message_of(body: &[u8]) -> String {
+fn refusal_message(body: &[u8]) -> String {
     match serde_json::from_slice::<ProblemBody>(body) {
         Ok(problem) => problem.message,
         Err(_) => String::from_utf8_lossy(body).trim().to_owned(),
     }
 }
 
-/// Path and query of `request`, percent-encoded.
+/// Returns the percent-encoded path and query that ask to explain `request`.
 fn explain_path(request: &ExplainRequest) -> String {
     let Ok(mut url) = Url::parse("http://router") else {
         return path::EXPLAIN.to_owned();
--- a/crates/router/src/operations/report.rs
+++ b/crates/router/src/operations/report.rs
@@ -1,4 +1,4 @@
-//! Answers of the operators' service, as JSON and as types.
+//! Requests and reports of the operators' service, which are sent as JSON.
 
 use std::fmt;
 
@@ -9,69 +9,70 @@
     SessionId, Slice,
 };
 
-/// State of one router and of what it knows of the others.
+/// State of a router and its knowledge of the others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct StatusReport {
-    /// The router that answers.
+    /// The router that sent the report.
     pub router: RouterIdentity,
     /// Time since its process started, in milliseconds.
     pub uptime_ms: u64,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub readiness: Readiness,
-    /// Revision of its copy.
+    /// Revision of its copy of the records.
     pub revision: Revision,
     /// Time since it last confirmed the revision, in milliseconds; `None`
     /// before the first confirmation.
     pub confirmed_age_ms: Option<u64>,
-    /// Requests it is carrying now.
+    /// Number of requests in flight.
     pub requests_in_flight: u64,
-    /// Routers it knows, itself included.
+    /// Routers it knows, including itself.
     pub members: Vec<MemberStatus>,
     /// Consensus groups of the region that it knows.
     pub groups: Vec<GroupStatus>,
     /// Open sessions of back ends.
     pub sessions: Vec<SessionStatus>,
-    /// Services, with their slices counted.
+    /// Services, with the numbers of their slices.
     pub services: Vec<ServiceStatus>,
 }
 
-/// Whether a router takes new work, and if not, every reason.
+/// Readiness of a router to accept new requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Readiness {
-    /// Reasons; none means ready.
+    /// Every reason why the router is not ready; empty if it is ready.
     pub reasons: Vec<NotReadyReason>,
 }
 
 impl Readiness {
-    /// Ready.
+    /// Returns the readiness of a router that is ready.
     pub fn ready() -> Self {
         Readiness::default()
     }
 
-    /// Not ready for one reason.
+    /// Returns the readiness of a router that is not ready for one reason.
     pub fn not_ready(reason: NotReadyReason) -> Self {
         Readiness {
             reasons: vec![reason],
         }
     }
 
-    /// Whether new work is taken.
+    /// Returns whether the router accepts new requests.
     pub fn is_ready(&self) -> bool {
         self.reasons.is_empty()
     }
 }
 
-/// Why a router takes no new work.
+/// Reason why a router accepts no new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NotReadyReason {
     /// It has received no configuration since it started.
     NoConfiguration,
-    /// It could not confirm its revision within the bound.
+    /// It could not confirm its revision within the configured bound.
     RevisionNotConfirmed,
-    /// The routers it could learn from have other safety settings.
+    /// The routers from which it could learn the configuration have different
+    /// safety settings.
     SafetySettingsDiffer,
     /// A planned stop has begun.
     Draining,
@@ -86,7 +87,7 @@
         NotReadyReason::Draining,
     ];
 
-    /// Text form.
+    /// Returns the text form.
     pub const fn as_str(self) -> &'static str {
         match self {
             NotReadyReason::NoConfiguration => "no-configuration",
@@ -96,7 +97,7 @@
         }
     }
 
-    /// What an operator can do.
+    /// Returns what an operator can do.
     pub const fn remedy(self) -> &'static str {
         match self {
             NotReadyReason::NoConfiguration => {
@@ -119,32 +120,32 @@
     }
 }
 
-/// One router, as another sees it.
+/// A router as seen by the one that reports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct MemberStatus {
-    /// Which router.
+    /// Identity of the router.
     pub identity: RouterIdentity,
-    /// What is believed of it.
+    /// Its presumed state.
     pub state: MemberState,
 }
 
-/// What a router believes of another.
+/// Presumed state of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberState {
-    /// It answers.
+    /// It responds.
     Alive,
-    /// It has not answered lately.
+    /// It has not responded recently.
     Suspect,
-    /// It said that it is leaving.
+    /// It announced that it is leaving.
     Leaving,
-    /// It is taken for dead.
+    /// It is considered dead.
     Dead,
 }
 
 impl MemberState {
-    /// Text form.
+    /// Returns the text form.
     pub const fn as_str(self) -> &'static str {
         match self {
             MemberState::Alive => "alive",
@@ -155,13 +156,13 @@
     }
 }
 
-/// One consensus group.
+/// State of a consensus group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct GroupStatus {
-    /// Which group.
+    /// Id of the group.
     pub group: GroupId,
-    /// Founding of the group.
+    /// Generation of the group, which grows each time it is founded.
     pub generation: Generation,
     /// Consensus term.
     pub term: u64,
@@ -175,40 +176,40 @@
     pub committed: Revision,
 }
 
-/// One open session.
+/// State of an open session.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct SessionStatus {
-    /// Which session.
+    /// Id of the session.
     pub session: SessionId,
     /// Whether the back end is leaving.
     pub draining: bool,
-    /// Slices it owns.
+    /// Number of slices it owns.
     pub slices: u64,
 }
 
-/// One service with its slices counted.
+/// State of a service with the numbers of its slices.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct ServiceStatus {
-    /// Which service.
+    /// Id of the service.
     pub service: ServiceId,
     /// Version of the object that is in force.
     pub resource_version: u64,
-    /// Back ends that its selector matches.
+    /// Number of back ends that its selector matches.
     pub back_ends: u64,
-    /// All slices.
+    /// Number of slices.
     pub slices: u64,
-    /// Slices that nobody owns now.
+    /// Number of slices without an owner.
     pub unowned: u64,
-    /// Slices that are being handed over.
+    /// Number of slices that are being handed over.
     pub moving: u64,
-    /// Ratio of the busiest back end's load to the mean, where this router
-    /// places the service.
+    /// Ratio of the busiest back end's load to the mean. Known only to the router
+    /// that places the service.
     pub imbalance: Option<f64>,
 }
 
-/// A request as `explain` describes it.
+/// A request to be explained.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct ExplainRequest {
@@ -223,11 +224,11 @@
     pub headers: Vec<(String, String)>,
 }
 
-/// What would become of a request.
+/// Explanation of how a request would be routed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Explanation {
-    /// Service that answers to the host.
+    /// Service of the host.
     pub service: ServiceId,
     /// Route that matches.
     pub route: MatchedRoute,
@@ -237,9 +238,9 @@
     pub selected: Vec<SelectedBackEnd>,
     /// The request's key.
     pub key: String,
-    /// Its point.
+    /// Hash of the key.
     pub point: Point,
-    /// Slice of the point.
+    /// Slice that contains the point.
     pub slice: Slice,
     /// Owner of the slice, if any.
     pub owner: Option<SliceOwner>,
@@ -247,7 +248,7 @@
     pub epoch: Epoch,
     /// Back end that is being prepared to take over.
     pub next: Option<BackEndId>,
-    /// Revision this answer rests on.
+    /// Revision of the records on which the explanation is based.
     pub revision: Revision,
 }
 
@@ -257,13 +258,13 @@
 pub struct MatchedRoute {
     /// Name of the route.
     pub name: String,
-    /// Where the key stands.
+    /// Part of the request that contains the key.
     pub key: KeySource,
-    /// Whether this request may be carried out more than once.
+    /// Whether the request may be executed more than once.
     pub repeatable: bool,
-    /// Order under contention.
+    /// Priority under contention.
     pub priority: Priority,
-    /// Longest time until the caller has its outcome, in milliseconds.
+    /// Maximum time until the caller receives an outcome, in milliseconds.
     pub deadline_ms: u64,
     /// Whether the request may wait for a slot.
     pub may_queue: bool,
@@ -273,7 +274,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct SelectedBackEnd {
-    /// Which back end.
+    /// Id of the back end.
     pub back_end: BackEndId,
     /// Whether it has an open session.
     pub session_open: bool,
@@ -287,6 +288,6 @@
 pub struct SliceOwner {
     /// The session that owns the slice.
     pub session: SessionId,
-    /// Where requests go; `None` when its object is gone.
+    /// Address of the back end; `None` if its object has been deleted.
     pub address: Option<std::net::SocketAddr>,
 }
--- a/crates/router/src/operations/service.rs
+++ b/crates/router/src/operations/service.rs
@@ -13,28 +13,29 @@
 
 /// Paths of the operators' service.
 pub mod path {
-    /// Whether the process is alive.
+    /// Liveness of the process.
     pub const HEALTH: &str = "/healthz";
-    /// Whether the router takes new work.
+    /// Readiness of the router.
     pub const READY: &str = "/readyz";
     /// Metrics in the Prometheus text format.
     pub const METRICS: &str = "/metrics";
     /// State of the router.
     pub const STATUS: &str = "/v1/status";
-    /// What would become of a request.
+    /// Explanation of how a request would be routed.
     pub const EXPLAIN: &str = "/v1/explain";
     /// Starts a planned stop.
     pub const DRAIN: &str = "/v1/drain";
 }
 
-/// Largest number of operators' connections at once.
+/// Maximum number of concurrent connections.
 const MAX_CONNECTIONS: usize = 64;
-/// Largest body an operator may send; none is needed.
+/// Maximum size of a request body, in bytes. No request needs one.
 const MAX_BODY_BYTES: u64 = 4_096;
-/// Prefix of the query parameters of `explain` that carry request headers.
+/// Query parameter of `explain` that carries a request header as `name:value`.
+/// It may be repeated.
 pub(super) const HEADER_PARAMETER: &str = "header";
 
-/// Answers operators' requests about one router.
+/// Responds to operators' requests about a router.
 #[derive(Clone)]
 pub struct OperatorService {
     view: Arc<dyn RouterView>,
@@ -42,13 +43,13 @@
 }
 
 impl OperatorService {
-    /// Answers from `view` and `metrics`.
+    /// Creates a service that reports from `view` and `metrics`.
     pub fn new(view: Arc<dyn RouterView>, metrics: Metrics) -> Self {
         OperatorService { view, metrics }
     }
 
-    /// Answers one request.
-    pub fn answer(&self, request: &Request) -> Response {
+    /// Returns the response to a request.
+    pub fn respond(&self, request: &Request) -> Response {
         match (request.method(), request.url().path()) {
             (Method::Get, path::HEALTH) => text(StatusCode::Ok, "ok\n".to_owned()),
             (Method::Get, path::READY) => self.ready(),
@@ -56,7 +57,7 @@
             (Method::Get, path::STATUS) => json(StatusCode::Ok, &self.view.status()),
             (Method::Get, path::EXPLAIN) => self.explain(request),
             (Method::Post, path::DRAIN) => self.drain(),
-            (method, path) => refuse_unknown(method, path),
+            (method, path) => unknown_endpoint(method, path),
         }
     }
 
@@ -84,11 +85,11 @@
     }
 
     fn explain(&self, request: &Request) -> Response {
-        let asked = match read_explain(request) {
-            Ok(asked) => asked,
+        let explain_request = match parse_explain(request) {
+            Ok(explain_request) => explain_request,
             Err(remedy) => return problem(StatusCode::BadRequest, remedy.to_owned()),
         };
-        match self.view.explain(&asked) {
+        match self.view.explain(&explain_request) {
             Ok(explanation) => json(StatusCode::Ok, &explanation),
             Err(error) => {
                 let status = StatusCode::try_from(error.reason().status())
@@ -104,13 +105,13 @@
     }
 }
 
-/// Serves operators until `stop` is given.
+/// Serves operators until `stop` is signalled.
 ///
-/// Give `stop` only when the router has nothing left to do, so that operators
-/// can watch a planned stop to its end.
+/// Signal `stop` only when the planned stop has ended, so that operators can
+/// observe it until then.
 pub async fn serve(
     listener: TcpListener,
-    operations: OperatorService,
+    service: OperatorService,
     stop: StopSignal,
 ) -> ServeReport {
     let limits = ServerLimits {
@@ -119,43 +120,43 @@
         ..ServerLimits::default()
     };
     threadledge_net::serve(listener, limits, stop, move |request, _| {
-        let answer = operations.answer(&request);
-        async move { answer }
+        let response = service.respond(&request);
+        async move { response }
     })
     .await
 }
 
-/// Body of a refusal.
+/// Body of an error response.
 #[derive(Debug, Serialize, serde::Deserialize)]
 pub struct ProblemBody {
     /// What is wrong and what to do about it.
     pub message: String,
 }
 
-fn read_explain(request: &Request) -> Result<ExplainRequest, &'static str> {
-    let mut asked = ExplainRequest {
+fn parse_explain(request: &Request) -> Result<ExplainRequest, &'static str> {
+    let mut explain_request = ExplainRequest {
         method: "GET".to_owned(),
         ..ExplainRequest::default()
     };
     for (name, value) in request.url().query_pairs() {
         match name.as_ref() {
-            "host" => asked.host = value.into_owned(),
-            "method" => asked.method = value.into_owned(),
-            "path" => asked.path = value.into_owned(),
-            HEADER_PARAMETER => asked.headers.push(read_header(&value)?),
+            "host" => explain_request.host = value.into_owned(),
+            "method" => explain_request.method = value.into_owned(),
+            "path" => explain_request.path = value.into_owned(),
+            HEADER_PARAMETER => explain_request.headers.push(parse_header(&value)?),
             _ => return Err("unknown parameter; use host, method, path and header=name:value"),
         }
     }
-    if asked.host.is_empty() || asked.path.is_empty() {
+    if explain_request.host.is_empty() || explain_request.path.is_empty() {
         return Err("host or path is missing; add both parameters");
     }
-    if !asked.path.starts_with('/') {
+    if !explain_request.path.starts_with('/') {
         return Err("path does not start with '/'; add it");
     }
-    Ok(asked)
+    Ok(explain_request)
 }
 
-fn read_header(text: &str) -> Result<(String, String), &'static str> {
+fn parse_header(text: &str) -> Result<(String, String), &'static str> {
     match text.split_once(':') {
         Some((name, value)) if !name.is_empty() => {
             Ok((name.to_ascii_lowercase(), value.trim().to_owned()))
@@ -164,8 +165,8 @@
     }
 }
 
-fn refuse_unknown(method: Method, asked: &str) -> Response {
-    let known = match asked {
+fn unknown_endpoint(method: Method, requested: &str) -> Response {
+    let known = match requested {
         path::HEALTH | path::READY | path::METRICS | path::STATUS | path::EXPLAIN => Some("GET"),
         path::DRAIN => Some("POST"),
         _ => None,
--- a/crates/router/src/operations/signals.rs
+++ b/crates/router/src/operations/signals.rs
@@ -1,4 +1,4 @@
-//! Signals of the operating system.
+//! Handling of process signals.
 
 use async_signal::{Signal, Signals};
 use futures::StreamExt;
@@ -6,11 +6,11 @@
 
 use crate::events::{EventId, emit};
 
-/// Gives `stop` on SIGTERM or SIGINT, so that both begin a planned stop.
+/// Signals `stop` on SIGTERM or SIGINT, so that both start a planned stop.
 ///
 /// # Errors
 ///
-/// The signals cannot be registered.
+/// Fails if the signal handlers cannot be registered.
 pub fn stop_on_signal(stop: StopSignal) -> std::io::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
     async_std::task::spawn(async move {
--- a/crates/router/src/operations/text.rs
+++ b/crates/router/src/operations/text.rs
@@ -1,10 +1,10 @@
-//! Reports as text for people.
+//! Human-readable text of reports.
 
 use std::fmt::Write;
 
 use super::report::{Explanation, SelectedBackEnd, SliceOwner, StatusReport};
 
-/// The status as lines of text.
+/// Formats a status report as lines of text.
 pub fn status_text(report: &StatusReport) -> String {
     let mut out = String::new();
     // Writing to a String cannot fail.
@@ -105,7 +105,7 @@
     Ok(())
 }
 
-/// The explanation as lines of text.
+/// Formats an explanation as lines of text.
 pub fn explanation_text(explanation: &Explanation) -> String {
     let mut out = String::new();
     // Writing to a String cannot fail.
@@ -127,7 +127,7 @@
             out,
             "            {} {}",
             back_end.back_end,
-            state_of(back_end)
+            session_state(back_end)
         )?;
     }
     writeln!(out, "key       {}", explanation.key)?;
@@ -141,7 +141,7 @@
     writeln!(out, "revision  {}", explanation.revision)
 }
 
-fn state_of(back_end: &SelectedBackEnd) -> &'static str {
+fn session_state(back_end: &SelectedBackEnd) -> &'static str {
     match (back_end.session_open, back_end.draining) {
         (false, _) => "no session",
         (true, true) => "draining",
--- a/crates/router/src/operations/view.rs
+++ b/crates/router/src/operations/view.rs
@@ -1,17 +1,17 @@
-//! What the operators' service asks of a running router.
+//! Interface of a running router to the operators' service.
 
 use thiserror::Error;
 use threadledge_types::NotRunReason;
 
 use super::report::{ExplainRequest, Explanation, Readiness, StatusReport};
 
-/// Why a request cannot be explained further.
+/// Reason why a request cannot be explained.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ExplainError {
-    /// No accepted service claims the host.
-    #[error("no service answers to host '{host}'; add the host to a service's 'hosts'")]
+    /// No accepted service has the host.
+    #[error("no service has the host '{host}'; add the host to a service's 'hosts'")]
     UnknownHost {
-        /// The host asked for.
+        /// The requested host.
         host: String,
     },
     /// The service has no route for the path and method.
@@ -19,26 +19,26 @@
     NoRoute {
         /// The service.
         service: String,
-        /// The method asked for.
+        /// The requested method.
         method: String,
-        /// The path asked for.
+        /// The requested path.
         path: String,
     },
-    /// The route's key is not in the request.
+    /// The request lacks the key of the route.
     #[error("the request lacks the key of route '{route}' ({source_of_key}); add it")]
     MissingKey {
         /// The route.
         route: String,
-        /// Where the key should stand.
+        /// Part of the request that should contain the key.
         source_of_key: String,
     },
-    /// The router holds no configuration yet.
+    /// The router has no configuration yet.
     #[error("this router has no confirmed configuration yet; ask again or ask another router")]
     NotReady,
 }
 
 impl ExplainError {
-    /// The reason a caller would be told.
+    /// Returns the reason that a caller would receive.
     pub const fn reason(&self) -> NotRunReason {
         match self {
             ExplainError::UnknownHost { .. } | ExplainError::NoRoute { .. } => {
@@ -50,22 +50,21 @@
     }
 }
 
-/// The running router, as its operators may see and command it.
+/// State and controls of a running router that are available to operators.
 pub trait RouterView: Send + Sync + 'static {
-    /// The router's state now.
+    /// Returns the current state of the router.
     fn status(&self) -> StatusReport;
 
-    /// What would become of a request.
+    /// Explains how a request would be routed.
     ///
     /// # Errors
     ///
-    /// The request would not reach a slice.
+    /// Fails if the request would not reach a slice.
     fn explain(&self, request: &ExplainRequest) -> Result<Explanation, ExplainError>;
 
-    /// Whether the router takes new work.
+    /// Returns whether the router accepts new requests.
     fn readiness(&self) -> Readiness;
 
-    /// Starts a planned stop and writes the event; a second call changes
-    /// nothing.
+    /// Starts a planned stop and logs the event. Further calls have no effect.
     fn start_drain(&self);
 }
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -96,8 +96,8 @@
         let finished = &self.finished;
         let peers = serve_peers(shell.clone(), listeners.peers, finished.clone());
         let router = self.running_router(&shell, &proxy);
-        let operations = OperatorService::new(Arc::new(router.clone()), self.metrics.clone());
-        let operators = crate::operations::serve(listeners.operators, operations, finished.clone());
+        let service = OperatorService::new(Arc::new(router.clone()), self.metrics.clone());
+        let operators = crate::operations::serve(listeners.operators, service, finished.clone());
         let servers = [task::spawn(peers), task::spawn(operators)];
         let requests = task::spawn(requests.run(finished.clone()));
         task::spawn(watch_readiness(router, finished.clone()));
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -1,9 +1,9 @@
-//! Settings of one routing machine: a TOML file, each value also a flag.
+//! Settings of a router, from a TOML file and command-line flags.
 //!
-//! [`Settings`] is what the program runs with. [`load`] reads a file, lays the
-//! flags over it, refuses what is unknown or contradictory and names the
-//! remedy for each problem. The list of keys in [`keys`] is the one source of
-//! flags, help texts and the settings reference.
+//! [`Settings`] holds the validated values. [`load`] reads a file, applies the
+//! flags, which override it, and rejects unknown keys and contradictory values
+//! with a remedy for each problem. The list of keys in [`keys`] is the single
+//! source of flags, help texts and the settings reference.
 
 mod error;
 pub mod keys;
@@ -21,7 +21,7 @@
 pub use error::{Location, Problem, SettingsError, SettingsProblem};
 pub use load::{Override, find_problems, load};
 
-/// Everything a routing machine is told from outside.
+/// Settings of a router.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Settings {
@@ -31,29 +31,29 @@
     pub region: RegionName,
     /// Zone of the machine.
     pub zone: ZoneName,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub caller_address: SocketAddr,
-    /// Where other routers connect.
+    /// Address on which other routers connect.
     pub peer_address: SocketAddr,
-    /// Where operators connect.
+    /// Address on which operators connect.
     pub operator_address: SocketAddr,
-    /// The platform's object API.
+    /// Address of the platform's object API.
     pub platform_address: SocketAddr,
-    /// The platform's list of machines.
+    /// Address of the platform's machine list.
     pub machine_list_address: SocketAddr,
-    /// File with the token that the platform's services ask for, if any.
+    /// File with the token for the platform's services, if they need one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub platform_token_file: Option<PathBuf>,
-    /// Members of a consensus group: 1, 3 or 5.
+    /// Number of members of a consensus group: 1, 3 or 5.
     #[serde(default = "default_group_size")]
     pub group_size: u32,
-    /// Durations that every router of a deployment shares.
+    /// Durations, which must be the same on every router of a deployment.
     #[serde(default)]
     pub timing: Timing,
-    /// Bounds on what callers may use of this machine.
+    /// Limits on the resources that callers may use.
     #[serde(default)]
     pub limits: Limits,
-    /// Logging.
+    /// Settings of the log.
     #[serde(default)]
     pub log: LogSettings,
 }
@@ -65,33 +65,32 @@
     DEFAULT_GROUP_SIZE
 }
 
-/// Bounds on what callers may use of one routing machine.
+/// Limits on the resources of a router that callers may use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Limits {
-    /// Largest request head, in bytes; at most 8,191, which is what the HTTP
-    /// library reads.
+    /// Maximum size of a request head, in bytes. At most 8,191, the limit of the
+    /// HTTP library.
     pub max_head_bytes: usize,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
-    /// Longest time a caller may take to send a head, in milliseconds.
+    /// Maximum time a caller may take to send a head, in milliseconds.
     pub head_timeout_ms: u64,
-    /// Longest time a caller's connection may stay idle, in milliseconds.
+    /// Maximum time a caller's connection may be idle, in milliseconds.
     pub idle_timeout_ms: u64,
-    /// Connections accepted from callers at once.
+    /// Maximum number of concurrent connections from callers.
     pub max_caller_connections: usize,
-    /// Largest part of this router's capacity that one namespace may hold,
-    /// above 0 and at most 1.
+    /// Maximum share of the router's capacity that one namespace may use, above 0
+    /// and at most 1.
     pub namespace_share: f64,
-    /// Longest time a planned stop waits for requests in flight, in
-    /// milliseconds.
+    /// Maximum time a planned stop waits for requests in flight, in milliseconds.
     pub drain_timeout_ms: u64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            max_head_bytes: validate::LARGEST_HEAD_BYTES,
+            max_head_bytes: validate::MAX_HEAD_BYTES,
             max_body_bytes: 8 * 1024 * 1024,
             head_timeout_ms: 5_000,
             idle_timeout_ms: 60_000,
@@ -103,29 +102,29 @@
 }
 
 impl Limits {
-    /// Longest time a caller may take to send a head.
+    /// Returns the maximum time a caller may take to send a head.
     pub fn head_timeout(&self) -> Duration {
         Duration::from_millis(self.head_timeout_ms)
     }
 
-    /// Longest time a caller's connection may stay idle.
+    /// Returns the maximum time a caller's connection may be idle.
     pub fn idle_timeout(&self) -> Duration {
         Duration::from_millis(self.idle_timeout_ms)
     }
 
-    /// Longest time a planned stop waits for requests in flight.
+    /// Returns the maximum time a planned stop waits for requests in flight.
     pub fn drain_timeout(&self) -> Duration {
         Duration::from_millis(self.drain_timeout_ms)
     }
 }
 
-/// Form and amount of the log.
+/// Settings of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct LogSettings {
-    /// Form of each line.
+    /// Format of the lines.
     pub format: LogFormat,
-    /// Least severe level that is written.
+    /// Least severe level that is logged.
     pub level: LogLevel,
 }
 
@@ -138,13 +137,13 @@
     }
 }
 
-/// Form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
-    /// For people at a terminal.
+    /// Human-readable text.
     Human,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -154,7 +153,7 @@
 pub enum LogLevel {
     /// Something needs an operator.
     Error,
-    /// Something is degraded and is being worked round.
+    /// Something is degraded, but the system continues to work.
     Warn,
     /// Changes of state.
     Info,
@@ -165,13 +164,13 @@
 }
 
 impl Settings {
-    /// Checks the values against each other.
+    /// Validates the values and their relations.
     ///
     /// # Errors
     ///
-    /// Every contradiction found, each with its remedy.
+    /// Returns every problem found, each with its remedy.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let problems = validate::contradictions(self);
+        let problems = validate::find_problems(self);
         SettingsError::from_problems(
             problems
                 .into_iter()
@@ -180,11 +179,11 @@
         )
     }
 
-    /// The settings as the text of a settings file.
+    /// Returns the settings as the text of a settings file.
     ///
     /// # Errors
     ///
-    /// A value that TOML cannot hold, such as a limit above 2^63.
+    /// Fails if TOML cannot represent a value, such as a limit above 2^63.
     pub fn to_toml(&self) -> Result<String, toml::ser::Error> {
         toml::to_string(self)
     }
--- a/crates/router/src/settings/error.rs
+++ b/crates/router/src/settings/error.rs
@@ -1,11 +1,11 @@
-//! Typed refusals of settings; every message names the remedy.
+//! Errors of settings. Every message includes the remedy.
 
 use std::fmt;
 use std::path::PathBuf;
 
 use thiserror::Error;
 
-/// Where a problem stands.
+/// Location of a problem.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Location {
     /// In a file.
@@ -22,8 +22,8 @@
 }
 
 impl Location {
-    /// Order in which problems are listed: by position in the file, then what
-    /// has no position, then flags.
+    /// Returns the key by which problems are sorted: by position in the file, then
+    /// those without a position, then flags.
     pub(super) fn sort_key(&self) -> (u8, usize, usize) {
         match self {
             Location::File {
@@ -51,7 +51,7 @@
     }
 }
 
-/// One thing wrong with the settings.
+/// Kind of a problem in the settings.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SettingsProblem {
     /// The file cannot be read.
@@ -68,7 +68,7 @@
         /// What to write instead.
         remedy: String,
     },
-    /// A key without a default is absent.
+    /// A required key is missing.
     #[error("'{key}' is missing; add it to the file or give --{flag}")]
     Missing {
         /// The key.
@@ -76,17 +76,17 @@
         /// Its flag.
         flag: &'static str,
     },
-    /// The value has another type.
-    #[error("'{key}' is not {wanted}; write {example}")]
+    /// The value has the wrong type.
+    #[error("'{key}' is not {expected_type}; write {example}")]
     WrongType {
         /// The key.
         key: String,
-        /// The type.
-        wanted: &'static str,
-        /// A value that would do.
+        /// The expected type.
+        expected_type: &'static str,
+        /// An example of a valid value.
         example: String,
     },
-    /// The value is a host name or no address at all.
+    /// The value is not an IP address with a port; it may be a host name.
     #[error(
         "'{key}' is '{value}', which is not an IP number with a port; write for example 10.0.0.7:8080, host names are not looked up"
     )]
@@ -106,30 +106,30 @@
         /// The value.
         value: String,
     },
-    /// Port 0 cannot be told to others.
+    /// The port is 0, to which others cannot connect.
     #[error("'{key}' has port 0; write the port that others connect to")]
     PortZero {
         /// The key.
         key: &'static str,
     },
-    /// Two keys hold one address.
+    /// Two keys have the same address.
     #[error("'{first}' and '{second}' are both {value}; give each its own port")]
     EqualAddresses {
-        /// One key.
+        /// The first key.
         first: &'static str,
-        /// The other.
+        /// The second key.
         second: &'static str,
         /// The address.
         value: String,
     },
-    /// The value lies outside its range.
+    /// The value is outside its range.
     #[error("'{key}' is {value}; write a value {range}")]
     OutOfRange {
         /// The key.
         key: &'static str,
         /// The value.
         value: String,
-        /// The range.
+        /// The valid range.
         range: &'static str,
     },
     /// Two values contradict each other.
@@ -141,17 +141,17 @@
         key: &'static str,
         /// Its value.
         value: u64,
-        /// Least value that would do.
+        /// The smallest valid value.
         least: u64,
-        /// Why.
+        /// Reason for the minimum.
         reason: &'static str,
-        /// The key it depends on.
+        /// The key on which the minimum depends.
         other: &'static str,
     },
 }
 
 impl SettingsProblem {
-    /// The key the problem is about, `table.name`.
+    /// Returns the path of the affected key, `table.name`.
     pub fn key(&self) -> Option<&str> {
         match self {
             SettingsProblem::Unreadable(_) | SettingsProblem::Syntax(_) => None,
@@ -168,17 +168,17 @@
     }
 }
 
-/// A problem and where it stands.
+/// A problem and its location.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Problem {
-    /// Where.
+    /// Location of the problem.
     pub location: Location,
-    /// What, and the remedy.
+    /// Kind of the problem. Its text includes the remedy.
     pub kind: SettingsProblem,
 }
 
 impl Problem {
-    /// A problem of the settings as a whole.
+    /// Creates a problem of the settings as a whole.
     pub fn without_location(kind: SettingsProblem) -> Self {
         Problem {
             location: Location::Whole,
@@ -193,7 +193,7 @@
     }
 }
 
-/// The settings are refused.
+/// The settings are invalid.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingsError {
     /// Every problem found, at least one.
@@ -201,7 +201,7 @@
 }
 
 impl SettingsError {
-    /// `Ok` when there is no problem.
+    /// Returns `Ok` if there is no problem.
     pub fn from_problems(problems: Vec<Problem>) -> Result<(), SettingsError> {
         if problems.is_empty() {
             Ok(())
--- a/crates/router/src/settings/keys.rs
+++ b/crates/router/src/settings/keys.rs
@@ -1,22 +1,22 @@
-//! Every key of the settings file, with the flag that overrides it.
+//! The keys of the settings file and the flags that override them.
 
-/// What a value looks like.
+/// Type of a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValueKind {
-    /// Any text that is not empty.
+    /// Non-empty text.
     Text,
-    /// IP number and port.
+    /// IP address and port.
     Address,
-    /// A whole number.
+    /// An integer.
     Integer,
     /// A number.
     Number,
-    /// One of a few words.
+    /// One of a fixed set of words.
     Choice(&'static [&'static str]),
 }
 
 impl ValueKind {
-    /// Placeholder in help texts.
+    /// Returns the placeholder in help texts.
     pub const fn placeholder(self) -> &'static str {
         match self {
             ValueKind::Text => "TEXT",
@@ -28,7 +28,7 @@
     }
 }
 
-/// One key of the settings file.
+/// A key of the settings file.
 #[derive(Clone, Copy, Debug)]
 pub struct SettingKey {
     /// Table in the file; empty for the top level.
@@ -37,20 +37,20 @@
     pub name: &'static str,
     /// Long flag, without the dashes.
     pub flag: &'static str,
-    /// What the value looks like.
+    /// Type of the value.
     pub kind: ValueKind,
-    /// Meaning, for help texts and the reference.
+    /// Description for help texts and the settings reference.
     pub help: &'static str,
 }
 
 impl SettingKey {
-    /// Whether the file or a flag must give the key: those of the top level
-    /// have no default, with few exceptions.
+    /// Returns whether the file or a flag must set the key. Keys of the top level
+    /// have no default, except for [`OPTIONAL_KEYS`].
     pub fn is_required(&self) -> bool {
-        self.table.is_empty() && !OPTIONAL.contains(&self.name)
+        self.table.is_empty() && !OPTIONAL_KEYS.contains(&self.name)
     }
 
-    /// `table.name`, or `name` at the top level.
+    /// Returns `table.name`, or `name` for a key of the top level.
     pub fn path(&self) -> String {
         if self.table.is_empty() {
             self.name.to_owned()
@@ -60,10 +60,10 @@
     }
 }
 
-/// Keys of the top level that may be left out.
-pub const OPTIONAL: &[&str] = &["platform-token-file", "group-size"];
+/// Keys of the top level that may be omitted.
+pub const OPTIONAL_KEYS: &[&str] = &["platform-token-file", "group-size"];
 
-/// Finds a key by its place in the file.
+/// Finds a key by its table and name.
 pub fn find(table: &str, name: &str) -> Option<&'static SettingKey> {
     KEYS.iter()
         .find(|key| key.table == table && key.name == name)
@@ -97,12 +97,12 @@
     key("limits", name, name, ValueKind::Integer, help)
 }
 
-/// Forms of log lines.
+/// Formats of log lines.
 const LOG_FORMATS: &[&str] = &["human", "json"];
 /// Levels of log lines.
 const LOG_LEVELS: &[&str] = &["error", "warn", "info", "debug", "trace"];
 
-/// Every key, in the order of the reference.
+/// Every key, in the order of the settings reference.
 #[rustfmt::skip]
 pub const KEYS: &[SettingKey] = &[
     top("machine", ValueKind::Text, "name of this machine in the platform's machine list"),
--- a/crates/router/src/settings/load.rs
+++ b/crates/router/src/settings/load.rs
@@ -1,4 +1,4 @@
-//! Reading a settings file and laying flags over it.
+//! Loading of settings from a file and flags.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -7,36 +7,36 @@
 use toml::{Table, Value};
 
 use super::keys::{self, KEYS, SettingKey};
-use super::values::{fitting, plain_value, value_of_flag, wrong_type};
+use super::values::{check_value, toml_value, value_of_flag, wrong_type};
 use super::{Location, Problem, Settings, SettingsError, SettingsProblem, validate};
 
 /// A value given on the command line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Override {
-    /// Flag, without the dashes.
+    /// Name of the flag, without the dashes.
     pub flag: &'static str,
-    /// Its value as typed.
+    /// The value as given.
     pub value: String,
 }
 
-/// Reads `file`, lays `overrides` over it and checks the result.
+/// Reads `file`, applies `overrides` and validates the result.
 ///
 /// # Errors
 ///
-/// Every problem found, with its location and remedy.
+/// Returns every problem found, with its location and remedy.
 pub fn load(file: Option<&Path>, overrides: &[Override]) -> Result<Settings, SettingsError> {
     let mut draft = Draft::default();
     if let Some(path) = file {
         draft.read_file(path);
     }
-    for given in overrides {
-        draft.override_with(given);
+    for flag_override in overrides {
+        draft.override_with(flag_override);
     }
     draft.finish()
 }
 
-/// Every problem of a settings file by itself. The keys that flags must give
-/// count as missing.
+/// Returns every problem of a settings file without flags. Required keys that are
+/// not in the file are reported as missing.
 pub fn find_problems(path: &Path) -> Vec<Problem> {
     match load(Some(path), &[]) {
         Ok(_) => Vec::new(),
@@ -44,7 +44,7 @@
     }
 }
 
-/// Settings while they are put together.
+/// Values and problems collected while settings are loaded.
 #[derive(Default)]
 struct Draft {
     file: Option<PathBuf>,
@@ -84,27 +84,27 @@
                 }
                 (_, None) => self.report(location, unknown_key(table, name)),
                 (value, Some(key)) => {
-                    let value = plain_value(value);
-                    self.take(key, value, location);
+                    let value = toml_value(value);
+                    self.set_value(key, value, location);
                 }
             }
         }
     }
 
-    fn override_with(&mut self, given: &Override) {
-        let Some(key) = KEYS.iter().find(|key| key.flag == given.flag) else {
+    fn override_with(&mut self, flag_override: &Override) {
+        let Some(key) = KEYS.iter().find(|key| key.flag == flag_override.flag) else {
             return;
         };
-        let value = value_of_flag(key, &given.value);
-        self.take(key, value, Location::Flag(key.flag));
+        let value = value_of_flag(key, &flag_override.value);
+        self.set_value(key, value, Location::Flag(key.flag));
     }
 
-    /// Takes one value, or reports why not.
-    fn take(&mut self, key: &SettingKey, value: Option<Value>, location: Location) {
+    /// Sets the value of a key, or reports its problem.
+    fn set_value(&mut self, key: &SettingKey, value: Option<Value>, location: Location) {
         let path = key.path();
         match value
             .ok_or_else(|| wrong_type(key))
-            .and_then(|value| fitting(key, value))
+            .and_then(|value| check_value(key, value))
         {
             Ok(value) => {
                 self.values.insert(path.clone(), value);
@@ -116,8 +116,8 @@
 
     fn finish(mut self) -> Result<Settings, SettingsError> {
         self.report_missing();
-        let settings = self.read_settings();
-        for kind in settings.iter().flat_map(validate::contradictions) {
+        let settings = self.build_settings();
+        for kind in settings.iter().flat_map(validate::find_problems) {
             let location = self.location_of(&kind);
             self.report(location, kind);
         }
@@ -131,8 +131,9 @@
         }
     }
 
-    /// The settings, if every value fits; they may contradict each other.
-    fn read_settings(&mut self) -> Option<Settings> {
+    /// Builds the settings if there is no problem so far. They may still contradict
+    /// each other.
+    fn build_settings(&mut self) -> Option<Settings> {
         if !self.problems.is_empty() {
             return None;
         }
@@ -234,7 +235,7 @@
     SettingsProblem::UnknownKey { key: path, remedy }
 }
 
-/// Line and column, both from 1, of a byte offset.
+/// Returns line and column of a byte offset, both counted from 1.
 fn position_of(text: &str, offset: usize) -> (usize, usize) {
     let before = &text[..offset.min(text.len())];
     let line = before.matches('\n').count() + 1;
--- a/crates/router/src/settings/validate.rs
+++ b/crates/router/src/settings/validate.rs
@@ -1,37 +1,42 @@
-//! Contradictions between settings.
+//! Validation of settings.
 
 use std::net::SocketAddr;
 
 use super::{Limits, Settings, SettingsProblem};
 use threadledge_types::Timing;
 
-/// A lease must survive this many lost renewals, less one.
+/// Minimum length of a lease in renewal intervals. With 3, a lease survives two
+/// lost renewals.
 const RENEWALS_PER_LEASE: u64 = 3;
-/// An election must not start before this many heartbeats are lost, less one.
+/// Minimum election timeout in heartbeat intervals. With 3, two lost heartbeats
+/// do not start an election.
 const HEARTBEATS_PER_ELECTION: u64 = 3;
-/// A bound on confirmation must allow this many attempts.
+/// Minimum bound on confirmation in confirmation intervals. With 2, one lost
+/// confirmation is tolerated.
 const CONFIRMS_PER_BOUND: u64 = 2;
-/// Sizes of a group that tolerate a loss without wasting a member.
+/// Valid group sizes. Even sizes are excluded, because the additional member
+/// does not increase the number of tolerated losses.
 const GROUP_SIZES: [u32; 3] = [1, 3, 5];
-/// Clocks that differ more than this are broken.
-const LARGEST_DRIFT_PERCENT: u64 = 50;
-/// Largest head that the HTTP library reads, in bytes.
-pub(super) const LARGEST_HEAD_BYTES: usize = threadledge_net::MAX_HEAD_BYTES;
-/// Smallest head that an ordinary request fits in, in bytes.
-const SMALLEST_HEAD_BYTES: usize = 512;
+/// Maximum configurable clock drift, in percent. Clocks that differ by more are
+/// faulty.
+const MAX_DRIFT_PERCENT: u64 = 50;
+/// Maximum size of a head that the HTTP library can read, in bytes.
+pub(super) const MAX_HEAD_BYTES: usize = threadledge_net::MAX_HEAD_BYTES;
+/// Minimum head limit, in bytes, into which an ordinary request fits.
+const MIN_HEAD_BYTES: usize = 512;
 
-/// Every contradiction.
-pub(super) fn contradictions(settings: &Settings) -> Vec<SettingsProblem> {
+/// Returns every problem of the values and their relations.
+pub(super) fn find_problems(settings: &Settings) -> Vec<SettingsProblem> {
     let mut problems = Vec::new();
-    names(settings, &mut problems);
-    addresses(settings, &mut problems);
-    group_size(settings.group_size, &mut problems);
-    timing(&settings.timing, &mut problems);
-    limits(&settings.limits, &mut problems);
+    check_names(settings, &mut problems);
+    check_addresses(settings, &mut problems);
+    check_group_size(settings.group_size, &mut problems);
+    check_timing(&settings.timing, &mut problems);
+    check_limits(&settings.limits, &mut problems);
     problems
 }
 
-fn names(settings: &Settings, problems: &mut Vec<SettingsProblem>) {
+fn check_names(settings: &Settings, problems: &mut Vec<SettingsProblem>) {
     let token_file = settings.platform_token_file.as_deref();
     let names = [
         ("machine", Some(settings.machine.0.as_str())),
@@ -53,7 +58,7 @@
     }
 }
 
-fn addresses(settings: &Settings, problems: &mut Vec<SettingsProblem>) {
+fn check_addresses(settings: &Settings, problems: &mut Vec<SettingsProblem>) {
     let all: [(&'static str, SocketAddr); 5] = [
         ("caller-address", settings.caller_address),
         ("peer-address", settings.peer_address),
@@ -73,7 +78,7 @@
         }
         let earlier = all[..number].iter().find(|(_, other)| other == address);
         if let Some((first, _)) = earlier
-            && !may_share(first, key)
+            && !may_share_address(first, key)
         {
             problems.push(SettingsProblem::EqualAddresses {
                 first,
@@ -84,12 +89,13 @@
     }
 }
 
-/// The platform may serve its machine list and its object API from one place.
-fn may_share(first: &str, second: &str) -> bool {
+/// Returns whether two keys may have the same address: the platform may serve
+/// its object API and its machine list on one.
+fn may_share_address(first: &str, second: &str) -> bool {
     first == "platform-address" && second == "machine-list-address"
 }
 
-fn group_size(value: u32, problems: &mut Vec<SettingsProblem>) {
+fn check_group_size(value: u32, problems: &mut Vec<SettingsProblem>) {
     if !GROUP_SIZES.contains(&value) {
         problems.push(SettingsProblem::OutOfRange {
             key: "group-size",
@@ -99,45 +105,49 @@
     }
 }
 
-fn timing(timing: &Timing, problems: &mut Vec<SettingsProblem>) {
-    positive("timing.renewal-ms", timing.renewal_ms, problems);
-    positive("timing.heartbeat-ms", timing.heartbeat_ms, problems);
-    positive("timing.confirm-ms", timing.confirm_ms, problems);
-    if timing.drift_percent > LARGEST_DRIFT_PERCENT {
+fn check_timing(timing: &Timing, problems: &mut Vec<SettingsProblem>) {
+    check_positive("timing.renewal-ms", timing.renewal_ms, problems);
+    check_positive("timing.heartbeat-ms", timing.heartbeat_ms, problems);
+    check_positive("timing.confirm-ms", timing.confirm_ms, problems);
+    if timing.drift_percent > MAX_DRIFT_PERCENT {
         problems.push(SettingsProblem::OutOfRange {
             key: "timing.drift-percent",
             value: timing.drift_percent.to_string(),
             range: "between 0 and 50",
         });
     }
-    problems.extend(timing_rules(timing).into_iter().filter_map(Rule::broken));
+    problems.extend(
+        timing_rules(timing)
+            .into_iter()
+            .filter_map(MinimumRule::violation),
+    );
 }
 
-/// The durations that rest on each other.
-fn timing_rules(timing: &Timing) -> [Rule; 4] {
+/// Returns the minimum values of durations that depend on other durations.
+fn timing_rules(timing: &Timing) -> [MinimumRule; 4] {
     [
-        Rule {
+        MinimumRule {
             key: "timing.lease-ms",
             value: timing.lease_ms,
             least: timing.renewal_ms.saturating_mul(RENEWALS_PER_LEASE),
             other: "timing.renewal-ms",
             reason: "a lease outlasts two lost renewals",
         },
-        Rule {
+        MinimumRule {
             key: "timing.election-min-ms",
             value: timing.election_min_ms,
             least: timing.heartbeat_ms.saturating_mul(HEARTBEATS_PER_ELECTION),
             other: "timing.heartbeat-ms",
             reason: "an election outlasts two lost heartbeats",
         },
-        Rule {
+        MinimumRule {
             key: "timing.election-max-ms",
             value: timing.election_max_ms,
             least: timing.election_min_ms.saturating_add(1),
             other: "timing.election-min-ms",
             reason: "candidates need different timeouts",
         },
-        Rule {
+        MinimumRule {
             key: "timing.confirm-bound-ms",
             value: timing.confirm_bound_ms,
             least: timing.confirm_ms.saturating_mul(CONFIRMS_PER_BOUND),
@@ -147,19 +157,19 @@
     ]
 }
 
-fn limits(limits: &Limits, problems: &mut Vec<SettingsProblem>) {
-    if !(SMALLEST_HEAD_BYTES..=LARGEST_HEAD_BYTES).contains(&limits.max_head_bytes) {
+fn check_limits(limits: &Limits, problems: &mut Vec<SettingsProblem>) {
+    if !(MIN_HEAD_BYTES..=MAX_HEAD_BYTES).contains(&limits.max_head_bytes) {
         problems.push(SettingsProblem::OutOfRange {
             key: "limits.max-head-bytes",
             value: limits.max_head_bytes.to_string(),
             range: "between 512 and 8191",
         });
     }
-    positive("limits.head-timeout-ms", limits.head_timeout_ms, problems);
-    positive("limits.idle-timeout-ms", limits.idle_timeout_ms, problems);
-    positive("limits.drain-timeout-ms", limits.drain_timeout_ms, problems);
+    check_positive("limits.head-timeout-ms", limits.head_timeout_ms, problems);
+    check_positive("limits.idle-timeout-ms", limits.idle_timeout_ms, problems);
+    check_positive("limits.drain-timeout-ms", limits.drain_timeout_ms, problems);
     let connections = u64::try_from(limits.max_caller_connections).unwrap_or(u64::MAX);
-    positive("limits.max-caller-connections", connections, problems);
+    check_positive("limits.max-caller-connections", connections, problems);
     let share = limits.namespace_share;
     if !(share > 0.0 && share <= 1.0) {
         problems.push(SettingsProblem::OutOfRange {
@@ -170,7 +180,7 @@
     }
 }
 
-fn positive(key: &'static str, value: u64, problems: &mut Vec<SettingsProblem>) {
+fn check_positive(key: &'static str, value: u64, problems: &mut Vec<SettingsProblem>) {
     if value == 0 {
         problems.push(SettingsProblem::OutOfRange {
             key,
@@ -180,8 +190,8 @@
     }
 }
 
-/// A value that must not be smaller than another one allows.
-struct Rule {
+/// The minimum of a value that depends on another value.
+struct MinimumRule {
     key: &'static str,
     value: u64,
     least: u64,
@@ -189,8 +199,8 @@
     reason: &'static str,
 }
 
-impl Rule {
-    fn broken(self) -> Option<SettingsProblem> {
+impl MinimumRule {
+    fn violation(self) -> Option<SettingsProblem> {
         (self.value < self.least).then_some(SettingsProblem::TooSmall {
             key: self.key,
             value: self.value,
--- a/crates/router/src/settings/values.rs
+++ b/crates/router/src/settings/values.rs
@@ -1,4 +1,4 @@
-//! Values of settings: from a file or a flag to what a key takes.
+//! Conversion of values from a file or a flag to the type of a key.
 
 use std::net::SocketAddr;
 
@@ -8,8 +8,9 @@
 use super::SettingsProblem;
 use super::keys::{SettingKey, ValueKind};
 
-/// The value without places; `None` for kinds that no key has.
-pub(super) fn plain_value(value: &DeValue<'_>) -> Option<Value> {
+/// Converts a parsed value to a value without source positions. Returns `None`
+/// for types that no key has.
+pub(super) fn toml_value(value: &DeValue<'_>) -> Option<Value> {
     match value {
         DeValue::String(text) => Some(Value::String(text.to_string())),
         DeValue::Integer(integer) => i64::from_str_radix(integer.as_str(), integer.radix())
@@ -20,7 +21,7 @@
     }
 }
 
-/// The value of a flag; `None` if it has not the key's type.
+/// Parses the value of a flag. Returns `None` if it does not have the key's type.
 pub(super) fn value_of_flag(key: &SettingKey, text: &str) -> Option<Value> {
     match key.kind {
         ValueKind::Integer => text.parse().ok().map(Value::Integer),
@@ -31,8 +32,9 @@
     }
 }
 
-/// The value when it fits the key's kind.
-pub(super) fn fitting(key: &SettingKey, value: Value) -> Result<Value, SettingsProblem> {
+/// Returns the value if it has the key's type. Integers are converted for keys
+/// that hold a number.
+pub(super) fn check_value(key: &SettingKey, value: Value) -> Result<Value, SettingsProblem> {
     match (key.kind, &value) {
         (ValueKind::Text, Value::String(_)) => Ok(value),
         (ValueKind::Address, Value::String(text)) => match text.parse::<SocketAddr>() {
@@ -45,25 +47,25 @@
         (ValueKind::Integer, Value::Integer(number)) if *number >= 0 => Ok(value),
         (ValueKind::Number, Value::Float(_)) => Ok(value),
         (ValueKind::Number, Value::Integer(number)) => Ok(Value::Float(*number as f64)),
-        (ValueKind::Choice(words), Value::String(text)) if words.contains(&text.as_str()) => {
+        (ValueKind::Choice(choices), Value::String(text)) if choices.contains(&text.as_str()) => {
             Ok(value)
         }
         _ => Err(wrong_type(key)),
     }
 }
 
-/// The refusal of a value of another type.
+/// Returns the problem of a value with the wrong type.
 pub(super) fn wrong_type(key: &SettingKey) -> SettingsProblem {
-    let (wanted, example) = match key.kind {
+    let (expected_type, example) = match key.kind {
         ValueKind::Text => ("a text", "\"some-name\"".to_owned()),
         ValueKind::Address => ("an address", "\"10.0.0.7:8080\"".to_owned()),
         ValueKind::Integer => ("a whole number of at least 0", "500".to_owned()),
         ValueKind::Number => ("a number", "0.5".to_owned()),
-        ValueKind::Choice(words) => ("one of the words allowed", words.join(", or ")),
+        ValueKind::Choice(choices) => ("one of the choices allowed", choices.join(", or ")),
     };
     SettingsProblem::WrongType {
         key: key.path(),
-        wanted,
+        expected_type,
         example,
     }
 }
