--- a/crates/router/src/check.rs
+++ b/crates/router/src/check.rs
@@ -45,7 +45,7 @@
     /// The file holds no object.
     #[error("holds no object; add one, or leave the file out")]
     Empty,
-    /// The file's type cannot be told from its extension.
+    /// The extension does not determine the file's type.
     #[error("has an unknown extension; name settings .toml, and objects .json, .yaml or .yml")]
     UnknownExtension,
 }
--- a/crates/router/src/cli/commands.rs
+++ b/crates/router/src/cli/commands.rs
@@ -111,7 +111,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Prints only the outermost error: messages include their causes.
+/// Prints only the message of the outermost error and no chain of causes, because
+/// messages already include their causes.
 fn exit_code(result: eyre::Result<ExitCode>) -> ExitCode {
     result.unwrap_or_else(|report| fail(FAILURE, &report))
 }
--- a/crates/router/src/control_shell/configuration/updates.rs
+++ b/crates/router/src/control_shell/configuration/updates.rs
@@ -47,8 +47,8 @@
 struct StoreVersion {
     /// Latest version seen.
     latest: u64,
-    /// Whether the store returned an older version than was seen before, which
-    /// has been logged.
+    /// True if the store returned an older version than was seen before. The
+    /// loss is logged once.
     is_behind: bool,
 }
 
--- a/crates/router/src/log_trace.rs
+++ b/crates/router/src/log_trace.rs
@@ -50,7 +50,7 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What failed.
+        /// The underlying error.
         cause: std::io::Error,
     },
     /// No line names the request.
--- a/crates/router/src/operations/client.rs
+++ b/crates/router/src/operations/client.rs
@@ -24,7 +24,7 @@
     NoAnswer {
         /// Address of the router.
         address: SocketAddr,
-        /// What failed.
+        /// The underlying error.
         cause: String,
     },
     /// The router refused the request.
@@ -32,7 +32,7 @@
     Refused {
         /// HTTP status.
         status: u16,
-        /// What is wrong and what to do about it.
+        /// Description of the problem and its remedy.
         message: String,
     },
     /// The response cannot be parsed.
@@ -62,7 +62,7 @@
     ///
     /// See [`ClientError`].
     pub async fn status(&self) -> Result<StatusReport, ClientError> {
-        self.get_json(path::STATUS).await
+        self.request_json("GET", path::STATUS).await
     }
 
     /// Returns how the router would route a request.
@@ -72,7 +72,7 @@
     /// See [`ClientError`]. A request that would reach no slice is refused with
     /// the status that its caller would receive.
     pub async fn explain(&self, request: &ExplainRequest) -> Result<Explanation, ClientError> {
-        self.get_json(&explain_path(request)).await
+        self.request_json("GET", &explain_path(request)).await
     }
 
     /// Starts a planned stop.
@@ -84,8 +84,12 @@
         self.send("POST", path::DRAIN).await.map(drop)
     }
 
-    async fn get_json<T: DeserializeOwned>(&self, path: &str) -> Result<T, ClientError> {
-        let body = self.send("GET", path).await?;
+    async fn request_json<T: DeserializeOwned>(
+        &self,
+        method: &str,
+        path: &str,
+    ) -> Result<T, ClientError> {
+        let body = self.send(method, path).await?;
         Ok(serde_json::from_slice(&body)?)
     }
 
--- a/crates/router/src/operations/report.rs
+++ b/crates/router/src/operations/report.rs
@@ -17,7 +17,7 @@
     pub router: RouterIdentity,
     /// Time since its process started, in milliseconds.
     pub uptime_ms: u64,
-    /// Whether it accepts new requests.
+    /// True if it accepts new requests.
     pub readiness: Readiness,
     /// Revision of its copy of the records.
     pub revision: Revision,
@@ -182,7 +182,7 @@
 pub struct SessionStatus {
     /// Id of the session.
     pub session: SessionId,
-    /// Whether the back end is leaving.
+    /// True if the back end is leaving.
     pub draining: bool,
     /// Number of slices it owns.
     pub slices: u64,
@@ -260,13 +260,13 @@
     pub name: String,
     /// Part of the request that contains the key.
     pub key: KeySource,
-    /// Whether the request may be executed more than once.
+    /// True if the request may be executed more than once.
     pub repeatable: bool,
     /// Priority under contention.
     pub priority: Priority,
     /// Maximum time until the caller receives an outcome, in milliseconds.
     pub deadline_ms: u64,
-    /// Whether the request may wait for a slot.
+    /// True if the request may wait for a slot.
     pub may_queue: bool,
 }
 
@@ -276,9 +276,9 @@
 pub struct SelectedBackEnd {
     /// Id of the back end.
     pub back_end: BackEndId,
-    /// Whether it has an open session.
+    /// True if it has an open session.
     pub session_open: bool,
-    /// Whether it is leaving.
+    /// True if it is leaving.
     pub draining: bool,
 }
 
--- a/crates/router/src/operations/service.rs
+++ b/crates/router/src/operations/service.rs
@@ -129,7 +129,7 @@
 /// Body of an error response.
 #[derive(Debug, Serialize, serde::Deserialize)]
 pub struct ProblemBody {
-    /// What is wrong and what to do about it.
+    /// Description of the problem and its remedy.
     pub message: String,
 }
 
--- a/crates/router/src/platform_token.rs
+++ b/crates/router/src/platform_token.rs
@@ -20,7 +20,7 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What failed.
+        /// The underlying error.
         cause: std::io::Error,
     },
     /// The file holds no token.
--- a/crates/router/src/proxy/delivery.rs
+++ b/crates/router/src/proxy/delivery.rs
@@ -41,7 +41,7 @@
     reader: AtomicWaker,
 }
 
-/// How the response ended, which determines what later reads return.
+/// End of a response, which determines the result of later reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Ended {
     Complete,
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -31,7 +31,7 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What failed.
+        /// The underlying error.
         cause: std::io::Error,
     },
     /// The signals that request a planned stop cannot be registered.
--- a/crates/router/src/settings/error.rs
+++ b/crates/router/src/settings/error.rs
@@ -65,7 +65,7 @@
     UnknownKey {
         /// The key.
         key: String,
-        /// What to write instead.
+        /// The suggested correction.
         remedy: String,
     },
     /// A required key is missing.
--- a/crates/router/src/settings/values.rs
+++ b/crates/router/src/settings/values.rs
@@ -61,7 +61,7 @@
         ValueKind::Address => ("an address", "\"10.0.0.7:8080\"".to_owned()),
         ValueKind::Integer => ("a whole number of at least 0", "500".to_owned()),
         ValueKind::Number => ("a number", "0.5".to_owned()),
-        ValueKind::Choice(choices) => ("one of the choices allowed", choices.join(", or ")),
+        ValueKind::Choice(choices) => ("one of the words allowed", choices.join(", or ")),
     };
     SettingsProblem::WrongType {
         key: key.path(),
