--- a/crates/router/examples/proxy_cost.rs
+++ b/crates/router/examples/proxy_cost.rs
@@ -1,19 +1,19 @@
-//! What the data path costs.
+//! Measures the cost of the proxy.
 //!
-//! Each role runs as a process of its own, so that the processor time of one
-//! can be read apart from the others:
+//! Each role runs as a separate process, so that the CPU time of each can be
+//! measured separately:
 //!
 //! ```text
 //! proxy_cost back-end 127.0.0.1:7001
 //! proxy_cost proxy 127.0.0.1:7002 127.0.0.1:7001
-//! proxy_cost net 127.0.0.1:7003        answers itself, on threadledge-net
-//! proxy_cost async-h1 127.0.0.1:7004   answers itself, on async-h1 alone
+//! proxy_cost net 127.0.0.1:7003        answers without a back end, with threadledge-net
+//! proxy_cost async-h1 127.0.0.1:7004   answers without a back end, with async-h1 alone
 //! proxy_cost load 127.0.0.1:7002 CONNECTIONS REQUESTS
 //! ```
 //!
-//! `load` prints one line: requests a second and latencies in microseconds.
-//! `ASYNC_STD_THREAD_COUNT=1` confines a role to one thread beside the
-//! reactor's.
+//! `load` prints one line with requests per second and latencies in
+//! microseconds. `ASYNC_STD_THREAD_COUNT=1` limits a role to one thread besides
+//! the reactor's.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -56,7 +56,7 @@
     }
 }
 
-/// Answers with as little work as can be, on a thread for each connection.
+/// Answers with as little work as possible, on one thread per connection.
 fn back_end(address: SocketAddr) -> Result<(), Failure> {
     let length = BODY.len();
     let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{BODY}");
@@ -66,11 +66,11 @@
         let answer = answer.clone();
         std::thread::spawn(move || {
             let mut buffer = [0; 4096];
-            let mut held = 0;
-            while let Ok(count @ 1..) = stream.read(&mut buffer[held..]) {
-                held += count;
-                if buffer[..held].ends_with(END_OF_HEAD) {
-                    held = 0;
+            let mut received = 0;
+            while let Ok(count @ 1..) = stream.read(&mut buffer[received..]) {
+                received += count;
+                if buffer[..received].ends_with(END_OF_HEAD) {
+                    received = 0;
                     if stream.write_all(answer.as_bytes()).is_err() {
                         return;
                     }
@@ -129,19 +129,19 @@
     })
 }
 
-/// Sends `requests` in all over `connections`, each waiting for its answer
-/// before it sends the next.
+/// Sends `requests` in total over `connections`. Each connection waits for the
+/// response before it sends the next request.
 fn load(address: SocketAddr, connections: usize, requests: usize) -> Result<(), Failure> {
-    let began = Instant::now();
+    let started = Instant::now();
     let threads: Vec<_> = (0..connections)
-        .map(|_| std::thread::spawn(move || one_caller(address, requests / connections)))
+        .map(|_| std::thread::spawn(move || run_connection(address, requests / connections)))
         .collect();
     let mut latencies = Vec::with_capacity(requests);
     for thread in threads {
-        let measured = thread.join().map_err(|_| "a caller panicked")?;
+        let measured = thread.join().map_err(|_| "a connection thread panicked")?;
         latencies.extend(measured.map_err(|error| error.to_string())?);
     }
-    let elapsed = began.elapsed();
+    let elapsed = started.elapsed();
     latencies.sort_unstable();
     let at = |share: f64| latencies[((latencies.len() - 1) as f64 * share) as usize].as_micros();
     println!(
@@ -155,7 +155,8 @@
     Ok(())
 }
 
-fn one_caller(address: SocketAddr, requests: usize) -> std::io::Result<Vec<Duration>> {
+/// Sends requests over one connection and returns their latencies.
+fn run_connection(address: SocketAddr, requests: usize) -> std::io::Result<Vec<Duration>> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
     let mut latencies = Vec::with_capacity(requests);
@@ -163,13 +164,13 @@
     for _ in 0..requests {
         let sent = Instant::now();
         stream.write_all(REQUEST)?;
-        let mut held = 0;
-        while !buffer[..held].ends_with(BODY.as_bytes()) {
-            let count = stream.read(&mut buffer[held..])?;
+        let mut received = 0;
+        while !buffer[..received].ends_with(BODY.as_bytes()) {
+            let count = stream.read(&mut buffer[received..])?;
             if count == 0 {
                 return Err(std::io::ErrorKind::UnexpectedEof.into());
             }
-            held += count;
+            received += count;
         }
         assert!(buffer.starts_with(b"HTTP/1.1 200"), "not answered");
         latencies.push(sent.elapsed());
--- a/crates/router/tests/availability.rs
+++ b/crates/router/tests/availability.rs
@@ -1,4 +1,4 @@
-//! When the log says that the platform is lost or restored.
+//! Tests of the platform's availability as reported in the log.
 
 use threadledge::control_shell::availability::{
     Availability, AvailabilityChange, PlatformUse, means_unavailable,
@@ -6,7 +6,7 @@
 use threadledge_object_api::PlatformErrorKind;
 
 #[test]
-fn repeated_failures_are_one_loss() {
+fn repeated_failures_are_reported_once() {
     let mut availability = Availability::default();
     let first = availability.record_failure(PlatformUse::WatchBackEnds);
     assert_eq!(first, Some(AvailabilityChange::Lost));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn ended_watch_neither_restores_nor_holds_up_the_next_success() {
+fn ended_watch_neither_restores_nor_delays_the_next_success() {
     let mut availability = Availability::default();
     availability.record_failure(PlatformUse::WatchBackEnds);
     availability.clear(PlatformUse::WatchBackEnds);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn refusal_of_one_request_is_no_loss() {
+fn refusal_of_one_request_does_not_mean_unavailable() {
     for kind in [
         PlatformErrorKind::Conflict,
         PlatformErrorKind::AlreadyExists,
--- a/crates/router/tests/check.rs
+++ b/crates/router/tests/check.rs
@@ -1,10 +1,10 @@
-//! Offline check of settings and object files.
+//! Tests of the offline check of settings and object files.
 
 use std::path::PathBuf;
 
 use threadledge::check::{CheckProblemKind, check};
 
-/// A directory of its own for each test, removed afterwards.
+/// A temporary directory for one test, removed afterwards.
 struct Directory(PathBuf);
 
 impl Directory {
@@ -50,7 +50,10 @@
         .filter_map(|entry| std::fs::read_dir(entry.ok()?.path()).ok())
         .flatten()
         .filter_map(|entry| Some(entry.ok()?.path()))
-        .filter(|path| path.extension().is_some_and(|ending| ending == "json"))
+        .filter(|path| {
+            path.extension()
+                .is_some_and(|extension| extension == "json")
+        })
         .collect();
     files.sort();
     files
@@ -81,7 +84,7 @@
 }
 
 #[test]
-fn objects_before_a_syntax_error_are_judged() {
+fn objects_before_a_syntax_error_are_validated() {
     let directory = Directory::new("syntax");
     let text = format!("{}---\nkind: [\n", back_end("one", "somewhere:80", 2));
     let file = directory.file("objects.yml", &text);
@@ -96,7 +99,7 @@
 }
 
 #[test]
-fn claims_are_judged_over_all_files() {
+fn conflicting_claims_are_found_across_files() {
     let directory = Directory::new("claims");
     let files = [
         directory.file("one.yaml", &back_end("one", "127.0.0.1:80", 2)),
@@ -117,7 +120,7 @@
 }
 
 #[test]
-fn files_that_hold_nothing_or_something_else_are_refused() {
+fn empty_and_unsupported_files_are_refused() {
     let directory = Directory::new("other");
     let files = [
         directory.file("empty.yaml", "---\n"),
@@ -136,9 +139,9 @@
 }
 
 #[test]
-fn settings_of_a_gateway_are_checked_as_such() {
+fn settings_of_a_gateway_are_recognised() {
     let directory = Directory::new("gateway");
-    let sound = r#"
+    let valid = r#"
 machine = "router-1"
 zone = "zone-a"
 [listen]
@@ -147,9 +150,9 @@
 [platform]
 store = "127.0.0.1:3"
 "#;
-    let file = directory.file("gateway.toml", sound);
+    let file = directory.file("gateway.toml", valid);
     assert!(check(&[file]).is_empty());
-    let broken = format!("{sound}[ownership]\nhold-s = 30\n");
+    let broken = format!("{valid}[ownership]\nhold-s = 30\n");
     let file = directory.file("broken.toml", &broken);
     let problems = check(&[file]);
     assert_eq!(problems.len(), 1);
--- a/crates/router/tests/command_line.rs
+++ b/crates/router/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! Arguments of the program.
+//! Tests of command-line parsing.
 
 use threadledge::cli::{Command, OutputFormat, options};
 
@@ -21,9 +21,13 @@
         "0.5",
     ];
     let Ok(Command::Router(router)) = parse(&arguments) else {
-        panic!("not understood");
+        panic!("the arguments were not parsed as expected");
     };
-    let flags: Vec<&str> = router.overrides.iter().map(|given| given.flag).collect();
+    let flags: Vec<&str> = router
+        .overrides
+        .iter()
+        .map(|flag_override| flag_override.flag)
+        .collect();
     assert_eq!(flags, ["zone", "lease-ms", "namespace-share"]);
     assert!(router.settings_file.is_some());
 }
@@ -47,7 +51,7 @@
         request, output, ..
     }) = parse(&arguments)
     else {
-        panic!("not understood");
+        panic!("the arguments were not parsed as expected");
     };
     assert_eq!(request.method, "GET");
     assert_eq!(
--- a/crates/router/tests/control_shell/main.rs
+++ b/crates/router/tests/control_shell/main.rs
@@ -1,4 +1,4 @@
-//! The control core's shell on loopback.
+//! Tests of the control shell over loopback connections.
 
 mod object_api;
 mod peers;
--- a/crates/router/tests/control_shell/object_api.rs
+++ b/crates/router/tests/control_shell/object_api.rs
@@ -1,5 +1,5 @@
-//! As much of an object API as one router needs: one group object, one back
-//! end that never changes, and watches that end at once.
+//! A minimal object API for one router: one group object, one back end that never
+//! changes, and watches that end immediately.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,14 +14,14 @@
 /// Version of every object and of the store.
 const VERSION: &str = "5";
 
-/// What was asked and written.
+/// Recorded requests and writes.
 #[derive(Debug, Default)]
 pub struct Store {
-    /// The group object, once it was created.
+    /// The group object, once it has been created.
     pub group: Option<Value>,
-    /// Bodies of writes of the back end's status that were accepted.
+    /// Statuses of the back end from accepted writes.
     pub statuses: Vec<Value>,
-    /// Writes of a status that are still to be refused as conflicts.
+    /// Number of further status writes to refuse as conflicts.
     pub conflicts: usize,
     /// `Authorization` of each request.
     pub authorizations: Vec<Option<String>>,
@@ -36,7 +36,7 @@
 }
 
 impl ObjectApi {
-    /// Serves `back_end`, which it gives a version, until `stop` is given.
+    /// Serves `back_end`, to which it adds a version, until `stop` is signalled.
     pub async fn start(mut back_end: Value, stop: StopSignal) -> ObjectApi {
         back_end["metadata"]["resourceVersion"] = json!(VERSION);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
--- a/crates/router/tests/control_shell/peers.rs
+++ b/crates/router/tests/control_shell/peers.rs
@@ -1,4 +1,4 @@
-//! What the peer address refuses, and how.
+//! Tests of requests that the peer address refuses.
 
 use threadledge::control_shell::PEER_PATH;
 use threadledge_types::Timing;
--- a/crates/router/tests/control_shell/platform.rs
+++ b/crates/router/tests/control_shell/platform.rs
@@ -1,4 +1,5 @@
-//! A shell against an object API: founding, intake, statuses, token.
+//! Tests of the control shell with an object API: founding the group, accepting
+//! objects, writing statuses and sending the token.
 
 use serde_json::{Value, json};
 use threadledge_net::StopSignal;
@@ -8,7 +9,7 @@
 use crate::object_api::ObjectApi;
 use crate::world::{Platform, World, eventually};
 
-/// Ends the object API with the test.
+/// Stops the object API when the test ends.
 struct Stop(StopSignal);
 
 impl Drop for Stop {
@@ -54,7 +55,7 @@
 }
 
 #[async_std::test]
-async fn group_is_founded_and_what_is_accepted_gets_its_status() {
+async fn group_is_founded_and_accepted_object_gets_its_status() {
     let (world, api, _stop) = start(0).await;
     eventually(|| !api.store.lock().statuses.is_empty()).await;
     let id = BackEndId::new("kasamahan", "gallery-1");
--- a/crates/router/tests/control_shell/safety.rs
+++ b/crates/router/tests/control_shell/safety.rs
@@ -1,4 +1,4 @@
-//! Routers with different safety settings exchange nothing.
+//! Tests that routers with different safety settings exchange no messages.
 
 use http_types::Url;
 use threadledge::control_shell::PEER_PATH;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn settings_that_are_not_stated_are_refused() {
+fn missing_settings_are_refused() {
     let own = SafetySettings::from_timing(&Timing::default());
     let refused = own.check(&url(PEER_PATH));
     assert_eq!(refused, Err(SafetyError::Missing("lease-ms")));
@@ -53,7 +53,7 @@
 }
 
 #[async_std::test]
-async fn batch_of_a_differing_router_is_refused_unread() {
+async fn batch_of_a_differing_router_is_refused() {
     let world = World::start(Timing::default()).await;
     let theirs = SafetySettings::from_timing(&shorter_lease());
     let batch = PeerBatch {
@@ -75,7 +75,7 @@
     assert_eq!(status, 200, "{text}");
 }
 
-/// Tells a router of another by the machine list, as in a deployment.
+/// Adds `other` to the machine list of `world`, as in a deployment.
 fn introduce(world: &World, other: &World) {
     let identity = other.shell.identity();
     world.shell.input(Input::Machines(MachineList {
@@ -95,7 +95,7 @@
 }
 
 #[async_std::test]
-async fn differing_routers_learn_it_and_nothing_else_of_each_other() {
+async fn differing_routers_learn_only_that_they_differ() {
     let old = World::start(Timing::default()).await;
     let new = World::start(shorter_lease()).await;
     introduce(&new, &old);
--- a/crates/router/tests/control_shell/views.rs
+++ b/crates/router/tests/control_shell/views.rs
@@ -1,4 +1,4 @@
-//! Status and explanations from a control core.
+//! Tests of status and explanations from a control core.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn status_counts_what_is_selected_and_what_has_no_owner() {
+fn status_counts_selected_back_ends_and_unowned_slices() {
     let (node, _) = leading_node();
     let services = status::services(&node);
     assert_eq!(services.len(), 1);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn what_reaches_no_slice_is_refused_with_its_reason() {
+fn request_that_reaches_no_slice_is_refused_with_the_reason() {
     let (node, _) = leading_node();
     let mut elsewhere = request("/browse", Some("m-1"));
     elsewhere.host = "elsewhere.example".to_owned();
--- a/crates/router/tests/control_shell/world.rs
+++ b/crates/router/tests/control_shell/world.rs
@@ -1,4 +1,5 @@
-//! A control shell with its peer server, and a core that leads alone.
+//! Test environment: a control shell with its peer server, and a core that is the
+//! only member and leader of its group.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,26 +25,26 @@
     Timestamp, Timing, ZoneName,
 };
 
-/// Longest wait for what a busy machine may do late.
-const PATIENCE: Duration = Duration::from_secs(30);
-const PAUSE: Duration = Duration::from_millis(5);
+/// Maximum wait. It is long because a busy machine may be slow.
+const TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 pub const HOST: &str = "gallery.example";
 
-/// A shell whose peer server listens.
+/// A control shell with a running peer server.
 pub struct World {
     pub shell: ControlShell,
     pub peer_address: SocketAddr,
     stop: StopSignal,
 }
 
-/// The platform of a world.
+/// The platform that a world uses.
 pub struct Platform {
     pub address: SocketAddr,
     pub transport: TransportSettings,
 }
 
 impl World {
-    /// A router whose platform refuses every connection.
+    /// Starts a router whose platform refuses every connection.
     pub async fn start(timing: Timing) -> World {
         let platform = Platform {
             address: "127.0.0.1:1".parse().expect("an address"),
@@ -78,10 +79,11 @@
         }
     }
 
-    /// Sends a request to the peer address; gives status and body.
+    /// Sends a request to the peer address. Returns the status and body of the
+    /// response.
     pub async fn send(&self, request: http::Request<Vec<u8>>) -> (u16, String) {
         let client = HttpClient::default();
-        let answer = client.send(self.peer_address, request, PATIENCE).await;
+        let answer = client.send(self.peer_address, request, TIMEOUT).await;
         let answer = answer.expect("an answer");
         let status = answer.status().as_u16();
         let body = String::from_utf8(answer.into_body()).expect("text");
@@ -95,28 +97,30 @@
     }
 }
 
-/// Waits until something holds.
-pub async fn eventually(holds: impl Fn() -> bool) {
+/// Waits until a condition holds.
+pub async fn eventually(condition: impl Fn() -> bool) {
     let awaited = async {
-        while !holds() {
-            task::sleep(PAUSE).await;
+        while !condition() {
+            task::sleep(POLL_INTERVAL).await;
         }
     };
-    timeout(PATIENCE, awaited).await.expect("it never held");
+    timeout(TIMEOUT, awaited)
+        .await
+        .expect("the condition did not hold in time");
 }
 
-/// Settings of a router that nobody calls.
+/// Returns the settings of a router without callers.
 fn settings(peer_address: SocketAddr, platform_address: SocketAddr, timing: Timing) -> Settings {
-    let nobody = "127.0.0.1:1".parse().expect("an address");
+    let unused = "127.0.0.1:1".parse().expect("an address");
     Settings {
         machine: MachineName("router-1".to_owned()),
         region: RegionName::from("luzon"),
         zone: ZoneName::from("luzon-a"),
-        caller_address: nobody,
+        caller_address: unused,
         peer_address,
-        operator_address: nobody,
+        operator_address: unused,
         platform_address,
-        machine_list_address: nobody,
+        machine_list_address: unused,
         platform_token_file: None,
         group_size: 3,
         timing,
@@ -137,8 +141,9 @@
     }
 }
 
-/// A core, in virtual time, that leads its group alone and has accepted one
-/// service and one back end. The back end has not answered yet.
+/// Returns a core in virtual time that is the only member and leader of its
+/// group and has accepted one service and one back end. The back end has not
+/// responded yet.
 pub fn leading_node() -> (ControlNode, Timestamp) {
     let mut now = Timestamp::from_millis(1_000);
     let address = "127.0.0.1:1".parse().expect("an address");
@@ -147,8 +152,8 @@
         ..Default::default()
     };
     let mut node = ControlNode::new(settings, identity(address), now);
-    let asks = |output: &Output| matches!(output, Output::ReadGroupObject);
-    while !node.step(now, Input::Tick).iter().any(asks) {
+    let reads_group = |output: &Output| matches!(output, Output::ReadGroupObject);
+    while !node.step(now, Input::Tick).iter().any(reads_group) {
         now = now + Duration::from_millis(20);
     }
     let outputs = node.step(now, Input::GroupObject(GroupObjectState::Absent));
--- a/crates/router/tests/events_catalogue.rs
+++ b/crates/router/tests/events_catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue in the docs and the one in the code are the same.
+//! Checks that docs/EVENTS.md and the catalogue in the code list the same events.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -41,13 +41,13 @@
     assert_eq!(names.len(), EventId::ALL.len());
 }
 
-/// All source files below a directory, except the catalogue.
-fn sources(directory: &Path, text: &mut String) {
+/// Appends all source files below a directory, except the catalogue, to `text`.
+fn append_sources(directory: &Path, text: &mut String) {
     let entries = std::fs::read_dir(directory).expect("a directory of the crate");
     for entry in entries {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            sources(&path, text);
+            append_sources(&path, text);
         } else if !path.ends_with("events/catalogue.rs") {
             text.push_str(&std::fs::read_to_string(&path).expect("a source file"));
         }
@@ -55,21 +55,21 @@
 }
 
 #[test]
-fn every_event_is_written_somewhere() {
+fn every_event_is_emitted_somewhere() {
     let mut text = String::new();
-    sources(
+    append_sources(
         &Path::new(env!("CARGO_MANIFEST_DIR")).join("src"),
         &mut text,
     );
     let words: BTreeSet<&str> = text
         .split(|letter: char| !letter.is_alphanumeric() && letter != ':')
         .collect();
-    let unwritten: Vec<&EventId> = EventId::ALL
+    let not_emitted: Vec<&EventId> = EventId::ALL
         .iter()
         .filter(|event| !words.contains(format!("EventId::{event:?}").as_str()))
         .collect();
     assert!(
-        unwritten.is_empty(),
-        "write them or take them out: {unwritten:?}"
+        not_emitted.is_empty(),
+        "emit or remove these events: {not_emitted:?}"
     );
 }
--- a/crates/router/tests/log_trace.rs
+++ b/crates/router/tests/log_trace.rs
@@ -1,9 +1,10 @@
-//! Tracing one request through the logs of gateways.
+//! Tests of tracing a request through the logs of gateways.
 
 use std::path::PathBuf;
 
 use threadledge::log_trace::{TraceError, trace};
 
+/// Log files in a temporary directory, removed afterwards.
 struct Logs(PathBuf);
 
 impl Logs {
@@ -43,27 +44,30 @@
 "#;
 
 #[test]
-fn request_is_told_with_owner_back_end_and_dependencies() {
+fn trace_includes_owner_back_end_and_dependencies() {
     let files = [("router-1.log", COORDINATOR), ("router-2.log", ROUTER)];
     let logs = Logs::new("told", &files);
     let names = ["router-2.log", "router-1.log"];
     let found = trace("wanted", &logs.paths(&names)).expect("found");
-    let told: Vec<String> = found
+    let lines: Vec<String> = found
         .lines
         .iter()
         .map(|(source, text)| format!("{source} {text}"))
         .collect();
-    assert_eq!(told.len(), 5, "{told:#?}");
-    assert!(told[0].starts_with("router-1") && told[0].contains("coordinator-elected"));
-    assert!(told[1].contains(r#"keys="0-99""#) && told[1].contains("b-1"));
-    assert!(told[2].starts_with("router-2") && told[2].contains("store-lost"));
-    assert!(told[3].contains("holder-lost"));
-    assert!(told[4].contains(r#"outcome="no-owner""#));
-    assert_eq!(found.skipped, 2, "a foreign line and one that was cut");
+    assert_eq!(lines.len(), 5, "{lines:#?}");
+    assert!(lines[0].starts_with("router-1") && lines[0].contains("coordinator-elected"));
+    assert!(lines[1].contains(r#"keys="0-99""#) && lines[1].contains("b-1"));
+    assert!(lines[2].starts_with("router-2") && lines[2].contains("store-lost"));
+    assert!(lines[3].contains("holder-lost"));
+    assert!(lines[4].contains(r#"outcome="no-owner""#));
+    assert_eq!(
+        found.skipped, 2,
+        "a line that is not an event and a truncated one"
+    );
 }
 
 #[test]
-fn gateway_is_named_by_what_stands_before_the_line() {
+fn gateway_name_is_the_word_before_the_json() {
     let line =
         r#"  6.01 front-a-2 {"timestamp":"t","event":510,"name":"request-ended","request":"r"}"#;
     let logs = Logs::new("prefixed", &[("all.log", line)]);
@@ -72,7 +76,7 @@
 }
 
 #[test]
-fn unknown_request_and_unreadable_file_say_what_to_do() {
+fn errors_for_unknown_request_and_unreadable_file_name_the_remedy() {
     let logs = Logs::new("unknown", &[("router-1.log", COORDINATOR)]);
     let missing = trace("nobody", &logs.paths(&["router-1.log"]));
     assert!(matches!(missing, Err(TraceError::NotFound { .. })));
@@ -84,10 +88,10 @@
     );
 }
 
-/// A caller whose key was taken away: the gateway that refused it shows when
-/// it learned of that, and other gateways show nothing.
+/// A caller's key was removed. The trace shows when the gateway that refused the
+/// caller learned of it, and nothing of other gateways.
 #[test]
-fn refused_key_is_told_with_what_became_of_keys_at_that_gateway() {
+fn trace_of_refused_key_includes_key_changes_of_that_gateway() {
     const GATEWAY: &str = r#"{"timestamp":"2026-01-01T00:00:01Z","event":520,"name":"tenant-keys-changed","version":4,"tenants":2,"taken":1,"added":0}
 {"timestamp":"2026-01-01T00:00:02Z","event":510,"name":"request-ended","request":"wanted","service":"","outcome":"unknown-api-key","status":401,"attempts":""}
 {"timestamp":"2026-01-01T00:00:03Z","event":521,"name":"tenant-keys-unsure","unconfirmed-ms":5001}
@@ -96,12 +100,15 @@
     let files = [("router-1.log", GATEWAY), ("router-2.log", other.as_str())];
     let logs = Logs::new("keys", &files);
     let found = trace("wanted", &logs.paths(&["router-1.log", "router-2.log"])).expect("found");
-    let told: Vec<&str> = found
+    let lines: Vec<&str> = found
         .lines
         .iter()
         .map(|(source, _)| source.as_str())
         .collect();
-    assert!(told.iter().all(|source| *source == "router-1"), "{told:?}");
+    assert!(
+        lines.iter().all(|source| *source == "router-1"),
+        "{lines:?}"
+    );
     let text = found.to_string();
     assert!(text.contains("tenant-keys-changed") && text.contains("unknown-api-key"));
 }
--- a/crates/router/tests/logging.rs
+++ b/crates/router/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines: events carry their number, in both forms.
+//! Tests that log lines carry event numbers in both formats.
 
 use std::io::Write;
 use std::sync::{Arc, Mutex};
@@ -7,7 +7,7 @@
 use threadledge::logging::subscriber;
 use threadledge::settings::{LogFormat, LogLevel, LogSettings};
 
-/// Keeps what is written.
+/// Collects the bytes written.
 #[derive(Clone, Default)]
 struct Buffer(Arc<Mutex<Vec<u8>>>);
 
@@ -25,6 +25,7 @@
     }
 }
 
+/// Returns the log output of `work`.
 fn logged(format: LogFormat, level: LogLevel, work: impl FnOnce()) -> String {
     let buffer = Buffer::default();
     let writer = buffer.clone();
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn level_drops_what_is_less_severe() {
+fn less_severe_events_are_dropped() {
     let text = logged(LogFormat::Human, LogLevel::Warn, || {
         emit!(EventId::Ready);
         emit!(EventId::NotReady, reason = "draining");
--- a/crates/router/tests/operations.rs
+++ b/crates/router/tests/operations.rs
@@ -1,4 +1,5 @@
-//! The operators' service over real sockets, its client and its texts.
+//! Tests of the operators' service over real sockets, its client and its text
+//! output.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,7 +24,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A router that serves one host.
+/// A fake router that serves one host.
 #[derive(Default)]
 struct FakeRouter {
     draining: AtomicBool,
@@ -141,22 +142,23 @@
     }
 }
 
-/// Runs `test` against a served router.
+/// Runs `test` against the operators' service of a fake router.
 fn with_service<F: Future<Output = ()>>(test: impl FnOnce(SocketAddr, Metrics) -> F) {
     task::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("bound");
         let metrics = Metrics::new(SystemTime::UNIX_EPOCH).expect("names are valid");
-        let operations = OperatorService::new(Arc::new(FakeRouter::default()), metrics.clone());
+        let service = OperatorService::new(Arc::new(FakeRouter::default()), metrics.clone());
         let stop = StopSignal::new();
-        let server = task::spawn(serve(listener, operations, stop.clone()));
+        let server = task::spawn(serve(listener, service, stop.clone()));
         test(address, metrics).await;
         stop.stop();
         server.await;
     });
 }
 
-async fn ask(address: SocketAddr, method: &str, path: &str) -> (u16, String) {
+/// Sends a request and returns the status and body of the response.
+async fn send(address: SocketAddr, method: &str, path: &str) -> (u16, String) {
     let request = http::Request::builder()
         .method(method)
         .uri(path)
@@ -186,27 +188,30 @@
 #[test]
 fn drain_makes_the_router_not_ready_and_says_why() {
     with_service(|address, _| async move {
-        assert_eq!(ask(address, "GET", "/healthz").await.0, 200);
-        assert_eq!(ask(address, "GET", "/readyz").await.0, 200);
+        assert_eq!(send(address, "GET", "/healthz").await.0, 200);
+        assert_eq!(send(address, "GET", "/readyz").await.0, 200);
         OperatorClient::new(address)
             .drain()
             .await
             .expect("accepted");
-        let (status, body) = ask(address, "GET", "/readyz").await;
+        let (status, body) = send(address, "GET", "/readyz").await;
         assert_eq!(status, 503);
         assert!(body.starts_with("draining: "), "{body}");
-        assert_eq!(ask(address, "GET", "/healthz").await.0, 200);
+        assert_eq!(send(address, "GET", "/healthz").await.0, 200);
     });
 }
 
 #[test]
-fn status_and_explanation_cross_the_wire_whole() {
+fn status_and_explanation_survive_the_round_trip() {
     with_service(|address, _| async move {
         let client = OperatorClient::new(address);
         let status = client.status().await.expect("a status");
         assert_eq!(status, FakeRouter::default().status());
-        let asked = request("gallery.example", &[("x-member", "ann&b=c d:e%20é")]);
-        let explained = client.explain(&asked).await.expect("an explanation");
+        let explain_request = request("gallery.example", &[("x-member", "ann&b=c d:e%20é")]);
+        let explained = client
+            .explain(&explain_request)
+            .await
+            .expect("an explanation");
         assert_eq!(explained, explanation("ann&b=c d:e%20é".to_owned()));
     });
 }
@@ -215,13 +220,13 @@
 fn refusals_carry_the_callers_status_and_the_remedy() {
     with_service(|address, _| async move {
         let client = OperatorClient::new(address);
-        for (asked, wanted) in [
+        for (explain_request, expected) in [
             (request("other.example", &[]), 404),
             (request("gallery.example", &[]), 400),
         ] {
-            match client.explain(&asked).await {
+            match client.explain(&explain_request).await {
                 Err(ClientError::Refused { status, message }) => {
-                    assert_eq!(status, wanted);
+                    assert_eq!(status, expected);
                     assert!(message.contains("add "), "{message}");
                 }
                 other => panic!("{other:?}"),
@@ -233,7 +238,7 @@
 #[test]
 fn malformed_operator_requests_are_refused() {
     with_service(|address, _| async move {
-        for (method, path, wanted) in [
+        for (method, path, expected) in [
             ("GET", "/nothing", 404),
             ("GET", "/v1/drain", 405),
             ("POST", "/v1/status", 405),
@@ -242,8 +247,8 @@
             ("GET", "/v1/explain?host=a&path=/&header=x", 400),
             ("GET", "/v1/explain?host=a&path=/&colour=x", 400),
         ] {
-            let (status, body) = ask(address, method, path).await;
-            assert_eq!(status, wanted, "{method} {path}");
+            let (status, body) = send(address, method, path).await;
+            assert_eq!(status, expected, "{method} {path}");
             assert!(body.contains("message"), "{body}");
         }
     });
@@ -261,7 +266,7 @@
             members: 3,
             confirmed_age: None,
         });
-        let (status, body) = ask(address, "GET", "/metrics").await;
+        let (status, body) = send(address, "GET", "/metrics").await;
         assert_eq!(status, 200);
         for line in [
             "threadledge_requests_total{outcome=\"answered\",reason=\"\",route=\"browse\",service=\"hearts/gallery\"} 1",
@@ -282,7 +287,7 @@
 }
 
 #[test]
-fn client_names_the_remedy_when_nobody_answers() {
+fn client_error_names_the_remedy_when_router_does_not_respond() {
     task::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("bound");
@@ -296,7 +301,7 @@
 }
 
 #[test]
-fn texts_show_what_operators_ask_for() {
+fn texts_contain_the_main_fields() {
     let text = status_text(&FakeRouter::default().status());
     for part in [
         "router-1",
--- a/crates/router/tests/platform_token.rs
+++ b/crates/router/tests/platform_token.rs
@@ -1,4 +1,4 @@
-//! The token file.
+//! Tests of loading a token file.
 
 use std::path::PathBuf;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn token_is_taken_without_the_white_space_around_it() {
+fn surrounding_white_space_is_removed() {
     let token = read("good", b" abc.DEF-123\n").expect("a token");
     assert_eq!(token, "abc.DEF-123");
 }
--- a/crates/router/tests/process.rs
+++ b/crates/router/tests/process.rs
@@ -1,4 +1,4 @@
-//! The program as a process: exit codes, readiness and planned stops.
+//! Tests of the program as a process: exit codes, readiness and planned stops.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::process::{Child, Command, ExitStatus, Output, Stdio};
@@ -10,9 +10,9 @@
 use threadledge_net::HttpClient;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_threadledge");
-/// Longest wait for what a busy machine may do late.
-const PATIENCE: Duration = Duration::from_secs(30);
-const PAUSE: Duration = Duration::from_millis(20);
+/// Maximum wait. It is long because a busy machine may be slow.
+const TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A running router, killed if the test ends before it does.
 struct Router {
@@ -21,9 +21,9 @@
 }
 
 impl Router {
-    /// Starts a router that reaches neither platform nor other routers.
+    /// Starts a router that can reach neither the platform nor other routers.
     fn start() -> Router {
-        let [caller, peer, operator, platform] = own_addresses();
+        let [caller, peer, operator, platform] = unique_addresses();
         let process = Command::new(PROGRAM)
             .arg("router")
             .args(["--machine", "router-1"])
@@ -53,15 +53,16 @@
             .body(Vec::new())
             .expect("a valid request");
         let client = HttpClient::default();
-        let answer = client.send(self.operator, request, PATIENCE);
+        let answer = client.send(self.operator, request, TIMEOUT);
         let response = task::block_on(answer).expect("an answer");
         let status = response.status().as_u16();
         let body = String::from_utf8(response.into_body()).expect("text");
         (status, body)
     }
 
-    /// Waits for the end and returns the numbers of the events logged.
-    fn finish(mut self) -> (ExitStatus, Vec<u64>) {
+    /// Waits for the process to exit. Returns its status and the numbers of the
+    /// events that it logged.
+    fn wait_for_exit(mut self) -> (ExitStatus, Vec<u64>) {
         let status = eventually(|| self.process.try_wait().expect("waited for"));
         let mut log = String::new();
         if let Some(mut stderr) = self.process.stderr.take() {
@@ -84,25 +85,26 @@
     }
 }
 
+/// Repeats `attempt` until it returns a value.
 fn eventually<T>(mut attempt: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
         if let Some(value) = attempt() {
             return value;
         }
-        assert!(start.elapsed() < PATIENCE, "nothing for {PATIENCE:?}");
-        std::thread::sleep(PAUSE);
+        assert!(start.elapsed() < TIMEOUT, "nothing for {TIMEOUT:?}");
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Addresses on a loopback address that no other process of this run listens
-/// on, so that the ports are free.
-fn own_addresses() -> [SocketAddr; 4] {
+/// Returns addresses with a loopback IP address that no other process of this
+/// test run uses, so that the ports are free.
+fn unique_addresses() -> [SocketAddr; 4] {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    let own = Ipv4Addr::new(127, 64 | (high & 63), low, number);
-    [8_081, 8_082, 8_083, 8_084].map(|port| SocketAddr::from((own, port)))
+    let ip = Ipv4Addr::new(127, 64 | (high & 63), low, number);
+    [8_081, 8_082, 8_083, 8_084].map(|port| SocketAddr::from((ip, port)))
 }
 
 fn run(arguments: &[&str]) -> Output {
@@ -129,10 +131,10 @@
     let pid = router.process.id().to_string();
     let sent = Command::new("kill").args(["-TERM", &pid]).status();
     assert!(sent.expect("kill runs").success());
-    let (status, events) = router.finish();
+    let (status, events) = router.wait_for_exit();
     assert_eq!(status.code(), Some(0));
-    for wanted in [101, 102, 103] {
-        assert!(events.contains(&wanted), "{wanted} not in {events:?}");
+    for expected in [101, 102, 103] {
+        assert!(events.contains(&expected), "{expected} not in {events:?}");
     }
 }
 
@@ -141,10 +143,10 @@
     let router = Router::start();
     let output = run(&["drain", "--operator", &router.operator.to_string()]);
     assert!(output.status.success());
-    let (status, events) = router.finish();
+    let (status, events) = router.wait_for_exit();
     assert_eq!(status.code(), Some(0));
-    let asked = events.iter().filter(|event| **event == 102).count();
-    assert_eq!(asked, 1, "{events:?}");
+    let stop_requests = events.iter().filter(|event| **event == 102).count();
+    assert_eq!(stop_requests, 1, "{events:?}");
 }
 
 #[test]
@@ -158,7 +160,7 @@
 }
 
 #[test]
-fn refused_settings_and_arguments_have_their_own_exit_code() {
+fn failures_and_invalid_arguments_have_different_exit_codes() {
     assert_eq!(
         run(&["router", "--machine", "router-1"]).status.code(),
         Some(2)
--- a/crates/router/tests/proxy/back_end.rs
+++ b/crates/router/tests/proxy/back_end.rs
@@ -1,4 +1,4 @@
-//! A back end that notes what it runs and misbehaves as it is told.
+//! A scripted back end that records the requests it runs.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -9,33 +9,35 @@
 use futures::{AsyncReadExt, AsyncWriteExt};
 use parking_lot::Mutex;
 
-/// What the back end does with one request.
+/// Behavior of the back end for one request.
 #[derive(Clone, Debug)]
 pub enum Behavior {
-    /// Runs it and answers.
+    /// Runs the request and answers.
     Answer,
-    /// Closes without running it.
-    CloseBefore,
-    /// Runs it and closes without an answer.
-    CloseAfter,
-    /// Runs it, sends this many bytes of the answer and closes.
-    Cut(usize),
-    /// Runs it and answers twice.
-    Twice,
-    /// Runs it and sends these bytes.
-    Bytes(Vec<u8>),
-    /// Refuses it without running it.
+    /// Closes the connection without running the request.
+    CloseBeforeRun,
+    /// Runs the request and closes the connection without an answer.
+    CloseAfterRun,
+    /// Runs the request, sends this many bytes of the answer and closes the
+    /// connection.
+    Truncate(usize),
+    /// Runs the request and answers twice.
+    AnswerTwice,
+    /// Runs the request and sends these bytes.
+    SendBytes(Vec<u8>),
+    /// Refuses the request without running it.
     Refuse(&'static str),
-    /// Closes after the head, without reading the body: a reset for whoever
-    /// is still sending.
+    /// Closes the connection after the head, without reading the body, which
+    /// resets it for a proxy that is still sending.
     ResetAfterHead,
-    /// Refuses after the head, without reading the body, and closes.
+    /// Refuses the request after the head, without reading the body, and closes
+    /// the connection.
     RefuseAfterHead,
-    /// Runs it and answers only when the connection's other end is gone.
-    Never,
+    /// Runs the request and sends nothing until the proxy closes the connection.
+    Hang,
 }
 
-/// One request that was run.
+/// A request that was run.
 #[derive(Clone, Debug)]
 pub struct Run {
     pub target: String,
@@ -54,10 +56,10 @@
 pub struct BackEnd {
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
-    /// Gets a message whenever a connection ends.
-    pub gone: Receiver<()>,
-    /// Gets a message whenever a request has been read.
-    pub reached: Receiver<()>,
+    /// Receives a message whenever a connection ends.
+    pub closed: Receiver<()>,
+    /// Receives a message whenever a request has been read.
+    pub received: Receiver<()>,
 }
 
 impl BackEnd {
@@ -65,8 +67,8 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let state = Arc::new(Mutex::new(State::default()));
-        let (gone_sender, gone) = channel::unbounded();
-        let (reached_sender, reached) = channel::unbounded();
+        let (closed_sender, closed) = channel::unbounded();
+        let (received_sender, received) = channel::unbounded();
         let shared = state.clone();
         async_std::task::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -75,25 +77,25 @@
                     stream,
                     unread: Vec::new(),
                     state: shared.clone(),
-                    reached: reached_sender.clone(),
+                    received: received_sender.clone(),
                 };
-                let gone = gone_sender.clone();
+                let closed = closed_sender.clone();
                 async_std::task::spawn(async move {
                     connection.serve().await;
-                    let _ = gone.send(()).await;
+                    let _ = closed.send(()).await;
                 });
             }
         });
         BackEnd {
             address,
             state,
-            gone,
-            reached,
+            closed,
+            received,
         }
     }
 
-    /// Does this with the next request, after what was told before.
-    pub fn next(&self, behavior: Behavior) {
+    /// Adds a behavior to the script, which is used for one request each.
+    pub fn enqueue(&self, behavior: Behavior) {
         self.state.lock().script.push_back(behavior);
     }
 
@@ -111,7 +113,7 @@
     }
 }
 
-/// The answer to a request: it names the request that it answers.
+/// Returns the answer to a request, which contains the request's target.
 pub fn answer_to(target: &str) -> Vec<u8> {
     let body = format!("answer to {target}");
     format!(
@@ -125,7 +127,7 @@
     stream: TcpStream,
     unread: Vec<u8>,
     state: Arc<Mutex<State>>,
-    reached: Sender<()>,
+    received: Sender<()>,
 }
 
 impl Connection {
@@ -133,25 +135,25 @@
         while let Some(run) = self.read_request().await {
             let behavior = self.state.lock().script.pop_front();
             let behavior = behavior.unwrap_or(Behavior::Answer);
-            if !matches!(behavior, Behavior::CloseBefore | Behavior::Refuse(_)) {
+            if !matches!(behavior, Behavior::CloseBeforeRun | Behavior::Refuse(_)) {
                 self.state.lock().runs.push(run.clone());
             }
-            let _ = self.reached.send(()).await;
+            let _ = self.received.send(()).await;
             let answer = answer_to(&run.target);
             let sent = match behavior {
                 Behavior::Answer => self.send(&answer).await,
-                Behavior::CloseBefore
-                | Behavior::CloseAfter
+                Behavior::CloseBeforeRun
+                | Behavior::CloseAfterRun
                 | Behavior::ResetAfterHead
                 | Behavior::RefuseAfterHead => None,
-                Behavior::Cut(length) => {
+                Behavior::Truncate(length) => {
                     self.send(&answer[..length.min(answer.len())]).await;
                     None
                 }
-                Behavior::Twice => self.send(&[&answer[..], &answer[..]].concat()).await,
-                Behavior::Bytes(bytes) => self.send(&bytes).await,
+                Behavior::AnswerTwice => self.send(&[&answer[..], &answer[..]].concat()).await,
+                Behavior::SendBytes(bytes) => self.send(&bytes).await,
                 Behavior::Refuse(refusal) => self.send(refusal_of(refusal).as_bytes()).await,
-                Behavior::Never => {
+                Behavior::Hang => {
                     let _ = self.stream.read(&mut [0; 1]).await;
                     None
                 }
--- a/crates/router/tests/proxy/caller.rs
+++ b/crates/router/tests/proxy/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that sees answers as they stand on the wire.
+//! A test client that reads responses without interpreting them.
 
 use std::net::SocketAddr;
 
@@ -8,19 +8,20 @@
 use crate::back_end::header;
 use crate::world::within;
 
+/// A connection to the proxy.
 pub struct Caller {
     pub stream: TcpStream,
     unread: Vec<u8>,
 }
 
-/// What a caller got.
+/// A response as received by the caller.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
     pub head: String,
     pub body: String,
-    /// The body came as long as announced.
-    pub whole: bool,
+    /// True if the body has the announced length.
+    pub complete: bool,
 }
 
 impl Answer {
@@ -58,46 +59,47 @@
 
     pub async fn get(&mut self, target: &str) -> Answer {
         self.send("GET", target, "", b"").await;
-        self.answer().await
+        self.read_answer().await
     }
 
     pub async fn post(&mut self, target: &str, body: &[u8]) -> Answer {
         self.send("POST", target, "", body).await;
-        self.answer().await
+        self.read_answer().await
     }
 
-    pub async fn answer(&mut self) -> Answer {
+    /// Reads one response.
+    pub async fn read_answer(&mut self) -> Answer {
         let end = loop {
             let found = self.unread.windows(4).position(|part| part == b"\r\n\r\n");
             match found {
                 Some(position) => break position + 4,
-                None => assert!(self.fill().await, "no answer"),
+                None => assert!(self.fill().await, "no response"),
             }
         };
         let head: Vec<u8> = self.unread.drain(..end).collect();
         let head = String::from_utf8(head).unwrap();
         let length = header(&head, "content-length").map(|length| length.parse().unwrap());
-        let length: usize = length.expect("the router tells the length");
+        let length: usize = length.expect("a response with a content-length");
         while self.unread.len() < length && self.fill().await {}
-        let whole = self.unread.len() >= length;
+        let complete = self.unread.len() >= length;
         let body = self.unread.drain(..length.min(self.unread.len())).collect();
         Answer {
             status: head[9..12].parse().unwrap(),
             head,
             body: String::from_utf8(body).unwrap(),
-            whole,
+            complete,
         }
     }
 
-    /// Sends bytes as they are.
-    pub async fn stream_request(&mut self, bytes: &str) {
+    /// Sends a request as raw bytes.
+    pub async fn send_raw(&mut self, bytes: &str) {
         within(self.stream.write_all(bytes.as_bytes()))
             .await
             .unwrap();
     }
 
-    /// Reads heads of answers without bodies.
-    pub async fn heads(&mut self, count: usize) -> Vec<String> {
+    /// Reads the heads of responses that have no body.
+    pub async fn read_heads(&mut self, count: usize) -> Vec<String> {
         let mut heads = Vec::new();
         while heads.len() < count {
             let found = self.unread.windows(4).position(|part| part == b"\r\n\r\n");
@@ -105,7 +107,7 @@
                 let head = self.unread.drain(..position + 4).collect();
                 heads.push(String::from_utf8(head).unwrap());
             } else {
-                assert!(self.fill().await, "no answer");
+                assert!(self.fill().await, "no response");
             }
         }
         heads
--- a/crates/router/tests/proxy/faults.rs
+++ b/crates/router/tests/proxy/faults.rs
@@ -1,5 +1,6 @@
-//! Back ends that fail: never a wrong "not run", never a second run of a
-//! request that may not be repeated, never another caller's answer.
+//! Tests with failing back ends. They guard against a wrong outcome `not-run`, a
+//! second run of a request that may not be repeated, and an answer to another
+//! caller's request.
 
 use futures::AsyncWriteExt;
 
@@ -12,22 +13,22 @@
 fn faults(target: &str) -> Vec<Behavior> {
     let whole = answer_to(target).len();
     let mut faults = vec![
-        Behavior::CloseBefore,
-        Behavior::CloseAfter,
-        Behavior::Twice,
-        Behavior::Bytes(b"nonsense\r\n\r\n".to_vec()),
-        Behavior::Bytes(b"HTTP/1.1 200 OK\r\n\r\nends with the connection".to_vec()),
-        Behavior::Bytes(
+        Behavior::CloseBeforeRun,
+        Behavior::CloseAfterRun,
+        Behavior::AnswerTwice,
+        Behavior::SendBytes(b"nonsense\r\n\r\n".to_vec()),
+        Behavior::SendBytes(b"HTTP/1.1 200 OK\r\n\r\nends with the connection".to_vec()),
+        Behavior::SendBytes(
             b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\nab".to_vec(),
         ),
-        Behavior::Bytes(
+        Behavior::SendBytes(
             b"HTTP/1.1 200 OK\r\nthreadledge-request-id: 0\r\ncontent-length: 2\r\n\r\nno".to_vec(),
         ),
         Behavior::Refuse("wrong-owner"),
         Behavior::Refuse("lease-lapsed"),
         Behavior::Refuse("overloaded"),
     ];
-    faults.extend((0..=whole).map(Behavior::Cut));
+    faults.extend((0..=whole).map(Behavior::Truncate));
     faults
 }
 
@@ -36,11 +37,11 @@
     let world = World::start().await;
     for (number, fault) in faults("/post/00?key=k").into_iter().enumerate() {
         let target = format!("/post/{number:02}?key=k");
-        world.back_end.next(fault.clone());
+        world.back_end.enqueue(fault.clone());
         let answer = world.caller().await.post(&target, b"body").await;
         world.check(&answer, &target, false);
         if matches!(fault, Behavior::Refuse(_)) {
-            // Not run there, so that it was sent again.
+            // The refused attempt did not run, so the request was sent again.
             assert_eq!(answer.outcome(), "answered", "{fault:?}");
         }
         let after = format!("/after/{number}?key=k");
@@ -55,11 +56,11 @@
     let world = World::start().await;
     for (number, fault) in faults("/get/000?key=k").into_iter().enumerate() {
         let target = format!("/get/{number:03}?key=k");
-        world.back_end.next(fault.clone());
+        world.back_end.enqueue(fault.clone());
         let answer = world.caller().await.get(&target).await;
         world.check(&answer, &target, true);
         assert_eq!(answer.outcome(), "answered", "{fault:?}");
-        // Tops the retry budget up.
+        // Replenishes the retry budget.
         for more in 0..20 {
             let target = format!("/more/{number}/{more}?key=k");
             let answer = world.caller().await.get(&target).await;
@@ -71,26 +72,26 @@
 #[async_std::test]
 async fn an_answer_after_the_deadline_reaches_nobody() {
     let world = World::start().await;
-    world.back_end.next(Behavior::Never);
+    world.back_end.enqueue(Behavior::Hang);
     let late = world.caller().await.post("/short/late?key=k", b"").await;
     assert_eq!((late.status, late.reason()), (504, "deadline-passed"));
     world.check(&late, "/short/late?key=k", false);
     // The connection of the abandoned exchange was closed, not reused.
-    within(world.back_end.gone.recv()).await.unwrap();
+    within(world.back_end.closed.recv()).await.unwrap();
     let next = world.caller().await.get("/next?key=k").await;
     world.check(&next, "/next?key=k", true);
     assert_eq!(next.outcome(), "answered");
 }
 
 #[async_std::test]
-async fn a_back_end_that_nobody_reaches_is_not_run() {
+async fn a_request_to_an_unreachable_back_end_is_not_run() {
     let world = World::start().await;
     let listener = async_std::net::TcpListener::bind("127.0.0.1:0")
         .await
         .unwrap();
-    let nobody = listener.local_addr().unwrap();
+    let unreachable = listener.local_addr().unwrap();
     drop(listener);
-    let mut records = crate::world::records(nobody);
+    let mut records = crate::world::records(unreachable);
     records.to.index += 1;
     world.handle.apply(&records).unwrap();
     let answer = world.caller().await.post("/short/p?key=k", b"").await;
@@ -101,8 +102,8 @@
 #[async_std::test]
 async fn a_refused_request_is_sent_again_with_its_whole_body() {
     let world = World::start().await;
-    world.back_end.next(Behavior::Refuse("overloaded"));
-    world.back_end.next(Behavior::Refuse("wrong-owner"));
+    world.back_end.enqueue(Behavior::Refuse("overloaded"));
+    world.back_end.enqueue(Behavior::Refuse("wrong-owner"));
     let answer = world.caller().await.post("/p?key=k", b"whole body").await;
     assert_eq!(answer.outcome(), "answered");
     let runs = world.back_end.runs();
@@ -113,7 +114,7 @@
 #[async_std::test]
 async fn a_large_request_that_was_refused_is_not_sent_again() {
     let world = World::start().await;
-    world.back_end.next(Behavior::Refuse("overloaded"));
+    world.back_end.enqueue(Behavior::Refuse("overloaded"));
     let body = vec![b'x'; 200_000];
     let answer = world.caller().await.post("/p?key=k", &body).await;
     assert_eq!(
@@ -124,18 +125,18 @@
 }
 
 #[async_std::test]
-async fn without_memory_left_bodies_stream_and_the_promises_hold() {
+async fn without_memory_budget_bodies_are_streamed_with_correct_outcomes() {
     let mut settings = ProxySettings::with_seed(7);
     settings.max_buffered_total = 0;
     let world = World::start_with(BackEnd::start().await, settings).await;
-    world.back_end.next(Behavior::Refuse("overloaded"));
+    world.back_end.enqueue(Behavior::Refuse("overloaded"));
     let answer = world.caller().await.post("/refused?key=k", b"body").await;
     world.check(&answer, "/refused?key=k", false);
-    // What came once cannot be sent again.
+    // A streamed body cannot be sent again.
     assert_eq!(answer.outcome(), "not-run");
     world
         .back_end
-        .next(Behavior::Cut(answer_to("/cut?key=k").len() - 1));
+        .enqueue(Behavior::Truncate(answer_to("/cut?key=k").len() - 1));
     let answer = world.caller().await.post("/cut?key=k", b"body").await;
     world.check(&answer, "/cut?key=k", false);
     assert_eq!(answer.outcome(), "unknown");
@@ -155,7 +156,7 @@
     for (number, (size, fault)) in cases.enumerate() {
         let target = format!("/stops/{number}?key=k");
         let resets = matches!(fault, Behavior::ResetAfterHead);
-        world.back_end.next(fault);
+        world.back_end.enqueue(fault);
         let body = vec![b'x'; size];
         let answer = world.caller().await.post(&target, &body).await;
         world.check(&answer, &target, false);
@@ -169,30 +170,30 @@
 }
 
 #[async_std::test]
-async fn a_large_answer_cut_short_is_cut_short_for_the_caller_too() {
+async fn a_truncated_large_answer_is_truncated_for_the_caller_too() {
     let world = World::start().await;
     let head = "HTTP/1.1 200 OK\r\ncontent-length: 500000\r\n\r\n";
     let cut = [head.as_bytes(), &vec![b'x'; 300_000]].concat();
-    world.back_end.next(Behavior::Bytes(cut));
-    // The next request on that connection is never sent: it closes.
-    world.back_end.next(Behavior::CloseBefore);
+    world.back_end.enqueue(Behavior::SendBytes(cut));
+    // No further request is sent on that connection, so it is closed.
+    world.back_end.enqueue(Behavior::CloseBeforeRun);
     let mut caller = world.caller().await;
     caller.send("POST", "/short/p?key=k", "", b"").await;
-    let answer = caller.answer().await;
-    assert!(!answer.whole);
+    let answer = caller.read_answer().await;
+    assert!(!answer.complete);
     assert_eq!(world.handle.counters().answered, 0);
 }
 
 #[async_std::test]
-async fn a_caller_that_hangs_up_closes_the_connection_to_the_back_end() {
+async fn a_caller_that_disconnects_closes_the_connection_to_the_back_end() {
     let world = World::start().await;
-    world.back_end.next(Behavior::Never);
+    world.back_end.enqueue(Behavior::Hang);
     let mut caller = world.caller().await;
     caller.send("POST", "/p?key=k", "", b"").await;
-    within(world.back_end.reached.recv()).await.unwrap();
+    within(world.back_end.received.recv()).await.unwrap();
     caller.stream.close().await.unwrap();
     drop(caller);
-    within(world.back_end.gone.recv()).await.unwrap();
+    within(world.back_end.closed.recv()).await.unwrap();
     let next = world.caller().await.get("/next?key=k").await;
     world.check(&next, "/next?key=k", true);
     assert_eq!(world.handle.counters().caller_gone, 1);
@@ -203,11 +204,11 @@
     let world = World::start().await;
     let faults = faults("/many/000?key=k");
     for round in 0..200 {
-        // Spread over all faults by a step that shares no factor with them.
+        // A step that is coprime with the number of faults covers all of them.
         world
             .back_end
-            .next(faults[round * 7 % faults.len()].clone());
-        world.back_end.next(Behavior::Answer);
+            .enqueue(faults[round * 7 % faults.len()].clone());
+        world.back_end.enqueue(Behavior::Answer);
     }
     let callers = (0..16).map(|number| {
         let world = &world;
@@ -229,21 +230,20 @@
     assert_eq!(world.handle.counters().ended(), 320);
 }
 
-/// Answers begin to stream and do not end: nothing of them outlives the
-/// deadline.
+/// Checks that a streamed answer that does not end is ended at its deadline.
 async fn check_streaming_answer_that_ends_at_the_deadline(sent: usize, reads: bool) {
     let world = World::start().await;
     let head = "HTTP/1.1 200 OK\r\ncontent-length: 64000000\r\n\r\n";
-    let begun = [head.as_bytes(), &vec![b'x'; sent]].concat();
-    world.back_end.next(Behavior::Bytes(begun));
+    let start = [head.as_bytes(), &vec![b'x'; sent]].concat();
+    world.back_end.enqueue(Behavior::SendBytes(start));
     let mut caller = world.caller().await;
     caller.send("POST", "/short/p?key=k", "", b"").await;
     if reads {
-        let answer = caller.answer().await;
-        assert!(!answer.whole);
+        let answer = caller.read_answer().await;
+        assert!(!answer.complete);
     }
-    // The connection of the answer that was given up is closed.
-    within(world.back_end.gone.recv()).await.unwrap();
+    // The connection of the abandoned answer is closed.
+    within(world.back_end.closed.recv()).await.unwrap();
     let counters = world.handle.counters();
     assert_eq!(counters.unknown(UnknownReason::DeadlinePassed), 1);
     assert_eq!(counters.ended(), 1);
--- a/crates/router/tests/proxy/main.rs
+++ b/crates/router/tests/proxy/main.rs
@@ -1,9 +1,10 @@
-//! The data path between callers and back ends that fail in every way.
+//! Tests of the proxy between callers and back ends, including failures of the
+//! back end.
 
 mod back_end;
 mod caller;
 mod faults;
+mod forwarding;
 mod metrics;
-mod passing_on;
-mod stopping;
+mod planned_stop;
 mod world;
--- a/crates/router/tests/proxy/metrics.rs
+++ b/crates/router/tests/proxy/metrics.rs
@@ -1,4 +1,4 @@
-//! What the data path tells about itself.
+//! Test of the proxy's metrics.
 
 use std::time::SystemTime;
 
@@ -9,12 +9,12 @@
 use crate::world::World;
 
 #[async_std::test]
-async fn decisions_and_load_stand_among_the_metrics() {
+async fn metrics_include_decisions_and_load() {
     let world = World::start().await;
     let metrics = Metrics::new(SystemTime::UNIX_EPOCH).unwrap();
     let proxy = ProxyMetrics::new(world.handle.clone()).unwrap();
     metrics.register(proxy).unwrap();
-    world.back_end.next(Behavior::Refuse("overloaded"));
+    world.back_end.enqueue(Behavior::Refuse("overloaded"));
     let answer = world.caller().await.get("/p?key=k").await;
     assert_eq!(answer.outcome(), "answered");
     let text = metrics.encode().unwrap();
--- a/crates/router/tests/proxy/planned_stop.rs
+++ b/crates/router/tests/proxy/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts nothing off.
+//! A planned stop cuts off no request in flight.
 
 use crate::back_end::Behavior;
 use crate::world::{World, within};
@@ -6,15 +6,16 @@
 #[async_std::test]
 async fn requests_in_flight_are_answered_during_a_planned_stop() {
     let world = World::start().await;
-    // Refused at first, so that it is still on its way when the stop comes.
+    // The first attempts are refused, so that the request is still in flight
+    // when the stop begins.
     for _ in 0..3 {
-        world.back_end.next(Behavior::Refuse("overloaded"));
+        world.back_end.enqueue(Behavior::Refuse("overloaded"));
     }
     let mut caller = world.caller().await;
     caller.send("POST", "/p?key=k", "", b"body").await;
-    within(world.back_end.reached.recv()).await.unwrap();
+    within(world.back_end.received.recv()).await.unwrap();
     world.stop.stop();
-    let answer = caller.answer().await;
+    let answer = caller.read_answer().await;
     world.check(&answer, "/p?key=k", false);
     assert_eq!(answer.outcome(), "answered");
     assert_eq!(answer.header("connection"), Some("close"));
--- a/crates/router/tests/proxy/world.rs
+++ b/crates/router/tests/proxy/world.rs
@@ -1,4 +1,4 @@
-//! A data path in front of one back end.
+//! Test environment: a proxy in front of one back end.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -24,22 +24,23 @@
 use crate::back_end::BackEnd;
 use crate::caller::{Answer, Caller};
 
-/// Safety net only: no test depends on how long anything takes.
-const SAFETY: Duration = Duration::from_secs(30);
+/// Timeout that ends a hanging test; no test depends on durations.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Deadline of the route `/short`, in milliseconds.
 const SHORT_DEADLINE_MS: u64 = 300;
-/// Deadline of the route `/many`, in milliseconds: a request whose retries
-/// are put off for want of budget waits that long.
+/// Deadline of the route `/many`, in milliseconds. A request whose retries are
+/// delayed because the retry budget is exhausted waits that long.
 const MANY_DEADLINE_MS: u64 = 1_000;
 
+/// Awaits `future` with the test timeout.
 pub async fn within<F: Future>(future: F) -> F::Output {
-    timer::timeout(SAFETY, future)
+    timer::timeout(TEST_TIMEOUT, future)
         .await
-        .expect("the safety timeout passed")
+        .expect("the test timed out")
 }
 
-/// A data path in front of one back end that owns every key.
+/// A proxy in front of one back end that owns every key.
 pub struct World {
     pub address: SocketAddr,
     pub back_end: BackEnd,
@@ -81,7 +82,8 @@
         Caller::connect(self.address).await
     }
 
-    /// Checks the promises of one answer against what the back end ran.
+    /// Checks the outcome of a response against the number of times that the back
+    /// end ran the request.
     #[track_caller]
     pub fn check(&self, answer: &Answer, target: &str, repeatable: bool) {
         let runs = self.back_end.runs_of(target);
@@ -112,7 +114,7 @@
     }
 }
 
-/// Records of one service whose only back end owns every key.
+/// Returns the records of one service whose only back end owns every key.
 pub fn records(address: SocketAddr) -> RecordDelta {
     let service = ServiceId::new("a", "s");
     let session = SessionId {
--- a/crates/router/tests/request_log.rs
+++ b/crates/router/tests/request_log.rs
@@ -1,4 +1,4 @@
-//! Lines of the log about requests.
+//! Tests of the aggregated log lines about requests.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn outcomes_are_added_up_by_service_and_reason() {
+fn outcomes_are_counted_by_service_and_reason() {
     let service = Arc::new(ServiceId::new("kasamahan", "gallery"));
     let lost = Outcome::Unknown(UnknownReason::ConnectionLost);
     let mut tally = RequestTally::default();
@@ -24,18 +24,18 @@
     }
     tally.count(None, Outcome::NotRun(NotRunReason::NoRoute));
     let lines = tally.take_lines();
-    let wanted = [
+    let expected = [
         (EventId::RequestsRefused, 1),
         (EventId::RequestsUnknown, 1_000),
     ];
-    assert_eq!(events(&lines), wanted);
+    assert_eq!(events(&lines), expected);
     assert_eq!(lines[1].service, Some(service));
     assert_eq!(lines[1].reason, "connection-lost");
     assert_eq!(tally.take_lines(), []);
 }
 
 #[test]
-fn overload_has_one_line_until_it_has_passed() {
+fn overload_is_logged_once_until_it_has_passed() {
     let mut tally = RequestTally::default();
     let mut overloads = Vec::new();
     for refused in [2, 1, 0, 1] {
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings: file, flags, refusals and the reference in the docs.
+//! Tests of settings from file and flags, their validation, and the reference in
+//! the docs.
 
 use std::path::{Path, PathBuf};
 
@@ -18,7 +19,7 @@
 machine-list-address = "127.0.0.1:9000"
 "#;
 
-/// A file of its own for each test, removed afterwards.
+/// A temporary settings file for one test, removed afterwards.
 struct File(PathBuf);
 
 impl File {
@@ -47,7 +48,8 @@
     }
 }
 
-fn refused(name: &str, extra: &str) -> Vec<SettingsProblem> {
+/// Returns the problems of a file with `extra` after the required keys.
+fn problems_with(name: &str, extra: &str) -> Vec<SettingsProblem> {
     let file = File::new(name, &format!("{COMPLETE}{extra}"));
     let error = file.load(&[]).expect_err("refused");
     error
@@ -58,8 +60,10 @@
 }
 
 #[test]
-fn complete_file_is_taken_with_defaults() {
-    let settings = File::new("complete", COMPLETE).load(&[]).expect("taken");
+fn complete_file_is_loaded_with_defaults() {
+    let settings = File::new("complete", COMPLETE)
+        .load(&[])
+        .expect("valid settings");
     assert_eq!(settings.group_size, 3);
     assert_eq!(settings.timing.lease_ms, 2_000);
     assert_eq!(settings.limits.namespace_share, 0.6);
@@ -67,9 +71,13 @@
 
 #[test]
 fn settings_survive_a_round_trip() {
-    let settings = File::new("round", COMPLETE).load(&[]).expect("taken");
+    let settings = File::new("round", COMPLETE)
+        .load(&[])
+        .expect("valid settings");
     let text = settings.to_toml().expect("TOML");
-    let again = File::new("round-again", &text).load(&[]).expect("taken");
+    let again = File::new("round-again", &text)
+        .load(&[])
+        .expect("valid settings");
     assert_eq!(settings, again);
 }
 
@@ -82,7 +90,7 @@
         ("log-format", "json"),
         ("namespace-share", "1"),
     ];
-    let settings = file.load(&flags).expect("taken");
+    let settings = file.load(&flags).expect("valid settings");
     assert_eq!(settings.zone.0, "luzon-b");
     assert_eq!(settings.timing.lease_ms, 3_000);
     assert_eq!(settings.log.format, LogFormat::Json);
@@ -137,8 +145,8 @@
 }
 
 #[test]
-fn unknown_key_names_the_one_that_was_meant() {
-    let problems = refused("meant", "[limits]\nlease_ms = 2000\n");
+fn unknown_key_suggests_the_intended_key() {
+    let problems = problems_with("meant", "[limits]\nlease_ms = 2000\n");
     assert_eq!(
         problems,
         [SettingsProblem::UnknownKey {
@@ -149,7 +157,7 @@
 }
 
 #[test]
-fn broken_syntax_is_placed() {
+fn syntax_error_has_a_location() {
     let file = File::new("syntax", "machine = \nregion = \"a\"\n");
     let error = file.load(&[]).expect_err("refused");
     assert_eq!(error.problems.len(), 1);
@@ -157,7 +165,7 @@
 }
 
 #[test]
-fn missing_file_is_refused_once() {
+fn missing_file_is_reported_once() {
     let error = load(Some(Path::new("/nowhere/settings.toml")), &[]).expect_err("refused");
     assert!(matches!(
         error.problems.as_slice(),
@@ -208,14 +216,14 @@
         ),
     ];
     for (name, extra, key) in cases {
-        let problems = refused(name, extra);
+        let problems = problems_with(name, extra);
         let keys: Vec<_> = problems.iter().filter_map(SettingsProblem::key).collect();
         assert_eq!(keys, [key], "{problems:?}");
     }
 }
 
 #[test]
-fn useless_addresses_are_refused() {
+fn invalid_addresses_are_refused() {
     let cases = [
         ("host", "localhost:80", "host names are not looked up"),
         ("unspecified", "0.0.0.0:80", "others reach this machine"),
@@ -233,7 +241,7 @@
 }
 
 #[test]
-fn wrong_words_and_numbers_are_refused() {
+fn invalid_words_and_numbers_are_refused() {
     let file = File::new("words", COMPLETE);
     for (flag, value) in [
         ("log-level", "loud"),
@@ -257,10 +265,10 @@
 }
 
 #[test]
-fn keys_are_those_of_the_settings() {
+fn keys_match_the_settings() {
     let file = File::new("keys", COMPLETE);
     let optional = [("platform-token-file", "/etc/threadledge/token")];
-    let settings = file.load(&optional).expect("taken");
+    let settings = file.load(&optional).expect("valid settings");
     let table: toml::Table = toml::from_str(&settings.to_toml().expect("TOML")).expect("TOML");
     let mut paths = Vec::new();
     for (name, value) in &table {
@@ -279,7 +287,9 @@
 
 #[test]
 fn reference_lists_every_key_with_its_default() {
-    let settings = File::new("reference", COMPLETE).load(&[]).expect("taken");
+    let settings = File::new("reference", COMPLETE)
+        .load(&[])
+        .expect("valid settings");
     let table: toml::Table = toml::from_str(&settings.to_toml().expect("TOML")).expect("TOML");
     let mut expected = String::new();
     for key in KEYS {
