--- a/crates/router/src/control_shell/configuration/updates.rs
+++ b/crates/router/src/control_shell/configuration/updates.rs
@@ -36,7 +36,7 @@
             continue;
         }
         log.record_success(K::PLATFORM_USE);
-        if let Some(event) = store_version.to_event(update) {
+        if let Some(event) = store_version.next_event(update) {
             shell.input(Input::Configuration(Box::new(event)));
         }
     }
@@ -47,14 +47,14 @@
 struct StoreVersion {
     /// Latest version seen.
     latest: u64,
-    /// True if the store returned an older version than was seen before. The
-    /// loss is logged once.
+    /// True if the store returned an older version than was seen before and this
+    /// has been logged.
     is_behind: bool,
 }
 
 impl StoreVersion {
     /// Returns the core's event for an update, if it needs one.
-    fn to_event<K: ConfigurationObject>(
+    fn next_event<K: ConfigurationObject>(
         &mut self,
         update: WatchUpdate<K>,
     ) -> Option<ConfigurationEvent> {
--- a/crates/router/src/proxy/attempt.rs
+++ b/crates/router/src/proxy/attempt.rs
@@ -9,7 +9,7 @@
 use super::answer::{self, Answer, ReadOutcome};
 use super::dispatch::Dispatch;
 use super::memory_budget::MemoryBudget;
-use super::outbound::{Outbound, request_id_text};
+use super::outbound::{Outbound, format_request_id};
 
 /// Time by which an attempt's timeout exceeds its deadline, so that the
 /// dispatcher ends it first and records the reason.
@@ -51,7 +51,7 @@
             .await;
         let connection = match connection {
             Ok(connection) => connection,
-            Err(error) => return AttemptOutcome::Ended(event_of(&error)),
+            Err(error) => return AttemptOutcome::Ended(error_event(&error)),
         };
         // Invariant: an outcome of `not-run` is true. No byte is written without
         // the dispatcher's permission, and once it is given the request counts
@@ -65,9 +65,9 @@
         };
         let response = match connection.exchange(request, deadline).await {
             Ok(response) => response,
-            Err(error) => return AttemptOutcome::Ended(event_of(&error)),
+            Err(error) => return AttemptOutcome::Ended(error_event(&error)),
         };
-        let request_id = request_id_text(attempt.request_id);
+        let request_id = format_request_id(attempt.request_id);
         let read = answer::read(
             response,
             outbound.method(),
@@ -83,7 +83,8 @@
     }
 }
 
-fn event_of(error: &ExchangeError) -> AttemptEvent {
+/// Converts an exchange error to the event that is reported to the dispatcher.
+fn error_event(error: &ExchangeError) -> AttemptEvent {
     match (error.stage, &error.fault) {
         // The router's own connection limit was reached, which is no fault of
         // the back end.
--- a/crates/router/src/proxy/dispatch.rs
+++ b/crates/router/src/proxy/dispatch.rs
@@ -70,6 +70,7 @@
     state: Mutex<State>,
 }
 
+/// The locked state. Each open exchange has a signal.
 #[derive(Debug)]
 struct State {
     dispatcher: Dispatcher,
--- a/crates/router/src/proxy/exchange.rs
+++ b/crates/router/src/proxy/exchange.rs
@@ -89,7 +89,7 @@
                 Step::Gone => return ControlFlow::Break(self.finish_unknown()),
             }
         }
-        // The steps always end with one of the last three.
+        // Not reached: the steps always end with `Wait`, `Finish` or `Gone`.
         ControlFlow::Break(self.finish_unknown())
     }
 
@@ -101,7 +101,7 @@
         self.running.push((number, Box::pin(run)));
     }
 
-    /// Dropping the attempt closes its connection.
+    /// Cancels an attempt. Dropping it closes its connection.
     fn cancel(&mut self, number: AttemptNumber) {
         self.running.retain(|(running, _)| *running != number);
         self.answers.retain(|(answered, _)| *answered != number);
@@ -129,7 +129,7 @@
         })
         .await;
         match ended {
-            Some((number, outcome)) => match self.event_of(number, outcome) {
+            Some((number, outcome)) => match self.take_event(number, outcome) {
                 Some(event) => dispatch.report(id, number, event),
                 None => dispatch.steps(id),
             },
@@ -137,7 +137,13 @@
         }
     }
 
-    fn event_of(&mut self, number: AttemptNumber, outcome: AttemptOutcome) -> Option<AttemptEvent> {
+    /// Stores the answer of an attempt, if it has one. Returns the event to report
+    /// to the dispatcher.
+    fn take_event(
+        &mut self,
+        number: AttemptNumber,
+        outcome: AttemptOutcome,
+    ) -> Option<AttemptEvent> {
         match outcome {
             AttemptOutcome::Abandoned => None,
             AttemptOutcome::Ended(event) => Some(event),
@@ -178,6 +184,7 @@
         }
     }
 
+    /// Ends the exchange with the dispatcher's outcome and returns the response.
     fn finish(&mut self, finish: Finish, chosen: Option<AttemptNumber>) -> Response {
         self.running.clear();
         self.completion
--- a/crates/router/src/proxy/inbound.rs
+++ b/crates/router/src/proxy/inbound.rs
@@ -65,7 +65,7 @@
         let body = request.take_body_keeping_headers();
         let (body, digest) = read_ahead(body, max_buffered, budget)
             .await
-            .map_err(refused)?;
+            .map_err(read_failure)?;
         // The server can detect that the caller disconnected only after the body
         // has been read, and checks for it before it polls this task again.
         task::yield_now().await;
@@ -147,7 +147,9 @@
     Ok((RequestBody::Streamed(streamed), digest))
 }
 
-fn refused(error: io::Error) -> (NotRunReason, String) {
+/// Converts an error of reading the body to the reason for refusing the request,
+/// and its detail.
+fn read_failure(error: io::Error) -> (NotRunReason, String) {
     let reason = match BodyFault::from_io_error(&error) {
         Some(BodyFault::TooLarge) => NotRunReason::TooLarge,
         Some(BodyFault::TooSlow) => NotRunReason::TooSlow,
--- a/crates/router/src/proxy/outbound.rs
+++ b/crates/router/src/proxy/outbound.rs
@@ -36,12 +36,12 @@
         request.insert_header(SERVICE_HEADER, attempt.service.to_string());
         request.insert_header(POINT_HEADER, attempt.point.to_string());
         request.insert_header(DEADLINE_HEADER, deadline_left.as_millis().to_string());
-        request.insert_header(REQUEST_ID_HEADER, request_id_text(attempt.request_id));
+        request.insert_header(REQUEST_ID_HEADER, format_request_id(attempt.request_id));
         Some(request)
     }
 }
 
 /// Formats a request id for its header.
-pub(super) fn request_id_text(request_id: u64) -> String {
+pub(super) fn format_request_id(request_id: u64) -> String {
     format!("{request_id:016x}")
 }
