--- a/crates/router/src/proxy/inbound.rs
+++ b/crates/router/src/proxy/inbound.rs
@@ -18,7 +18,7 @@
 use super::stream::PrefixedBody;
 
 /// Memory needed to stream a body, in bytes: the part that was read ahead
-/// (64 KB), the part that was read and not yet consumed (at max_bytes 64 KB) and the
+/// (64 KB), the part that was read and not yet consumed (at most 64 KB) and the
 /// part that is gathered for writing (32 KB), with some room for the heads of
 /// requests and responses.
 pub(crate) const STREAMING_BUFFER_BYTES: usize = 192 * 1024;
@@ -76,7 +76,7 @@
         })
     }
 
-    /// Makes a streamed body replayable if it has at max_bytes `max_bytes` bytes and
+    /// Makes a streamed body replayable if it has at most `max_bytes` bytes and
     /// the budget has room for it.
     pub(crate) fn make_replayable(&mut self, max_bytes: usize, budget: &MemoryBudget) {
         let RequestBody::Streamed(body) = &mut self.body else {
--- a/crates/router/src/proxy/memory_budget.rs
+++ b/crates/router/src/proxy/memory_budget.rs
@@ -35,6 +35,7 @@
 }
 
 impl MemoryBudget {
+    /// Creates a budget of `bytes`.
     pub(crate) fn new(bytes: usize) -> Self {
         MemoryBudget {
             left: Arc::new(AtomicUsize::new(bytes)),
--- a/crates/router/src/settings/error.rs
+++ b/crates/router/src/settings/error.rs
@@ -8,16 +8,16 @@
 /// Location of a problem.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Location {
-    /// In a file.
+    /// A settings file.
     File {
         /// The file.
         path: PathBuf,
         /// Line and column, both from 1, where known.
         position: Option<(usize, usize)>,
     },
-    /// On the command line.
+    /// A flag on the command line.
     Flag(&'static str),
-    /// In the settings as a whole.
+    /// The settings as a whole.
     Whole,
 }
 
