--- a/crates/control/src/group_member.rs
+++ b/crates/control/src/group_member.rs
@@ -7,7 +7,7 @@
 use threadledge_types::{Generation, GroupId, Revision, RouterId, RouterIdentity, Timestamp};
 
 use crate::object_status::ObjectRef;
-use crate::output::KnownObject;
+use crate::output::AppliedObject;
 
 /// Log node and state machine of one group on one router.
 pub struct GroupMember {
@@ -121,12 +121,12 @@
     }
 
     /// Versions of the configuration objects that are applied.
-    pub fn known_objects(&self) -> Vec<KnownObject> {
-        let back_ends = self.machine.back_ends().map(|record| KnownObject {
+    pub fn known_objects(&self) -> Vec<AppliedObject> {
+        let back_ends = self.machine.back_ends().map(|record| AppliedObject {
             object: ObjectRef::BackEnd(record.id.clone()),
             resource_version: record.resource_version,
         });
-        let services = self.machine.services().map(|record| KnownObject {
+        let services = self.machine.services().map(|record| AppliedObject {
             object: ObjectRef::Service(record.id.clone()),
             resource_version: record.resource_version,
         });
--- a/crates/control/src/input.rs
+++ b/crates/control/src/input.rs
@@ -35,12 +35,12 @@
     },
     /// Answer to [`crate::Output::ReadGroupObject`].
     GroupObject(GroupObjectState),
-    /// Answer to [`crate::Output::FoundGroup`].
-    Founded {
+    /// Answer to [`crate::Output::WriteGroupObject`].
+    GroupObjectWritten {
         /// The generation that was to be founded.
         generation: Generation,
         /// What became of the write.
-        result: FoundingResult,
+        result: GroupWriteResult,
     },
     /// The watcher saw the configuration or a change of it.
     Configuration(Box<ConfigurationEvent>),
@@ -50,7 +50,7 @@
 
 /// What became of a founding write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FoundingResult {
+pub enum GroupWriteResult {
     /// The object carries this router as founder.
     Written,
     /// Another router's write came first.
--- a/crates/control/src/intake.rs
+++ b/crates/control/src/intake.rs
@@ -23,7 +23,7 @@
 use threadledge_types::{RegionName, Revision, Timestamp};
 
 use crate::input::{ConfigurationEvent, Listing, ObservedObject};
-use crate::object_status::{ObjectRef, StatusWrite, TRUE, Verdict, has_verdict};
+use crate::object_status::{AcceptanceResult, ObjectRef, StatusWrite, TRUE, has_verdict};
 use crate::output::Observation;
 use judgement::{
     Standing, is_applied, judge, kept_objects, readable, same_back_end, same_service, stale,
@@ -345,7 +345,7 @@
         intake.statuses.push(StatusWrite {
             object,
             observed_generation: generation,
-            verdict: Verdict::Accepted(self.in_force),
+            verdict: AcceptanceResult::Accepted(self.in_force),
         });
     }
 }
--- a/crates/control/src/intake/judgement.rs
+++ b/crates/control/src/intake/judgement.rs
@@ -9,7 +9,7 @@
 
 use super::Intake;
 use crate::input::{Listing, ObservedObject};
-use crate::object_status::{FALSE, ObjectRef, StatusWrite, Verdict, has_verdict};
+use crate::object_status::{AcceptanceResult, FALSE, ObjectRef, StatusWrite, has_verdict};
 use crate::output::Observation;
 
 /// How a valid object stands to the applied state.
@@ -125,7 +125,7 @@
     intake.statuses.push(StatusWrite {
         object: reference,
         observed_generation: generation,
-        verdict: Verdict::Rejected(problems),
+        verdict: AcceptanceResult::Rejected(problems),
     });
 }
 
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -21,11 +21,11 @@
 mod view;
 
 pub use founding::{GroupObjectState, GroupObjectVersion};
-pub use input::{ConfigurationEvent, FoundingResult, Input, Listing, ObservedObject};
+pub use input::{ConfigurationEvent, GroupWriteResult, Input, Listing, ObservedObject};
 pub use message::{PeerBatch, PeerMessage};
 pub use node::ControlNode;
-pub use object_status::{ObjectRef, StatusWrite, Verdict};
-pub use output::{KnownObject, Observation, Output};
+pub use object_status::{AcceptanceResult, ObjectRef, StatusWrite};
+pub use output::{AppliedObject, Observation, Output};
 pub use settings::ControlSettings;
 pub use slice_changes::SliceChange;
 pub use view::GroupView;
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -57,7 +57,7 @@
             replica: Replica::new(settings.group),
             spread,
             view: None,
-            founding: Founding::new(identity.id, now, settings.settling),
+            founding: Founding::new(identity.id, now, settings.group_discovery_time),
             founded: None,
             refounding: Refounding::new(now),
             next_generation_check: now,
@@ -137,7 +137,7 @@
     }
 
     /// Routers of the region that can take requests, this one included.
-    pub fn live_routers(&self) -> usize {
+    pub fn live_router_count(&self) -> usize {
         let others = self.membership.alive();
         others
             .filter(|member| member.identity.id != self.identity.id)
@@ -147,7 +147,7 @@
 
     /// Whether a planned stop may go on: no duty of the group rests on this
     /// router any more.
-    pub fn may_stop(&self) -> bool {
+    pub fn can_stop(&self) -> bool {
         let node = self.member.node();
         // A removed member is told so and may lack the entry that removed it.
         let outside = matches!(node.role(), Role::Removed | Role::Joining | Role::Retired);
@@ -191,8 +191,8 @@
                 self.step_leader(now, GrantorInput::Failed { back_end, order }, duties);
             }
             Input::GroupObject(state) => self.take_group_object(now, state, outputs),
-            Input::Founded { generation, result } => {
-                self.take_founding(now, generation, result, outputs);
+            Input::GroupObjectWritten { generation, result } => {
+                self.on_group_object_written(now, generation, result, outputs);
             }
             Input::Configuration(event) => {
                 if let Some(leader) = &mut self.leader {
--- a/crates/control/src/node/founding.rs
+++ b/crates/control/src/node/founding.rs
@@ -10,7 +10,7 @@
 use super::{ControlNode, consensus_settings};
 use crate::founding::{FoundingStep, GroupObjectState};
 use crate::group_member::GroupMember;
-use crate::input::FoundingResult;
+use crate::input::GroupWriteResult;
 use crate::message::PeerMessage;
 use crate::output::{Observation, Output};
 use crate::refounding::RefoundingAction;
@@ -173,7 +173,7 @@
             FoundingStep::Write {
                 generation,
                 expected,
-            } => outputs.push(Output::FoundGroup {
+            } => outputs.push(Output::WriteGroupObject {
                 generation,
                 expected,
             }),
@@ -181,16 +181,16 @@
         }
     }
 
-    pub(super) fn take_founding(
+    pub(super) fn on_group_object_written(
         &mut self,
         now: Timestamp,
         generation: Generation,
-        result: FoundingResult,
+        result: GroupWriteResult,
         outputs: &mut Vec<Output>,
     ) {
         match result {
-            FoundingResult::Written => self.found(now, generation, outputs),
-            FoundingResult::Conflict | FoundingResult::Unavailable => {
+            GroupWriteResult::Written => self.found(now, generation, outputs),
+            GroupWriteResult::Conflict | GroupWriteResult::Unavailable => {
                 self.founding.write_failed(now);
                 self.refounding.write_failed(now);
             }
--- a/crates/control/src/object_status.rs
+++ b/crates/control/src/object_status.rs
@@ -32,7 +32,7 @@
 
 /// What became of an object.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AcceptanceResult {
     /// It is in force from this revision on.
     Accepted(Revision),
     /// It is not in force, for these problems; an earlier accepted version
@@ -48,7 +48,7 @@
     /// `metadata.generation` that was judged.
     pub observed_generation: i64,
     /// The judgement.
-    pub verdict: Verdict,
+    pub verdict: AcceptanceResult,
 }
 
 /// Whether an object's status already says this about this generation.
--- a/crates/control/src/output.rs
+++ b/crates/control/src/output.rs
@@ -13,7 +13,7 @@
 
 /// An object that the group has applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KnownObject {
+pub struct AppliedObject {
     /// Which object.
     pub object: ObjectRef,
     /// Version that was applied.
@@ -46,7 +46,7 @@
     ReadGroupObject,
     /// Write the group object, only if it still has the expected version, and
     /// report what became of it.
-    FoundGroup {
+    WriteGroupObject {
         /// The generation to found.
         generation: Generation,
         /// Version the object must have; `None` if it must not exist.
@@ -54,7 +54,7 @@
     },
     /// Start watching the configuration, in place of any earlier watch. The
     /// store is to be distrusted while it shows less than what is known.
-    WatchConfiguration(Vec<KnownObject>),
+    WatchConfiguration(Vec<AppliedObject>),
     /// Stop watching the configuration.
     StopWatching,
     /// Write the status of a configuration object.
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -15,7 +15,7 @@
     pub timing: Timing,
     /// Time a router looks for a group before it asks the platform whether to
     /// found one.
-    pub settling: Duration,
+    pub group_discovery_time: Duration,
     /// Children of each node in the spreading tree.
     pub fanout: usize,
     /// Seed of everything drawn at random in the core.
@@ -28,7 +28,7 @@
             group: GroupId(0),
             group_size: 3,
             timing: Timing::default(),
-            settling: Duration::from_millis(600),
+            group_discovery_time: Duration::from_millis(600),
             fanout: 12,
             seed: 0,
         }
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -3,10 +3,15 @@
 mod support;
 
 use support::{Alone, back_end, observed_back_end, observed_service, service, stamp};
-use threadledge_control::{ConfigurationEvent, Listing, ObjectRef, Verdict};
+use threadledge_control::{AcceptanceResult, ConfigurationEvent, Listing, ObjectRef};
 use threadledge_types::{BackEndId, ServiceId};
 
-fn put_service(alone: &mut Alone, namespace: &str, name: &str, host: &str) -> Vec<Verdict> {
+fn put_service(
+    alone: &mut Alone,
+    namespace: &str,
+    name: &str,
+    host: &str,
+) -> Vec<AcceptanceResult> {
     let object = service(namespace, name, host, stamp(10, 1));
     let event = ConfigurationEvent::ServiceChanged(observed_service(object));
     let statuses = alone.configure(event);
@@ -19,7 +24,12 @@
     Some(record.spec.slots)
 }
 
-fn put_back_end(alone: &mut Alone, slots: u32, version: u64, generation: i64) -> Vec<Verdict> {
+fn put_back_end(
+    alone: &mut Alone,
+    slots: u32,
+    version: u64,
+    generation: i64,
+) -> Vec<AcceptanceResult> {
     let mut object = back_end("one", "server", 4_000, stamp(version, generation));
     object.spec.slots = slots;
     let event = ConfigurationEvent::BackEndChanged(observed_back_end(object));
@@ -32,7 +42,7 @@
     let mut alone = Alone::found();
     let verdicts = put_service(&mut alone, "one", "gallery", "gallery.example");
     let replica = alone.node.replica();
-    assert_eq!(verdicts, [Verdict::Accepted(replica.revision())]);
+    assert_eq!(verdicts, [AcceptanceResult::Accepted(replica.revision())]);
     let id = ServiceId::new("one", "gallery");
     assert!(replica.service(&id).is_some());
 }
@@ -43,7 +53,7 @@
     put_service(&mut alone, "one", "gallery", "gallery.example");
     let verdicts = put_service(&mut alone, "two", "thief", "gallery.example");
     assert!(
-        matches!(verdicts[..], [Verdict::Rejected(_)]),
+        matches!(verdicts[..], [AcceptanceResult::Rejected(_)]),
         "{verdicts:?}"
     );
     let thief = ServiceId::new("two", "thief");
@@ -60,7 +70,7 @@
     });
     let verdicts = put_service(&mut alone, "two", "heir", "gallery.example");
     assert!(
-        matches!(verdicts[..], [Verdict::Accepted(_)]),
+        matches!(verdicts[..], [AcceptanceResult::Accepted(_)]),
         "{verdicts:?}"
     );
 }
@@ -72,7 +82,7 @@
     let stolen = back_end("two", "thief", 4_000, stamp(11, 1));
     let event = ConfigurationEvent::BackEndChanged(observed_back_end(stolen));
     let statuses = alone.configure(event);
-    assert!(matches!(statuses[0].verdict, Verdict::Rejected(_)));
+    assert!(matches!(statuses[0].verdict, AcceptanceResult::Rejected(_)));
     let thief = BackEndId::new("two", "thief");
     assert!(alone.node.replica().back_end(&thief).is_none());
 }
@@ -157,7 +167,7 @@
     assert_eq!(slots(&alone), Some(2));
     let rejected = statuses
         .iter()
-        .filter(|write| matches!(write.verdict, Verdict::Rejected(_)));
+        .filter(|write| matches!(write.verdict, AcceptanceResult::Rejected(_)));
     assert_eq!(rejected.count(), 1);
 }
 
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -4,7 +4,7 @@
 
 use k8s_openapi::apimachinery::pkg::apis::meta::v1::LabelSelector;
 use threadledge_control::{
-    ConfigurationEvent, ControlNode, ControlSettings, FoundingResult, GroupObjectState, Input,
+    ConfigurationEvent, ControlNode, ControlSettings, GroupObjectState, GroupWriteResult, Input,
     ObjectRef, ObservedObject, Output, StatusWrite,
 };
 use threadledge_types::objects::{
@@ -40,12 +40,12 @@
         assert!(asked, "the router never asked for its group");
         let outputs = alone.step(Input::GroupObject(GroupObjectState::Absent));
         let generation = outputs.iter().find_map(|output| match output {
-            Output::FoundGroup { generation, .. } => Some(*generation),
+            Output::WriteGroupObject { generation, .. } => Some(*generation),
             _ => None,
         });
         let generation = generation.expect("an absent group is founded");
-        let result = FoundingResult::Written;
-        alone.step(Input::Founded { generation, result });
+        let result = GroupWriteResult::Written;
+        alone.step(Input::GroupObjectWritten { generation, result });
         alone
     }
 
--- a/crates/control/tests/total_loss.rs
+++ b/crates/control/tests/total_loss.rs
@@ -76,7 +76,7 @@
         alone.now = alone.now + Duration::from_millis(100);
         alone.step(Input::Tick);
         let outputs = alone.step(group_object(1, 1));
-        let founds = |output: &Output| matches!(output, Output::FoundGroup { .. });
+        let founds = |output: &Output| matches!(output, Output::WriteGroupObject { .. });
         assert!(!outputs.iter().any(founds));
     }
     assert!(alone.node.view().is_none());
--- a/crates/router/src/control_shell/configuration.rs
+++ b/crates/router/src/control_shell/configuration.rs
@@ -12,7 +12,7 @@
 use async_std::task::{self, JoinHandle};
 use parking_lot::Mutex;
 use threadledge_control::{
-    FoundingResult, GroupObjectState, GroupObjectVersion, Input, KnownObject, StatusWrite,
+    AppliedObject, GroupObjectState, GroupObjectVersion, GroupWriteResult, Input, StatusWrite,
 };
 use threadledge_object_api::{
     ObjectClient, ObjectKey, PlatformError, PlatformErrorKind, ResolveSettings, StoredObject,
@@ -108,17 +108,17 @@
                 Err(error) => log_failed_founding(&log, error),
             }
             let result = match written {
-                Ok(WriteOutcome::Applied(_)) => FoundingResult::Written,
-                Ok(_) => FoundingResult::Conflict,
-                Err(_) => FoundingResult::Unavailable,
+                Ok(WriteOutcome::Applied(_)) => GroupWriteResult::Written,
+                Ok(_) => GroupWriteResult::Conflict,
+                Err(_) => GroupWriteResult::Unavailable,
             };
-            shell.input(Input::Founded { generation, result });
+            shell.input(Input::GroupObjectWritten { generation, result });
         });
     }
 
     /// Starts to watch back ends and services. Only the group's leader watches,
     /// so that the store has few readers.
-    pub fn watch(&self, shell: &ControlShell, known: &[KnownObject]) {
+    pub fn watch(&self, shell: &ControlShell, known: &[AppliedObject]) {
         self.stop_watching();
         let mut watches = self.watches.lock();
         watches.extend(self.start_watch::<BackEndObject>(shell, known));
@@ -141,7 +141,7 @@
     fn start_watch<K: ConfigurationObject>(
         &self,
         shell: &ControlShell,
-        known: &[KnownObject],
+        known: &[AppliedObject],
     ) -> [JoinHandle<()>; 2] {
         let settings = WatcherSettings {
             seed: self.seed,
--- a/crates/router/src/control_shell/configuration/statuses.rs
+++ b/crates/router/src/control_shell/configuration/statuses.rs
@@ -8,7 +8,7 @@
 use async_std::task;
 use k8s_openapi::apimachinery::pkg::apis::meta::v1::Time;
 use k8s_openapi::jiff::Timestamp as WallTime;
-use threadledge_control::{ObjectRef, StatusWrite, Verdict};
+use threadledge_control::{AcceptanceResult, ObjectRef, StatusWrite};
 use threadledge_object_api::{ObjectClient, ObjectKey, PlatformError, PlatformErrorKind};
 use threadledge_types::acceptance::{acceptance_status, accepted_condition};
 use threadledge_types::objects::{
@@ -103,8 +103,8 @@
 
 fn next_status(previous: Option<&AcceptanceStatus>, write: &StatusWrite) -> AcceptanceStatus {
     let (problems, revision) = match &write.verdict {
-        Verdict::Accepted(revision) => (Vec::new(), Some(*revision)),
-        Verdict::Rejected(problems) => (problems.clone(), None),
+        AcceptanceResult::Accepted(revision) => (Vec::new(), Some(*revision)),
+        AcceptanceResult::Rejected(problems) => (problems.clone(), None),
     };
     let conditions = previous.iter().flat_map(|status| &status.conditions);
     let former = conditions
--- a/crates/router/src/control_shell/configuration/updates.rs
+++ b/crates/router/src/control_shell/configuration/updates.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use async_channel::Receiver;
-use threadledge_control::{ConfigurationEvent, Input, KnownObject, Listing, ObservedObject};
+use threadledge_control::{AppliedObject, ConfigurationEvent, Input, Listing, ObservedObject};
 use threadledge_object_api::{Change, ObjectTracker, StoredObject, WatchUpdate, Withheld};
 
 use super::kinds::{ConfigurationObject, object_key};
@@ -14,7 +14,7 @@
 /// Returns a tracker of the versions that the group has applied, so that a new
 /// leader does not accept older versions from a store that was reset to an
 /// earlier state.
-pub(super) fn tracker<K: ConfigurationObject>(known: &[KnownObject]) -> ObjectTracker {
+pub(super) fn tracker<K: ConfigurationObject>(known: &[AppliedObject]) -> ObjectTracker {
     let of_kind = known.iter().filter_map(|known| {
         let key = object_key(&known.object);
         let same_kind = K::object_ref(&key) == known.object;
--- a/crates/router/src/control_shell/explain.rs
+++ b/crates/router/src/control_shell/explain.rs
@@ -3,7 +3,7 @@
 
 use threadledge_control::ControlNode;
 use threadledge_routing::key::extract_key;
-use threadledge_routing::{HeaderLookup, Matched, RequestHead, RoutingTable};
+use threadledge_routing::{HeaderLookup, MatchedRoute, RequestHead, RoutingTable};
 use threadledge_types::objects::{KeySource, RouteRule};
 use threadledge_types::records::{RecordChange, RecordDelta, ServiceRecord, SliceRecord};
 use threadledge_types::validation::compile_selector;
@@ -85,7 +85,7 @@
     node: &ControlNode,
     request: &ExplainRequest,
     head: &RequestHead<'_>,
-) -> Result<Matched, ExplainError> {
+) -> Result<MatchedRoute, ExplainError> {
     let services = node.replica().services();
     let changes: Vec<RecordChange> = services
         .map(|record| RecordChange::Service(Box::new(record.clone())))
@@ -141,7 +141,7 @@
     record.spec.routes.iter().find(|route| route.name == name)
 }
 
-fn slice_of(node: &ControlNode, matched: &Matched) -> Option<SliceRecord> {
+fn slice_of(node: &ControlNode, matched: &MatchedRoute) -> Option<SliceRecord> {
     let mut slices = node.replica().slices_of(&matched.service);
     slices.find(|record| record.slice.contains(matched.point))
 }
--- a/crates/router/src/control_shell/shared.rs
+++ b/crates/router/src/control_shell/shared.rs
@@ -6,7 +6,7 @@
 use async_std::task;
 use parking_lot::Mutex;
 use threadledge_control::{
-    ControlNode, FoundingResult, GroupObjectVersion, Input, Output, PeerBatch, PeerMessage,
+    ControlNode, GroupObjectVersion, GroupWriteResult, Input, Output, PeerBatch, PeerMessage,
 };
 use threadledge_net::StopSignal;
 use threadledge_object_api::TransportSettings;
@@ -128,7 +128,7 @@
 
     /// Returns whether another router is believed alive.
     pub fn knows_other_routers(&self) -> bool {
-        self.with_node(|node| node.live_routers() > 1)
+        self.with_node(|node| node.live_router_count() > 1)
     }
 
     /// Feeds an input to the core and executes its outputs.
@@ -175,8 +175,8 @@
         let shell = self.clone();
         // Reported from a task, because the core is locked while it is stepped.
         task::spawn(async move {
-            let result = FoundingResult::Unavailable;
-            shell.input(Input::Founded { generation, result });
+            let result = GroupWriteResult::Unavailable;
+            shell.input(Input::GroupObjectWritten { generation, result });
         });
     }
 
@@ -188,7 +188,7 @@
             Output::SendLease { to, request } => self.shared.leases.send(self, to, *request),
             Output::Records(delta) => (self.shared.records)(&delta),
             Output::ReadGroupObject => self.shared.configuration.read_group_object(self),
-            Output::FoundGroup {
+            Output::WriteGroupObject {
                 generation,
                 expected,
             } => self.found_group(generation, expected),
--- a/crates/router/src/planned_stop.rs
+++ b/crates/router/src/planned_stop.rs
@@ -49,7 +49,7 @@
 async fn await_handover(shell: ControlShell, served: StopSignal) -> bool {
     let limit = shell.clock().now() + MIN_HANDOVER_WAIT;
     loop {
-        if shell.with_node(ControlNode::may_stop) {
+        if shell.with_node(ControlNode::can_stop) {
             return true;
         }
         if served.is_stopped() && shell.clock().now() >= limit {
--- a/crates/router/src/proxy/dispatch.rs
+++ b/crates/router/src/proxy/dispatch.rs
@@ -10,7 +10,7 @@
 use parking_lot::Mutex;
 use threadledge_routing::dispatcher::Dispatcher;
 use threadledge_routing::{
-    AttemptEvent, AttemptNumber, ExchangeId, Matched, Refused, SendDecision, Step,
+    AttemptEvent, AttemptNumber, ExchangeId, MatchedRoute, Refused, SendDecision, Step,
 };
 use threadledge_types::Timestamp;
 
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub(super) struct Admitted {
     pub(super) id: ExchangeId,
-    pub(super) matched: Matched,
+    pub(super) matched: MatchedRoute,
     pub(super) signal: Arc<Signal>,
     pub(super) steps: Vec<Step>,
 }
@@ -103,7 +103,7 @@
         let signal = Arc::new(Signal::default());
         inbound.with_head(|head| {
             self.with_lock(None, |state, now| {
-                let (id, matched) = match state.dispatcher.begin_matched(now, head) {
+                let (id, matched) = match state.dispatcher.begin_with_route(now, head) {
                     Ok(started) => started,
                     Err(refused) => return Admission::Refused(refused),
                 };
@@ -147,7 +147,7 @@
     /// Reports that the caller disconnected.
     pub(super) fn caller_gone(&self, id: ExchangeId) {
         self.with_lock(Some(id), |state, now| {
-            state.dispatcher.caller_gone(now, id);
+            state.dispatcher.on_caller_disconnected(now, id);
             state.signals.remove(&id);
         });
     }
--- a/crates/router/src/proxy/exchange.rs
+++ b/crates/router/src/proxy/exchange.rs
@@ -12,7 +12,7 @@
 use threadledge_net::message::Message;
 use threadledge_net::{error_response, timer};
 use threadledge_routing::{
-    Attempt, AttemptEvent, AttemptNumber, ExchangeId, Finish, Matched, Step,
+    Attempt, AttemptEvent, AttemptNumber, ExchangeId, Finish, MatchedRoute, Step,
 };
 use threadledge_types::outcome::OUTCOME_HEADER;
 use threadledge_types::{Outcome, Timestamp, UnknownReason};
@@ -222,7 +222,7 @@
 pub(super) struct Completion {
     shared: Arc<Shared>,
     id: ExchangeId,
-    matched: Matched,
+    matched: MatchedRoute,
     started: Instant,
     completed: bool,
 }
--- a/crates/router/src/running_router.rs
+++ b/crates/router/src/running_router.rs
@@ -130,7 +130,7 @@
     ControlState {
         term: node.term(),
         revision: node.replica().revision(),
-        members: node.live_routers() as u64,
+        members: node.live_router_count() as u64,
         confirmed_age: status::confirmed_age(node, now),
     }
 }
@@ -145,7 +145,7 @@
 fn log_notice(notice: &Notice) {
     match notice {
         Notice::Ejected { back_end, .. } => emit!(EventId::BackEndEjected, %back_end),
-        Notice::Returned { back_end } => emit!(EventId::BackEndReadmitted, %back_end),
+        Notice::Readmitted { back_end } => emit!(EventId::BackEndReadmitted, %back_end),
     }
 }
 
--- a/crates/router/tests/control_shell/peers.rs
+++ b/crates/router/tests/control_shell/peers.rs
@@ -20,7 +20,7 @@
         assert_eq!(status, 400, "{text}");
         assert!(text.contains("run the same version"), "{text}");
     }
-    assert_eq!(world.shell.with_node(|node| node.live_routers()), 1);
+    assert_eq!(world.shell.with_node(|node| node.live_router_count()), 1);
 }
 
 #[async_std::test]
--- a/crates/router/tests/control_shell/safety.rs
+++ b/crates/router/tests/control_shell/safety.rs
@@ -91,7 +91,7 @@
 }
 
 fn live_routers(world: &World) -> usize {
-    world.shell.with_node(|node| node.live_routers())
+    world.shell.with_node(|node| node.live_router_count())
 }
 
 #[async_std::test]
--- a/crates/router/tests/control_shell/world.rs
+++ b/crates/router/tests/control_shell/world.rs
@@ -11,7 +11,7 @@
 use threadledge::control_shell::{Clock, ControlShell, ControlShellSettings, serve_peers};
 use threadledge::settings::{Limits, LogSettings, Settings};
 use threadledge_control::{
-    ConfigurationEvent, ControlNode, ControlSettings, FoundingResult, GroupObjectState, Input,
+    ConfigurationEvent, ControlNode, ControlSettings, GroupObjectState, GroupWriteResult, Input,
     Listing, ObjectRef, ObservedObject, Output,
 };
 use threadledge_net::{HttpClient, StopSignal};
@@ -158,12 +158,12 @@
     }
     let outputs = node.step(now, Input::GroupObject(GroupObjectState::Absent));
     let generation = outputs.iter().find_map(|output| match output {
-        Output::FoundGroup { generation, .. } => Some(*generation),
+        Output::WriteGroupObject { generation, .. } => Some(*generation),
         _ => None,
     });
-    let founded = Input::Founded {
+    let founded = Input::GroupObjectWritten {
         generation: generation.expect("an absent group is founded"),
-        result: FoundingResult::Written,
+        result: GroupWriteResult::Written,
     };
     node.step(now, founded);
     for event in [
--- a/crates/routing/src/dispatcher/admission.rs
+++ b/crates/routing/src/dispatcher/admission.rs
@@ -13,7 +13,7 @@
 use crate::exchange::{Exchange, State};
 use crate::fairness::Admission;
 use crate::head::RequestHead;
-use crate::table::Matched;
+use crate::table::MatchedRoute;
 
 /// When a caller may come back if nothing better is known.
 pub(super) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -23,7 +23,7 @@
         &mut self,
         now: Timestamp,
         head: &RequestHead<'_>,
-    ) -> Result<(ExchangeId, Matched), Refused> {
+    ) -> Result<(ExchangeId, MatchedRoute), Refused> {
         if !self.core.accepting {
             return Err(Refused::later(NotRunReason::NotReady));
         }
@@ -44,9 +44,9 @@
         &self,
         now: Timestamp,
         head: &RequestHead<'_>,
-    ) -> Result<(Exchange, Matched), NotRunReason> {
+    ) -> Result<(Exchange, MatchedRoute), NotRunReason> {
         let (index, service, route, point) = self.core.table.match_entry(head)?;
-        let matched = Matched::new(service, route, point, head.method);
+        let matched = MatchedRoute::new(service, route, point, head.method);
         let deadline = deadline_of(now, route.deadline_ms, head.headers)?;
         let id = ExchangeId(self.begun + 1);
         let exchange = Exchange {
--- a/crates/routing/src/dispatcher/core.rs
+++ b/crates/routing/src/dispatcher/core.rs
@@ -159,10 +159,10 @@
                     until,
                 }
             }
-            EjectionChange::Returned => {
+            EjectionChange::Readmitted => {
                 // Slow return: from the share up, not from where it was.
                 back_end.limit.restart();
-                Notice::Returned { back_end: id }
+                Notice::Readmitted { back_end: id }
             }
         };
         if is_news && self.notices.len() < MAX_NOTICES {
--- a/crates/routing/src/dispatcher/mod.rs
+++ b/crates/routing/src/dispatcher/mod.rs
@@ -22,7 +22,7 @@
 use crate::head::RequestHead;
 use crate::settings::Settings;
 use crate::snapshot::{LoadSnapshot, Notice};
-use crate::table::{ApplyError, Matched, RoutingTable};
+use crate::table::{ApplyError, MatchedRoute, RoutingTable};
 
 /// Decides each exchange's path. Every method takes the time of the shell's
 /// monotonic clock and costs O(log n) plus what it changes.
@@ -79,7 +79,7 @@
     ///
     /// [`Refused`] when it is turned away at once.
     pub fn begin(&mut self, now: Timestamp, head: &RequestHead<'_>) -> Result<ExchangeId, Refused> {
-        self.begin_matched(now, head).map(|(id, _)| id)
+        self.begin_with_route(now, head).map(|(id, _)| id)
     }
 
     /// As [`Dispatcher::begin`]; says also which route the request matched.
@@ -87,11 +87,11 @@
     /// # Errors
     ///
     /// [`Refused`] when it is turned away at once.
-    pub fn begin_matched(
+    pub fn begin_with_route(
         &mut self,
         now: Timestamp,
         head: &RequestHead<'_>,
-    ) -> Result<(ExchangeId, Matched), Refused> {
+    ) -> Result<(ExchangeId, MatchedRoute), Refused> {
         self.admit(now, head).inspect_err(|refused| {
             self.core.counters.count_refused(refused.reason);
         })
@@ -142,7 +142,7 @@
 
     /// The caller hung up: the exchange is forgotten and its slots are freed.
     /// The shell closes the connections of its attempts.
-    pub fn caller_gone(&mut self, now: Timestamp, id: ExchangeId) {
+    pub fn on_caller_disconnected(&mut self, now: Timestamp, id: ExchangeId) {
         if let Some(mut exchange) = self.exchanges.remove(&id) {
             self.core.abandon(now, &mut exchange);
         }
--- a/crates/routing/src/ejection.rs
+++ b/crates/routing/src/ejection.rs
@@ -41,7 +41,7 @@
     /// The back end is ejected from now on, or again.
     Ejected,
     /// It is back.
-    Returned,
+    Readmitted,
 }
 
 /// Whether one back end is ejected.
@@ -95,7 +95,7 @@
                     return None;
                 }
                 self.state = State::InUse { failures: 0 };
-                Some(EjectionChange::Returned)
+                Some(EjectionChange::Readmitted)
             }
         }
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -41,4 +41,4 @@
 pub use head::{HeaderLookup, RequestHead};
 pub use settings::Settings;
 pub use snapshot::{BackEndLoad, LoadSnapshot, NamespaceLoad, Notice};
-pub use table::{ApplyError, Matched, Owner, RoutingTable};
+pub use table::{ApplyError, MatchedRoute, Owner, RoutingTable};
--- a/crates/routing/src/snapshot.rs
+++ b/crates/routing/src/snapshot.rs
@@ -59,7 +59,7 @@
         until: Timestamp,
     },
     /// An ejected back end is back.
-    Returned {
+    Readmitted {
         /// Which back end.
         back_end: Arc<BackEndId>,
     },
--- a/crates/routing/src/table/mod.rs
+++ b/crates/routing/src/table/mod.rs
@@ -56,7 +56,7 @@
 
 /// A request with the route that it matches.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Matched {
+pub struct MatchedRoute {
     /// The service.
     pub service: Arc<ServiceId>,
     /// Name of the route.
@@ -73,9 +73,9 @@
     pub point: Point,
 }
 
-impl Matched {
+impl MatchedRoute {
     pub(crate) fn new(service: &ServiceEntry, route: &Route, point: Point, method: &str) -> Self {
-        Matched {
+        MatchedRoute {
             service: Arc::clone(&service.id),
             route: Arc::clone(&route.name),
             priority: route.priority,
@@ -168,9 +168,9 @@
     /// # Errors
     ///
     /// `NoRoute`, `MissingKey` or `Malformed`.
-    pub fn match_request(&self, head: &RequestHead<'_>) -> Result<Matched, NotRunReason> {
+    pub fn match_request(&self, head: &RequestHead<'_>) -> Result<MatchedRoute, NotRunReason> {
         let (_, service, route, point) = self.match_entry(head)?;
-        Ok(Matched::new(service, route, point, head.method))
+        Ok(MatchedRoute::new(service, route, point, head.method))
     }
 
     pub(crate) fn match_entry(
--- a/crates/routing/tests/common/world.rs
+++ b/crates/routing/tests/common/world.rs
@@ -202,7 +202,7 @@
                 self.dispatcher.apply(self.now, &records).expect("in order");
             }
             Event::HangUp(id) => {
-                self.dispatcher.caller_gone(self.now, id);
+                self.dispatcher.on_caller_disconnected(self.now, id);
                 let known = self.known.get_mut(&id).expect("known");
                 known.hung_up = known.finish.is_none();
                 self.close_all(id);
--- a/crates/routing/tests/exchanges.rs
+++ b/crates/routing/tests/exchanges.rs
@@ -247,7 +247,7 @@
     let later = begin(&mut dispatcher, 2, "GET", "/queued");
     assert_eq!(expect_wait(&mut dispatcher, 2, later), at(2_002));
     assert_eq!(expect_wait(&mut dispatcher, 2, early), at(2_001));
-    dispatcher.caller_gone(at(3), running);
+    dispatcher.on_caller_disconnected(at(3), running);
     assert_eq!(dispatcher.take_wakeups(), [early]);
     expect_send(&mut dispatcher, 3, early);
     expect_wait(&mut dispatcher, 3, later);
--- a/crates/routing/tests/hedges_and_ejections.rs
+++ b/crates/routing/tests/hedges_and_ejections.rs
@@ -52,7 +52,7 @@
         expect_send(&mut dispatcher, now, id);
         dispatcher.start_sending(at(now), id, FIRST);
         dispatcher.next(at(now + 15), id);
-        dispatcher.caller_gone(at(now + 15), id);
+        dispatcher.on_caller_disconnected(at(now + 15), id);
     }
     // The reserve of 5, and a twentieth for each of the 99 first attempts
     // after the one that found it full.
@@ -80,7 +80,7 @@
         let id = begin(&mut dispatcher, round, "POST", "/");
         let attempt = expect_send(&mut dispatcher, round, id);
         dispatcher.on_event(at(round), id, attempt.number, AttemptEvent::ConnectFailed);
-        dispatcher.caller_gone(at(round), id);
+        dispatcher.on_caller_disconnected(at(round), id);
         refused += 1;
     }
     assert_eq!(refused, 5);
@@ -105,7 +105,7 @@
         let id = begin(&mut dispatcher, now, "POST", "/");
         let attempt = expect_send(&mut dispatcher, now, id);
         dispatcher.on_event(at(now), id, attempt.number, AttemptEvent::ConnectFailed);
-        dispatcher.caller_gone(at(now), id);
+        dispatcher.on_caller_disconnected(at(now), id);
     }
     // Five failures eject, and each of the 95 that follow prolongs.
     assert_eq!(dispatcher.counters().ejections, 96);
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -202,7 +202,7 @@
     ejection.on_failure(at(301));
     assert_eq!(ejection.closed_until(at(301)), Some(at(601)));
     assert_eq!(ejection.on_success(), None);
-    assert_eq!(ejection.on_success(), Some(EjectionChange::Returned));
+    assert_eq!(ejection.on_success(), Some(EjectionChange::Readmitted));
     assert_eq!(ejection.allowed(at(601), 8), 8);
 }
 
--- a/crates/routing/tests/routes_and_keys.rs
+++ b/crates/routing/tests/routes_and_keys.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use threadledge_routing::host::normalize_host;
-use threadledge_routing::{Matched, RequestHead, RoutingTable};
+use threadledge_routing::{MatchedRoute, RequestHead, RoutingTable};
 use threadledge_types::objects::{KeySource, RouteRule};
 use threadledge_types::{NotRunReason, hash_key};
 
@@ -20,7 +20,7 @@
     method: &str,
     path: &str,
     query: Option<&str>,
-) -> Result<Matched, NotRunReason> {
+) -> Result<MatchedRoute, NotRunReason> {
     let request = RequestHead {
         query,
         ..head(method, path, &[("X-Key", " 7 ")])
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -5,8 +5,8 @@
 
 use crate::costs::json_bytes;
 use threadledge_control::{
-    ConfigurationEvent, FoundingResult, GroupObjectState, GroupObjectVersion, Listing, ObjectRef,
-    ObservedObject, StatusWrite, Verdict,
+    AcceptanceResult, ConfigurationEvent, GroupObjectState, GroupObjectVersion, GroupWriteResult,
+    Listing, ObjectRef, ObservedObject, StatusWrite,
 };
 use threadledge_membership::{Machine, MachineList};
 use threadledge_types::objects::{BackEndObject, KeyedServiceObject};
@@ -156,7 +156,7 @@
         if self.down {
             return;
         }
-        if let Verdict::Accepted(revision) = write.verdict {
+        if let AcceptanceResult::Accepted(revision) = write.verdict {
             let acceptance = Acceptance {
                 generation: write.observed_generation,
                 revision,
@@ -207,13 +207,13 @@
         founder: RouterId,
         generation: Generation,
         expected: Option<&GroupObjectVersion>,
-    ) -> FoundingResult {
+    ) -> GroupWriteResult {
         if self.down {
-            return FoundingResult::Unavailable;
+            return GroupWriteResult::Unavailable;
         }
         let present = self.groups.get(region).map(|object| object.version);
         if present.map(|version| version.to_string()) != expected.map(|version| version.0.clone()) {
-            return FoundingResult::Conflict;
+            return GroupWriteResult::Conflict;
         }
         self.version += 1;
         let object = GroupObject {
@@ -224,9 +224,9 @@
         self.groups.insert(region.clone(), object);
         if self.lost_answers > 0 {
             self.lost_answers -= 1;
-            return FoundingResult::Unavailable;
+            return GroupWriteResult::Unavailable;
         }
-        FoundingResult::Written
+        GroupWriteResult::Written
     }
 }
 
--- a/crates/simulator/src/world/outputs.rs
+++ b/crates/simulator/src/world/outputs.rs
@@ -58,7 +58,7 @@
                 let delay = self.store_delay();
                 self.answer(from, process, delay, Input::GroupObject(state));
             }
-            Output::FoundGroup {
+            Output::WriteGroupObject {
                 generation,
                 expected,
             } => {
@@ -67,7 +67,12 @@
                     self.store
                         .found_group(&region, process, generation, expected.as_ref());
                 let delay = self.store_delay();
-                self.answer(from, process, delay, Input::Founded { generation, result });
+                self.answer(
+                    from,
+                    process,
+                    delay,
+                    Input::GroupObjectWritten { generation, result },
+                );
             }
             Output::WatchConfiguration(_) => self.set_watch(from, process, true),
             Output::StopWatching => self.set_watch(from, process, false),
--- a/crates/simulator/tests/faults.rs
+++ b/crates/simulator/tests/faults.rs
@@ -156,7 +156,7 @@
     world.leave_router(leader);
     world.run_for(Duration::from_secs(3));
     let gone = world.router(leader).expect("it still runs");
-    assert!(gone.may_stop(), "duties still rest on the leaving router");
+    assert!(gone.can_stop(), "duties still rest on the leaving router");
     world.kill_router(leader);
     check(world, Duration::ZERO, 0.0);
 }
--- a/crates/spread/examples/costs.rs
+++ b/crates/spread/examples/costs.rs
@@ -10,7 +10,7 @@
 
 use support::network::Network;
 use support::*;
-use threadledge_spread::{Answer, Pull, Replica, Settings, SpreadMessage};
+use threadledge_spread::{Pull, PullResponse, Replica, Settings, SpreadMessage};
 use threadledge_types::Revision;
 use threadledge_types::records::RecordChange;
 
@@ -49,7 +49,7 @@
         preferred: true,
         resume: None,
     });
-    let answer = SpreadMessage::Answer(Answer {
+    let answer = SpreadMessage::Answer(PullResponse {
         group: GROUP,
         sequence: 123_456,
         staleness_micros: Some(123_456),
@@ -59,7 +59,7 @@
     });
     let mut replica = Replica::new(GROUP);
     replica.commit(at, &[slice(1, 10, at)]);
-    let push = SpreadMessage::Push(replica.difference(Revision::NONE));
+    let push = SpreadMessage::Push(replica.ordered_delta_since(Revision::NONE));
     println!(
         "idle pull {} B, its answer {} B, push of one slice {} B",
         json_bytes(&pull),
@@ -119,7 +119,13 @@
     for index in 2..1_002 {
         let at = revision(1, index);
         replica.commit(at, &[slice(1, index * 10, at)]);
-        assert_eq!(replica.difference(revision(1, index - 1)).changes.len(), 1);
+        assert_eq!(
+            replica
+                .ordered_delta_since(revision(1, index - 1))
+                .changes
+                .len(),
+            1
+        );
     }
     let per_change = began.elapsed() / 1_000;
     println!(
--- a/crates/spread/src/children.rs
+++ b/crates/spread/src/children.rs
@@ -6,7 +6,7 @@
 use threadledge_types::records::RecordDelta;
 use threadledge_types::{Revision, RouterId, RouterIdentity, Timestamp};
 
-use crate::message::{Answer, Pull, SpreadMessage};
+use crate::message::{Pull, PullResponse, SpreadMessage};
 use crate::node::SpreadOutput;
 use crate::page::PageLimits;
 use crate::replica::Replica;
@@ -52,7 +52,7 @@
             };
             return send(from, message);
         }
-        let mut answer = Answer {
+        let mut answer = PullResponse {
             group: pull.group,
             sequence: pull.sequence,
             staleness_micros: confirmed_as_of
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -20,7 +20,7 @@
 mod transfer;
 
 pub use apply::{Applied, ApplyError};
-pub use message::{Answer, Pull, Resume, SpreadMessage};
+pub use message::{Pull, PullResponse, Resume, SpreadMessage};
 pub use node::{SpreadInput, SpreadNode, SpreadOutput};
 pub use page::{DeltaPage, PageLimits};
 pub use replica::Replica;
--- a/crates/spread/src/message.rs
+++ b/crates/spread/src/message.rs
@@ -12,7 +12,7 @@
     /// Child to parent: asks for what is new.
     Pull(Pull),
     /// Parent to child: answers a pull.
-    Answer(Answer),
+    Answer(PullResponse),
     /// Parent to child: refuses a pull, because it serves enough children.
     /// The child tries the next candidate.
     Busy {
@@ -67,7 +67,7 @@
 /// Answers a pull.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Answer {
+pub struct PullResponse {
     /// Group of the pull.
     pub group: GroupId,
     /// Number of the pull.
--- a/crates/spread/src/node.rs
+++ b/crates/spread/src/node.rs
@@ -153,7 +153,7 @@
             }
         }
         if replica.revision() > before {
-            outputs.push(SpreadOutput::Applied(replica.difference(before)));
+            outputs.push(SpreadOutput::Applied(replica.ordered_delta_since(before)));
             self.children.replica_advanced(now, &self.settings);
         }
     }
--- a/crates/spread/src/puller.rs
+++ b/crates/spread/src/puller.rs
@@ -7,7 +7,7 @@
 use threadledge_types::{Revision, RouterId, RouterIdentity, Timestamp};
 
 use crate::apply::ApplyError;
-use crate::message::{Answer, Pull, Resume, SpreadMessage};
+use crate::message::{Pull, PullResponse, Resume, SpreadMessage};
 use crate::node::SpreadOutput;
 use crate::parents::{NextStep, Parents};
 use crate::replica::Replica;
@@ -112,7 +112,7 @@
         now: Timestamp,
         settings: &Settings,
         from: RouterId,
-        answer: Answer,
+        answer: PullResponse,
         replica: &mut Replica,
     ) -> bool {
         let Some(pull) = self.take_sent(from, answer.sequence) else {
@@ -218,7 +218,7 @@
         &mut self,
         now: Timestamp,
         pull: &SentPull,
-        answer: Answer,
+        answer: PullResponse,
         replica: &mut Replica,
     ) -> bool {
         if answer.delta.is_none() {
--- a/crates/spread/src/replica.rs
+++ b/crates/spread/src/replica.rs
@@ -110,7 +110,7 @@
     /// Everything that changed since `from`, ordered so that a record comes
     /// after those it names: removed services first, then services, back
     /// ends, sessions and slices, and the other removals last.
-    pub fn difference(&self, from: Revision) -> RecordDelta {
+    pub fn ordered_delta_since(&self, from: Revision) -> RecordDelta {
         let mut delta = self.page(from, None, PageLimits::NONE).delta;
         delta.changes.sort_by_key(dependency_rank);
         delta
@@ -310,7 +310,7 @@
     }
 }
 
-/// Place of a kind of change in [`Replica::difference`]. Sorting is safe
+/// Place of a kind of change in [`Replica::ordered_delta_since`]. Sorting is safe
 /// there because the log holds one entry for each record, and no slice older
 /// than the removal of its service.
 fn dependency_rank(change: &RecordChange) -> u8 {
--- a/crates/spread/src/transfer.rs
+++ b/crates/spread/src/transfer.rs
@@ -3,7 +3,7 @@
 use threadledge_types::records::{RecordChange, RecordDelta};
 use threadledge_types::{Revision, RouterId};
 
-use crate::message::{Answer, Resume};
+use crate::message::{PullResponse, Resume};
 
 /// Pages received so far of a transfer that is under way. The copy is not
 /// touched until the last page is here, so that it never shows a mixture of
@@ -50,7 +50,7 @@
         current: Option<Transfer>,
         parent: RouterId,
         have: Revision,
-        answer: Answer,
+        answer: PullResponse,
     ) -> PageResult {
         let Some(delta) = answer.delta else {
             return PageResult::Unexpected;
--- a/crates/spread/tests/replica.rs
+++ b/crates/spread/tests/replica.rs
@@ -156,7 +156,7 @@
     let removal = RecordChange::ServiceRemoved(service_id(1));
     root.commit(revision(1, 2), &[removal, service(1, 2)]);
     root.commit(revision(1, 3), &[slice(1, 20, revision(1, 3))]);
-    let delta = root.difference(copy.revision());
+    let delta = root.ordered_delta_since(copy.revision());
     assert!(!delta.full);
     copy.apply(&delta).expect("a difference");
     assert_eq!(copy.slice_count(), 1);
@@ -255,7 +255,7 @@
     let at = revision(1, 2);
     root.commit(revision(1, 1), &[slice(1, 0, at), session(0, 1, false)]);
     root.commit(at, &[back_end(0, 1), service(1, 1)]);
-    let changes = root.difference(Revision::NONE).changes;
+    let changes = root.ordered_delta_since(Revision::NONE).changes;
     assert!(matches!(changes[0], RecordChange::Service(_)));
     assert!(matches!(changes[1], RecordChange::BackEnd(_)));
     assert!(matches!(changes[2], RecordChange::Session(_)));
