--- a/crates/routing/examples/routing_costs.rs
+++ b/crates/routing/examples/routing_costs.rs
@@ -7,7 +7,7 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use threadledge_routing::backoff::mix;
+use threadledge_routing::backoff::splitmix64;
 use threadledge_routing::{
     AttemptEvent, Dispatcher, RequestHead, RoutingTable, SendDecision, Settings, Step,
 };
@@ -59,7 +59,7 @@
     let service = service_id();
     let start = Instant::now();
     for number in 0..LOOKUPS {
-        black_box(table.owner(&service, Point(mix(number))));
+        black_box(table.owner(&service, Point(splitmix64(number))));
     }
     start.elapsed().as_nanos() / u128::from(LOOKUPS)
 }
@@ -68,7 +68,7 @@
     let parts = Slice::divide(slices);
     let deltas: Vec<RecordDelta> = (0..DELTAS)
         .map(|number| {
-            let draw = mix(number);
+            let draw = splitmix64(number);
             let part = parts[draw as usize % parts.len()];
             let owner = (draw >> 32) as u32 % BACK_ENDS;
             let change = slice(part, owner, number + 2);
--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -25,7 +25,7 @@
     pub number: AttemptNumber,
     /// The back end.
     pub back_end: Arc<BackEndId>,
-    /// Life of the back end's process that owns the key.
+    /// BackEndProcess of the back end's process that owns the key.
     pub incarnation: Incarnation,
     /// Where to connect.
     pub address: SocketAddr,
--- a/crates/routing/src/back_end.rs
+++ b/crates/routing/src/back_end.rs
@@ -13,7 +13,7 @@
 use crate::concurrency::{Bounds, ConcurrencyLimit};
 use crate::ejection::{Ejection, EjectionPolicy};
 use crate::latency::LatencyEstimate;
-use crate::queue::{Place, WaitQueue};
+use crate::queue::{QueuePosition, WaitQueue};
 use crate::ramp::Ramp;
 use crate::settings::Settings;
 
@@ -21,9 +21,9 @@
 /// older than this many usual answer times: the back end may hang.
 const HANGING_FACTOR: u32 = 4;
 
-/// Life of a back end's process, as the table has it.
+/// BackEndProcess of a back end's process, as the table has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Life {
+pub(crate) struct BackEndProcess {
     pub(crate) incarnation: Incarnation,
     pub(crate) draining: bool,
 }
@@ -40,13 +40,13 @@
     pub(crate) queue: WaitQueue,
     pub(crate) retries: Budget,
     pub(crate) hedges: Budget,
-    life: Option<Life>,
+    process: Option<BackEndProcess>,
     draining_since: Option<Timestamp>,
     refuses_new_work: bool,
     ramp: Option<Ramp>,
     ramp_length: Duration,
     drain_grace: Duration,
-    granted: BTreeSet<ExchangeId>,
+    granted_slots: BTreeSet<ExchangeId>,
     running: BTreeSet<(Timestamp, ExchangeId, AttemptNumber)>,
 }
 
@@ -67,13 +67,13 @@
             queue: WaitQueue::new(settings.queue_per_back_end, settings.low_priority_turn),
             retries: retry_budget(settings, routers),
             hedges: Budget::new(settings.hedge_percent, settings.hedge_reserve),
-            life: None,
+            process: None,
             draining_since: None,
             refuses_new_work: false,
             ramp: None,
             ramp_length: settings.ramp(),
             drain_grace: settings.drain_grace(),
-            granted: BTreeSet::new(),
+            granted_slots: BTreeSet::new(),
             running: BTreeSet::new(),
         }
     }
@@ -94,15 +94,16 @@
 
     /// The session changed. What was learned of an earlier life is forgotten;
     /// a later life is cold, unless `warm` says it was there before us.
-    pub(crate) fn set_life(
+    pub(crate) fn set_process(
         &mut self,
         now: Timestamp,
-        life: Option<Life>,
+        process: Option<BackEndProcess>,
         warm: bool,
         settings: &Settings,
     ) {
-        let incarnation = |life: Option<Life>| life.map(|life| life.incarnation);
-        if life.is_some() && incarnation(life) != incarnation(self.life) {
+        let incarnation =
+            |process: Option<BackEndProcess>| process.map(|process| process.incarnation);
+        if process.is_some() && incarnation(process) != incarnation(self.process) {
             self.ejection = Ejection::new(ejection_policy(settings));
             self.latency = LatencyEstimate::default();
             self.limit.restart();
@@ -110,23 +111,23 @@
             self.draining_since = None;
             self.ramp = (!warm).then(|| Ramp::new(now, self.ramp_length));
         }
-        if life.is_some_and(|life| life.draining) {
+        if process.is_some_and(|process| process.draining) {
             self.draining_since.get_or_insert(now);
         } else {
             self.draining_since = None;
         }
-        self.life = life;
+        self.process = process;
     }
 
     /// Whether this life of the process is the current one.
     pub(crate) fn is_current(&self, incarnation: Incarnation) -> bool {
-        self.life
-            .is_some_and(|life| life.incarnation == incarnation)
+        self.process
+            .is_some_and(|process| process.incarnation == incarnation)
     }
 
     /// It refused a request because it drains: it gets none any more, though
     /// the table may not say so yet.
-    pub(crate) fn refused_as_draining(&mut self, incarnation: Incarnation) {
+    pub(crate) fn on_draining_refusal(&mut self, incarnation: Incarnation) {
         if self.is_current(incarnation) {
             self.refuses_new_work = true;
         }
@@ -153,7 +154,7 @@
 
     /// Requests that hold a slot.
     pub(crate) fn in_flight(&self) -> u32 {
-        u32::try_from(self.granted.len() + self.running.len()).unwrap_or(u32::MAX)
+        u32::try_from(self.granted_slots.len() + self.running.len()).unwrap_or(u32::MAX)
     }
 
     /// Whether a slot is free.
@@ -168,24 +169,29 @@
             let Some(id) = self.queue.pop() else {
                 break;
             };
-            self.granted.insert(id);
+            self.granted_slots.insert(id);
             granted.push(id);
         }
         granted
     }
 
     /// Takes back the slot that was given to a waiting request.
-    pub(crate) fn take_grant(&mut self, id: ExchangeId) -> bool {
-        self.granted.remove(&id)
+    pub(crate) fn take_granted_slot(&mut self, id: ExchangeId) -> bool {
+        self.granted_slots.remove(&id)
     }
 
     /// An attempt takes a slot.
-    pub(crate) fn start(&mut self, now: Timestamp, id: ExchangeId, attempt: AttemptNumber) {
+    pub(crate) fn start_attempt(&mut self, now: Timestamp, id: ExchangeId, attempt: AttemptNumber) {
         self.running.insert((now, id, attempt));
     }
 
     /// An attempt frees its slot.
-    pub(crate) fn stop(&mut self, started: Timestamp, id: ExchangeId, attempt: AttemptNumber) {
+    pub(crate) fn end_attempt(
+        &mut self,
+        started: Timestamp,
+        id: ExchangeId,
+        attempt: AttemptNumber,
+    ) {
         self.running.remove(&(started, id, attempt));
     }
 
@@ -199,7 +205,7 @@
     }
 
     /// Expected time of one answer; `None` before the first.
-    pub(crate) fn expected_answer_time(&self, now: Timestamp) -> Option<Duration> {
+    pub(crate) fn expected_response_time(&self, now: Timestamp) -> Option<Duration> {
         let usual = self.latency.recent()?;
         let oldest = self.running.first().map(|(started, _, _)| *started);
         let age = oldest.map_or(Duration::ZERO, |started| now.since(started));
@@ -212,23 +218,23 @@
 
     /// Expected wait for a slot of a request in `place`. With nothing known
     /// yet it is zero.
-    pub(crate) fn expected_wait(&self, now: Timestamp, place: Place) -> Duration {
+    pub(crate) fn expected_wait(&self, now: Timestamp, position: QueuePosition) -> Duration {
         if let Some(until) = self.ejection.closed_until(now) {
             return until.since(now);
         }
-        let Some(answer_time) = self.expected_answer_time(now) else {
+        let Some(response_time) = self.expected_response_time(now) else {
             return Duration::ZERO;
         };
-        let rounds = self.queue.ahead_of(place).saturating_add(1);
-        answer_time.saturating_mul(rounds) / self.allowed(now).max(1)
+        let rounds = self.queue.ahead_of(position).saturating_add(1);
+        response_time.saturating_mul(rounds) / self.allowed(now).max(1)
     }
 
     /// Everyone who waits, has a slot or runs here.
-    pub(crate) fn everyone(&self) -> impl Iterator<Item = ExchangeId> + '_ {
+    pub(crate) fn exchange_ids(&self) -> impl Iterator<Item = ExchangeId> + '_ {
         let running = self.running.iter().map(|(_, id, _)| *id);
         self.queue
             .ids()
-            .chain(self.granted.iter().copied())
+            .chain(self.granted_slots.iter().copied())
             .chain(running)
     }
 }
@@ -251,8 +257,8 @@
 fn ejection_policy(settings: &Settings) -> EjectionPolicy {
     EjectionPolicy {
         failures: settings.ejection_failures,
-        shortest: settings.ejection_min(),
-        longest: settings.ejection_max(),
-        successes: settings.return_successes,
+        min_duration: settings.ejection_min(),
+        max_duration: settings.ejection_max(),
+        successes_to_readmit: settings.return_successes,
     }
 }
--- a/crates/routing/src/backoff.rs
+++ b/crates/routing/src/backoff.rs
@@ -7,7 +7,7 @@
 
 /// Mixes a number to an evenly spread one (the finalizer of SplitMix64). One
 /// number always gives the same other one, so runs can be repeated.
-pub fn mix(number: u64) -> u64 {
+pub fn splitmix64(number: u64) -> u64 {
     let mut mixed = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -21,6 +21,6 @@
     let doublings = attempts.saturating_sub(1).min(MAX_DOUBLINGS);
     let whole = (shortest * (1 << doublings)).min(longest);
     let half = whole / 2;
-    let jitter_micros = mix(draw) % (half.as_micros() as u64 + 1);
+    let jitter_micros = splitmix64(draw) % (half.as_micros() as u64 + 1);
     half + Duration::from_micros(jitter_micros)
 }
--- a/crates/routing/src/classify.rs
+++ b/crates/routing/src/classify.rs
@@ -11,7 +11,7 @@
 
 /// Whether the request ran in one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ran {
+pub enum Execution {
     /// It surely did not.
     No(NotRunReason),
     /// It may have.
@@ -21,19 +21,19 @@
 }
 
 /// Reads an event. `sent` says whether the permission to write was given.
-pub fn classify(event: AttemptEvent, sent: bool) -> Ran {
+pub fn classify(event: AttemptEvent, sent: bool) -> Execution {
     match event {
         // Without a connection there was nothing to ask permission for: such
         // a report contradicts itself, and nothing is concluded from it.
-        AttemptEvent::ConnectFailed if sent => Ran::Maybe(UnknownReason::ConnectionLost),
+        AttemptEvent::ConnectFailed if sent => Execution::Maybe(UnknownReason::ConnectionLost),
         // The permission may have been given and not been used: a pooled
         // connection often fails at the first write.
         AttemptEvent::ConnectFailed | AttemptEvent::SentNothing => {
-            Ran::No(NotRunReason::Unreachable)
+            Execution::No(NotRunReason::Unreachable)
         }
-        AttemptEvent::Refused(refusal) => Ran::No(refusal.into()),
-        AttemptEvent::ResponseHead { .. } | AttemptEvent::Completed => Ran::Yes,
-        AttemptEvent::Failed(failure) => Ran::Maybe(failure.into()),
+        AttemptEvent::Refused(refusal) => Execution::No(refusal.into()),
+        AttemptEvent::ResponseHead { .. } | AttemptEvent::Completed => Execution::Yes,
+        AttemptEvent::Failed(failure) => Execution::Maybe(failure.into()),
     }
 }
 
@@ -48,7 +48,7 @@
 
 /// What sending a request again depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Resending {
+pub struct RetryContext {
     /// It may be carried out more than once.
     pub repeatable: bool,
     /// Its body can be sent again.
@@ -60,20 +60,20 @@
 }
 
 /// Whether a request may be sent once more after an attempt that ended so.
-pub fn may_send_again(ran: Ran, resending: Resending) -> bool {
-    if resending.sent && !resending.body_replayable {
+pub fn may_retry(ran: Execution, context: RetryContext) -> bool {
+    if context.sent && !context.body_replayable {
         return false;
     }
     match ran {
-        Ran::Yes => false,
-        Ran::Maybe(_) => resending.repeatable,
-        Ran::No(_) => resending.repeatable || !resending.others_may_have_run,
+        Execution::Yes => false,
+        Execution::Maybe(_) => context.repeatable,
+        Execution::No(_) => context.repeatable || !context.others_may_have_run,
     }
 }
 
 /// When a request that was not run may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Again {
+pub enum RetryCondition {
     /// After a backoff, or at once to another owner.
     AfterBackoff,
     /// At once to another owner, or when this one serves.
@@ -85,17 +85,17 @@
 }
 
 /// When to send again after a refusal.
-pub fn after_refusal(refusal: Refusal) -> Again {
+pub fn retry_condition(refusal: Refusal) -> RetryCondition {
     match refusal {
-        Refusal::WrongOwner | Refusal::LeaseLapsed => Again::WhenOwned,
-        Refusal::Overloaded => Again::AfterBackoff,
-        Refusal::Draining => Again::NewOwnerOnly,
-        Refusal::DeadlinePassed | Refusal::Malformed => Again::Never,
+        Refusal::WrongOwner | Refusal::LeaseLapsed => RetryCondition::WhenOwned,
+        Refusal::Overloaded => RetryCondition::AfterBackoff,
+        Refusal::Draining => RetryCondition::NewOwnerOnly,
+        Refusal::DeadlinePassed | Refusal::Malformed => RetryCondition::Never,
     }
 }
 
 /// Whether an event counts against the back end. A refusal is an answer, and
 /// a pooled connection that was closed before use is in the nature of pools.
-pub fn is_evidence_of_failure(event: AttemptEvent) -> bool {
+pub fn is_back_end_failure(event: AttemptEvent) -> bool {
     matches!(event, AttemptEvent::ConnectFailed | AttemptEvent::Failed(_))
 }
--- a/crates/routing/src/concurrency.rs
+++ b/crates/routing/src/concurrency.rs
@@ -23,13 +23,13 @@
 /// Growth of answer times that says something about the back end. Less than
 /// this comes from whoever else runs on the two machines: answers of 100 µs
 /// take twice as long by chance all the time.
-const LEAST_GROWTH: Duration = Duration::from_millis(2);
+const MIN_LATENCY_GROWTH: Duration = Duration::from_millis(2);
 /// Answers at the limit, for each request of it, that raise it by one before
 /// the first decrease, and on the way back to the share.
-const ANSWERS_PER_STEP_AT_FIRST: f64 = 8.0;
+const INITIAL_RESPONSES_PER_STEP: f64 = 8.0;
 /// The same above the share afterwards. Slots are few, so one request more is a large step: it
 /// is tried seldom, lest each router provoke refusals with every other one.
-const ANSWERS_PER_STEP: f64 = 128.0;
+const RESPONSES_PER_STEP: f64 = 128.0;
 /// Time between two decreases while there is no answer time to go by.
 const DEFAULT_DECREASE_INTERVAL: Duration = Duration::from_millis(10);
 
@@ -54,8 +54,8 @@
         let routers = routers.max(1);
         let connection_share = (connections / routers).max(1);
         let overcommitted = u64::from(slots) * u64::from(overcommit_percent) / 100;
-        let most = u32::try_from(overcommitted).unwrap_or(u32::MAX).max(1);
-        let ceiling = most.min(connection_share);
+        let overcommitted_slots = u32::try_from(overcommitted).unwrap_or(u32::MAX).max(1);
+        let ceiling = overcommitted_slots.min(connection_share);
         let share = slots.div_ceil(routers).clamp(1, ceiling);
         Bounds { share, ceiling }
     }
@@ -101,17 +101,21 @@
     }
 
     /// An answer came while `in_flight` requests, itself included, were out.
-    pub fn on_answer(&mut self, now: Timestamp, in_flight: u32, latency: &LatencyEstimate) {
-        let material = latency.growth() >= LEAST_GROWTH;
-        let inflation = if material { latency.inflation() } else { 1.0 };
+    pub fn on_response(&mut self, now: Timestamp, in_flight: u32, latency: &LatencyEstimate) {
+        let is_significant = latency.growth() >= MIN_LATENCY_GROWTH;
+        let inflation = if is_significant {
+            latency.inflation()
+        } else {
+            1.0
+        };
         if inflation > INFLATION_SHRINK {
             self.decrease(now, LATENCY_FACTOR, latency);
             return;
         }
         // A limit that is not used up says nothing about what is sustained.
-        let used_up = in_flight >= self.allowed();
-        if used_up && inflation < INFLATION_GROW {
-            self.limit += 1.0 / (self.answers_per_step() * self.limit);
+        let is_saturated = in_flight >= self.allowed();
+        if is_saturated && inflation < INFLATION_GROW {
+            self.limit += 1.0 / (self.responses_per_step() * self.limit);
             self.clamp();
         }
     }
@@ -136,12 +140,12 @@
         self.clamp();
     }
 
-    fn answers_per_step(&self) -> f64 {
+    fn responses_per_step(&self) -> f64 {
         let below_share = self.limit < f64::from(self.bounds.share);
         if self.decreased_at.is_none() || below_share {
-            ANSWERS_PER_STEP_AT_FIRST
+            INITIAL_RESPONSES_PER_STEP
         } else {
-            ANSWERS_PER_STEP
+            RESPONSES_PER_STEP
         }
     }
 
--- a/crates/routing/src/deadline.rs
+++ b/crates/routing/src/deadline.rs
@@ -16,7 +16,7 @@
 ///
 /// `Malformed` when the header is no whole number of milliseconds, and
 /// `DeadlinePassed` when it is zero.
-pub fn deadline_of(
+pub fn request_deadline(
     now: Timestamp,
     route_deadline_ms: u64,
     headers: &dyn HeaderLookup,
--- a/crates/routing/src/dispatcher/admission.rs
+++ b/crates/routing/src/dispatcher/admission.rs
@@ -8,8 +8,8 @@
 
 use super::Dispatcher;
 use crate::attempt::{ExchangeId, Refused};
-use crate::backoff::mix;
-use crate::deadline::deadline_of;
+use crate::backoff::splitmix64;
+use crate::deadline::request_deadline;
 use crate::exchange::{Exchange, State};
 use crate::fairness::Admission;
 use crate::head::RequestHead;
@@ -25,13 +25,13 @@
         head: &RequestHead<'_>,
     ) -> Result<(ExchangeId, MatchedRoute), Refused> {
         if !self.core.accepting {
-            return Err(Refused::later(NotRunReason::NotReady));
+            return Err(Refused::retryable(NotRunReason::NotReady));
         }
-        let (exchange, matched) = self.exchange_of(now, head).map_err(Refused::for_good)?;
+        let (exchange, matched) = self.build_exchange(now, head).map_err(Refused::permanent)?;
         self.make_room(now, &exchange.namespace, exchange.priority)?;
         let id = exchange.id;
-        self.begun = id.0;
-        self.core.shares.enter(&exchange.namespace);
+        self.last_exchange_id = id.0;
+        self.core.shares.add_exchange(&exchange.namespace);
         self.core
             .by_point
             .insert((exchange.service, exchange.point, id));
@@ -40,18 +40,18 @@
         Ok((id, matched))
     }
 
-    fn exchange_of(
+    fn build_exchange(
         &self,
         now: Timestamp,
         head: &RequestHead<'_>,
     ) -> Result<(Exchange, MatchedRoute), NotRunReason> {
         let (index, service, route, point) = self.core.table.match_entry(head)?;
         let matched = MatchedRoute::new(service, route, point, head.method);
-        let deadline = deadline_of(now, route.deadline_ms, head.headers)?;
-        let id = ExchangeId(self.begun + 1);
+        let deadline = request_deadline(now, route.deadline_ms, head.headers)?;
+        let id = ExchangeId(self.last_exchange_id + 1);
         let exchange = Exchange {
             id,
-            request_id: mix(mix(self.core.seed) ^ id.0),
+            request_id: splitmix64(splitmix64(self.core.seed) ^ id.0),
             namespace: Arc::clone(&service.namespace),
             service: index,
             service_id: Arc::clone(&service.id),
@@ -62,12 +62,12 @@
             may_queue: route.may_queue,
             deadline,
             state: State::Ready,
-            yields: false,
+            is_evictable: false,
             parked_since: None,
             attempts: Vec::new(),
-            made: 0,
+            attempts_made: 0,
             refusals: None,
-            denied: 0,
+            retries_denied: 0,
             hedged: false,
             cancellations: Vec::new(),
             unresolved: None,
@@ -88,16 +88,16 @@
                 victim,
                 above_share,
             } => {
-                self.turn_away(now, victim, above_share);
+                self.evict(now, victim, above_share);
                 Ok(())
             }
-            Admission::ShareExhausted => Err(Refused::later(NotRunReason::ShareExhausted)),
-            Admission::Full => Err(Refused::later(NotRunReason::Overloaded)),
+            Admission::ShareExhausted => Err(Refused::retryable(NotRunReason::ShareExhausted)),
+            Admission::Full => Err(Refused::retryable(NotRunReason::Overloaded)),
         }
     }
 
     /// Ends a waiting request, of which nothing was sent, at once.
-    fn turn_away(&mut self, now: Timestamp, victim: ExchangeId, above_share: bool) {
+    fn evict(&mut self, now: Timestamp, victim: ExchangeId, above_share: bool) {
         let Some(exchange) = self.exchanges.get_mut(&victim) else {
             return;
         };
@@ -115,7 +115,7 @@
 
 impl Refused {
     /// The caller may come back.
-    fn later(reason: NotRunReason) -> Self {
+    fn retryable(reason: NotRunReason) -> Self {
         Refused {
             reason,
             retry_after: Some(DEFAULT_RETRY_AFTER),
@@ -123,7 +123,7 @@
     }
 
     /// Coming back with the same request would not help.
-    fn for_good(reason: NotRunReason) -> Self {
+    fn permanent(reason: NotRunReason) -> Self {
         Refused {
             reason,
             retry_after: None,
--- a/crates/routing/src/dispatcher/advance.rs
+++ b/crates/routing/src/dispatcher/advance.rs
@@ -4,7 +4,7 @@
 
 use super::core::Core;
 use crate::attempt::{Attempt, AttemptNumber, Step};
-use crate::exchange::{Exchange, RunningAttempt, State, Target, TryAgain};
+use crate::exchange::{Exchange, RetryTime, RunningAttempt, State, Target};
 
 impl Core {
     /// Moves the exchange on until there is something to tell the shell.
@@ -49,7 +49,7 @@
             State::Ready => self.route(now, exchange),
             State::Parked(parked) => self.wait_parked(now, exchange, parked),
             State::Queued { back_end, until } => self.wait_queued(now, exchange, back_end, until),
-            State::Running => self.watch_running(now, exchange),
+            State::Running => self.wait_running(now, exchange),
         }
     }
 
@@ -61,20 +61,20 @@
         }
         let Some(owner) = self.usable_owner(now, exchange) else {
             exchange.not_run = NotRunReason::NoOwner;
-            self.park(now, exchange, None, TryAgain::Never);
+            self.park(now, exchange, None, RetryTime::Never);
             return None;
         };
         self.grant_slots(now, owner.back_end);
         let back_end = self.back_ends.get(&owner.back_end)?;
         if back_end.queue.is_empty() && back_end.has_slot(now) {
-            return self.send(now, exchange, owner, false);
+            return self.start_attempt(now, exchange, owner, false);
         }
         self.enqueue(now, exchange, owner.back_end);
         None
     }
 
     /// Starts an attempt.
-    pub(super) fn send(
+    pub(super) fn start_attempt(
         &mut self,
         now: Timestamp,
         exchange: &mut Exchange,
@@ -82,13 +82,13 @@
         hedge: bool,
     ) -> Option<Step> {
         let back_end = self.back_ends.get_mut(&target.back_end)?;
-        exchange.made += 1;
-        let number = AttemptNumber(exchange.made);
-        if exchange.made == 1 {
+        exchange.attempts_made += 1;
+        let number = AttemptNumber(exchange.attempts_made);
+        if exchange.attempts_made == 1 {
             back_end.retries.deposit();
             back_end.hedges.deposit();
         }
-        back_end.start(now, exchange.id, number);
+        back_end.start_attempt(now, exchange.id, number);
         let attempt = Attempt {
             number,
             back_end: back_end.id.clone(),
@@ -115,18 +115,18 @@
     }
 
     /// Waits for an answer; a repeatable request may get a second attempt.
-    fn watch_running(&mut self, now: Timestamp, exchange: &mut Exchange) -> Option<Step> {
+    fn wait_running(&mut self, now: Timestamp, exchange: &mut Exchange) -> Option<Step> {
         if exchange.attempts.is_empty() {
             self.set_state(exchange, State::Ready);
             return None;
         }
         let mut until = exchange.deadline;
-        if let Some(target) = self.owner_after_loss(now, exchange) {
+        if let Some(target) = self.replacement_owner(now, exchange) {
             exchange.hedged = true;
             self.counters.reroutes += 1;
-            return self.send(now, exchange, target, true);
+            return self.start_attempt(now, exchange, target, true);
         }
-        if !exchange.may_run_twice() && self.is_lost_with_its_owner(exchange) {
+        if !exchange.may_run_concurrently() && self.all_attempts_lost(exchange) {
             // Nobody will answer: the outcome is final now, whatever time is
             // left.
             let outcome = Outcome::Unknown(UnknownReason::OwnerLost);
@@ -136,8 +136,8 @@
         if let Some(hedge_at) = self.hedge_time(exchange) {
             if hedge_at > now {
                 until = until.min(hedge_at);
-            } else if let Some(target) = self.take_hedge(now, exchange) {
-                return self.send(now, exchange, target, true);
+            } else if let Some(target) = self.try_hedge(now, exchange) {
+                return self.start_attempt(now, exchange, target, true);
             }
         }
         Some(Step::Wait { until })
@@ -146,22 +146,22 @@
     /// Whether every attempt may have run at a life of a back end that has
     /// ended since. Such a life may not carry anything out any more, and what
     /// it did carry out before it will hardly tell.
-    fn is_lost_with_its_owner(&self, exchange: &Exchange) -> bool {
+    fn all_attempts_lost(&self, exchange: &Exchange) -> bool {
         let mut attempts = exchange.attempts.iter();
-        attempts.all(|attempt| attempt.sent_at.is_some() && self.is_over(attempt.target))
+        attempts.all(|attempt| attempt.sent_at.is_some() && self.has_process_ended(attempt.target))
     }
 
     /// Whether the life of the back end has ended.
-    fn is_over(&self, target: Target) -> bool {
+    fn has_process_ended(&self, target: Target) -> bool {
         let back_end = self.back_ends.get(&target.back_end);
         back_end.is_none_or(|back_end| !back_end.is_current(target.incarnation))
     }
 
     /// The new owner of a repeatable request whose only attempt is at a life
     /// of a back end that has ended: it would not answer before the deadline.
-    fn owner_after_loss(&self, now: Timestamp, exchange: &Exchange) -> Option<Target> {
-        let attempt = second_attempt_beside(exchange)?;
-        if !self.is_over(attempt.target) {
+    fn replacement_owner(&self, now: Timestamp, exchange: &Exchange) -> Option<Target> {
+        let attempt = only_hedgeable_attempt(exchange)?;
+        if !self.has_process_ended(attempt.target) {
             return None;
         }
         let owner = self.usable_owner(now, exchange)?;
@@ -172,9 +172,9 @@
     /// When a hedge is due: once the attempt takes longer than most answers
     /// of this back end.
     fn hedge_time(&self, exchange: &Exchange) -> Option<Timestamp> {
-        let attempt = second_attempt_beside(exchange)?;
+        let attempt = only_hedgeable_attempt(exchange)?;
         let back_end = self.back_ends.get(&attempt.target.back_end)?;
-        let after = crate::hedge::hedge_after(&back_end.latency, &self.settings)?;
+        let after = crate::hedge::hedge_delay(&back_end.latency, &self.settings)?;
         Some(attempt.started + after)
     }
 
@@ -182,13 +182,13 @@
     /// same back end over another connection: it helps when a connection or
     /// one slot hangs and harms when the back end is busy. Hence only with a
     /// free slot, nobody waiting, and a token.
-    fn take_hedge(&mut self, now: Timestamp, exchange: &mut Exchange) -> Option<Target> {
-        let running = second_attempt_beside(exchange)?.target;
+    fn try_hedge(&mut self, now: Timestamp, exchange: &mut Exchange) -> Option<Target> {
+        let running = only_hedgeable_attempt(exchange)?.target;
         let owner = self.usable_owner(now, exchange)?;
         let back_end = self.back_ends.get_mut(&owner.back_end)?;
         let idle =
             back_end.queue.is_empty() && back_end.has_slot(now) && !back_end.ejection.is_ejected();
-        // Asked once: whatever the answer, it is not asked again.
+        // Asked once: whatever the answer, it is not probes again.
         exchange.hedged = true;
         if owner != running || !idle || !back_end.hedges.withdraw() {
             return None;
@@ -201,12 +201,12 @@
         // An answer that has begun speaks for its back end: a caller that
         // reads slowly may be what held it up.
         let delivering = matches!(exchange.state, State::Delivering { .. });
-        let silent = exchange
+        let unanswered = exchange
             .attempts
             .clone()
             .into_iter()
             .filter(|_| !delivering);
-        for attempt in silent {
+        for attempt in unanswered {
             let age = now.since(attempt.started);
             if age >= self.settings.timeout_evidence() {
                 self.on_back_end_failure(now, attempt.target.back_end);
@@ -225,9 +225,9 @@
 }
 
 /// The only attempt of an exchange that may get a second beside it.
-fn second_attempt_beside(exchange: &Exchange) -> Option<&RunningAttempt> {
+fn only_hedgeable_attempt(exchange: &Exchange) -> Option<&RunningAttempt> {
     match exchange.attempts.as_slice() {
-        [attempt] if exchange.may_run_twice() && !exchange.hedged => Some(attempt),
+        [attempt] if exchange.may_run_concurrently() && !exchange.hedged => Some(attempt),
         _ => None,
     }
 }
--- a/crates/routing/src/dispatcher/attempts.rs
+++ b/crates/routing/src/dispatcher/attempts.rs
@@ -6,9 +6,10 @@
 use super::core::Core;
 use crate::attempt::{AttemptEvent, AttemptNumber, SendDecision};
 use crate::classify::{
-    Again, Ran, Resending, after_refusal, classify, is_evidence_of_failure, may_send_again,
+    Execution, RetryCondition, RetryContext, classify, is_back_end_failure, may_retry,
+    retry_condition,
 };
-use crate::exchange::{Exchange, RunningAttempt, State, TryAgain};
+use crate::exchange::{Exchange, RetryTime, RunningAttempt, State};
 
 impl Core {
     /// Gives the permission to write if the attempt is still wanted, its
@@ -53,21 +54,21 @@
         let Some(attempt) = exchange.attempt(number).copied() else {
             return;
         };
-        self.learn(now, &attempt, event);
+        self.record_evidence(now, &attempt, event);
         match classify(event, attempt.sent_at.is_some()) {
-            Ran::Yes => self.on_answer(now, exchange, &attempt, event),
-            ran => self.on_ended(now, exchange, &attempt, event, ran),
+            Execution::Yes => self.on_response(now, exchange, &attempt, event),
+            ran => self.on_attempt_ended(now, exchange, &attempt, event, ran),
         }
         self.wakeups.insert(exchange.id);
     }
 
     /// Passive evidence about the back end.
-    fn learn(&mut self, now: Timestamp, attempt: &RunningAttempt, event: AttemptEvent) {
+    fn record_evidence(&mut self, now: Timestamp, attempt: &RunningAttempt, event: AttemptEvent) {
         let index = attempt.target.back_end;
-        if is_evidence_of_failure(event) {
+        if is_back_end_failure(event) {
             self.on_back_end_failure(now, index);
         } else if event != AttemptEvent::SentNothing {
-            self.on_back_end_answer(now, index);
+            self.on_back_end_success(now, index);
         }
         let AttemptEvent::Refused(refusal) = event else {
             return;
@@ -78,13 +79,13 @@
         };
         match refusal {
             Refusal::Overloaded => back_end.limit.on_overload(now, &back_end.latency),
-            Refusal::Draining => back_end.refused_as_draining(attempt.target.incarnation),
+            Refusal::Draining => back_end.on_draining_refusal(attempt.target.incarnation),
             _ => {}
         }
     }
 
     /// An answer has begun to come, or is here whole.
-    fn on_answer(
+    fn on_response(
         &mut self,
         now: Timestamp,
         exchange: &mut Exchange,
@@ -92,9 +93,9 @@
         event: AttemptEvent,
     ) {
         if exchange.state == State::Running {
-            self.on_served(attempt);
+            self.on_owner_accepted(attempt);
             self.record_latency(now, attempt);
-            self.choose(now, exchange, attempt);
+            self.deliver_response(now, exchange, attempt);
         }
         let State::Delivering {
             attempt: chosen,
@@ -124,12 +125,19 @@
         // be known when the attempt is handed out.
         back_end.latency.record(now.since(attempt.started));
         let in_flight = back_end.in_flight();
-        back_end.limit.on_answer(now, in_flight, &back_end.latency);
+        back_end
+            .limit
+            .on_response(now, in_flight, &back_end.latency);
     }
 
     /// Takes this attempt's answer for the caller and gives the others up.
     /// Invariant: a caller gets one answer, and it is one to its own request.
-    fn choose(&mut self, now: Timestamp, exchange: &mut Exchange, attempt: &RunningAttempt) {
+    fn deliver_response(
+        &mut self,
+        now: Timestamp,
+        exchange: &mut Exchange,
+        attempt: &RunningAttempt,
+    ) {
         self.counters.hedges_won += u64::from(attempt.hedge);
         let (chosen, others): (Vec<_>, Vec<_>) = std::mem::take(&mut exchange.attempts)
             .into_iter()
@@ -148,20 +156,20 @@
     }
 
     /// An attempt ended without an answer.
-    fn on_ended(
+    fn on_attempt_ended(
         &mut self,
         now: Timestamp,
         exchange: &mut Exchange,
         attempt: &RunningAttempt,
         event: AttemptEvent,
-        ran: Ran,
+        ran: Execution,
     ) {
         exchange.take_attempt(attempt.number);
         self.release(now, exchange.id, attempt);
         match ran {
-            Ran::No(reason) => exchange.not_run = reason,
-            Ran::Maybe(reason) => exchange.unresolved = Some(reason),
-            Ran::Yes => {}
+            Execution::No(reason) => exchange.not_run = reason,
+            Execution::Maybe(reason) => exchange.unresolved = Some(reason),
+            Execution::Yes => {}
         }
         if matches!(exchange.state, State::Delivering { .. }) {
             // The head has gone out: what came after it was cut short.
@@ -170,39 +178,42 @@
             return;
         }
         if exchange.attempts.is_empty() {
-            self.send_again_or_end(now, exchange, attempt, event, ran);
+            self.retry_or_end(now, exchange, attempt, event, ran);
         }
     }
 
-    fn send_again_or_end(
+    fn retry_or_end(
         &mut self,
         now: Timestamp,
         exchange: &mut Exchange,
         attempt: &RunningAttempt,
         event: AttemptEvent,
-        ran: Ran,
+        ran: Execution,
     ) {
-        let again = match event {
-            AttemptEvent::Refused(refusal) => after_refusal(refusal),
-            _ => Again::AfterBackoff,
+        let condition = match event {
+            AttemptEvent::Refused(refusal) => retry_condition(refusal),
+            _ => RetryCondition::AfterBackoff,
         };
-        let resending = Resending {
+        let context = RetryContext {
             repeatable: exchange.repeatable,
             body_replayable: exchange.body_replayable,
             sent: attempt.sent_at.is_some(),
             others_may_have_run: exchange.may_have_run(),
         };
-        let allowed = may_send_again(ran, resending) && exchange.made < self.settings.max_attempts;
-        if !allowed || again == Again::Never {
+        let allowed =
+            may_retry(ran, context) && exchange.attempts_made < self.settings.max_attempts;
+        if !allowed || condition == RetryCondition::Never {
             self.end_without_answer(now, exchange, UnknownReason::ConnectionLost);
             return;
         }
-        let try_again = match again {
-            Again::WhenOwned => return self.park_refused(now, exchange, attempt.target),
-            Again::AfterBackoff => TryAgain::At(self.retry_time(now, exchange)),
-            Again::NewOwnerOnly | Again::Never => TryAgain::Never,
+        let retry_time = match condition {
+            RetryCondition::WhenOwned => {
+                return self.park_after_refusal(now, exchange, attempt.target);
+            }
+            RetryCondition::AfterBackoff => RetryTime::At(self.retry_time(now, exchange)),
+            RetryCondition::NewOwnerOnly | RetryCondition::Never => RetryTime::Never,
         };
-        self.park(now, exchange, Some(attempt.target), try_again);
+        self.park(now, exchange, Some(attempt.target), retry_time);
     }
 
     pub(super) fn end_without_answer(
--- a/crates/routing/src/dispatcher/core.rs
+++ b/crates/routing/src/dispatcher/core.rs
@@ -9,8 +9,8 @@
 use crate::counters::Counters;
 use crate::ejection::EjectionChange;
 use crate::exchange::{Exchange, RunningAttempt, State, Target};
-use crate::fairness::{SharePolicy, Shares};
-use crate::refusing::RefusingOwners;
+use crate::fairness::{NamespaceShares, SharePolicy};
+use crate::owner_refusals::OwnerRefusals;
 use crate::settings::Settings;
 use crate::snapshot::Notice;
 use crate::table::{BackEndIndex, RoutingTable, ServiceIndex};
@@ -27,11 +27,11 @@
     pub(super) router_count: u32,
     pub(super) table: RoutingTable,
     pub(super) back_ends: BTreeMap<BackEndIndex, BackEnd>,
-    pub(super) shares: Shares,
+    pub(super) shares: NamespaceShares,
     /// Exchanges that have not ended, by the point of their key, so that a
     /// changed slice wakes only those it concerns.
     pub(super) by_point: BTreeSet<(ServiceIndex, Point, ExchangeId)>,
-    pub(super) refusing: RefusingOwners,
+    pub(super) owner_refusals: OwnerRefusals,
     pub(super) wakeups: BTreeSet<ExchangeId>,
     pub(super) counters: Counters,
     pub(super) notices: Vec<Notice>,
@@ -39,7 +39,7 @@
 
 impl Core {
     pub(super) fn new(settings: Settings, seed: u64) -> Self {
-        let shares = Shares::new(SharePolicy {
+        let shares = NamespaceShares::new(SharePolicy {
             capacity: settings.max_exchanges,
             share_percent: settings.namespace_share_percent,
             reserve_percent: settings.namespace_reserve_percent,
@@ -53,7 +53,7 @@
             back_ends: BTreeMap::new(),
             shares,
             by_point: BTreeSet::new(),
-            refusing: RefusingOwners::default(),
+            owner_refusals: OwnerRefusals::default(),
             wakeups: BTreeSet::new(),
             counters: Counters::default(),
             notices: Vec::new(),
@@ -71,27 +71,28 @@
     /// Changes the state and keeps the count of those that can give way.
     pub(super) fn set_state(&mut self, exchange: &mut Exchange, state: State) {
         if exchange.state != state {
-            self.leave_refusing(exchange);
+            self.leave_owner_refusals(exchange);
         }
         exchange.state = state;
         let waits = matches!(state, State::Parked(_) | State::Queued { .. });
-        let yields = waits && !exchange.may_have_run();
-        if yields == exchange.yields {
+        let is_evictable = waits && !exchange.may_have_run();
+        if is_evictable == exchange.is_evictable {
             return;
         }
-        exchange.yields = yields;
-        if yields {
-            self.shares.wait(&exchange.namespace, exchange.yielding());
+        exchange.is_evictable = is_evictable;
+        if is_evictable {
+            self.shares
+                .start_waiting(&exchange.namespace, exchange.eviction_order());
         } else {
             self.shares
-                .stop_waiting(&exchange.namespace, exchange.yielding());
+                .stop_waiting(&exchange.namespace, exchange.eviction_order());
         }
     }
 
     /// Frees the slot of an attempt that is over.
     pub(super) fn release(&mut self, now: Timestamp, id: ExchangeId, attempt: &RunningAttempt) {
         if let Some(back_end) = self.back_ends.get_mut(&attempt.target.back_end) {
-            back_end.stop(attempt.started, id, attempt.number);
+            back_end.end_attempt(attempt.started, id, attempt.number);
         }
         self.grant_slots(now, attempt.target.back_end);
     }
@@ -106,12 +107,12 @@
             return;
         }
         self.wakeups.extend(granted);
-        self.wake_first(now, index);
+        self.wake_queue_head(now, index);
     }
 
     /// Only the first of a queue watches the time for the others, so a new
     /// first is woken when slots may come free by themselves.
-    pub(super) fn wake_first(&mut self, now: Timestamp, index: BackEndIndex) {
+    pub(super) fn wake_queue_head(&mut self, now: Timestamp, index: BackEndIndex) {
         let Some(back_end) = self.back_ends.get(&index) else {
             return;
         };
@@ -120,12 +121,12 @@
         }
     }
 
-    pub(super) fn on_back_end_answer(&mut self, now: Timestamp, index: BackEndIndex) {
+    pub(super) fn on_back_end_success(&mut self, now: Timestamp, index: BackEndIndex) {
         let Some(back_end) = self.back_ends.get_mut(&index) else {
             return;
         };
         let change = back_end.ejection.on_success();
-        self.note_ejection(now, index, change, true);
+        self.report_ejection_change(now, index, change, true);
     }
 
     pub(super) fn on_back_end_failure(&mut self, now: Timestamp, index: BackEndIndex) {
@@ -134,17 +135,17 @@
         };
         let was_ejected = back_end.ejection.is_ejected();
         let change = back_end.ejection.on_failure(now);
-        self.note_ejection(now, index, change, !was_ejected);
+        self.report_ejection_change(now, index, change, !was_ejected);
     }
 
     /// An ejection is news once: one that is prolonged, as often as ten times
     /// a second, is counted and not noticed again.
-    fn note_ejection(
+    fn report_ejection_change(
         &mut self,
         now: Timestamp,
         index: BackEndIndex,
         change: Option<EjectionChange>,
-        is_news: bool,
+        should_notify: bool,
     ) {
         let (Some(change), Some(back_end)) = (change, self.back_ends.get_mut(&index)) else {
             return;
@@ -165,9 +166,9 @@
                 Notice::Readmitted { back_end: id }
             }
         };
-        if is_news && self.notices.len() < MAX_NOTICES {
+        if should_notify && self.notices.len() < MAX_NOTICES {
             self.notices.push(notice);
         }
-        self.wake_first(now, index);
+        self.wake_queue_head(now, index);
     }
 }
--- a/crates/routing/src/dispatcher/ending.rs
+++ b/crates/routing/src/dispatcher/ending.rs
@@ -9,7 +9,7 @@
 use crate::attempt::Finish;
 use crate::exchange::{Exchange, State};
 
-/// Longest time for which a caller is asked to stay away.
+/// Longest time for which a caller is probes to stay away.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 impl Core {
@@ -29,9 +29,9 @@
         let finish = Finish {
             outcome,
             retry_after,
-            attempts: exchange.made,
+            attempts: exchange.attempts_made,
         };
-        self.let_go(now, exchange);
+        self.release_resources(now, exchange);
         exchange.state = State::Ended(finish);
     }
 
@@ -41,7 +41,7 @@
             return;
         }
         self.counters.caller_gone += 1;
-        self.let_go(now, exchange);
+        self.release_resources(now, exchange);
     }
 
     /// When the caller may come back.
@@ -56,25 +56,25 @@
         }
         let owner = self.table.owner_entry(exchange.service, exchange.point);
         let back_end = owner.and_then(|owner| self.back_ends.get(&owner.back_end));
-        let wait = back_end.map(|back_end| back_end.expected_wait(now, exchange.place()));
+        let wait = back_end.map(|back_end| back_end.expected_wait(now, exchange.queue_position()));
         let wait = wait.unwrap_or(DEFAULT_RETRY_AFTER);
         Some(wait.clamp(DEFAULT_RETRY_AFTER, MAX_RETRY_AFTER))
     }
 
-    fn let_go(&mut self, now: Timestamp, exchange: &mut Exchange) {
+    fn release_resources(&mut self, now: Timestamp, exchange: &mut Exchange) {
         self.leave_queue(now, exchange);
-        self.leave_refusing(exchange);
+        self.leave_owner_refusals(exchange);
         for attempt in std::mem::take(&mut exchange.attempts) {
             self.release(now, exchange.id, &attempt);
         }
         // Those the shell has not heard of end with `Finish`.
         exchange.cancellations.clear();
-        if exchange.yields {
-            exchange.yields = false;
+        if exchange.is_evictable {
+            exchange.is_evictable = false;
             self.shares
-                .stop_waiting(&exchange.namespace, exchange.yielding());
+                .stop_waiting(&exchange.namespace, exchange.eviction_order());
         }
-        self.shares.leave(&exchange.namespace);
+        self.shares.remove_exchange(&exchange.namespace);
         let key = (exchange.service, exchange.point, exchange.id);
         self.by_point.remove(&key);
         self.wakeups.remove(&exchange.id);
@@ -90,9 +90,9 @@
         let Some(back_end) = self.back_ends.get_mut(&index) else {
             return;
         };
-        back_end.queue.remove(exchange.place());
-        back_end.take_grant(exchange.id);
+        back_end.queue.remove(exchange.queue_position());
+        back_end.take_granted_slot(exchange.id);
         self.grant_slots(now, index);
-        self.wake_first(now, index);
+        self.wake_queue_head(now, index);
     }
 }
--- a/crates/routing/src/dispatcher/mod.rs
+++ b/crates/routing/src/dispatcher/mod.rs
@@ -5,8 +5,8 @@
 mod attempts;
 mod core;
 mod ending;
+mod owner_refusals;
 mod records;
-mod refused;
 mod status;
 mod waiting;
 
@@ -32,7 +32,7 @@
     /// Boxed: an exchange takes hundreds of bytes, and a tree moves its
     /// neighbours whenever one comes or goes.
     exchanges: BTreeMap<ExchangeId, Box<Exchange>>,
-    begun: u64,
+    last_exchange_id: u64,
 }
 
 impl Dispatcher {
@@ -43,7 +43,7 @@
         Dispatcher {
             core: Core::new(settings, seed),
             exchanges: BTreeMap::new(),
-            begun: 0,
+            last_exchange_id: 0,
         }
     }
 
@@ -111,7 +111,7 @@
         step
     }
 
-    /// Must be asked right before the first byte of an attempt is passed to
+    /// Must be probes right before the first byte of an attempt is passed to
     /// its connection. "Not run" is true because nothing is written without
     /// this permission.
     pub fn start_sending(
--- a/crates/routing/src/dispatcher/refused.rs
+++ b/crates/routing/src/dispatcher/owner_refusals.rs
@@ -4,70 +4,77 @@
 
 use super::core::Core;
 use crate::attempt::Step;
-use crate::exchange::{Exchange, Parked, Refusals, RunningAttempt, State, Target, TryAgain};
-use crate::refusing::Turn;
+use crate::exchange::{Exchange, Parked, Refusals, RetryTime, RunningAttempt, State, Target};
+use crate::owner_refusals::WaiterAction;
 
 impl Core {
     /// Waits for a newer epoch of the slice, or until the owner serves.
-    pub(super) fn park_refused(&mut self, now: Timestamp, exchange: &mut Exchange, target: Target) {
+    pub(super) fn park_after_refusal(
+        &mut self,
+        now: Timestamp,
+        exchange: &mut Exchange,
+        target: Target,
+    ) {
         let refusals = exchange
             .refusals
             .filter(|refusals| refusals.target == target);
         let refusals = refusals.unwrap_or(Refusals {
             target,
-            asked: 1,
-            followed: false,
+            probes: 1,
+            resent: false,
         });
         exchange.refusals = Some(refusals);
-        if refusals.followed {
+        if refusals.resent {
             // What served the others does not serve this one.
             let retry_at = self.retry_time(now, exchange);
-            return self.park(now, exchange, Some(target), TryAgain::At(retry_at));
+            return self.park(now, exchange, Some(target), RetryTime::At(retry_at));
         }
-        self.park(now, exchange, Some(target), TryAgain::WithOthers);
+        self.park(now, exchange, Some(target), RetryTime::AfterProbe);
         let shortest = self.settings.backoff_min();
-        self.refusing
-            .join(now, target, exchange.id, refusals.asked, shortest);
+        self.owner_refusals
+            .join(now, target, exchange.id, refusals.probes, shortest);
     }
 
     /// The next step of one that waits with others, while its owner is the
     /// one that refused.
-    pub(super) fn wait_refused(
+    pub(super) fn wait_for_owner_to_accept(
         &mut self,
         now: Timestamp,
         exchange: &mut Exchange,
         target: Target,
         give_up: Timestamp,
     ) -> Option<Step> {
-        match self.refusing.turn(target, exchange.id) {
-            Turn::Waits => Some(Step::Wait { until: give_up }),
-            Turn::Asks(ask_at) if now < ask_at => {
+        match self.owner_refusals.next_action(target, exchange.id) {
+            WaiterAction::Wait => Some(Step::Wait { until: give_up }),
+            WaiterAction::Probe(ask_at) if now < ask_at => {
                 let until = ask_at.min(give_up);
                 Some(Step::Wait { until })
             }
-            Turn::Asks(_) => {
-                self.ask_again(now, exchange, target);
+            WaiterAction::Probe(_) => {
+                self.probe_owner(now, exchange, target);
                 None
             }
-            Turn::Served => {
-                self.follow(exchange);
+            WaiterAction::Resend => {
+                self.resend_once(exchange);
                 None
             }
         }
     }
 
     /// Another one was served. Costs no token: each follows once.
-    fn follow(&mut self, exchange: &mut Exchange) {
+    fn resend_once(&mut self, exchange: &mut Exchange) {
         if let Some(refusals) = &mut exchange.refusals {
-            refusals.followed = true;
+            refusals.resent = true;
         }
         self.counters.reroutes += 1;
         self.set_state(exchange, State::Ready);
     }
 
-    fn ask_again(&mut self, now: Timestamp, exchange: &mut Exchange, target: Target) {
+    fn probe_owner(&mut self, now: Timestamp, exchange: &mut Exchange, target: Target) {
         let shortest = self.settings.backoff_min();
-        let asked = self.refusing.put_off(now, target, shortest);
+        let probes = self
+            .owner_refusals
+            .schedule_next_probe(now, target, shortest);
         let back_end = self.back_ends.get_mut(&target.back_end);
         if !back_end.is_none_or(|back_end| back_end.withdraw_retry(now)) {
             self.counters.retries_denied += 1;
@@ -77,28 +84,28 @@
             return;
         }
         if let Some(refusals) = &mut exchange.refusals {
-            refusals.asked = asked;
+            refusals.probes = probes;
         }
         self.counters.retries += 1;
         self.set_state(exchange, State::Ready);
     }
 
     /// An owner answers: those that it refused go on.
-    pub(super) fn on_served(&mut self, attempt: &RunningAttempt) {
-        let waiting = self.refusing.served(attempt.target);
+    pub(super) fn on_owner_accepted(&mut self, attempt: &RunningAttempt) {
+        let waiting = self.owner_refusals.release_all(attempt.target);
         self.wakeups.extend(waiting);
     }
 
     /// Gives up the place among those that wait for the owner that refused.
-    pub(super) fn leave_refusing(&mut self, exchange: &Exchange) {
+    pub(super) fn leave_owner_refusals(&mut self, exchange: &Exchange) {
         let State::Parked(Parked {
             avoid: Some(target),
-            again: TryAgain::WithOthers,
+            retry: RetryTime::AfterProbe,
         }) = exchange.state
         else {
             return;
         };
-        let next = self.refusing.leave(target, exchange.id);
+        let next = self.owner_refusals.leave(target, exchange.id);
         self.wakeups.extend(next);
     }
 }
--- a/crates/routing/src/dispatcher/records.rs
+++ b/crates/routing/src/dispatcher/records.rs
@@ -7,7 +7,7 @@
 
 use super::core::Core;
 use crate::attempt::ExchangeId;
-use crate::back_end::{BackEnd, Life};
+use crate::back_end::{BackEnd, BackEndProcess};
 use crate::table::{ApplyError, BackEndIndex, Effects, ServiceIndex};
 
 impl Core {
@@ -16,7 +16,7 @@
         let warm = self.table.revision() == Revision::NONE;
         let effects = self.table.apply_with_effects(delta)?;
         self.update_back_ends(now, &effects, warm);
-        self.wake_concerned(&effects);
+        self.wake_affected(&effects);
         Ok(())
     }
 
@@ -37,7 +37,7 @@
         for index in touched {
             self.update_back_end(now, index, warm);
             if let Some(back_end) = self.back_ends.get(&index) {
-                self.wakeups.extend(back_end.everyone());
+                self.wakeups.extend(back_end.exchange_ids());
             }
         }
     }
@@ -47,30 +47,32 @@
         let entry = sessions.back_end(index);
         let Some((id, spec)) = entry.and_then(|entry| Some((&entry.id, entry.spec.as_ref()?)))
         else {
-            self.forget_back_end(index);
+            self.remove_back_end(index);
             return;
         };
-        let life = sessions.current_session(index).map(|session| Life {
-            incarnation: session.incarnation,
-            draining: session.draining,
-        });
+        let process = sessions
+            .current_session(index)
+            .map(|session| BackEndProcess {
+                incarnation: session.incarnation,
+                draining: session.draining,
+            });
         let back_end = self
             .back_ends
             .entry(index)
             .or_insert_with(|| BackEnd::new(id.clone(), spec, &self.settings, self.router_count));
         back_end.set_spec(spec, &self.settings, self.router_count);
-        back_end.set_life(now, life, warm, &self.settings);
+        back_end.set_process(now, process, warm, &self.settings);
         self.grant_slots(now, index);
     }
 
     /// The back end's record is gone: those who wait for it look again.
-    fn forget_back_end(&mut self, index: BackEndIndex) {
+    fn remove_back_end(&mut self, index: BackEndIndex) {
         if let Some(back_end) = self.back_ends.remove(&index) {
-            self.wakeups.extend(back_end.everyone());
+            self.wakeups.extend(back_end.exchange_ids());
         }
     }
 
-    fn wake_concerned(&mut self, effects: &Effects) {
+    fn wake_affected(&mut self, effects: &Effects) {
         if effects.full {
             self.wakeups
                 .extend(self.by_point.iter().map(|(_, _, id)| *id));
@@ -87,7 +89,7 @@
     fn wake_slice(&mut self, service: ServiceIndex, slice: Slice) {
         let first: (ServiceIndex, Point, ExchangeId) = (service, slice.first, ExchangeId(0));
         let last = (service, slice.last, ExchangeId(u64::MAX));
-        let concerned = self.by_point.range(first..=last).map(|(_, _, id)| *id);
-        self.wakeups.extend(concerned);
+        let affected = self.by_point.range(first..=last).map(|(_, _, id)| *id);
+        self.wakeups.extend(affected);
     }
 }
--- a/crates/routing/src/dispatcher/status.rs
+++ b/crates/routing/src/dispatcher/status.rs
@@ -14,7 +14,9 @@
         LoadSnapshot {
             exchanges: self.shares.total(),
             namespaces: self.namespace_loads(),
-            back_ends: back_ends.map(|back_end| load_of(now, back_end)).collect(),
+            back_ends: back_ends
+                .map(|back_end| back_end_load(now, back_end))
+                .collect(),
         }
     }
 
@@ -33,7 +35,7 @@
     }
 }
 
-fn load_of(now: Timestamp, back_end: &BackEnd) -> BackEndLoad {
+fn back_end_load(now: Timestamp, back_end: &BackEnd) -> BackEndLoad {
     BackEndLoad {
         back_end: Arc::clone(&back_end.id),
         in_flight: back_end.in_flight(),
@@ -42,6 +44,6 @@
         queued: back_end.queue.len(),
         ejected: back_end.ejection.is_ejected(),
         takes_new_work: back_end.takes_new_work(now),
-        answer_time: back_end.latency.recent(),
+        response_time: back_end.latency.recent(),
     }
 }
--- a/crates/routing/src/dispatcher/waiting.rs
+++ b/crates/routing/src/dispatcher/waiting.rs
@@ -7,8 +7,8 @@
 use super::core::Core;
 use crate::attempt::Step;
 use crate::backoff::backoff;
-use crate::exchange::{Exchange, Parked, State, Target, TryAgain};
-use crate::queue::Pushed;
+use crate::exchange::{Exchange, Parked, RetryTime, State, Target};
+use crate::queue::PushOutcome;
 use crate::table::BackEndIndex;
 
 impl Core {
@@ -18,18 +18,18 @@
         now: Timestamp,
         exchange: &mut Exchange,
         avoid: Option<Target>,
-        again: TryAgain,
+        retry: RetryTime,
     ) {
         if exchange.parked_since.is_none() {
             exchange.parked_since = Some(now);
             self.counters.parked += 1;
         }
-        self.set_state(exchange, State::Parked(Parked { avoid, again }));
+        self.set_state(exchange, State::Parked(Parked { avoid, retry }));
     }
 
     /// Time of the next attempt at the same owner.
     pub(super) fn retry_time(&self, now: Timestamp, exchange: &Exchange) -> Timestamp {
-        let rounds = exchange.made + exchange.denied;
+        let rounds = exchange.attempts_made + exchange.retries_denied;
         let draw = exchange.request_id ^ u64::from(rounds);
         let (shortest, longest) = (self.settings.backoff_min(), self.settings.backoff_max());
         now + backoff(shortest, longest, rounds, draw)
@@ -56,14 +56,14 @@
             self.end_without_answer(now, exchange, UnknownReason::ConnectionLost);
             return None;
         }
-        let retry_at = match (parked.again, owner) {
-            (TryAgain::Never, _) | (TryAgain::WithOthers, None) => {
+        let retry_at = match (parked.retry, owner) {
+            (RetryTime::Never, _) | (RetryTime::AfterProbe, None) => {
                 return Some(Step::Wait { until: give_up });
             }
-            (TryAgain::WithOthers, Some(owner)) => {
-                return self.wait_refused(now, exchange, owner, give_up);
+            (RetryTime::AfterProbe, Some(owner)) => {
+                return self.wait_for_owner_to_accept(now, exchange, owner, give_up);
             }
-            (TryAgain::At(retry_at), _) => retry_at,
+            (RetryTime::At(retry_at), _) => retry_at,
         };
         if exchange.not_run == NotRunReason::Overloaded && retry_at >= give_up {
             // It would only be held back.
@@ -100,21 +100,21 @@
             self.end_without_answer(now, exchange, UnknownReason::ConnectionLost);
             return;
         }
-        exchange.denied += 1;
+        exchange.retries_denied += 1;
         let retry_at = self.retry_time(now, exchange);
-        self.park(now, exchange, parked.avoid, TryAgain::At(retry_at));
+        self.park(now, exchange, parked.avoid, RetryTime::At(retry_at));
     }
 
     /// Waiting with nothing sent is always safe, so every request waits for an
     /// owner; only overload is told at once to those that may not queue.
     fn give_up_time(&self, now: Timestamp, exchange: &Exchange) -> Timestamp {
-        let patience = match exchange.not_run {
+        let max_wait = match exchange.not_run {
             NotRunReason::Overloaded if exchange.may_queue => return exchange.deadline,
             NotRunReason::Overloaded => self.settings.short_wait(),
             _ => self.settings.owner_wait(),
         };
         let since = exchange.parked_since.unwrap_or(now);
-        exchange.deadline.min(since + patience)
+        exchange.deadline.min(since + max_wait)
     }
 
     /// Joins the queue of a back end, unless the request could not meet its
@@ -123,29 +123,29 @@
         let Some(back_end) = self.back_ends.get_mut(&index) else {
             return;
         };
-        let place = exchange.place();
+        let position = exchange.queue_position();
         let ejected = back_end.ejection.is_ejected();
         exchange.not_run = if ejected {
             NotRunReason::Unreachable
         } else {
             NotRunReason::Overloaded
         };
-        let wait = back_end.expected_wait(now, place);
-        let answer_time = back_end.latency.recent().unwrap_or(Duration::ZERO);
-        let until = queue_patience(now, exchange, ejected, &self.settings);
-        let hopeless = now + wait > until || now + wait + answer_time > exchange.deadline;
-        if hopeless {
+        let wait = back_end.expected_wait(now, position);
+        let response_time = back_end.latency.recent().unwrap_or(Duration::ZERO);
+        let until = queue_wait_deadline(now, exchange, ejected, &self.settings);
+        let misses_deadline = now + wait > until || now + wait + response_time > exchange.deadline;
+        if misses_deadline {
             self.counters.shed += 1;
             self.end_without_answer(now, exchange, UnknownReason::ConnectionLost);
             return;
         }
-        match back_end.queue.push(place) {
-            Pushed::Waits => {}
-            Pushed::Displaced(other) => {
+        match back_end.queue.push(position) {
+            PushOutcome::Queued => {}
+            PushOutcome::Displaced(other) => {
                 self.counters.displaced += 1;
                 self.wakeups.insert(other);
             }
-            Pushed::Full => {
+            PushOutcome::Full => {
                 self.counters.shed += 1;
                 self.end_without_answer(now, exchange, UnknownReason::ConnectionLost);
                 return;
@@ -169,28 +169,28 @@
             self.set_state(exchange, State::Ready);
             return None;
         };
-        let granted = back_end.take_grant(exchange.id);
-        let place = exchange.place();
+        let granted = back_end.take_granted_slot(exchange.id);
+        let position = exchange.queue_position();
         match owner {
             Some(owner) if owner.back_end == index => {
                 if granted {
-                    return self.send(now, exchange, owner, false);
+                    return self.start_attempt(now, exchange, owner, false);
                 }
             }
             _ => {
                 // The slice has moved, or its owner drains.
-                back_end.queue.remove(place);
+                back_end.queue.remove(position);
                 self.grant_slots(now, index);
-                self.wake_first(now, index);
+                self.wake_queue_head(now, index);
                 self.set_state(exchange, State::Ready);
                 return None;
             }
         }
         let back_end = self.back_ends.get_mut(&index)?;
-        let still_queued = back_end.queue.contains(place);
+        let still_queued = back_end.queue.contains(position);
         if !still_queued || now >= until {
-            back_end.queue.remove(place);
-            self.wake_first(now, index);
+            back_end.queue.remove(position);
+            self.wake_queue_head(now, index);
             self.end_without_answer(now, exchange, UnknownReason::ConnectionLost);
             return None;
         }
@@ -203,18 +203,18 @@
 
 /// How long a request may wait for a slot. While the back end is ejected it
 /// is not overload that keeps it waiting, and waiting is safe.
-fn queue_patience(
+fn queue_wait_deadline(
     now: Timestamp,
     exchange: &Exchange,
     ejected: bool,
     settings: &crate::settings::Settings,
 ) -> Timestamp {
-    let patience = if exchange.may_queue {
+    let max_wait = if exchange.may_queue {
         return exchange.deadline;
     } else if ejected {
         settings.owner_wait()
     } else {
         settings.short_wait()
     };
-    exchange.deadline.min(now + patience)
+    exchange.deadline.min(now + max_wait)
 }
--- a/crates/routing/src/ejection.rs
+++ b/crates/routing/src/ejection.rs
@@ -15,12 +15,12 @@
 pub struct EjectionPolicy {
     /// Failures in a row that eject.
     pub failures: u32,
-    /// First length; it doubles with each failed return.
-    pub shortest: Duration,
-    /// Longest length.
-    pub longest: Duration,
+    /// First duration; it doubles with each failed return.
+    pub min_duration: Duration,
+    /// Longest duration.
+    pub max_duration: Duration,
     /// Successes, one request at a time, that end it.
-    pub successes: u32,
+    pub successes_to_readmit: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
     },
     Ejected {
         until: Timestamp,
-        length: Duration,
+        duration: Duration,
         successes: u32,
     },
 }
@@ -91,7 +91,7 @@
             }
             State::Ejected { successes, .. } => {
                 *successes += 1;
-                if *successes < self.policy.successes {
+                if *successes < self.policy.successes_to_readmit {
                     return None;
                 }
                 self.state = State::InUse { failures: 0 };
@@ -102,21 +102,21 @@
 
     /// The back end could not be connected to, broke off or did not answer.
     pub fn on_failure(&mut self, now: Timestamp) -> Option<EjectionChange> {
-        let length = match self.state {
+        let duration = match self.state {
             State::InUse { failures } if failures + 1 < self.policy.failures => {
                 self.state = State::InUse {
                     failures: failures + 1,
                 };
                 return None;
             }
-            State::InUse { .. } => self.policy.shortest,
+            State::InUse { .. } => self.policy.min_duration,
             // Failures of attempts sent before the ejection add nothing.
             State::Ejected { until, .. } if now < until => return None,
-            State::Ejected { length, .. } => (length * 2).min(self.policy.longest),
+            State::Ejected { duration, .. } => (duration * 2).min(self.policy.max_duration),
         };
         self.state = State::Ejected {
-            until: now + length,
-            length,
+            until: now + duration,
+            duration,
             successes: 0,
         };
         Some(EjectionChange::Ejected)
--- a/crates/routing/src/exchange.rs
+++ b/crates/routing/src/exchange.rs
@@ -9,8 +9,8 @@
 };
 
 use crate::attempt::{AttemptNumber, ExchangeId, Finish};
-use crate::fairness::Yielding;
-use crate::queue::Place;
+use crate::fairness::EvictionOrder;
+use crate::queue::QueuePosition;
 use crate::table::{BackEndIndex, OwnerEntry, ServiceIndex};
 
 /// An assignment that a request was sent under.
@@ -48,28 +48,28 @@
     /// The assignment that failed last. Another one may be tried at once.
     pub(crate) avoid: Option<Target>,
     /// When the same one may be tried again.
-    pub(crate) again: TryAgain,
+    pub(crate) retry: RetryTime,
 }
 
 /// When the owner that failed last may be tried again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum TryAgain {
+pub(crate) enum RetryTime {
     /// Never: only another one.
     Never,
     /// From then on.
     At(Timestamp),
     /// As those agree that it refused as not its own.
-    WithOthers,
+    AfterProbe,
 }
 
 /// Refusals by one owner as not its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Refusals {
     pub(crate) target: Target,
-    /// Times that the exchange asked for all that wait.
-    pub(crate) asked: u32,
+    /// Times that the exchange probes for all that wait.
+    pub(crate) probes: u32,
     /// It went on because another one was served there.
-    pub(crate) followed: bool,
+    pub(crate) resent: bool,
 }
 
 /// Where an exchange stands.
@@ -112,15 +112,15 @@
     pub(crate) deadline: Timestamp,
     pub(crate) state: State,
     /// Counted among the waiting requests that may give way to others.
-    pub(crate) yields: bool,
+    pub(crate) is_evictable: bool,
     /// When it was first parked.
     pub(crate) parked_since: Option<Timestamp>,
     pub(crate) attempts: Vec<RunningAttempt>,
-    pub(crate) made: u32,
+    pub(crate) attempts_made: u32,
     /// Refusals by the latest owner that refused it as not its own.
     pub(crate) refusals: Option<Refusals>,
     /// Times that a retry was put off.
-    pub(crate) denied: u32,
+    pub(crate) retries_denied: u32,
     /// A hedge or a second attempt beside a lost one was sent.
     pub(crate) hedged: bool,
     pub(crate) cancellations: Vec<AttemptNumber>,
@@ -132,12 +132,12 @@
 
 impl Exchange {
     /// Its place in queues.
-    pub(crate) fn place(&self) -> Place {
-        Place::new(self.priority, self.deadline, self.id)
+    pub(crate) fn queue_position(&self) -> QueuePosition {
+        QueuePosition::new(self.priority, self.deadline, self.id)
     }
 
     /// Its place among those of its namespace that give way.
-    pub(crate) fn yielding(&self) -> Yielding {
+    pub(crate) fn eviction_order(&self) -> EvictionOrder {
         (self.priority, Reverse(self.deadline), Reverse(self.id))
     }
 
@@ -174,7 +174,7 @@
     }
 
     /// Whether it may be sent while another attempt of it runs.
-    pub(crate) fn may_run_twice(&self) -> bool {
+    pub(crate) fn may_run_concurrently(&self) -> bool {
         self.repeatable && self.body_replayable
     }
 }
--- a/crates/routing/src/fairness.rs
+++ b/crates/routing/src/fairness.rs
@@ -1,4 +1,4 @@
-//! Shares of the router between namespaces, that is, between partners.
+//! NamespaceShares of the router between namespaces, that is, between partners.
 //!
 //! Back ends belong to one namespace each, so partners meet only at what a
 //! router itself holds: its exchanges. The sharing is work-conserving: a
@@ -17,7 +17,7 @@
 
 /// Order in which waiting requests of one namespace give way: lowest priority
 /// first, then the latest deadline, then the latest arrival.
-pub type Yielding = (Priority, Reverse<Timestamp>, Reverse<ExchangeId>);
+pub type EvictionOrder = (Priority, Reverse<Timestamp>, Reverse<ExchangeId>);
 
 /// Settings of the sharing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,28 +50,28 @@
 
 /// What one namespace holds.
 #[derive(Debug, Default)]
-struct Holding {
+struct NamespaceUsage {
     held: u32,
-    waiting: BTreeSet<Yielding>,
+    waiting: BTreeSet<EvictionOrder>,
 }
 
 /// What each namespace holds. Namespaces that hold nothing have no entry, so
 /// the maps are bounded by the capacity.
 #[derive(Debug)]
-pub struct Shares {
+pub struct NamespaceShares {
     policy: SharePolicy,
     total: u32,
-    holdings: BTreeMap<Arc<str>, Holding>,
+    usage_by_namespace: BTreeMap<Arc<str>, NamespaceUsage>,
     by_held: BTreeSet<(u32, Arc<str>)>,
 }
 
-impl Shares {
+impl NamespaceShares {
     /// Nothing held.
     pub fn new(policy: SharePolicy) -> Self {
-        Shares {
+        NamespaceShares {
             policy,
             total: 0,
-            holdings: BTreeMap::new(),
+            usage_by_namespace: BTreeMap::new(),
             by_held: BTreeSet::new(),
         }
     }
@@ -83,59 +83,59 @@
 
     /// Exchanges that a namespace holds and how many of them wait.
     pub fn held(&self, namespace: &str) -> (u32, usize) {
-        let holding = self.holdings.get(namespace);
-        holding.map_or((0, 0), |holding| (holding.held, holding.waiting.len()))
+        let usage = self.usage_by_namespace.get(namespace);
+        usage.map_or((0, 0), |usage| (usage.held, usage.waiting.len()))
     }
 
     /// Every namespace that holds something.
     pub fn namespaces(&self) -> impl Iterator<Item = &Arc<str>> {
-        self.holdings.keys()
+        self.usage_by_namespace.keys()
     }
 
     /// What to do with a request; changes nothing. O(log n).
     pub fn decide(&self, namespace: &str, priority: Priority) -> Admission {
         let (held, _) = self.held(namespace);
-        if held < self.guarantee(held) {
+        if held < self.guaranteed_share(held) {
             return self.decide_below_share(namespace, priority);
         }
-        if self.total < self.open_to_all() {
+        if self.total < self.unreserved_capacity() {
             return Admission::Admit;
         }
-        if let Some(victim) = self.lower_priority(namespace, priority) {
+        if let Some(victim) = self.victim_with_lower_priority(namespace, priority) {
             return Admission::Replace {
                 victim,
                 above_share: false,
             };
         }
-        if self.holdings.len() > 1 {
+        if self.usage_by_namespace.len() > 1 {
             return Admission::ShareExhausted;
         }
         Admission::Full
     }
 
     /// A request was taken.
-    pub fn enter(&mut self, namespace: &Arc<str>) {
-        self.change_held(namespace, |held| held + 1);
+    pub fn add_exchange(&mut self, namespace: &Arc<str>) {
+        self.update_held(namespace, |held| held + 1);
         self.total += 1;
     }
 
     /// An exchange ended.
-    pub fn leave(&mut self, namespace: &Arc<str>) {
-        self.change_held(namespace, |held| held.saturating_sub(1));
+    pub fn remove_exchange(&mut self, namespace: &Arc<str>) {
+        self.update_held(namespace, |held| held.saturating_sub(1));
         self.total = self.total.saturating_sub(1);
     }
 
     /// An exchange began to wait, with nothing of it sent.
-    pub fn wait(&mut self, namespace: &str, yielding: Yielding) {
-        if let Some(holding) = self.holdings.get_mut(namespace) {
-            holding.waiting.insert(yielding);
+    pub fn start_waiting(&mut self, namespace: &str, eviction_order: EvictionOrder) {
+        if let Some(usage) = self.usage_by_namespace.get_mut(namespace) {
+            usage.waiting.insert(eviction_order);
         }
     }
 
     /// An exchange waits no more.
-    pub fn stop_waiting(&mut self, namespace: &str, yielding: Yielding) {
-        if let Some(holding) = self.holdings.get_mut(namespace) {
-            holding.waiting.remove(&yielding);
+    pub fn stop_waiting(&mut self, namespace: &str, eviction_order: EvictionOrder) {
+        if let Some(usage) = self.usage_by_namespace.get_mut(namespace) {
+            usage.waiting.remove(&eviction_order);
         }
     }
 
@@ -143,13 +143,13 @@
         if self.total < self.policy.capacity {
             return Admission::Admit;
         }
-        if let Some(victim) = self.above_share() {
+        if let Some(victim) = self.victim_above_share() {
             return Admission::Replace {
                 victim,
                 above_share: true,
             };
         }
-        match self.lower_priority(namespace, priority) {
+        match self.victim_with_lower_priority(namespace, priority) {
             Some(victim) => Admission::Replace {
                 victim,
                 above_share: false,
@@ -160,14 +160,14 @@
 
     /// Part that a namespace is sure of, given how many hold something. A
     /// namespace that holds nothing yet is counted in.
-    fn guarantee(&self, held: u32) -> u32 {
-        let active = self.holdings.len() + usize::from(held == 0);
+    fn guaranteed_share(&self, held: u32) -> u32 {
+        let active = self.usage_by_namespace.len() + usize::from(held == 0);
         let equal_part = self.policy.capacity / u32::try_from(active.max(1)).unwrap_or(u32::MAX);
         self.percent(self.policy.share_percent).min(equal_part)
     }
 
     /// Number up to which a namespace above its share may fill the router.
-    fn open_to_all(&self) -> u32 {
+    fn unreserved_capacity(&self) -> u32 {
         let reserve = self.percent(self.policy.reserve_percent);
         self.policy.capacity.saturating_sub(reserve)
     }
@@ -179,29 +179,36 @@
 
     /// Waiting request of the namespace that holds the most, if that is more
     /// than its share.
-    fn above_share(&self) -> Option<ExchangeId> {
+    fn victim_above_share(&self) -> Option<ExchangeId> {
         let (held, namespace) = self.by_held.last()?;
-        if *held <= self.guarantee(*held) {
+        if *held <= self.guaranteed_share(*held) {
             return None;
         }
-        let (_, _, id) = self.holdings.get(namespace)?.waiting.first()?;
+        let (_, _, id) = self.usage_by_namespace.get(namespace)?.waiting.first()?;
         Some(id.0)
     }
 
     /// Waiting request of the same namespace with a lower priority.
-    fn lower_priority(&self, namespace: &str, priority: Priority) -> Option<ExchangeId> {
-        let (lowest, _, id) = self.holdings.get(namespace)?.waiting.first()?;
+    fn victim_with_lower_priority(
+        &self,
+        namespace: &str,
+        priority: Priority,
+    ) -> Option<ExchangeId> {
+        let (lowest, _, id) = self.usage_by_namespace.get(namespace)?.waiting.first()?;
         (*lowest < priority).then_some(id.0)
     }
 
-    fn change_held(&mut self, namespace: &Arc<str>, change: impl Fn(u32) -> u32) {
-        let holding = self.holdings.entry(Arc::clone(namespace)).or_default();
-        let before = holding.held;
+    fn update_held(&mut self, namespace: &Arc<str>, change: impl Fn(u32) -> u32) {
+        let usage = self
+            .usage_by_namespace
+            .entry(Arc::clone(namespace))
+            .or_default();
+        let before = usage.held;
         let after = change(before);
-        holding.held = after;
+        usage.held = after;
         self.by_held.remove(&(before, Arc::clone(namespace)));
         if after == 0 {
-            self.holdings.remove(namespace);
+            self.usage_by_namespace.remove(namespace);
         } else {
             self.by_held.insert((after, Arc::clone(namespace)));
         }
--- a/crates/routing/src/hedge.rs
+++ b/crates/routing/src/hedge.rs
@@ -17,7 +17,7 @@
 
 /// How long after its start an attempt is hedged; `None` while too little is
 /// known of the back end.
-pub fn hedge_after(latency: &LatencyEstimate, settings: &Settings) -> Option<Duration> {
+pub fn hedge_delay(latency: &LatencyEstimate, settings: &Settings) -> Option<Duration> {
     if latency.samples() < MIN_SAMPLES {
         return None;
     }
--- a/crates/routing/src/latency.rs
+++ b/crates/routing/src/latency.rs
@@ -50,7 +50,7 @@
         let sample = (micros as f64).min(OUTLIER_FACTOR * self.long_micros);
         self.short_micros += SHORT_WEIGHT * (sample - self.short_micros);
         self.long_micros += LONG_WEIGHT * (sample - self.long_micros);
-        self.counts[bucket_of(micros)] += 1;
+        self.counts[bucket_index(micros)] += 1;
         self.total += 1;
         if self.total >= HALVE_AT {
             self.halve();
@@ -109,7 +109,7 @@
 }
 
 /// Bucket by the leading bit and the two bits after it.
-fn bucket_of(micros: u64) -> usize {
+fn bucket_index(micros: u64) -> usize {
     let doubling = micros.ilog2();
     let step = (micros << 2 >> doubling) & 3;
     let bucket = u64::from(doubling * STEPS_PER_DOUBLING) + step;
--- a/crates/routing/src/refusing.rs
+++ b/crates/routing/src/owner_refusals.rs
@@ -17,11 +17,11 @@
 use crate::exchange::Target;
 
 /// Longest wait between two asks of one owner.
-const LONGEST_ASK: Duration = Duration::from_secs(1);
+const MAX_PROBE_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Exchanges that wait, by the assignment that refused them.
 #[derive(Debug, Default)]
-pub(crate) struct RefusingOwners {
+pub(crate) struct OwnerRefusals {
     by_target: BTreeMap<Target, Waiters>,
 }
 
@@ -29,79 +29,86 @@
 #[derive(Debug)]
 struct Waiters {
     waiting: BTreeSet<ExchangeId>,
-    asked: u32,
-    ask_at: Timestamp,
+    probes: u32,
+    probe_at: Timestamp,
 }
 
 /// What one that waits may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Turn {
+pub(crate) enum WaiterAction {
     /// The owner has answered another request meanwhile.
-    Served,
+    Resend,
     /// It asks for all, not before this time.
-    Asks(Timestamp),
+    Probe(Timestamp),
     /// Another one asks.
-    Waits,
+    Wait,
 }
 
-impl RefusingOwners {
+impl OwnerRefusals {
     /// An exchange was refused after it had asked `asked` times.
     pub(crate) fn join(
         &mut self,
         now: Timestamp,
         target: Target,
         id: ExchangeId,
-        asked: u32,
-        shortest: Duration,
+        probes: u32,
+        min_backoff: Duration,
     ) {
         let waiters = self.by_target.entry(target).or_insert_with(|| Waiters {
             waiting: BTreeSet::new(),
-            asked,
-            ask_at: now + backoff(shortest, LONGEST_ASK, asked, id.0),
+            probes,
+            probe_at: now + backoff(min_backoff, MAX_PROBE_BACKOFF, probes, id.0),
         });
         waiters.waiting.insert(id);
     }
 
     /// What `id` may do.
-    pub(crate) fn turn(&self, target: Target, id: ExchangeId) -> Turn {
+    pub(crate) fn next_action(&self, target: Target, id: ExchangeId) -> WaiterAction {
         match self.by_target.get(&target) {
-            Some(waiters) if waiters.waiting.first() == Some(&id) => Turn::Asks(waiters.ask_at),
-            Some(waiters) if waiters.waiting.contains(&id) => Turn::Waits,
-            _ => Turn::Served,
+            Some(waiters) if waiters.waiting.first() == Some(&id) => {
+                WaiterAction::Probe(waiters.probe_at)
+            }
+            Some(waiters) if waiters.waiting.contains(&id) => WaiterAction::Wait,
+            _ => WaiterAction::Resend,
         }
     }
 
     /// The next ask is due later: one is on its way, or there was no leave.
     /// Answers how often the owner has been asked.
-    pub(crate) fn put_off(&mut self, now: Timestamp, target: Target, shortest: Duration) -> u32 {
+    pub(crate) fn schedule_next_probe(
+        &mut self,
+        now: Timestamp,
+        target: Target,
+        min_backoff: Duration,
+    ) -> u32 {
         let Some(waiters) = self.by_target.get_mut(&target) else {
             return 0;
         };
-        waiters.asked += 1;
-        waiters.ask_at = now
+        waiters.probes += 1;
+        waiters.probe_at = now
             + backoff(
-                shortest,
-                LONGEST_ASK,
-                waiters.asked,
-                waiters.ask_at.as_micros(),
+                min_backoff,
+                MAX_PROBE_BACKOFF,
+                waiters.probes,
+                waiters.probe_at.as_micros(),
             );
-        waiters.asked
+        waiters.probes
     }
 
     /// An exchange waits no more. Answers who asks in its place from now on.
     pub(crate) fn leave(&mut self, target: Target, id: ExchangeId) -> Option<ExchangeId> {
         let waiters = self.by_target.get_mut(&target)?;
-        let asked = waiters.waiting.first() == Some(&id);
+        let was_probing = waiters.waiting.first() == Some(&id);
         waiters.waiting.remove(&id);
         let next = waiters.waiting.first().copied();
         if next.is_none() {
             self.by_target.remove(&target);
         }
-        next.filter(|_| asked)
+        next.filter(|_| was_probing)
     }
 
     /// The owner answers under this assignment: everyone may go on.
-    pub(crate) fn served(&mut self, target: Target) -> BTreeSet<ExchangeId> {
+    pub(crate) fn release_all(&mut self, target: Target) -> BTreeSet<ExchangeId> {
         let waiters = self.by_target.remove(&target);
         waiters.map(|waiters| waiters.waiting).unwrap_or_default()
     }
--- a/crates/routing/src/queue.rs
+++ b/crates/routing/src/queue.rs
@@ -10,19 +10,19 @@
 
 const PRIORITIES: usize = 3;
 
-/// Place of a request in a queue: higher priority first, then the earlier
+/// QueuePosition of a request in a queue: higher priority first, then the earlier
 /// deadline, then the earlier arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct QueuePosition {
     priority: Reverse<Priority>,
     deadline: Timestamp,
     id: ExchangeId,
 }
 
-impl Place {
+impl QueuePosition {
     /// The place of a request.
     pub fn new(priority: Priority, deadline: Timestamp, id: ExchangeId) -> Self {
-        Place {
+        QueuePosition {
             priority: Reverse(priority),
             deadline,
             id,
@@ -37,9 +37,9 @@
 
 /// What became of a request that was to wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pushed {
+pub enum PushOutcome {
     /// It waits.
-    Waits,
+    Queued,
     /// It waits in place of this one, which came last.
     Displaced(ExchangeId),
     /// The queue is full of requests that go before it.
@@ -49,11 +49,11 @@
 /// Requests that wait for one back end.
 #[derive(Clone, Debug)]
 pub struct WaitQueue {
-    places: BTreeSet<Place>,
+    positions: BTreeSet<QueuePosition>,
     counts: [u32; PRIORITIES],
     capacity: u32,
     low_priority_turn: u32,
-    taken: u32,
+    pop_count: u32,
 }
 
 impl WaitQueue {
@@ -61,103 +61,103 @@
     /// taken is of the lowest priority that waits, so that none starves.
     pub fn new(capacity: u32, low_priority_turn: u32) -> Self {
         WaitQueue {
-            places: BTreeSet::new(),
+            positions: BTreeSet::new(),
             counts: [0; PRIORITIES],
             capacity,
             low_priority_turn: low_priority_turn.max(2),
-            taken: 0,
+            pop_count: 0,
         }
     }
 
     /// Adds a request; O(log n).
-    pub fn push(&mut self, place: Place) -> Pushed {
-        if (self.places.len() as u64) < u64::from(self.capacity) {
-            self.insert(place);
-            return Pushed::Waits;
+    pub fn push(&mut self, position: QueuePosition) -> PushOutcome {
+        if (self.positions.len() as u64) < u64::from(self.capacity) {
+            self.insert(position);
+            return PushOutcome::Queued;
         }
-        match self.places.last().copied() {
-            Some(last) if place < last => {
+        match self.positions.last().copied() {
+            Some(last) if position < last => {
                 self.remove(last);
-                self.insert(place);
-                Pushed::Displaced(last.id)
+                self.insert(position);
+                PushOutcome::Displaced(last.id)
             }
-            _ => Pushed::Full,
+            _ => PushOutcome::Full,
         }
     }
 
     /// Takes a request out that no longer waits. Says whether it was there.
-    pub fn remove(&mut self, place: Place) -> bool {
-        let removed = self.places.remove(&place);
+    pub fn remove(&mut self, position: QueuePosition) -> bool {
+        let removed = self.positions.remove(&position);
         if removed {
-            self.counts[place.priority.0 as usize] -= 1;
+            self.counts[position.priority.0 as usize] -= 1;
         }
         removed
     }
 
     /// Whether a request waits.
-    pub fn contains(&self, place: Place) -> bool {
-        self.places.contains(&place)
+    pub fn contains(&self, position: QueuePosition) -> bool {
+        self.positions.contains(&position)
     }
 
     /// Takes the request whose turn it is; O(log n).
     pub fn pop(&mut self) -> Option<ExchangeId> {
-        self.taken = self.taken.wrapping_add(1);
-        let low_turn = self.taken.is_multiple_of(self.low_priority_turn);
-        let place = if low_turn {
-            self.first_of_lowest()?
+        self.pop_count = self.pop_count.wrapping_add(1);
+        let is_low_priority_turn = self.pop_count.is_multiple_of(self.low_priority_turn);
+        let position = if is_low_priority_turn {
+            self.first_of_lowest_priority()?
         } else {
-            *self.places.first()?
+            *self.positions.first()?
         };
-        self.remove(place);
-        Some(place.id)
+        self.remove(position);
+        Some(position.id)
     }
 
     /// The request that goes first.
     pub fn first(&self) -> Option<ExchangeId> {
-        self.places.first().map(|place| place.id)
+        self.positions.first().map(|position| position.id)
     }
 
     /// Upper bound of the requests that go before one in `place`.
-    pub fn ahead_of(&self, place: Place) -> u32 {
-        let own = place.priority.0 as usize;
-        let above: u32 = self.counts[own + 1..].iter().sum();
-        let class_start = Place::new(place.priority.0, Timestamp::ZERO, ExchangeId(0));
-        let goes_first_of_class = self
-            .places
+    pub fn ahead_of(&self, position: QueuePosition) -> u32 {
+        let priority = position.priority.0 as usize;
+        let higher: u32 = self.counts[priority + 1..].iter().sum();
+        let class_start = QueuePosition::new(position.priority.0, Timestamp::ZERO, ExchangeId(0));
+        let is_first_of_class = self
+            .positions
             .range(class_start..)
             .next()
-            .is_none_or(|first| place <= *first);
-        if goes_first_of_class {
-            above
+            .is_none_or(|first| position <= *first);
+        if is_first_of_class {
+            higher
         } else {
-            above + self.counts[own]
+            higher + self.counts[priority]
         }
     }
 
     /// Requests that wait.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
     /// Whether none waits.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
     /// All that wait, in order.
     pub fn ids(&self) -> impl Iterator<Item = ExchangeId> + '_ {
-        self.places.iter().map(|place| place.id)
+        self.positions.iter().map(|position| position.id)
     }
 
-    fn insert(&mut self, place: Place) {
-        if self.places.insert(place) {
-            self.counts[place.priority.0 as usize] += 1;
+    fn insert(&mut self, position: QueuePosition) {
+        if self.positions.insert(position) {
+            self.counts[position.priority.0 as usize] += 1;
         }
     }
 
-    fn first_of_lowest(&self) -> Option<Place> {
-        let lowest = self.places.last()?.priority.0;
-        let class_start = Place::new(lowest, Timestamp::ZERO, ExchangeId(0));
-        self.places.range(class_start..).next().copied()
+    fn first_of_lowest_priority(&self) -> Option<QueuePosition> {
+        let lowest = self.positions.last()?.priority.0;
+        let class_start = QueuePosition::new(lowest, Timestamp::ZERO, ExchangeId(0));
+        self.positions.range(class_start..).next().copied()
     }
 }
--- a/crates/routing/src/snapshot.rs
+++ b/crates/routing/src/snapshot.rs
@@ -45,7 +45,7 @@
     /// Gets new requests.
     pub takes_new_work: bool,
     /// Mean of the latest answer times.
-    pub answer_time: Option<Duration>,
+    pub response_time: Option<Duration>,
 }
 
 /// Something an operator may want to see in the log.
--- a/crates/routing/src/table/apply.rs
+++ b/crates/routing/src/table/apply.rs
@@ -43,12 +43,12 @@
             RecordChange::ServiceRemoved(id) => self.remove_service(id, effects),
             RecordChange::BackEnd(record) => {
                 let index = self.sessions.set_back_end(&record.id, record.spec.clone());
-                effects.back_end(index);
+                effects.add_back_end(index);
             }
             RecordChange::BackEndRemoved(id) => self.remove_back_end(id, effects),
             RecordChange::Session(record) => {
                 let index = self.sessions.open_session(&record.id, record.draining);
-                effects.back_end(index);
+                effects.add_back_end(index);
             }
             RecordChange::SessionRemoved(id) => self.remove_session(id, effects),
             RecordChange::Slice(record) => self.set_slice(record, effects),
@@ -59,11 +59,11 @@
     fn set_slice(&mut self, record: &SliceRecord, effects: &mut Effects) {
         let owner = record.owner.as_ref().map(|id| self.sessions.retain(id));
         let (service, slices) = self.services.slices_of(&record.service);
-        let earlier = slices.insert(record.slice, owner, record.epoch);
-        if let Some(earlier) = earlier {
-            self.sessions.release(earlier);
+        let previous = slices.insert(record.slice, owner, record.epoch);
+        if let Some(previous) = previous {
+            self.sessions.release(previous);
         }
-        effects.slice(service, record.slice);
+        effects.add_slice(service, record.slice);
     }
 
     fn remove_slice(&mut self, key: &SliceKey, effects: &mut Effects) {
@@ -74,7 +74,7 @@
         if let Some(owner) = owner {
             self.sessions.release(owner);
         }
-        effects.slice(service, slice);
+        effects.add_slice(service, slice);
     }
 
     fn remove_service(&mut self, id: &ServiceId, effects: &mut Effects) {
@@ -84,37 +84,37 @@
         for owner in entry.slices.owners() {
             self.sessions.release(owner);
         }
-        effects.service(index);
+        effects.add_service(index);
     }
 
     fn remove_back_end(&mut self, id: &BackEndId, effects: &mut Effects) {
         if let Some(index) = self.sessions.remove_back_end(id) {
-            effects.back_end(index);
+            effects.add_back_end(index);
         }
     }
 
     fn remove_session(&mut self, id: &SessionId, effects: &mut Effects) {
         if let Some(index) = self.sessions.close_session(id) {
-            effects.back_end(index);
+            effects.add_back_end(index);
         }
     }
 
     /// Brings the copy to the state that `changes` describe whole. Services,
     /// back ends and sessions that stay keep their numbers.
     pub(super) fn replace(&mut self, changes: &[RecordChange], effects: &mut Effects) {
-        let gone = self.unmentioned(changes);
-        let earlier = self.services.take_slices();
+        let removals = self.removals_of_unlisted(changes);
+        let previous = self.services.take_slices();
         self.apply_changes(changes, effects);
-        for slices in earlier {
+        for slices in previous {
             for owner in slices.owners() {
                 self.sessions.release(owner);
             }
         }
-        self.apply_changes(&gone, effects);
+        self.apply_changes(&removals, effects);
     }
 
     /// Removals of everything that `changes` do not mention.
-    fn unmentioned(&self, changes: &[RecordChange]) -> Vec<RecordChange> {
+    fn removals_of_unlisted(&self, changes: &[RecordChange]) -> Vec<RecordChange> {
         let mut services = BTreeSet::new();
         let mut back_ends = BTreeSet::new();
         let mut sessions = BTreeSet::new();
@@ -126,22 +126,22 @@
                 _ => {}
             }
         }
-        let mut gone = Vec::new();
+        let mut removals = Vec::new();
         for id in self.services.ids() {
             if !services.contains(&*id) {
-                gone.push(RecordChange::ServiceRemoved(ServiceId::clone(&id)));
+                removals.push(RecordChange::ServiceRemoved(ServiceId::clone(&id)));
             }
         }
         for id in self.sessions.open_sessions() {
             if !sessions.contains(&id) {
-                gone.push(RecordChange::SessionRemoved(id));
+                removals.push(RecordChange::SessionRemoved(id));
             }
         }
         for (_, entry) in self.sessions.recorded_back_ends() {
             if !back_ends.contains(&*entry.id) {
-                gone.push(RecordChange::BackEndRemoved(BackEndId::clone(&entry.id)));
+                removals.push(RecordChange::BackEndRemoved(BackEndId::clone(&entry.id)));
             }
         }
-        gone
+        removals
     }
 }
--- a/crates/routing/src/table/effects.rs
+++ b/crates/routing/src/table/effects.rs
@@ -12,7 +12,7 @@
     pub(crate) full: bool,
     /// Slices whose owner, epoch or range may have changed.
     pub(crate) slices: Vec<(ServiceIndex, Slice)>,
-    /// Services that are gone.
+    /// Services that are removals.
     pub(crate) services: Vec<ServiceIndex>,
     /// Back ends whose record or session may have changed.
     pub(crate) back_ends: Vec<BackEndIndex>,
@@ -26,20 +26,20 @@
         }
     }
 
-    pub(crate) fn slice(&mut self, service: ServiceIndex, slice: Slice) {
+    pub(crate) fn add_slice(&mut self, service: ServiceIndex, slice: Slice) {
         // After a full replacement every exchange is woken anyway.
         if !self.full {
             self.slices.push((service, slice));
         }
     }
 
-    pub(crate) fn service(&mut self, service: ServiceIndex) {
+    pub(crate) fn add_service(&mut self, service: ServiceIndex) {
         if !self.full {
             self.services.push(service);
         }
     }
 
-    pub(crate) fn back_end(&mut self, back_end: BackEndIndex) {
+    pub(crate) fn add_back_end(&mut self, back_end: BackEndIndex) {
         self.back_ends.push(back_end);
     }
 }
--- a/crates/routing/src/table/mod.rs
+++ b/crates/routing/src/table/mod.rs
@@ -92,7 +92,7 @@
 pub struct Owner {
     /// The back end.
     pub back_end: Arc<BackEndId>,
-    /// Life of its process.
+    /// BackEndProcess of its process.
     pub incarnation: Incarnation,
     /// Where requests go.
     pub address: SocketAddr,
--- a/crates/routing/src/table/route.rs
+++ b/crates/routing/src/table/route.rs
@@ -37,18 +37,18 @@
 
     /// Whether the route covers a request. Prefixes match whole segments:
     /// `/orders` covers `/orders/7` but not `/orders-old`.
-    pub(crate) fn covers(&self, method: &str, path: &str) -> bool {
-        self.covers_path(path) && self.covers_method(method)
+    pub(crate) fn matches(&self, method: &str, path: &str) -> bool {
+        self.matches_path(path) && self.matches_method(method)
     }
 
-    fn covers_path(&self, path: &str) -> bool {
+    fn matches_path(&self, path: &str) -> bool {
         match path.strip_prefix(&*self.prefix) {
             Some(rest) => rest.is_empty() || rest.starts_with('/'),
             None => false,
         }
     }
 
-    fn covers_method(&self, method: &str) -> bool {
+    fn matches_method(&self, method: &str) -> bool {
         self.methods.is_empty() || self.methods.iter().any(|own| own == method)
     }
 
--- a/crates/routing/src/table/services.rs
+++ b/crates/routing/src/table/services.rs
@@ -30,7 +30,7 @@
     by_index: BTreeMap<ServiceIndex, ServiceEntry>,
     by_id: BTreeMap<Arc<ServiceId>, ServiceIndex>,
     by_host: BTreeMap<String, Vec<ServiceIndex>>,
-    numbered: u32,
+    last_index: u32,
 }
 
 impl Services {
@@ -65,12 +65,16 @@
             let Some(entry) = self.by_index.get(index) else {
                 continue;
             };
-            let Some(route) = entry.routes.iter().find(|route| route.covers(method, path)) else {
+            let Some(route) = entry
+                .routes
+                .iter()
+                .find(|route| route.matches(method, path))
+            else {
                 continue;
             };
-            let beats =
+            let has_longer_prefix =
                 |(_, _, other): &(_, _, &Arc<Route>)| route.prefix_length() > other.prefix_length();
-            if best.as_ref().is_none_or(beats) {
+            if best.as_ref().is_none_or(has_longer_prefix) {
                 best = Some((*index, entry, route));
             }
         }
@@ -79,7 +83,7 @@
 
     pub(crate) fn set(&mut self, id: &ServiceId, spec: &KeyedServiceSpec) -> ServiceIndex {
         let index = self.index_of(id);
-        self.withdraw_hosts(index);
+        self.remove_hosts(index);
         let entry = self.entry(index);
         entry.hosts = distinct_hosts(&spec.hosts);
         entry.routes = spec
@@ -87,13 +91,13 @@
             .iter()
             .map(|rule| Arc::new(Route::new(rule)))
             .collect();
-        self.claim_hosts(index);
+        self.add_hosts(index);
         index
     }
 
     pub(crate) fn remove(&mut self, id: &ServiceId) -> Option<(ServiceIndex, ServiceEntry)> {
         let index = self.by_id.get(id).copied()?;
-        self.withdraw_hosts(index);
+        self.remove_hosts(index);
         self.by_id.remove(id);
         let entry = self.by_index.remove(&index)?;
         Some((index, entry))
@@ -117,8 +121,8 @@
         if let Some(index) = self.by_id.get(id) {
             return *index;
         }
-        self.numbered += 1;
-        let index = ServiceIndex(self.numbered);
+        self.last_index += 1;
+        let index = ServiceIndex(self.last_index);
         let id = Arc::new(id.clone());
         let entry = ServiceEntry {
             namespace: id.namespace.as_str().into(),
@@ -138,23 +142,23 @@
             .expect("a numbered service has an entry")
     }
 
-    fn claim_hosts(&mut self, index: ServiceIndex) {
+    fn add_hosts(&mut self, index: ServiceIndex) {
         let entry = &self.by_index[&index];
         for host in &entry.hosts {
-            let claims = self.by_host.entry(host.clone()).or_default();
+            let services = self.by_host.entry(host.clone()).or_default();
             let by_name = |other: &ServiceIndex| self.by_index[other].id < entry.id;
-            let place = claims.partition_point(by_name);
-            claims.insert(place, index);
+            let position = services.partition_point(by_name);
+            services.insert(position, index);
         }
     }
 
-    fn withdraw_hosts(&mut self, index: ServiceIndex) {
+    fn remove_hosts(&mut self, index: ServiceIndex) {
         for host in std::mem::take(&mut self.entry(index).hosts) {
-            let Some(claims) = self.by_host.get_mut(&host) else {
+            let Some(services) = self.by_host.get_mut(&host) else {
                 continue;
             };
-            claims.retain(|other| *other != index);
-            if claims.is_empty() {
+            services.retain(|other| *other != index);
+            if services.is_empty() {
                 self.by_host.remove(&host);
             }
         }
--- a/crates/routing/src/table/sessions.rs
+++ b/crates/routing/src/table/sessions.rs
@@ -38,7 +38,7 @@
     /// Has a record. A session without one has ended.
     pub(crate) open: bool,
     pub(crate) draining: bool,
-    slices: u32,
+    slice_count: u32,
 }
 
 /// One back end, with a record or still named by sessions.
@@ -57,7 +57,7 @@
     free_sessions: Vec<SessionIndex>,
     back_ends: BTreeMap<BackEndIndex, BackEndEntry>,
     back_end_by_id: BTreeMap<Arc<BackEndId>, BackEndIndex>,
-    back_ends_numbered: u32,
+    last_back_end_index: u32,
 }
 
 impl Sessions {
@@ -87,7 +87,7 @@
     pub(crate) fn remove_back_end(&mut self, id: &BackEndId) -> Option<BackEndIndex> {
         let index = *self.back_end_by_id.get(id)?;
         self.back_end_entry(index).spec = None;
-        self.forget_back_end_if_unused(index);
+        self.remove_back_end_if_unused(index);
         Some(index)
     }
 
@@ -104,23 +104,23 @@
         let entry = self.session_entry(index);
         entry.open = false;
         let back_end = entry.back_end;
-        self.forget_session_if_unused(index);
+        self.remove_session_if_unused(index);
         Some(back_end)
     }
 
     /// Number for a session that a slice names.
     pub(crate) fn retain(&mut self, id: &SessionId) -> SessionIndex {
         let index = self.session_index(id);
-        self.session_entry(index).slices += 1;
+        self.session_entry(index).slice_count += 1;
         index
     }
 
     /// A slice no longer names the session.
     pub(crate) fn release(&mut self, index: SessionIndex) {
         if let Some(Some(entry)) = self.sessions.get_mut(index.position()) {
-            entry.slices = entry.slices.saturating_sub(1);
+            entry.slice_count = entry.slice_count.saturating_sub(1);
         }
-        self.forget_session_if_unused(index);
+        self.remove_session_if_unused(index);
     }
 
     /// Back ends that have a record.
@@ -163,15 +163,15 @@
             incarnation: id.incarnation,
             open: false,
             draining: false,
-            slices: 0,
+            slice_count: 0,
         };
-        let index = self.place_session(entry);
+        let index = self.store_session(entry);
         let sessions = &mut self.back_end_entry(back_end).sessions;
         sessions.insert((id.incarnation, index));
         index
     }
 
-    fn place_session(&mut self, entry: SessionEntry) -> SessionIndex {
+    fn store_session(&mut self, entry: SessionEntry) -> SessionIndex {
         if let Some(index) = self.free_sessions.pop() {
             self.sessions[index.position()] = Some(entry);
             return index;
@@ -184,8 +184,8 @@
         if let Some(index) = self.back_end_by_id.get(id) {
             return *index;
         }
-        self.back_ends_numbered += 1;
-        let index = BackEndIndex(self.back_ends_numbered);
+        self.last_back_end_index += 1;
+        let index = BackEndIndex(self.last_back_end_index);
         let id = Arc::new(id.clone());
         let entry = BackEndEntry {
             id: Arc::clone(&id),
@@ -209,11 +209,11 @@
             .expect("a numbered back end has an entry")
     }
 
-    fn forget_session_if_unused(&mut self, index: SessionIndex) {
+    fn remove_session_if_unused(&mut self, index: SessionIndex) {
         let Some(entry) = self.session(index) else {
             return;
         };
-        if entry.open || entry.slices > 0 {
+        if entry.open || entry.slice_count > 0 {
             return;
         }
         let (back_end, incarnation) = (entry.back_end, entry.incarnation);
@@ -221,10 +221,10 @@
         self.free_sessions.push(index);
         let sessions = &mut self.back_end_entry(back_end).sessions;
         sessions.remove(&(incarnation, index));
-        self.forget_back_end_if_unused(back_end);
+        self.remove_back_end_if_unused(back_end);
     }
 
-    fn forget_back_end_if_unused(&mut self, index: BackEndIndex) {
+    fn remove_back_end_if_unused(&mut self, index: BackEndIndex) {
         let Some(entry) = self.back_ends.get(&index) else {
             return;
         };
--- a/crates/routing/src/table/slices.rs
+++ b/crates/routing/src/table/slices.rs
@@ -84,8 +84,8 @@
         }
         let mut upwards = self.chunks.range_mut(..=slice.first);
         let (_, chunk) = upwards.next_back()?;
-        if let Some(earlier) = chunk.insert(slice.first, entry) {
-            return earlier.owner;
+        if let Some(previous) = chunk.insert(slice.first, entry) {
+            return previous.owner;
         }
         self.length += 1;
         if let Some(upper) = chunk.split_if_full(slice.first) {
--- a/crates/routing/tests/attempt_outcomes.rs
+++ b/crates/routing/tests/attempt_outcomes.rs
@@ -1,12 +1,12 @@
 //! What attempts say about whether a request ran, exhaustively.
 
-use threadledge_routing::classify::{Ran, Resending, classify, may_send_again};
+use threadledge_routing::classify::{Execution, RetryContext, classify, may_retry};
 use threadledge_routing::{AttemptEvent, AttemptFailure};
 use threadledge_types::session::Refusal;
 use threadledge_types::{NotRunReason, UnknownReason};
 
-fn all_resendings() -> impl Iterator<Item = Resending> {
-    (0..16).map(|bits| Resending {
+fn all_retry_contexts() -> impl Iterator<Item = RetryContext> {
+    (0..16).map(|bits| RetryContext {
         repeatable: bits & 1 != 0,
         body_replayable: bits & 2 != 0,
         sent: bits & 4 != 0,
@@ -16,7 +16,7 @@
 
 #[test]
 fn a_request_of_which_nothing_was_sent_was_not_run() {
-    let not_run = Ran::No(NotRunReason::Unreachable);
+    let not_run = Execution::No(NotRunReason::Unreachable);
     assert_eq!(classify(AttemptEvent::ConnectFailed, false), not_run);
     for permitted in [false, true] {
         assert_eq!(classify(AttemptEvent::SentNothing, permitted), not_run);
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_report_that_contradicts_the_permission_proves_nothing() {
-    let maybe = Ran::Maybe(UnknownReason::ConnectionLost);
+    let maybe = Execution::Maybe(UnknownReason::ConnectionLost);
     assert_eq!(classify(AttemptEvent::ConnectFailed, true), maybe);
 }
 
@@ -33,7 +33,7 @@
 fn every_refusal_is_a_request_not_run() {
     for refusal in Refusal::ALL {
         let ran = classify(AttemptEvent::Refused(refusal), true);
-        assert_eq!(ran, Ran::No(refusal.into()));
+        assert_eq!(ran, Execution::No(refusal.into()));
     }
 }
 
@@ -42,38 +42,38 @@
     for failure in [AttemptFailure::ConnectionLost, AttemptFailure::BadAnswer] {
         for sent in [false, true] {
             let ran = classify(AttemptEvent::Failed(failure), sent);
-            assert_eq!(ran, Ran::Maybe(failure.into()));
+            assert_eq!(ran, Execution::Maybe(failure.into()));
         }
     }
 }
 
 #[test]
 fn a_non_repeatable_request_that_may_have_run_is_never_sent_again() {
-    for resending in all_resendings().filter(|resending| !resending.repeatable) {
-        let maybe = Ran::Maybe(UnknownReason::ConnectionLost);
-        assert!(!may_send_again(maybe, resending));
-        let not_run = Ran::No(NotRunReason::WrongOwner);
-        let again = may_send_again(not_run, resending);
-        assert!(!again || !resending.others_may_have_run);
+    for context in all_retry_contexts().filter(|context| !context.repeatable) {
+        let maybe = Execution::Maybe(UnknownReason::ConnectionLost);
+        assert!(!may_retry(maybe, context));
+        let not_run = Execution::No(NotRunReason::WrongOwner);
+        let again = may_retry(not_run, context);
+        assert!(!again || !context.others_may_have_run);
     }
 }
 
 #[test]
 fn a_body_that_is_spent_is_never_sent_again() {
-    for resending in all_resendings().filter(|it| it.sent && !it.body_replayable) {
+    for context in all_retry_contexts().filter(|it| it.sent && !it.body_replayable) {
         for ran in [
-            Ran::No(NotRunReason::Overloaded),
-            Ran::Maybe(UnknownReason::BadAnswer),
+            Execution::No(NotRunReason::Overloaded),
+            Execution::Maybe(UnknownReason::BadAnswer),
         ] {
-            assert!(!may_send_again(ran, resending));
+            assert!(!may_retry(ran, context));
         }
     }
 }
 
 #[test]
 fn an_unsent_request_may_always_be_sent_again_if_nothing_else_ran() {
-    for resending in all_resendings().filter(|it| !it.sent && !it.others_may_have_run) {
-        let not_run = Ran::No(NotRunReason::Unreachable);
-        assert!(may_send_again(not_run, resending));
+    for context in all_retry_contexts().filter(|it| !it.sent && !it.others_may_have_run) {
+        let not_run = Execution::No(NotRunReason::Unreachable);
+        assert!(may_retry(not_run, context));
     }
 }
--- a/crates/routing/tests/common/station.rs
+++ b/crates/routing/tests/common/station.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use threadledge_routing::backoff::mix;
+use threadledge_routing::backoff::splitmix64;
 use threadledge_routing::{
     Attempt, AttemptEvent, AttemptNumber, Dispatcher, ExchangeId, RequestHead, SendDecision,
     Settings, Step,
@@ -138,7 +138,7 @@
         let mut arrivals: Vec<(u64, Stream)> = Vec::new();
         for (salt, stream) in (1..).zip(streams) {
             for number in 0..stream.per_second * seconds {
-                let micros = mix(salt << 40 | number) % (seconds * 1_000_000);
+                let micros = splitmix64(salt << 40 | number) % (seconds * 1_000_000);
                 arrivals.push((micros, *stream));
             }
         }
@@ -179,7 +179,7 @@
     }
 
     fn request(&mut self, stream: Stream) {
-        let draw = mix(self.numbered ^ 0xabc);
+        let draw = splitmix64(self.numbered ^ 0xabc);
         let router = draw as usize % self.known_routers;
         let query = format!("key={}", draw >> 32);
         let head = RequestHead {
@@ -307,14 +307,14 @@
     }
 
     fn serve(&mut self, name: String, request: Request) {
-        let draw = mix(self.numbered) % self.service_micros;
+        let draw = splitmix64(self.numbered) % self.service_micros;
         let micros = self.service_micros / 2 + draw;
         self.schedule(micros, Event::Served(name, request));
     }
 
     fn served(&mut self, name: &str, request: Request) {
         let done = Event::Report(request, AttemptEvent::Completed);
-        let draw = mix(self.numbered ^ 0xdef);
+        let draw = splitmix64(self.numbered ^ 0xdef);
         let stuck = self.stuck_one_in > 0 && draw.is_multiple_of(self.stuck_one_in);
         let micros = if stuck { STUCK_MICROS } else { NETWORK_MICROS };
         self.schedule(micros, done);
--- a/crates/routing/tests/common/world.rs
+++ b/crates/routing/tests/common/world.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use threadledge_routing::backoff::mix;
+use threadledge_routing::backoff::splitmix64;
 use threadledge_routing::{
     Attempt, AttemptEvent, AttemptFailure, AttemptNumber, Dispatcher, ExchangeId, Finish,
     RequestHead, SendDecision, Settings, Step,
@@ -100,7 +100,7 @@
     /// A number below `bound`.
     pub fn draw(&mut self, bound: u64) -> u64 {
         self.draws += 1;
-        mix(mix(self.seed) ^ self.draws) % bound
+        splitmix64(splitmix64(self.seed) ^ self.draws) % bound
     }
 
     /// A caller sends a request.
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use threadledge_routing::ExchangeId;
-use threadledge_routing::backoff::{backoff, mix};
+use threadledge_routing::backoff::{backoff, splitmix64};
 use threadledge_routing::budget::Budget;
 use threadledge_routing::concurrency::{Bounds, ConcurrencyLimit};
-use threadledge_routing::deadline::deadline_of;
+use threadledge_routing::deadline::request_deadline;
 use threadledge_routing::ejection::{Ejection, EjectionChange, EjectionPolicy};
 use threadledge_routing::latency::LatencyEstimate;
-use threadledge_routing::queue::{Place, Pushed, WaitQueue};
+use threadledge_routing::queue::{PushOutcome, QueuePosition, WaitQueue};
 use threadledge_routing::ramp::Ramp;
 use threadledge_types::objects::Priority;
 use threadledge_types::{NotRunReason, Timestamp};
@@ -20,13 +20,13 @@
     Timestamp::from_millis(millis)
 }
 
-fn place(priority: Priority, deadline: u64, id: u64) -> Place {
-    Place::new(priority, at(deadline), ExchangeId(id))
+fn position(priority: Priority, deadline: u64, id: u64) -> QueuePosition {
+    QueuePosition::new(priority, at(deadline), ExchangeId(id))
 }
 
 #[test]
 fn the_shorter_deadline_of_route_and_caller_holds() {
-    let deadline = |value| deadline_of(at(10), 100, &[("Threadledge-Deadline-Ms", value)]);
+    let deadline = |value| request_deadline(at(10), 100, &[("Threadledge-Deadline-Ms", value)]);
     assert_eq!(deadline(" 30 "), Ok(at(40)));
     assert_eq!(deadline("5000"), Ok(at(110)));
     assert_eq!(deadline("0"), Err(NotRunReason::DeadlinePassed));
@@ -41,7 +41,7 @@
         let mut budget = Budget::new(percent, reserve);
         let (mut first, mut extra) = (0_u64, 0_u64);
         for step in 0..2_000 {
-            if mix(seed << 32 | step).is_multiple_of(3) {
+            if splitmix64(seed << 32 | step).is_multiple_of(3) {
                 budget.deposit();
                 first += 1;
             } else {
@@ -72,18 +72,18 @@
     let mut limit = ConcurrencyLimit::new(bounds);
     assert_eq!(limit.allowed(), 5);
     for step in 0..100 {
-        limit.on_answer(at(step), 4, &latency);
+        limit.on_response(at(step), 4, &latency);
     }
     assert_eq!(limit.allowed(), 5);
     for step in 0..400 {
-        limit.on_answer(at(step), 10, &latency);
+        limit.on_response(at(step), 10, &latency);
     }
     assert_eq!(limit.allowed(), 10);
     limit.on_overload(at(1_000), &latency);
     limit.on_overload(at(1_001), &latency);
     assert_eq!(limit.allowed(), 7);
     for step in 0..400 {
-        limit.on_answer(at(1_002 + step), 10, &latency);
+        limit.on_response(at(1_002 + step), 10, &latency);
     }
     assert_eq!(limit.allowed(), 7, "after a refusal more is tried seldom");
     for step in 2..100 {
@@ -111,7 +111,7 @@
     }
     for step in 0..50 {
         latency.record(100 * MILLI);
-        limit.on_answer(at(step * 100), 10, &latency);
+        limit.on_response(at(step * 100), 10, &latency);
     }
     assert!(limit.allowed() < 6, "{}", limit.allowed());
 }
@@ -124,7 +124,7 @@
         // Runs of five that take thirty times as long as the others.
         let slow = step / 5 % 4 == 0;
         latency.record(Duration::from_micros(if slow { 600 } else { 20 }));
-        limit.on_answer(at(step), 64, &latency);
+        limit.on_response(at(step), 64, &latency);
     }
     assert_eq!(limit.allowed(), 256);
 }
@@ -140,11 +140,11 @@
     assert_eq!(limit.allowed(), 1);
     // 8 × (1 + 2 + ... + 9), and a few for the fractions between.
     for step in 0..400 {
-        limit.on_answer(at(200_000 + step), 10, &latency);
+        limit.on_response(at(200_000 + step), 10, &latency);
     }
     assert_eq!(limit.allowed(), 10);
     for step in 0..400 {
-        limit.on_answer(at(300_000 + step), 10, &latency);
+        limit.on_response(at(300_000 + step), 10, &latency);
     }
     assert_eq!(limit.allowed(), 10, "more is tried seldom");
 }
@@ -182,9 +182,9 @@
 fn failures_in_a_row_eject_and_successes_one_by_one_bring_back() {
     let policy = EjectionPolicy {
         failures: 3,
-        shortest: 100 * MILLI,
-        longest: 300 * MILLI,
-        successes: 2,
+        min_duration: 100 * MILLI,
+        max_duration: 300 * MILLI,
+        successes_to_readmit: 2,
     };
     let mut ejection = Ejection::new(policy);
     ejection.on_failure(at(0));
@@ -209,14 +209,14 @@
 #[test]
 fn a_queue_goes_by_priority_then_deadline_then_arrival() {
     let mut queue = WaitQueue::new(10, 100);
-    queue.push(place(Priority::Background, 1, 1));
-    queue.push(place(Priority::Normal, 9, 2));
-    queue.push(place(Priority::Normal, 5, 4));
-    queue.push(place(Priority::Normal, 5, 3));
-    queue.push(place(Priority::Critical, 50, 5));
-    assert_eq!(queue.ahead_of(place(Priority::Critical, 40, 9)), 0);
-    assert_eq!(queue.ahead_of(place(Priority::Normal, 4, 9)), 1);
-    assert_eq!(queue.ahead_of(place(Priority::Normal, 7, 9)), 4);
+    queue.push(position(Priority::Background, 1, 1));
+    queue.push(position(Priority::Normal, 9, 2));
+    queue.push(position(Priority::Normal, 5, 4));
+    queue.push(position(Priority::Normal, 5, 3));
+    queue.push(position(Priority::Critical, 50, 5));
+    assert_eq!(queue.ahead_of(position(Priority::Critical, 40, 9)), 0);
+    assert_eq!(queue.ahead_of(position(Priority::Normal, 4, 9)), 1);
+    assert_eq!(queue.ahead_of(position(Priority::Normal, 7, 9)), 4);
     let order: Vec<u64> = std::iter::from_fn(|| queue.pop()).map(|id| id.0).collect();
     assert_eq!(order, [5, 3, 4, 2, 1]);
 }
@@ -224,22 +224,25 @@
 #[test]
 fn a_full_queue_lets_only_better_requests_in() {
     let mut queue = WaitQueue::new(2, 100);
-    queue.push(place(Priority::Normal, 5, 1));
-    queue.push(place(Priority::Normal, 6, 2));
-    assert_eq!(queue.push(place(Priority::Normal, 7, 3)), Pushed::Full);
-    let displaced = Pushed::Displaced(ExchangeId(2));
-    assert_eq!(queue.push(place(Priority::Critical, 9, 4)), displaced);
+    queue.push(position(Priority::Normal, 5, 1));
+    queue.push(position(Priority::Normal, 6, 2));
+    assert_eq!(
+        queue.push(position(Priority::Normal, 7, 3)),
+        PushOutcome::Full
+    );
+    let displaced = PushOutcome::Displaced(ExchangeId(2));
+    assert_eq!(queue.push(position(Priority::Critical, 9, 4)), displaced);
     assert_eq!(queue.len(), 2);
 }
 
 #[test]
 fn the_lowest_priority_gets_its_turn_under_a_flood_of_higher_ones() {
     let mut queue = WaitQueue::new(1_000, 16);
-    queue.push(place(Priority::Background, 1, 1));
-    queue.push(place(Priority::Background, 2, 2));
+    queue.push(position(Priority::Background, 1, 1));
+    queue.push(position(Priority::Background, 2, 2));
     let mut taken = Vec::new();
     for id in 10..42 {
-        queue.push(place(Priority::Critical, id, id));
+        queue.push(position(Priority::Critical, id, id));
         taken.extend(queue.pop().map(|id| id.0));
     }
     assert_eq!(taken[15], 1);
--- a/crates/routing/tests/namespace_shares.rs
+++ b/crates/routing/tests/namespace_shares.rs
@@ -4,15 +4,15 @@
 use std::sync::Arc;
 
 use threadledge_routing::ExchangeId;
-use threadledge_routing::backoff::mix;
-use threadledge_routing::fairness::{Admission, SharePolicy, Shares};
+use threadledge_routing::backoff::splitmix64;
+use threadledge_routing::fairness::{Admission, NamespaceShares, SharePolicy};
 use threadledge_types::Timestamp;
 use threadledge_types::objects::Priority;
 
 const CAPACITY: u32 = 100;
 
 struct Model {
-    shares: Shares,
+    shares: NamespaceShares,
     begun: u64,
     held: Vec<(ExchangeId, Arc<str>, bool)>,
 }
@@ -25,7 +25,7 @@
             reserve_percent: 10,
         };
         Model {
-            shares: Shares::new(policy),
+            shares: NamespaceShares::new(policy),
             begun: 0,
             held: Vec::new(),
         }
@@ -41,9 +41,9 @@
         }
         self.begun += 1;
         let id = ExchangeId(self.begun);
-        self.shares.enter(&namespace);
+        self.shares.add_exchange(&namespace);
         if waits {
-            self.shares.wait(
+            self.shares.start_waiting(
                 &namespace,
                 (priority, Reverse(Timestamp::ZERO), Reverse(id)),
             );
@@ -56,10 +56,10 @@
         let position = self.held.iter().position(|(held, _, _)| *held == id);
         let (id, namespace, _) = self.held.remove(position.expect("held"));
         for priority in [Priority::Background, Priority::Normal, Priority::Critical] {
-            let yielding = (priority, Reverse(Timestamp::ZERO), Reverse(id));
-            self.shares.stop_waiting(&namespace, yielding);
+            let eviction_order = (priority, Reverse(Timestamp::ZERO), Reverse(id));
+            self.shares.stop_waiting(&namespace, eviction_order);
         }
-        self.shares.leave(&namespace);
+        self.shares.remove_exchange(&namespace);
     }
 
     fn held_by(&self, namespace: &str) -> u32 {
@@ -133,7 +133,7 @@
     for seed in 0..30 {
         let mut model = Model::new();
         for step in 0..2_000 {
-            let draw = mix(seed << 32 | step);
+            let draw = splitmix64(seed << 32 | step);
             let namespace = ["a", "b", "c"][(draw % 3) as usize];
             if draw >> 8 & 3 == 0 && !model.held.is_empty() {
                 let position = (draw >> 16) as usize % model.held.len();
--- a/crates/routing/tests/table_deltas.rs
+++ b/crates/routing/tests/table_deltas.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use threadledge_routing::backoff::mix;
+use threadledge_routing::backoff::splitmix64;
 use threadledge_routing::{ApplyError, RoutingTable};
 use threadledge_types::records::{RecordChange, RecordDelta, SliceKey};
 use threadledge_types::{GroupId, Point, ServiceId, Slice};
@@ -133,7 +133,7 @@
         let changes = [vec![old], divided].concat();
         table.apply(&delta(5, changes)).expect("fits");
         for step in 0..200 {
-            let draw = mix(seed * 1_000 + step) as usize;
+            let draw = splitmix64(seed * 1_000 + step) as usize;
             let (part, owner) = (draw % 16, owners[draw / 16 % 3]);
             owned[part] = owner.map(|(name, _)| (name, step + 10));
             let change = slice("a/s", slices[part], owner, step + 10);
