--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher and the shell that drives it tell each other.
+//! Types exchanged between the dispatcher and the shell that drives it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,25 +9,25 @@
     BackEndId, Epoch, Incarnation, NotRunReason, Outcome, Point, ServiceId, Timestamp,
 };
 
-/// One request of one caller, from its arrival to its one outcome. Numbers
-/// are never used twice by one dispatcher.
+/// Identifies one exchange: one request of one caller, from its arrival to its
+/// single outcome. A dispatcher never reuses an id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExchangeId(pub u64);
 
-/// Number of an attempt within its exchange, from 1.
+/// Number of an attempt within its exchange, starting at 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNumber(pub u32);
 
-/// One sending of the request to one back end.
+/// One attempt to send a request to one back end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
     /// Number within the exchange.
     pub number: AttemptNumber,
-    /// The back end.
+    /// The back end to send to.
     pub back_end: Arc<BackEndId>,
-    /// BackEndProcess of the back end's process that owns the key.
+    /// Incarnation of the back-end process that owns the key.
     pub incarnation: Incarnation,
-    /// Where to connect.
+    /// Address to connect to.
     pub address: SocketAddr,
     /// Epoch to send in the `threadledge-epoch` header.
     pub epoch: Epoch,
@@ -35,92 +35,96 @@
     pub service: Arc<ServiceId>,
     /// Point to send in the `threadledge-point` header.
     pub point: Point,
-    /// Number to send in the `threadledge-request-id` header, the same on
+    /// Request id to send in the `threadledge-request-id` header, the same on
     /// every attempt.
     pub request_id: u64,
-    /// Time left now. [`SendDecision::Proceed`] carries the time left when
-    /// sending begins, which is the one to send.
+    /// Time left until the deadline when the step was issued. Send the value
+    /// from [`SendDecision::Proceed`] instead, which is the time left when
+    /// sending begins.
     pub deadline_left: Duration,
-    /// Connections this router may have open to the back end, busy and idle.
+    /// Maximum number of connections, busy and idle, that this router may hold
+    /// to the back end.
     pub connection_limit: u32,
-    /// Whether this is a hedge: another attempt is running meanwhile.
+    /// Whether this is a hedge, sent while another attempt is still running.
     pub hedge: bool,
 }
 
-/// What the shell shall do next for an exchange.
+/// Next action for the shell to take for an exchange.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Get a connection to the back end, then ask
     /// [`Dispatcher::start_sending`](crate::Dispatcher::start_sending).
     Send(Attempt),
-    /// Abandon this attempt and close its connection. No event is needed.
+    /// Abandon this attempt and close its connection. No event has to be
+    /// reported.
     Cancel(AttemptNumber),
-    /// Pass the answer of this attempt to the caller. Comes once, before
+    /// Forward the response of this attempt to the caller. Issued once, before
     /// `Finish` with `answered`.
     Deliver(AttemptNumber),
-    /// Nothing to do before `until`, an event of an attempt or a wake-up.
+    /// Do nothing until `until`, an event of an attempt or a wake-up.
     Wait {
-        /// When to call `next` at the latest.
+        /// Latest time to call `next` again.
         until: Timestamp,
     },
-    /// The exchange is over: abandon whatever attempts still run, closing
-    /// their connections. The dispatcher has forgotten the exchange.
+    /// The exchange is over: abandon all attempts that still run and close
+    /// their connections. The dispatcher no longer knows the exchange.
     Finish(Finish),
     /// The exchange was finished or abandoned earlier.
     Gone,
 }
 
-/// How an exchange ended.
+/// Outcome of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Finish {
-    /// The one outcome.
+    /// The outcome reported to the caller.
     pub outcome: Outcome,
-    /// When the caller may come back, for the `Retry-After` header.
+    /// Time after which the caller may retry, for the `Retry-After` header.
     pub retry_after: Option<Duration>,
-    /// Attempts that were made.
+    /// Number of attempts made.
     pub attempts: u32,
 }
 
-/// A request that was turned away at the door. Nothing of it was run.
+/// A request that was rejected on arrival. No part of it was run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the request was not run ({}): {}", reason.as_str(), reason.remedy())]
 pub struct Refused {
-    /// Why.
+    /// Reason for the rejection.
     pub reason: NotRunReason,
-    /// When the caller may come back, for the `Retry-After` header.
+    /// Time after which the caller may retry, for the `Retry-After` header.
     pub retry_after: Option<Duration>,
 }
 
-/// Answer to "may the first byte of this attempt be written now?".
+/// Whether the first byte of an attempt may be written now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendDecision {
-    /// Write the request. From here on it may have run.
+    /// Write the request. From now on it counts as possibly run.
     Proceed {
-        /// Time left, to send in the `threadledge-deadline-ms` header.
+        /// Time left until the deadline, to send in the
+        /// `threadledge-deadline-ms` header.
         deadline_left: Duration,
     },
-    /// Write nothing; the connection stays clean and may be pooled. Call
-    /// `next`; no event is needed.
+    /// Write nothing; the connection is still clean and may be pooled. Call
+    /// `next`; no event has to be reported.
     Abandon,
 }
 
-/// What happened to an attempt.
+/// Event that the shell reports for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEvent {
-    /// No connection could be had. Nothing was sent.
+    /// No connection could be established. Nothing was sent.
     ConnectFailed,
-    /// The connection failed before the kernel took any byte of the request,
-    /// with or without permission to send. To be reported only when that is
-    /// certain: the outcome "not run" rests on it.
+    /// The connection failed before the kernel accepted any byte of the
+    /// request, whether or not sending was permitted. Report this only when it
+    /// is certain, because the outcome "not run" relies on it.
     SentNothing,
-    /// The back end answered with the typed refusal.
+    /// The back end replied with a typed refusal.
     Refused(Refusal),
-    /// The head of the answer is here and is no refusal.
+    /// The response head has arrived and is not a refusal.
     ResponseHead {
-        /// Its status.
+        /// HTTP status code.
         status: u16,
     },
-    /// The whole answer is here.
+    /// The complete response has arrived.
     Completed,
     /// The attempt failed after some of the request may have been sent.
     Failed(AttemptFailure),
@@ -129,8 +133,8 @@
 /// How an attempt failed after some of the request may have been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// The connection broke before the whole answer was here.
+    /// The connection broke before the complete response arrived.
     ConnectionLost,
-    /// The answer was cut short, malformed or of the wrong length.
+    /// The response was truncated, malformed or of the wrong length.
     BadAnswer,
 }
--- a/crates/routing/src/back_end.rs
+++ b/crates/routing/src/back_end.rs
@@ -1,4 +1,4 @@
-//! What this router knows and holds of one back end.
+//! State that this router keeps for one back end.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -17,18 +17,19 @@
 use crate::ramp::Ramp;
 use crate::settings::Settings;
 
-/// The oldest unanswered attempt counts as the expected answer time once it is
-/// older than this many usual answer times: the back end may hang.
+/// Once the oldest unanswered attempt is older than this many typical response
+/// times, its age is used as the expected response time, because the back end
+/// may hang.
 const HANGING_FACTOR: u32 = 4;
 
-/// BackEndProcess of a back end's process, as the table has it.
+/// A back-end process as recorded in the routing table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BackEndProcess {
     pub(crate) incarnation: Incarnation,
     pub(crate) draining: bool,
 }
 
-/// One back end: limits, evidence, queue and what runs there.
+/// One back end: its limits, health evidence, wait queue and running attempts.
 #[derive(Debug)]
 pub(crate) struct BackEnd {
     pub(crate) id: Arc<BackEndId>,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The record or the number of routers changed.
+    /// Applies a changed back-end record or a changed number of routers.
     pub(crate) fn set_spec(&mut self, spec: &BackEndSpec, settings: &Settings, routers: u32) {
         self.address = spec.address;
         self.connection_limit = connection_limit(spec, routers);
@@ -86,14 +87,16 @@
         self.retries.set_refill(settings.retry_refill(routers));
     }
 
-    /// Takes leave to send something again.
+    /// Takes a token of the retry budget. Returns whether there was one.
     pub(crate) fn withdraw_retry(&mut self, now: Timestamp) -> bool {
         self.retries.refill(now);
         self.retries.withdraw()
     }
 
-    /// The session changed. What was learned of an earlier life is forgotten;
-    /// a later life is cold, unless `warm` says it was there before us.
+    /// Updates the back-end process after its session changed. State learned
+    /// from an earlier incarnation is discarded. A later incarnation starts
+    /// cold and is ramped up, unless `warm` says that it was running before
+    /// this router started.
     pub(crate) fn set_process(
         &mut self,
         now: Timestamp,
@@ -119,22 +122,23 @@
         self.process = process;
     }
 
-    /// Whether this life of the process is the current one.
+    /// Whether `incarnation` is the current one of the back-end process.
     pub(crate) fn is_current(&self, incarnation: Incarnation) -> bool {
         self.process
             .is_some_and(|process| process.incarnation == incarnation)
     }
 
-    /// It refused a request because it drains: it gets none any more, though
-    /// the table may not say so yet.
+    /// Records that the back end refused a request because it is draining. It
+    /// gets no more requests, even if the routing table does not show the drain
+    /// yet.
     pub(crate) fn on_draining_refusal(&mut self, incarnation: Incarnation) {
         if self.is_current(incarnation) {
             self.refuses_new_work = true;
         }
     }
 
-    /// Whether new requests may be sent. Invariant: a back end that is
-    /// leaving receives no new work once the grace has passed.
+    /// Whether new requests may be sent. Invariant: a draining back end
+    /// receives no new work once the drain grace period has passed.
     pub(crate) fn takes_new_work(&self, now: Timestamp) -> bool {
         if self.refuses_new_work {
             return false;
@@ -143,7 +147,7 @@
             .is_none_or(|since| now.since(since) < self.drain_grace)
     }
 
-    /// Requests allowed at once now.
+    /// Number of concurrent requests allowed now.
     pub(crate) fn allowed(&self, now: Timestamp) -> u32 {
         let sustained = self.limit.allowed();
         let ramped = self
@@ -152,7 +156,7 @@
         self.ejection.allowed(now, ramped)
     }
 
-    /// Requests that hold a slot.
+    /// Number of requests that hold a slot.
     pub(crate) fn in_flight(&self) -> u32 {
         u32::try_from(self.granted_slots.len() + self.running.len()).unwrap_or(u32::MAX)
     }
@@ -162,7 +166,8 @@
         self.in_flight() < self.allowed(now)
     }
 
-    /// Gives free slots to those who wait; answers who got one.
+    /// Grants free slots to queued requests and returns the ids of those that
+    /// got one.
     pub(crate) fn grant_slots(&mut self, now: Timestamp) -> Vec<ExchangeId> {
         let mut granted = Vec::new();
         while self.has_slot(now) {
@@ -175,17 +180,18 @@
         granted
     }
 
-    /// Takes back the slot that was given to a waiting request.
+    /// Removes the slot granted to a queued request. Returns whether it had
+    /// one.
     pub(crate) fn take_granted_slot(&mut self, id: ExchangeId) -> bool {
         self.granted_slots.remove(&id)
     }
 
-    /// An attempt takes a slot.
+    /// Marks a slot as taken by an attempt.
     pub(crate) fn start_attempt(&mut self, now: Timestamp, id: ExchangeId, attempt: AttemptNumber) {
         self.running.insert((now, id, attempt));
     }
 
-    /// An attempt frees its slot.
+    /// Frees the slot of an attempt.
     pub(crate) fn end_attempt(
         &mut self,
         started: Timestamp,
@@ -195,7 +201,8 @@
         self.running.remove(&(started, id, attempt));
     }
 
-    /// When more slots may come free by themselves.
+    /// Time at which more slots become available without any event, by the ramp
+    /// or the end of an ejection.
     pub(crate) fn next_change(&self, now: Timestamp) -> Option<Timestamp> {
         let ramp = self
             .ramp
@@ -204,7 +211,7 @@
         ramp.into_iter().chain(ejection).min()
     }
 
-    /// Expected time of one answer; `None` before the first.
+    /// Expected response time; `None` before the first response.
     pub(crate) fn expected_response_time(&self, now: Timestamp) -> Option<Duration> {
         let usual = self.latency.recent()?;
         let oldest = self.running.first().map(|(started, _, _)| *started);
@@ -216,8 +223,8 @@
         })
     }
 
-    /// Expected wait for a slot of a request in `place`. With nothing known
-    /// yet it is zero.
+    /// Expected wait for a slot of a request at `position`; zero while no
+    /// response time is known.
     pub(crate) fn expected_wait(&self, now: Timestamp, position: QueuePosition) -> Duration {
         if let Some(until) = self.ejection.closed_until(now) {
             return until.since(now);
@@ -229,7 +236,8 @@
         response_time.saturating_mul(rounds) / self.allowed(now).max(1)
     }
 
-    /// Everyone who waits, has a slot or runs here.
+    /// Exchanges that are queued, hold a granted slot or have a running attempt
+    /// here.
     pub(crate) fn exchange_ids(&self) -> impl Iterator<Item = ExchangeId> + '_ {
         let running = self.running.iter().map(|(_, id, _)| *id);
         self.queue
--- a/crates/routing/src/backoff.rs
+++ b/crates/routing/src/backoff.rs
@@ -1,12 +1,12 @@
-//! Waits between attempts: doubling, with jitter drawn from a seed.
+//! Exponential backoff between attempts, with jitter drawn from a seed.
 
 use std::time::Duration;
 
-/// Doublings after which the wait grows no further.
+/// Maximum number of doublings.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Mixes a number to an evenly spread one (the finalizer of SplitMix64). One
-/// number always gives the same other one, so runs can be repeated.
+/// Maps a number to a uniformly distributed one (the finalizer of SplitMix64).
+/// The result is deterministic, so that runs can be repeated.
 pub fn splitmix64(number: u64) -> u64 {
     let mut mixed = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -14,9 +14,10 @@
     mixed ^ (mixed >> 31)
 }
 
-/// Wait before attempt number `attempts + 1`: between half and the whole of
-/// `shortest` doubled with each attempt, `longest` at most. The jitter keeps
-/// requests that failed together from coming back together.
+/// Returns the wait before attempt number `attempts + 1`: a random duration
+/// between half and all of `shortest` doubled with each attempt, capped at
+/// `longest`. The jitter keeps requests that failed together from retrying
+/// together.
 pub fn backoff(shortest: Duration, longest: Duration, attempts: u32, draw: u64) -> Duration {
     let doublings = attempts.saturating_sub(1).min(MAX_DOUBLINGS);
     let whole = (shortest * (1 << doublings)).min(longest);
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -8,9 +8,9 @@
 /// Hundredths of a token, so that deposits stay whole numbers.
 const TOKEN: u64 = 100;
 
-/// Tokens for extra attempts. Over any run the extra attempts are at most
-/// `reserve + percent/100 × first attempts`, and one more for each `refill`
-/// that has passed if the bucket refills by time.
+/// Token bucket for extra attempts. Over any run the number of extra attempts
+/// is at most `reserve + percent/100 × first attempts`, plus one for each
+/// `refill` interval that has passed if the bucket refills by time.
 #[derive(Clone, Debug)]
 pub struct Budget {
     hundredths: u64,
@@ -19,8 +19,8 @@
     refill: Option<Refill>,
 }
 
-/// Refill by time: without it a back end that nobody else asks would get no
-/// retry any more once the bucket is empty.
+/// Refill by time. Without it, a back end that gets no other requests would
+/// never be granted a retry again once its bucket is empty.
 #[derive(Clone, Copy, Debug)]
 struct Refill {
     interval: Duration,
@@ -28,8 +28,8 @@
 }
 
 impl Budget {
-    /// A bucket that holds `reserve` tokens at most and at the start, and
-    /// gains `percent` hundredths of a token with each first attempt.
+    /// Creates a bucket that starts with `reserve` tokens, holds no more than
+    /// that, and gains `percent` hundredths of a token with each first attempt.
     pub fn new(percent: u32, reserve: u32) -> Self {
         let capacity = u64::from(reserve) * TOKEN;
         Budget {
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Lets the bucket gain one token each `interval`; none when it is zero.
+    /// Sets the interval at which the bucket gains one token; zero turns
+    /// refilling by time off.
     pub fn set_refill(&mut self, interval: Duration) {
         let refilled_at = self
             .refill
@@ -52,12 +53,12 @@
         self.refill = (!interval.is_zero()).then_some(refill);
     }
 
-    /// A first attempt was made.
+    /// Adds the share of a token that a first attempt earns.
     pub fn deposit(&mut self) {
         self.gain(self.deposit);
     }
 
-    /// Takes in what time has brought. To be called before `withdraw`.
+    /// Adds the tokens earned by time. Call this before `withdraw`.
     pub fn refill(&mut self, now: Timestamp) {
         let Some(refill) = &mut self.refill else {
             return;
@@ -69,13 +70,13 @@
         if parts >= self.capacity {
             refill.refilled_at = now;
         } else {
-            // Less than a part is kept for the next time.
+            // The remainder below one part is carried over to the next refill.
             refill.refilled_at = refill.refilled_at + part * parts as u32;
         }
         self.gain(parts);
     }
 
-    /// Takes a token for one extra attempt, if there is one.
+    /// Takes a token for one extra attempt. Returns whether there was one.
     pub fn withdraw(&mut self) -> bool {
         if self.hundredths < TOKEN {
             return false;
@@ -84,7 +85,7 @@
         true
     }
 
-    /// Whole tokens left.
+    /// Number of whole tokens left.
     pub fn available(&self) -> u64 {
         self.hundredths / TOKEN
     }
--- a/crates/routing/src/classify.rs
+++ b/crates/routing/src/classify.rs
@@ -1,33 +1,33 @@
-//! Classification of attempts: what an event says about whether the request
-//! ran, and whether it may be sent again.
+//! Classification of attempt events: whether the request ran, and whether it
+//! may be sent again.
 //!
-//! Two guarantees are kept here: a "not run" is true, and a non-repeatable
-//! request is carried out at most once.
+//! Two guarantees are enforced here: a request reported as "not run" did not
+//! run, and a non-repeatable request runs at most once.
 
 use threadledge_types::session::Refusal;
 use threadledge_types::{NotRunReason, UnknownReason};
 
 use crate::attempt::{AttemptEvent, AttemptFailure};
 
-/// Whether the request ran in one attempt.
+/// Whether a request ran in one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// It surely did not.
+    /// It certainly did not run.
     No(NotRunReason),
-    /// It may have.
+    /// It may have run.
     Maybe(UnknownReason),
-    /// It did, and the answer is here or on its way.
+    /// It ran, and the response has arrived or is arriving.
     Yes,
 }
 
-/// Reads an event. `sent` says whether the permission to write was given.
+/// Classifies an event. `sent` says whether permission to write was given.
 pub fn classify(event: AttemptEvent, sent: bool) -> Execution {
     match event {
-        // Without a connection there was nothing to ask permission for: such
-        // a report contradicts itself, and nothing is concluded from it.
+        // Permission is asked for only once there is a connection, so this
+        // report contradicts itself and proves nothing.
         AttemptEvent::ConnectFailed if sent => Execution::Maybe(UnknownReason::ConnectionLost),
-        // The permission may have been given and not been used: a pooled
-        // connection often fails at the first write.
+        // The permission may have been given but not used: a pooled connection
+        // often fails at the first write.
         AttemptEvent::ConnectFailed | AttemptEvent::SentNothing => {
             Execution::No(NotRunReason::Unreachable)
         }
@@ -46,20 +46,20 @@
     }
 }
 
-/// What sending a request again depends on.
+/// Facts that decide whether a request may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryContext {
-    /// It may be carried out more than once.
+    /// The request may be run more than once.
     pub repeatable: bool,
-    /// Its body can be sent again.
+    /// The request body can be sent again.
     pub body_replayable: bool,
-    /// This attempt was sent, at least in part.
+    /// At least part of the request was sent in this attempt.
     pub sent: bool,
-    /// Another attempt of it may have run, or runs.
+    /// Another attempt of the request may have run or is running.
     pub others_may_have_run: bool,
 }
 
-/// Whether a request may be sent once more after an attempt that ended so.
+/// Whether a request may be sent again after an attempt with this result.
 pub fn may_retry(ran: Execution, context: RetryContext) -> bool {
     if context.sent && !context.body_replayable {
         return false;
@@ -71,20 +71,21 @@
     }
 }
 
-/// When a request that was not run may be sent again.
+/// Condition for retrying a request that was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryCondition {
-    /// After a backoff, or at once to another owner.
+    /// After a backoff, or immediately if the key gets another owner.
     AfterBackoff,
-    /// At once to another owner, or when this one serves.
+    /// As soon as the key has another owner, or once the current owner accepts
+    /// requests for it.
     WhenOwned,
     /// Only once the key has another owner.
     NewOwnerOnly,
-    /// Never: it would be refused again.
+    /// Never, because it would be refused again.
     Never,
 }
 
-/// When to send again after a refusal.
+/// Returns the condition for a retry after a refusal.
 pub fn retry_condition(refusal: Refusal) -> RetryCondition {
     match refusal {
         Refusal::WrongOwner | Refusal::LeaseLapsed => RetryCondition::WhenOwned,
@@ -94,8 +95,9 @@
     }
 }
 
-/// Whether an event counts against the back end. A refusal is an answer, and
-/// a pooled connection that was closed before use is in the nature of pools.
+/// Whether an event counts as a failure of the back end. A refusal is a
+/// response and does not count, nor does a pooled connection that was closed
+/// before use, which is normal for pools.
 pub fn is_back_end_failure(event: AttemptEvent) -> bool {
     matches!(event, AttemptEvent::ConnectFailed | AttemptEvent::Failed(_))
 }
--- a/crates/routing/src/concurrency.rs
+++ b/crates/routing/src/concurrency.rs
@@ -1,10 +1,10 @@
-//! Adaptive limit of requests at one back end at once: additive increase,
-//! multiplicative decrease on refusals and growing answer times.
+//! Adaptive concurrency limit for one back end: additive increase,
+//! multiplicative decrease on refusals and on growing response times.
 //!
-//! The back end's slots are shared by all routers. Each begins at its share,
-//! `slots / routers`. A fixed share would waste slots when callers are
-//! unevenly spread, so a router may go above it while the back end keeps up,
-//! and comes back down when the back end refuses or slows down.
+//! All routers share the back end's slots. Each starts at its share, `slots /
+//! routers`. A fixed share would waste slots when callers are unevenly spread,
+//! so a router may exceed its share while the back end keeps up, and backs off
+//! when the back end refuses or slows down.
 
 use std::time::Duration;
 
@@ -12,44 +12,47 @@
 
 use crate::latency::LatencyEstimate;
 
-/// Factor on a refusal for overload.
+/// Factor applied to the limit on a refusal for overload.
 const REFUSAL_FACTOR: f64 = 0.7;
-/// Factor when answer times grow.
+/// Factor applied to the limit when response times grow.
 const LATENCY_FACTOR: f64 = 0.9;
-/// Ratio of recent to usual answer times above which the limit shrinks.
+/// Ratio of recent to long-term response times above which the limit shrinks.
 const INFLATION_SHRINK: f64 = 2.0;
-/// Ratio below which it may grow.
+/// Ratio of recent to long-term response times below which the limit may grow.
 const INFLATION_GROW: f64 = 1.5;
-/// Growth of answer times that says something about the back end. Less than
-/// this comes from whoever else runs on the two machines: answers of 100 µs
-/// take twice as long by chance all the time.
+/// Smallest growth of response times that is taken as a sign of load on the
+/// back end. Smaller growth comes from other processes on the two machines:
+/// responses of 100 µs regularly take twice as long by chance.
 const MIN_LATENCY_GROWTH: Duration = Duration::from_millis(2);
-/// Answers at the limit, for each request of it, that raise it by one before
-/// the first decrease, and on the way back to the share.
+/// Responses received at the limit, per unit of the limit, that raise it by
+/// one. Applies before the first decrease and while the limit is below the
+/// share.
 const INITIAL_RESPONSES_PER_STEP: f64 = 8.0;
-/// The same above the share afterwards. Slots are few, so one request more is a large step: it
-/// is tried seldom, lest each router provoke refusals with every other one.
+/// Like [`INITIAL_RESPONSES_PER_STEP`], but above the share after a decrease.
+/// Slots are few, so one more request is a large step; it is tried rarely,
+/// because otherwise each router would provoke refusals with every other
+/// increase.
 const RESPONSES_PER_STEP: f64 = 128.0;
-/// Time between two decreases while there is no answer time to go by.
+/// Minimum time between two decreases while no response time is known.
 const DEFAULT_DECREASE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Limits that hold whatever the back end seems to sustain.
+/// Fixed bounds of the adaptive limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// This router's share of the slots, at least 1.
     pub share: u32,
-    /// Most requests at once, at least `share`.
+    /// Maximum number of concurrent requests, at least `share`.
     pub ceiling: u32,
 }
 
 impl Bounds {
-    /// Bounds of one router of `routers`.
+    /// Computes the bounds for one of `routers` routers.
     ///
-    /// The ceiling is the lower of the connections share and of the slots
-    /// raised by `overcommit_percent`. Each router may hold one connection
-    /// even when there are more routers than connections: a router that
-    /// cannot connect at all could not serve its callers, and it holds that
-    /// connection only while a request needs it.
+    /// The ceiling is the lower of this router's share of the connections and
+    /// the slots raised by `overcommit_percent`. Each router may hold one
+    /// connection even when there are more routers than connections: a router
+    /// that cannot connect at all could not serve its callers, and it holds
+    /// that connection only while a request needs it.
     pub fn new(slots: u32, connections: u32, routers: u32, overcommit_percent: u32) -> Self {
         let routers = routers.max(1);
         let connection_share = (connections / routers).max(1);
@@ -61,7 +64,7 @@
     }
 }
 
-/// The limit for one back end.
+/// The adaptive concurrency limit for one back end.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     bounds: Bounds,
@@ -70,7 +73,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// Begins at the share.
+    /// Creates a limit that starts at the share.
     pub fn new(bounds: Bounds) -> Self {
         ConcurrencyLimit {
             bounds,
@@ -79,13 +82,14 @@
         }
     }
 
-    /// Requests allowed at once, at least 1.
+    /// Number of concurrent requests allowed, at least 1.
     pub fn allowed(&self) -> u32 {
         self.limit as u32
     }
 
-    /// Slots, connections or the number of routers changed. Another share is
-    /// another beginning: what was sustained among fewer routers is not.
+    /// Applies bounds that changed with the slots, the connections or the
+    /// number of routers. A changed share restarts the limit, because a level
+    /// sustained among fewer routers says nothing about the new number.
     pub fn set_bounds(&mut self, bounds: Bounds) {
         let share_changed = bounds.share != self.bounds.share;
         self.bounds = bounds;
@@ -95,12 +99,14 @@
         self.clamp();
     }
 
-    /// Goes back to the share, for a new life of the back end's process.
+    /// Resets the limit to the share, for a new incarnation of the back-end
+    /// process.
     pub fn restart(&mut self) {
         *self = ConcurrencyLimit::new(self.bounds);
     }
 
-    /// An answer came while `in_flight` requests, itself included, were out.
+    /// Adjusts the limit after a response. `in_flight` is the number of
+    /// concurrent requests, including the one answered.
     pub fn on_response(&mut self, now: Timestamp, in_flight: u32, latency: &LatencyEstimate) {
         let is_significant = latency.growth() >= MIN_LATENCY_GROWTH;
         let inflation = if is_significant {
@@ -112,7 +118,8 @@
             self.decrease(now, LATENCY_FACTOR, latency);
             return;
         }
-        // A limit that is not used up says nothing about what is sustained.
+        // If the limit was not reached, the response does not show that more
+        // can be sustained.
         let is_saturated = in_flight >= self.allowed();
         if is_saturated && inflation < INFLATION_GROW {
             self.limit += 1.0 / (self.responses_per_step() * self.limit);
@@ -120,13 +127,13 @@
         }
     }
 
-    /// The back end refused for overload.
+    /// Lowers the limit after a refusal for overload.
     pub fn on_overload(&mut self, now: Timestamp, latency: &LatencyEstimate) {
         self.decrease(now, REFUSAL_FACTOR, latency);
     }
 
-    /// Refusals that arrive together tell of one overload, so the limit
-    /// shrinks once in an answer time.
+    /// Multiplies the limit by `factor`, at most once per response time,
+    /// because refusals that arrive together are signs of the same overload.
     fn decrease(&mut self, now: Timestamp, factor: f64, latency: &LatencyEstimate) {
         let interval = latency.recent().unwrap_or(DEFAULT_DECREASE_INTERVAL);
         if self
--- a/crates/routing/src/counters.rs
+++ b/crates/routing/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counts of what the dispatcher did, for metrics.
+//! Counters of the dispatcher's decisions, for metrics.
 
 use threadledge_types::session::Refusal;
 use threadledge_types::{NotRunReason, Outcome, UnknownReason};
@@ -6,13 +6,13 @@
 /// Number of reasons in [`UnknownReason`].
 const UNKNOWN_REASONS: usize = UnknownReason::ALL.len();
 
-/// Counts since the dispatcher was made. Every admitted exchange ends as
+/// Counters since the dispatcher was created. Every admitted exchange ends as
 /// exactly one of `answered`, `not_run`, `unknown` or `caller_gone`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Requests admitted.
     pub admitted: u64,
-    /// Requests turned away at the door, by reason.
+    /// Requests rejected on arrival, by reason.
     refused: [u64; NotRunReason::ALL.len()],
     /// Exchanges that ended answered.
     pub answered: u64,
@@ -20,21 +20,21 @@
     not_run: [u64; NotRunReason::ALL.len()],
     /// Exchanges that ended unknown, by reason.
     unknown: [u64; UNKNOWN_REASONS],
-    /// Exchanges whose caller hung up.
+    /// Exchanges whose caller disconnected.
     pub caller_gone: u64,
-    /// Attempts, of every kind.
+    /// Attempts of every kind.
     pub attempts: u64,
     /// Attempts that took a token of the retry budget.
     pub retries: u64,
-    /// Retries put off because the budget was empty.
+    /// Retries postponed or given up because the retry budget was empty.
     pub retries_denied: u64,
-    /// Attempts to another owner than the one that refused or is lost.
+    /// Attempts sent to another owner than the one that refused or was lost.
     pub reroutes: u64,
     /// Hedges that took a token of the hedge budget.
     pub hedges: u64,
-    /// Hedges whose answer came first.
+    /// Hedges whose response arrived first.
     pub hedges_won: u64,
-    /// Attempts given up before their first byte because the owner changed or
+    /// Attempts abandoned before their first byte because the owner changed or
     /// the deadline passed.
     pub abandoned: u64,
     /// Typed refusals by back ends, by refusal.
@@ -43,40 +43,40 @@
     pub queued: u64,
     /// Exchanges that waited for an owner or for their next attempt.
     pub parked: u64,
-    /// Exchanges turned away before queueing: they could not have met their
-    /// deadline.
+    /// Exchanges rejected before queueing, because the queue was full or their
+    /// deadline could not be met.
     pub shed: u64,
-    /// Waiting exchanges that gave way to one with a higher priority or an
-    /// earlier deadline.
+    /// Waiting exchanges replaced by one with a higher priority or an earlier
+    /// deadline.
     pub displaced: u64,
-    /// Waiting exchanges of a namespace above its share that gave way.
+    /// Waiting exchanges evicted because their namespace was above its share.
     pub evicted: u64,
     /// Ejections of back ends.
     pub ejections: u64,
 }
 
 impl Counters {
-    /// Requests turned away at the door for a reason.
+    /// Number of requests rejected on arrival for this reason.
     pub fn refused(&self, reason: NotRunReason) -> u64 {
         self.refused[reason as usize]
     }
 
-    /// Exchanges that ended not run for a reason.
+    /// Number of exchanges that ended as not run for this reason.
     pub fn not_run(&self, reason: NotRunReason) -> u64 {
         self.not_run[reason as usize]
     }
 
-    /// Exchanges that ended unknown for a reason.
+    /// Number of exchanges that ended as unknown for this reason.
     pub fn unknown(&self, reason: UnknownReason) -> u64 {
         self.unknown[reason as usize]
     }
 
-    /// Refusals of one kind by back ends.
+    /// Number of refusals of one kind by back ends.
     pub fn refusals(&self, refusal: Refusal) -> u64 {
         self.refusals[refusal as usize]
     }
 
-    /// Admitted exchanges that have ended.
+    /// Number of admitted exchanges that have ended.
     pub fn ended(&self) -> u64 {
         let not_run: u64 = self.not_run.iter().sum();
         let unknown: u64 = self.unknown.iter().sum();
--- a/crates/routing/src/deadline.rs
+++ b/crates/routing/src/deadline.rs
@@ -1,5 +1,5 @@
-//! Deadlines: the caller may shorten its route's, and what is left travels on
-//! to the back end.
+//! Request deadlines. The caller may shorten the deadline of its route, and the
+//! time left is passed on to the back end.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 
 use crate::head::HeaderLookup;
 
-/// When a request that arrives now must have its outcome: the route's
-/// deadline, or the caller's own from the `threadledge-deadline-ms` header if
-/// that is shorter.
+/// Returns the time by which a request that arrives now must have its outcome:
+/// the route's deadline, or the caller's own from the `threadledge-deadline-ms`
+/// header if that is shorter.
 ///
 /// # Errors
 ///
-/// `Malformed` when the header is no whole number of milliseconds, and
+/// `Malformed` when the header is not a whole number of milliseconds, and
 /// `DeadlinePassed` when it is zero.
 pub fn request_deadline(
     now: Timestamp,
--- a/crates/routing/src/dispatcher/admission.rs
+++ b/crates/routing/src/dispatcher/admission.rs
@@ -1,4 +1,4 @@
-//! Requests at the door.
+//! Admission of new requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::head::RequestHead;
 use crate::table::MatchedRoute;
 
-/// When a caller may come back if nothing better is known.
+/// `Retry-After` time when no better estimate is known.
 pub(super) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Dispatcher {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Ends a waiting request, of which nothing was sent, at once.
+    /// Ends a waiting request of which nothing was sent.
     fn evict(&mut self, now: Timestamp, victim: ExchangeId, above_share: bool) {
         let Some(exchange) = self.exchanges.get_mut(&victim) else {
             return;
@@ -114,7 +114,7 @@
 }
 
 impl Refused {
-    /// The caller may come back.
+    /// Rejection after which the caller may retry.
     fn retryable(reason: NotRunReason) -> Self {
         Refused {
             reason,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Coming back with the same request would not help.
+    /// Rejection after which retrying the same request would not help.
     fn permanent(reason: NotRunReason) -> Self {
         Refused {
             reason,
--- a/crates/routing/src/dispatcher/advance.rs
+++ b/crates/routing/src/dispatcher/advance.rs
@@ -1,4 +1,4 @@
-//! The next step of one exchange.
+//! Computes the next step of an exchange.
 
 use threadledge_types::{NotRunReason, Outcome, Timestamp, UnknownReason};
 
@@ -7,7 +7,7 @@
 use crate::exchange::{Exchange, RetryTime, RunningAttempt, State, Target};
 
 impl Core {
-    /// Moves the exchange on until there is something to tell the shell.
+    /// Advances the exchange until there is a step for the shell.
     pub(super) fn advance(&mut self, now: Timestamp, exchange: &mut Exchange) -> Step {
         loop {
             if let Some(number) = exchange.cancellations.pop() {
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Sends to the owner, waits for a slot there, or waits for an owner.
+    /// Sends the request to the owner, queues it for a slot there, or parks it
+    /// until there is an owner.
     fn route(&mut self, now: Timestamp, exchange: &mut Exchange) -> Option<Step> {
         if self.table.service(exchange.service).is_none() {
             self.end_not_run(now, exchange, NotRunReason::NoRoute);
@@ -114,7 +115,7 @@
         Some(Step::Send(attempt))
     }
 
-    /// Waits for an answer; a repeatable request may get a second attempt.
+    /// Waits for a response. A repeatable request may get a second attempt.
     fn wait_running(&mut self, now: Timestamp, exchange: &mut Exchange) -> Option<Step> {
         if exchange.attempts.is_empty() {
             self.set_state(exchange, State::Ready);
@@ -127,8 +128,8 @@
             return self.start_attempt(now, exchange, target, true);
         }
         if !exchange.may_run_concurrently() && self.all_attempts_lost(exchange) {
-            // Nobody will answer: the outcome is final now, whatever time is
-            // left.
+            // No response can arrive any more, so the outcome is final
+            // regardless of the time left.
             let outcome = Outcome::Unknown(UnknownReason::OwnerLost);
             self.end(now, exchange, outcome, None);
             return None;
@@ -143,22 +144,23 @@
         Some(Step::Wait { until })
     }
 
-    /// Whether every attempt may have run at a life of a back end that has
-    /// ended since. Such a life may not carry anything out any more, and what
-    /// it did carry out before it will hardly tell.
+    /// Whether every attempt was sent to a back-end process that has ended
+    /// since. Such a process may not run anything any more, and is unlikely to
+    /// report what it ran before.
     fn all_attempts_lost(&self, exchange: &Exchange) -> bool {
         let mut attempts = exchange.attempts.iter();
         attempts.all(|attempt| attempt.sent_at.is_some() && self.has_process_ended(attempt.target))
     }
 
-    /// Whether the life of the back end has ended.
+    /// Whether the back-end process of this assignment has ended.
     fn has_process_ended(&self, target: Target) -> bool {
         let back_end = self.back_ends.get(&target.back_end);
         back_end.is_none_or(|back_end| !back_end.is_current(target.incarnation))
     }
 
-    /// The new owner of a repeatable request whose only attempt is at a life
-    /// of a back end that has ended: it would not answer before the deadline.
+    /// Returns the new owner for a repeatable request whose only attempt went
+    /// to a back-end process that has ended and would not respond before the
+    /// deadline.
     fn replacement_owner(&self, now: Timestamp, exchange: &Exchange) -> Option<Target> {
         let attempt = only_hedgeable_attempt(exchange)?;
         if !self.has_process_ended(attempt.target) {
@@ -169,8 +171,8 @@
         (owner != attempt.target && back_end.has_slot(now)).then_some(owner)
     }
 
-    /// When a hedge is due: once the attempt takes longer than most answers
-    /// of this back end.
+    /// Time at which a hedge is due, when the attempt has taken longer than
+    /// most responses of this back end.
     fn hedge_time(&self, exchange: &Exchange) -> Option<Timestamp> {
         let attempt = only_hedgeable_attempt(exchange)?;
         let back_end = self.back_ends.get(&attempt.target.back_end)?;
@@ -178,17 +180,18 @@
         Some(attempt.started + after)
     }
 
-    /// Takes leave to hedge. A key has one owner, so the hedge goes to the
-    /// same back end over another connection: it helps when a connection or
-    /// one slot hangs and harms when the back end is busy. Hence only with a
-    /// free slot, nobody waiting, and a token.
+    /// Returns the target of a hedge and takes a token of the hedge budget, if
+    /// hedging is allowed. A key has one owner, so the hedge goes to the same
+    /// back end over another connection: it helps when a connection or one slot
+    /// hangs and harms when the back end is busy. It therefore requires a free
+    /// slot, an empty queue and a token.
     fn try_hedge(&mut self, now: Timestamp, exchange: &mut Exchange) -> Option<Target> {
         let running = only_hedgeable_attempt(exchange)?.target;
         let owner = self.usable_owner(now, exchange)?;
         let back_end = self.back_ends.get_mut(&owner.back_end)?;
         let idle =
             back_end.queue.is_empty() && back_end.has_slot(now) && !back_end.ejection.is_ejected();
-        // Asked once: whatever the answer, it is not probes again.
+        // Hedging is considered only once per exchange, whatever the decision.
         exchange.hedged = true;
         if owner != running || !idle || !back_end.hedges.withdraw() {
             return None;
@@ -198,8 +201,8 @@
     }
 
     fn end_at_deadline(&mut self, now: Timestamp, exchange: &mut Exchange) {
-        // An answer that has begun speaks for its back end: a caller that
-        // reads slowly may be what held it up.
+        // A back end that has started its response is not blamed: a caller that
+        // reads slowly may be what delayed it.
         let delivering = matches!(exchange.state, State::Delivering { .. });
         let unanswered = exchange
             .attempts
@@ -224,7 +227,8 @@
     }
 }
 
-/// The only attempt of an exchange that may get a second beside it.
+/// Returns the only running attempt of an exchange, if a second one may be sent
+/// concurrently.
 fn only_hedgeable_attempt(exchange: &Exchange) -> Option<&RunningAttempt> {
     match exchange.attempts.as_slice() {
         [attempt] if exchange.may_run_concurrently() && !exchange.hedged => Some(attempt),
--- a/crates/routing/src/dispatcher/attempts.rs
+++ b/crates/routing/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! What happens to attempts.
+//! Handles the events of attempts.
 
 use threadledge_types::session::Refusal;
 use threadledge_types::{NotRunReason, Outcome, Timestamp, UnknownReason};
@@ -12,9 +12,9 @@
 use crate::exchange::{Exchange, RetryTime, RunningAttempt, State};
 
 impl Core {
-    /// Gives the permission to write if the attempt is still wanted, its
-    /// deadline lies ahead, and the owner it was meant for still owns the key
-    /// and takes new work. A router that was paused finds out here.
+    /// Permits writing if the attempt is still wanted, its deadline lies ahead,
+    /// and its target still owns the key and takes new work. A router process
+    /// that was paused detects stale attempts here.
     pub(super) fn start_sending(
         &mut self,
         now: Timestamp,
@@ -62,7 +62,7 @@
         self.wakeups.insert(exchange.id);
     }
 
-    /// Passive evidence about the back end.
+    /// Updates the health evidence of the back end from an event.
     fn record_evidence(&mut self, now: Timestamp, attempt: &RunningAttempt, event: AttemptEvent) {
         let index = attempt.target.back_end;
         if is_back_end_failure(event) {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// An answer has begun to come, or is here whole.
+    /// Handles a response that has begun or is complete.
     fn on_response(
         &mut self,
         now: Timestamp,
@@ -121,8 +121,9 @@
         let Some(back_end) = self.back_ends.get_mut(&attempt.target.back_end) else {
             return;
         };
-        // From the start, connecting included: so are hedges timed, which must
-        // be known when the attempt is handed out.
+        // Measured from the start and including the time to connect. Hedges are
+        // timed the same way, because their delay must be known when the
+        // attempt is issued.
         back_end.latency.record(now.since(attempt.started));
         let in_flight = back_end.in_flight();
         back_end
@@ -130,8 +131,9 @@
             .on_response(now, in_flight, &back_end.latency);
     }
 
-    /// Takes this attempt's answer for the caller and gives the others up.
-    /// Invariant: a caller gets one answer, and it is one to its own request.
+    /// Selects this attempt's response for the caller and cancels the other
+    /// attempts. Invariant: a caller gets one response, and it is one to its
+    /// own request.
     fn deliver_response(
         &mut self,
         now: Timestamp,
@@ -155,7 +157,7 @@
         self.set_state(exchange, state);
     }
 
-    /// An attempt ended without an answer.
+    /// Handles an attempt that ended without a response.
     fn on_attempt_ended(
         &mut self,
         now: Timestamp,
@@ -172,7 +174,8 @@
             Execution::Yes => {}
         }
         if matches!(exchange.state, State::Delivering { .. }) {
-            // The head has gone out: what came after it was cut short.
+            // The response head was already forwarded and the rest is
+            // truncated.
             let reason = exchange.unresolved.unwrap_or(UnknownReason::BadAnswer);
             self.end(now, exchange, Outcome::Unknown(reason), None);
             return;
--- a/crates/routing/src/dispatcher/core.rs
+++ b/crates/routing/src/dispatcher/core.rs
@@ -1,4 +1,5 @@
-//! What exchanges share: records, back ends, shares and wake-ups.
+//! State shared by all exchanges: records, back ends, namespace shares and
+//! wake-ups.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,10 +16,10 @@
 use crate::snapshot::Notice;
 use crate::table::{BackEndIndex, RoutingTable, ServiceIndex};
 
-/// Notices kept until they are taken.
+/// Maximum number of notices kept until they are taken.
 const MAX_NOTICES: usize = 1_024;
 
-/// Everything but the exchanges themselves.
+/// All state of the dispatcher except the exchanges.
 #[derive(Debug)]
 pub(super) struct Core {
     pub(super) settings: Settings,
@@ -29,7 +30,7 @@
     pub(super) back_ends: BTreeMap<BackEndIndex, BackEnd>,
     pub(super) shares: NamespaceShares,
     /// Exchanges that have not ended, by the point of their key, so that a
-    /// changed slice wakes only those it concerns.
+    /// changed slice wakes only the affected ones.
     pub(super) by_point: BTreeSet<(ServiceIndex, Point, ExchangeId)>,
     pub(super) owner_refusals: OwnerRefusals,
     pub(super) wakeups: BTreeSet<ExchangeId>,
@@ -60,15 +61,15 @@
         }
     }
 
-    /// The owner that may get this exchange now: recorded, its session open,
-    /// and not past the grace of a drain.
+    /// Returns the owner that may get this exchange now: it has a record and an
+    /// open session, and it is not past the grace period of a drain.
     pub(super) fn usable_owner(&self, now: Timestamp, exchange: &Exchange) -> Option<Target> {
         let owner = self.table.owner_entry(exchange.service, exchange.point)?;
         let back_end = self.back_ends.get(&owner.back_end)?;
         back_end.takes_new_work(now).then(|| owner.into())
     }
 
-    /// Changes the state and keeps the count of those that can give way.
+    /// Changes the state of an exchange and updates whether it can be evicted.
     pub(super) fn set_state(&mut self, exchange: &mut Exchange, state: State) {
         if exchange.state != state {
             self.leave_owner_refusals(exchange);
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Frees the slot of an attempt that is over.
+    /// Frees the slot of an attempt that has ended.
     pub(super) fn release(&mut self, now: Timestamp, id: ExchangeId, attempt: &RunningAttempt) {
         if let Some(back_end) = self.back_ends.get_mut(&attempt.target.back_end) {
             back_end.end_attempt(attempt.started, id, attempt.number);
@@ -97,7 +98,7 @@
         self.grant_slots(now, attempt.target.back_end);
     }
 
-    /// Gives a back end's free slots to those who wait for it.
+    /// Grants a back end's free slots to the exchanges queued for it.
     pub(super) fn grant_slots(&mut self, now: Timestamp, index: BackEndIndex) {
         let Some(back_end) = self.back_ends.get_mut(&index) else {
             return;
@@ -110,8 +111,9 @@
         self.wake_queue_head(now, index);
     }
 
-    /// Only the first of a queue watches the time for the others, so a new
-    /// first is woken when slots may come free by themselves.
+    /// Wakes the first exchange in a queue if slots may become free without an
+    /// event. Only the first one waits for that time on behalf of the others,
+    /// so a new first one must be woken.
     pub(super) fn wake_queue_head(&mut self, now: Timestamp, index: BackEndIndex) {
         let Some(back_end) = self.back_ends.get(&index) else {
             return;
@@ -138,8 +140,9 @@
         self.report_ejection_change(now, index, change, !was_ejected);
     }
 
-    /// An ejection is news once: one that is prolonged, as often as ten times
-    /// a second, is counted and not noticed again.
+    /// Counts a change of an ejection and reports it if `should_notify` is set.
+    /// A prolonged ejection, which may happen ten times a second, is counted
+    /// but not reported again.
     fn report_ejection_change(
         &mut self,
         now: Timestamp,
@@ -161,7 +164,8 @@
                 }
             }
             EjectionChange::Readmitted => {
-                // Slow return: from the share up, not from where it was.
+                // A readmitted back end starts again at its share instead of
+                // its earlier limit.
                 back_end.limit.restart();
                 Notice::Readmitted { back_end: id }
             }
--- a/crates/routing/src/dispatcher/ending.rs
+++ b/crates/routing/src/dispatcher/ending.rs
@@ -1,4 +1,4 @@
-//! The end of an exchange.
+//! Ends exchanges and releases what they hold.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 use crate::attempt::Finish;
 use crate::exchange::{Exchange, State};
 
-/// Longest time for which a caller is probes to stay away.
+/// Maximum `Retry-After` time given to callers.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 impl Core {
-    /// Gives the exchange its one outcome and frees what it holds. An
+    /// Sets the single outcome of an exchange and releases what it holds. An
     /// exchange that has ended keeps its outcome.
     pub(super) fn end(
         &mut self,
@@ -35,7 +35,8 @@
         exchange.state = State::Ended(finish);
     }
 
-    /// The caller is gone: there is nobody to tell an outcome.
+    /// Ends an exchange whose caller disconnected. There is no outcome to
+    /// report.
     pub(super) fn abandon(&mut self, now: Timestamp, exchange: &mut Exchange) {
         if matches!(exchange.state, State::Ended(_)) {
             return;
@@ -44,7 +45,7 @@
         self.release_resources(now, exchange);
     }
 
-    /// When the caller may come back.
+    /// Returns the `Retry-After` time for a caller, if the reason has one.
     pub(super) fn retry_after(
         &self,
         now: Timestamp,
@@ -67,7 +68,7 @@
         for attempt in std::mem::take(&mut exchange.attempts) {
             self.release(now, exchange.id, &attempt);
         }
-        // Those the shell has not heard of end with `Finish`.
+        // Cancellations not yet issued are covered by `Finish`.
         exchange.cancellations.clear();
         if exchange.is_evictable {
             exchange.is_evictable = false;
--- a/crates/routing/src/dispatcher/mod.rs
+++ b/crates/routing/src/dispatcher/mod.rs
@@ -1,4 +1,4 @@
-//! All exchanges, back-end states and limits of one router.
+//! The dispatcher: all exchanges, back-end states and limits of one router.
 
 mod admission;
 mod advance;
@@ -24,21 +24,22 @@
 use crate::snapshot::{LoadSnapshot, Notice};
 use crate::table::{ApplyError, MatchedRoute, RoutingTable};
 
-/// Decides each exchange's path. Every method takes the time of the shell's
-/// monotonic clock and costs O(log n) plus what it changes.
+/// Decides the next step of each exchange. Every method takes the time of the
+/// shell's monotonic clock and costs O(log n) plus the size of its changes.
 #[derive(Debug)]
 pub struct Dispatcher {
     core: Core,
-    /// Boxed: an exchange takes hundreds of bytes, and a tree moves its
-    /// neighbours whenever one comes or goes.
+    /// Boxed because an exchange takes hundreds of bytes, and inserting into or
+    /// removing from the tree moves neighbouring entries.
     exchanges: BTreeMap<ExchangeId, Box<Exchange>>,
     last_exchange_id: u64,
 }
 
 impl Dispatcher {
-    /// A dispatcher without records. `seed` is drawn at random at process
-    /// start: it spreads backoffs and makes request ids unlike those of other
-    /// routers. No request is taken before [`Dispatcher::set_accepting`].
+    /// Creates a dispatcher without records. `seed` must be drawn at random at
+    /// process start: it spreads backoffs and makes request ids differ from
+    /// those of other routers. No request is admitted before
+    /// [`Dispatcher::set_accepting`].
     pub fn new(settings: Settings, seed: u64, _now: Timestamp) -> Self {
         Dispatcher {
             core: Core::new(settings, seed),
@@ -52,7 +53,7 @@
         &self.core.table
     }
 
-    /// Applies a delta of records; exchanges that it concerns are woken.
+    /// Applies a delta of records and wakes the exchanges it affects.
     ///
     /// # Errors
     ///
@@ -61,14 +62,15 @@
         self.core.apply(now, delta)
     }
 
-    /// Says whether new requests are taken. A router that is stopping, or
-    /// that could not confirm its revision within the bound, takes none;
-    /// exchanges already admitted go on to their outcomes.
+    /// Sets whether new requests are admitted. A router that is stopping, or
+    /// that could not confirm its revision within the bound, admits none;
+    /// exchanges already admitted continue to their outcomes.
     pub fn set_accepting(&mut self, accepting: bool) {
         self.core.accepting = accepting;
     }
 
-    /// Number of live routers among which slots and connections are divided.
+    /// Sets the number of live routers among which slots and connections are
+    /// divided.
     pub fn set_router_count(&mut self, now: Timestamp, count: u32) {
         self.core.set_router_count(now, count);
     }
@@ -77,16 +79,17 @@
     ///
     /// # Errors
     ///
-    /// [`Refused`] when it is turned away at once.
+    /// [`Refused`] when it is rejected immediately.
     pub fn begin(&mut self, now: Timestamp, head: &RequestHead<'_>) -> Result<ExchangeId, Refused> {
         self.begin_with_route(now, head).map(|(id, _)| id)
     }
 
-    /// As [`Dispatcher::begin`]; says also which route the request matched.
+    /// Like [`Dispatcher::begin`], but also returns the route that the request
+    /// matched.
     ///
     /// # Errors
     ///
-    /// [`Refused`] when it is turned away at once.
+    /// [`Refused`] when it is rejected immediately.
     pub fn begin_with_route(
         &mut self,
         now: Timestamp,
@@ -97,23 +100,24 @@
         })
     }
 
-    /// What to do next for an exchange. Call again, carrying out each step,
-    /// until it answers `Wait`, `Finish` or `Gone`.
+    /// Returns the next step for an exchange. Call it again after carrying out
+    /// each step, until it returns `Wait`, `Finish` or `Gone`.
     pub fn next(&mut self, now: Timestamp, id: ExchangeId) -> Step {
         let Some(exchange) = self.exchanges.get_mut(&id) else {
             return Step::Gone;
         };
         let step = self.core.advance(now, exchange);
         if matches!(step, Step::Finish(_)) {
-            // Invariant: one outcome. It is told once and then forgotten.
+            // Invariant: each exchange has one outcome. It is returned once,
+            // and then the exchange is removed.
             self.exchanges.remove(&id);
         }
         step
     }
 
-    /// Must be probes right before the first byte of an attempt is passed to
-    /// its connection. "Not run" is true because nothing is written without
-    /// this permission.
+    /// Asks for permission to write. Call this right before the first byte of
+    /// an attempt is passed to its connection. "Not run" is true because
+    /// nothing is written without this permission.
     pub fn start_sending(
         &mut self,
         now: Timestamp,
@@ -140,23 +144,24 @@
         }
     }
 
-    /// The caller hung up: the exchange is forgotten and its slots are freed.
-    /// The shell closes the connections of its attempts.
+    /// Removes an exchange whose caller disconnected and frees its slots. The
+    /// shell closes the connections of its attempts.
     pub fn on_caller_disconnected(&mut self, now: Timestamp, id: ExchangeId) {
         if let Some(mut exchange) = self.exchanges.remove(&id) {
             self.core.abandon(now, &mut exchange);
         }
     }
 
-    /// Exchanges whose step may have changed since the last call, each once,
-    /// in order. Call after every other method and wake their tasks.
+    /// Returns the exchanges whose next step may have changed since the last
+    /// call, each once, in order. Call this after every other method and wake
+    /// their tasks.
     pub fn take_wakeups(&mut self) -> Vec<ExchangeId> {
         let wakeups = std::mem::take(&mut self.core.wakeups);
         wakeups.into_iter().collect()
     }
 
-    /// What happened to back ends since the last call, for the log. At most
-    /// 1,024 are kept; the counters miss none.
+    /// Returns the events of back ends since the last call, for the log. At
+    /// most 1,024 are kept; the counters include all of them.
     pub fn take_notices(&mut self) -> Vec<Notice> {
         std::mem::take(&mut self.core.notices)
     }
@@ -166,7 +171,7 @@
         &self.core.counters
     }
 
-    /// A picture of the load; O(back ends).
+    /// Snapshot of the load; O(back ends).
     pub fn load(&self, now: Timestamp) -> LoadSnapshot {
         self.core.load(now)
     }
--- a/crates/routing/src/dispatcher/owner_refusals.rs
+++ b/crates/routing/src/dispatcher/owner_refusals.rs
@@ -1,4 +1,5 @@
-//! Exchanges whose owner refused them as not its own.
+//! Exchanges that an owner refused because it does not consider the slice its
+//! own.
 
 use threadledge_types::{Timestamp, UnknownReason};
 
@@ -8,7 +9,8 @@
 use crate::owner_refusals::WaiterAction;
 
 impl Core {
-    /// Waits for a newer epoch of the slice, or until the owner serves.
+    /// Parks an exchange until the slice has a newer epoch or the owner accepts
+    /// requests.
     pub(super) fn park_after_refusal(
         &mut self,
         now: Timestamp,
@@ -25,7 +27,8 @@
         });
         exchange.refusals = Some(refusals);
         if refusals.resent {
-            // What served the others does not serve this one.
+            // The owner accepts other requests but not this one, so it backs
+            // off by itself.
             let retry_at = self.retry_time(now, exchange);
             return self.park(now, exchange, Some(target), RetryTime::At(retry_at));
         }
@@ -35,8 +38,8 @@
             .join(now, target, exchange.id, refusals.probes, shortest);
     }
 
-    /// The next step of one that waits with others, while its owner is the
-    /// one that refused.
+    /// Returns the next step of an exchange that waits with others for the
+    /// owner that refused them.
     pub(super) fn wait_for_owner_to_accept(
         &mut self,
         now: Timestamp,
@@ -61,7 +64,9 @@
         }
     }
 
-    /// Another one was served. Costs no token: each follows once.
+    /// Resends an exchange because the owner accepted another request. This
+    /// takes no retry token, because each exchange is resent this way only
+    /// once.
     fn resend_once(&mut self, exchange: &mut Exchange) {
         if let Some(refusals) = &mut exchange.refusals {
             refusals.resent = true;
@@ -90,13 +95,15 @@
         self.set_state(exchange, State::Ready);
     }
 
-    /// An owner answers: those that it refused go on.
+    /// Wakes the exchanges that the owner had refused, because it has accepted
+    /// a request.
     pub(super) fn on_owner_accepted(&mut self, attempt: &RunningAttempt) {
         let waiting = self.owner_refusals.release_all(attempt.target);
         self.wakeups.extend(waiting);
     }
 
-    /// Gives up the place among those that wait for the owner that refused.
+    /// Removes an exchange from those that wait for the owner that refused
+    /// them.
     pub(super) fn leave_owner_refusals(&mut self, exchange: &Exchange) {
         let State::Parked(Parked {
             avoid: Some(target),
--- a/crates/routing/src/dispatcher/records.rs
+++ b/crates/routing/src/dispatcher/records.rs
@@ -1,4 +1,4 @@
-//! Changes of records and of the number of routers.
+//! Applies changed records and a changed number of routers.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,8 @@
 
 impl Core {
     pub(super) fn apply(&mut self, now: Timestamp, delta: &RecordDelta) -> Result<(), ApplyError> {
-        // What a router finds when it starts was running before: not cold.
+        // Back ends found when the router starts were running before and are
+        // not cold.
         let warm = self.table.revision() == Revision::NONE;
         let effects = self.table.apply_with_effects(delta)?;
         self.update_back_ends(now, &effects, warm);
@@ -65,7 +66,8 @@
         self.grant_slots(now, index);
     }
 
-    /// The back end's record is gone: those who wait for it look again.
+    /// Removes a back end whose record was removed and wakes the exchanges that
+    /// wait for it.
     fn remove_back_end(&mut self, index: BackEndIndex) {
         if let Some(back_end) = self.back_ends.remove(&index) {
             self.wakeups.extend(back_end.exchange_ids());
--- a/crates/routing/src/dispatcher/status.rs
+++ b/crates/routing/src/dispatcher/status.rs
@@ -1,4 +1,4 @@
-//! The load as status pages show it.
+//! Builds the load snapshot for status pages.
 
 use std::sync::Arc;
 
--- a/crates/routing/src/dispatcher/waiting.rs
+++ b/crates/routing/src/dispatcher/waiting.rs
@@ -1,4 +1,4 @@
-//! Exchanges that wait: for an owner, for their next attempt, for a slot.
+//! Exchanges that wait for an owner, for their next attempt or for a slot.
 
 use std::time::Duration;
 
@@ -12,7 +12,8 @@
 use crate::table::BackEndIndex;
 
 impl Core {
-    /// Waits for another owner than `avoid`, or until that may be tried again.
+    /// Parks an exchange until there is another owner than `avoid`, or until
+    /// that one may be tried again.
     pub(super) fn park(
         &mut self,
         now: Timestamp,
@@ -27,7 +28,7 @@
         self.set_state(exchange, State::Parked(Parked { avoid, retry }));
     }
 
-    /// Time of the next attempt at the same owner.
+    /// Returns the time of the next attempt at the same owner.
     pub(super) fn retry_time(&self, now: Timestamp, exchange: &Exchange) -> Timestamp {
         let rounds = exchange.attempts_made + exchange.retries_denied;
         let draw = exchange.request_id ^ u64::from(rounds);
@@ -45,8 +46,8 @@
         if let Some(owner) = owner
             && parked.avoid != Some(owner)
         {
-            // Another assignment: this costs no token, because there are no
-            // more such attempts than changes of the owner.
+            // Sending to another assignment takes no retry token, because there
+            // are no more such attempts than changes of the owner.
             self.counters.reroutes += u64::from(parked.avoid.is_some());
             self.set_state(exchange, State::Ready);
             return None;
@@ -66,7 +67,8 @@
             (RetryTime::At(retry_at), _) => retry_at,
         };
         if exchange.not_run == NotRunReason::Overloaded && retry_at >= give_up {
-            // It would only be held back.
+            // The request could not be retried before it is given up, so it is
+            // ended now.
             self.end_without_answer(now, exchange, UnknownReason::ConnectionLost);
             return None;
         }
@@ -82,10 +84,10 @@
         None
     }
 
-    /// Takes a token for another attempt at the same owner. Without one, a
-    /// request that may have run, or that the owner had no room for, is given
-    /// up: its caller is told at once. Others wait on for another owner, with
-    /// nothing sent.
+    /// Retries at the same owner if the retry budget has a token. Without a
+    /// token, a request that may have run, or that the owner had no capacity
+    /// for, is ended so that its caller is told immediately. Others keep
+    /// waiting for another owner, with nothing sent.
     fn retry_or_put_off(&mut self, now: Timestamp, exchange: &mut Exchange, parked: Parked) {
         let back_end = parked
             .avoid
@@ -105,8 +107,9 @@
         self.park(now, exchange, parked.avoid, RetryTime::At(retry_at));
     }
 
-    /// Waiting with nothing sent is always safe, so every request waits for an
-    /// owner; only overload is told at once to those that may not queue.
+    /// Returns the time at which a parked exchange is given up. Waiting with
+    /// nothing sent is always safe, so every request waits for an owner; only
+    /// overload is reported soon to requests that may not queue.
     fn give_up_time(&self, now: Timestamp, exchange: &Exchange) -> Timestamp {
         let max_wait = match exchange.not_run {
             NotRunReason::Overloaded if exchange.may_queue => return exchange.deadline,
@@ -117,8 +120,8 @@
         exchange.deadline.min(since + max_wait)
     }
 
-    /// Joins the queue of a back end, unless the request could not meet its
-    /// deadline anyway: that is told at once.
+    /// Adds an exchange to the queue of a back end. If it could not meet its
+    /// deadline anyway, it is ended immediately.
     pub(super) fn enqueue(&mut self, now: Timestamp, exchange: &mut Exchange, index: BackEndIndex) {
         let Some(back_end) = self.back_ends.get_mut(&index) else {
             return;
@@ -178,7 +181,7 @@
                 }
             }
             _ => {
-                // The slice has moved, or its owner drains.
+                // The slice has moved, or its owner is draining.
                 back_end.queue.remove(position);
                 self.grant_slots(now, index);
                 self.wake_queue_head(now, index);
@@ -201,8 +204,9 @@
     }
 }
 
-/// How long a request may wait for a slot. While the back end is ejected it
-/// is not overload that keeps it waiting, and waiting is safe.
+/// Returns the time until which a request may wait for a slot. While the back
+/// end is ejected, the request is not waiting because of overload, and waiting
+/// is safe, so the limit for waiting for an owner applies.
 fn queue_wait_deadline(
     now: Timestamp,
     exchange: &Exchange,
--- a/crates/routing/src/ejection.rs
+++ b/crates/routing/src/ejection.rs
@@ -1,10 +1,11 @@
-//! Ejection of a back end on passive evidence, with a slow return.
+//! Outlier ejection: a back end that fails repeatedly is taken out of use on
+//! passive evidence and readmitted gradually.
 //!
-//! A key has one owner, so an ejected back end's requests cannot go
-//! elsewhere: ejection stops callers from piling up behind a back end that
-//! does not answer. Requests that can wait do so; one at a time is let
-//! through after each ejection to see whether it answers. Health endpoints
-//! are not asked, because they lag or mislead.
+//! A key has one owner, so an ejected back end's requests cannot go elsewhere:
+//! ejection keeps callers from piling up behind a back end that does not
+//! respond. Requests that can wait do so; after each ejection one request at a
+//! time is let through as a probe. Health endpoints are not polled, because
+//! they lag or mislead.
 
 use std::time::Duration;
 
@@ -13,13 +14,14 @@
 /// Settings of ejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EjectionPolicy {
-    /// Failures in a row that eject.
+    /// Consecutive failures after which the back end is ejected.
     pub failures: u32,
-    /// First duration; it doubles with each failed return.
+    /// Duration of the first ejection; it doubles with each failed probe.
     pub min_duration: Duration,
-    /// Longest duration.
+    /// Maximum duration of an ejection.
     pub max_duration: Duration,
-    /// Successes, one request at a time, that end it.
+    /// Successful probes, sent one at a time, after which the back end is
+    /// readmitted.
     pub successes_to_readmit: u32,
 }
 
@@ -35,16 +37,16 @@
     },
 }
 
-/// What a report changed.
+/// Change of state caused by a success or failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionChange {
-    /// The back end is ejected from now on, or again.
+    /// The back end is ejected, or its ejection was prolonged.
     Ejected,
-    /// It is back.
+    /// The back end is in full use again.
     Readmitted,
 }
 
-/// Whether one back end is ejected.
+/// Ejection state of one back end.
 #[derive(Clone, Debug)]
 pub struct Ejection {
     policy: EjectionPolicy,
@@ -52,7 +54,7 @@
 }
 
 impl Ejection {
-    /// A back end in use.
+    /// Creates the state of a back end that is in use.
     pub fn new(policy: EjectionPolicy) -> Self {
         Ejection {
             policy,
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Requests allowed at once out of `full`.
+    /// Number of concurrent requests allowed, given the usual limit `full`.
     pub fn allowed(&self, now: Timestamp, full: u32) -> u32 {
         match self.state {
             State::InUse { .. } => full,
@@ -69,12 +71,12 @@
         }
     }
 
-    /// Whether the back end is not, or not fully, in use.
+    /// Whether the back end is ejected or being probed for readmission.
     pub fn is_ejected(&self) -> bool {
         matches!(self.state, State::Ejected { .. })
     }
 
-    /// When the next request may be let through, if that lies ahead.
+    /// Time from which the next probe is let through, if it lies ahead.
     pub fn closed_until(&self, now: Timestamp) -> Option<Timestamp> {
         match self.state {
             State::Ejected { until, .. } if now < until => Some(until),
@@ -82,7 +84,7 @@
         }
     }
 
-    /// The back end answered, be it with a refusal.
+    /// Records a response of the back end; a refusal counts as well.
     pub fn on_success(&mut self) -> Option<EjectionChange> {
         match &mut self.state {
             State::InUse { failures } => {
@@ -100,7 +102,8 @@
         }
     }
 
-    /// The back end could not be connected to, broke off or did not answer.
+    /// Records a failure: the back end could not be connected to, dropped the
+    /// connection or did not respond.
     pub fn on_failure(&mut self, now: Timestamp) -> Option<EjectionChange> {
         let duration = match self.state {
             State::InUse { failures } if failures + 1 < self.policy.failures => {
@@ -110,7 +113,7 @@
                 return None;
             }
             State::InUse { .. } => self.policy.min_duration,
-            // Failures of attempts sent before the ejection add nothing.
+            // Attempts that were sent before the ejection do not count again.
             State::Ejected { until, .. } if now < until => return None,
             State::Ejected { duration, .. } => (duration * 2).min(self.policy.max_duration),
         };
--- a/crates/routing/src/exchange.rs
+++ b/crates/routing/src/exchange.rs
@@ -1,4 +1,4 @@
-//! State of one exchange.
+//! State of one exchange, from the arrival of a request to its outcome.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::queue::QueuePosition;
 use crate::table::{BackEndIndex, OwnerEntry, ServiceIndex};
 
-/// An assignment that a request was sent under.
+/// The assignment of a slice that a request is sent under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Target {
     pub(crate) back_end: BackEndIndex,
@@ -37,62 +37,68 @@
     pub(crate) number: AttemptNumber,
     pub(crate) target: Target,
     pub(crate) started: Timestamp,
-    /// When the permission to write was given: from then on it may have run.
+    /// Time at which permission to write was given; from then on the request
+    /// may have run.
     pub(crate) sent_at: Option<Timestamp>,
     pub(crate) hedge: bool,
 }
 
-/// Waiting for an owner, or for the time of the next attempt.
+/// State of an exchange that waits for an owner or for the time of its next
+/// attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Parked {
-    /// The assignment that failed last. Another one may be tried at once.
+    /// The assignment that failed last. Any other one may be tried immediately.
     pub(crate) avoid: Option<Target>,
-    /// When the same one may be tried again.
+    /// When the failed assignment may be tried again.
     pub(crate) retry: RetryTime,
 }
 
 /// When the owner that failed last may be tried again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RetryTime {
-    /// Never: only another one.
+    /// Never; only another owner may be tried.
     Never,
-    /// From then on.
+    /// From this time on.
     At(Timestamp),
-    /// As those agree that it refused as not its own.
+    /// As coordinated by
+    /// [`OwnerRefusals`](crate::owner_refusals::OwnerRefusals): one waiting
+    /// exchange probes the owner for all that it refused.
     AfterProbe,
 }
 
-/// Refusals by one owner as not its own.
+/// Refusals of one exchange by an owner that does not consider the slice its
+/// own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Refusals {
     pub(crate) target: Target,
-    /// Times that the exchange probes for all that wait.
+    /// Number of probes that the owner has got from the exchanges it refused.
     pub(crate) probes: u32,
-    /// It went on because another one was served there.
+    /// The exchange was already resent once because the owner had accepted
+    /// another request.
     pub(crate) resent: bool,
 }
 
-/// Where an exchange stands.
+/// Processing state of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum State {
-    /// To be routed.
+    /// Has to be routed.
     Ready,
-    /// Waits for an owner or a time.
+    /// Waits for an owner or for a time.
     Parked(Parked),
-    /// Waits for a slot, or was given one that it has not taken yet.
+    /// Waits for a slot, or was granted one that it has not taken yet.
     Queued {
         back_end: BackEndIndex,
         until: Timestamp,
     },
-    /// Has attempts out, and no answer.
+    /// Has running attempts and no response yet.
     Running,
-    /// Its one answer is being passed on.
+    /// Its response is being forwarded to the caller.
     Delivering {
         attempt: AttemptNumber,
         announced: bool,
         complete: bool,
     },
-    /// Over.
+    /// Has ended.
     Ended(Finish),
 }
 
@@ -111,37 +117,39 @@
     pub(crate) may_queue: bool,
     pub(crate) deadline: Timestamp,
     pub(crate) state: State,
-    /// Counted among the waiting requests that may give way to others.
+    /// Whether it is registered as waiting with nothing sent, so that it may be
+    /// evicted for another request.
     pub(crate) is_evictable: bool,
-    /// When it was first parked.
+    /// Time at which it was first parked.
     pub(crate) parked_since: Option<Timestamp>,
     pub(crate) attempts: Vec<RunningAttempt>,
     pub(crate) attempts_made: u32,
-    /// Refusals by the latest owner that refused it as not its own.
+    /// Refusals by the latest owner that does not consider the slice its own.
     pub(crate) refusals: Option<Refusals>,
-    /// Times that a retry was put off.
+    /// Number of retries postponed because the retry budget was empty.
     pub(crate) retries_denied: u32,
-    /// A hedge or a second attempt beside a lost one was sent.
+    /// Whether a hedge, or a second attempt next to a lost one, was already
+    /// sent or ruled out.
     pub(crate) hedged: bool,
     pub(crate) cancellations: Vec<AttemptNumber>,
-    /// An attempt ended without telling whether it ran.
+    /// Set when an attempt ended without showing whether the request ran.
     pub(crate) unresolved: Option<UnknownReason>,
-    /// Why it has not run so far.
+    /// Reason to report if it ends without having run.
     pub(crate) not_run: NotRunReason,
 }
 
 impl Exchange {
-    /// Its place in queues.
+    /// Position in a wait queue.
     pub(crate) fn queue_position(&self) -> QueuePosition {
         QueuePosition::new(self.priority, self.deadline, self.id)
     }
 
-    /// Its place among those of its namespace that give way.
+    /// Position in the eviction order of its namespace.
     pub(crate) fn eviction_order(&self) -> EvictionOrder {
         (self.priority, Reverse(self.deadline), Reverse(self.id))
     }
 
-    /// Whether something of it may have run.
+    /// Whether an attempt may have run.
     pub(crate) fn may_have_run(&self) -> bool {
         self.unresolved.is_some()
             || self
@@ -150,8 +158,9 @@
                 .any(|attempt| attempt.sent_at.is_some())
     }
 
-    /// The outcome if it ended now without an answer. Invariant: "not run" is
-    /// true, because one attempt that may have run makes it "unknown".
+    /// Outcome if the exchange ended now without a response. Invariant: "not
+    /// run" is true, because a single attempt that may have run makes the
+    /// outcome "unknown".
     pub(crate) fn outcome_without_answer(&self, unanswered: UnknownReason) -> Outcome {
         if let Some(reason) = self.unresolved {
             return Outcome::Unknown(reason);
--- a/crates/routing/src/fairness.rs
+++ b/crates/routing/src/fairness.rs
@@ -1,9 +1,9 @@
-//! NamespaceShares of the router between namespaces, that is, between partners.
+//! Fair sharing of the router between namespaces, that is, between partners.
 //!
-//! Back ends belong to one namespace each, so partners meet only at what a
-//! router itself holds: its exchanges. The sharing is work-conserving: a
-//! namespace may hold all but a small reserve while nobody else wants it. A
-//! namespace below its share is always let in, if need be in place of a
+//! Each back end belongs to one namespace, so partners compete only for what
+//! the router itself holds: its exchanges. The sharing is work-conserving: a
+//! namespace may use all but a small reserve while no other needs it. A
+//! namespace below its share is always admitted, if necessary by evicting a
 //! waiting request of the namespace that holds the most.
 
 use std::cmp::Reverse;
@@ -15,48 +15,48 @@
 
 use crate::attempt::ExchangeId;
 
-/// Order in which waiting requests of one namespace give way: lowest priority
-/// first, then the latest deadline, then the latest arrival.
+/// Order in which waiting requests of one namespace are evicted: lowest
+/// priority first, then the latest deadline, then the latest arrival.
 pub type EvictionOrder = (Priority, Reverse<Timestamp>, Reverse<ExchangeId>);
 
-/// Settings of the sharing.
+/// Settings for sharing the router between namespaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SharePolicy {
-    /// Exchanges held at once, over all namespaces.
+    /// Maximum number of concurrent exchanges, over all namespaces.
     pub capacity: u32,
-    /// Largest share of one namespace when others want it, in percent.
+    /// Maximum share of one namespace when others compete for it, in percent.
     pub share_percent: u32,
-    /// Share kept for namespaces below their share, in percent.
+    /// Share reserved for namespaces below their own share, in percent.
     pub reserve_percent: u32,
 }
 
-/// What to do with a request at the door.
+/// Admission decision for a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Take it.
+    /// Admit the request.
     Admit,
-    /// Take it and turn this waiting request away in its place.
+    /// Admit the request and evict a waiting one.
     Replace {
-        /// The waiting request.
+        /// The request to evict.
         victim: ExchangeId,
-        /// Whether it is one of another namespace, which was above its share.
+        /// Whether it belongs to another namespace that was above its share.
         above_share: bool,
     },
-    /// The namespace has used up its share and others want the rest.
+    /// The namespace has used up its share and the rest is reserved for others.
     ShareExhausted,
-    /// The router is full.
+    /// The router is at capacity.
     Full,
 }
 
-/// What one namespace holds.
+/// Exchanges held by one namespace.
 #[derive(Debug, Default)]
 struct NamespaceUsage {
     held: u32,
     waiting: BTreeSet<EvictionOrder>,
 }
 
-/// What each namespace holds. Namespaces that hold nothing have no entry, so
-/// the maps are bounded by the capacity.
+/// Exchanges held by each namespace. Namespaces that hold none have no entry,
+/// so the maps are bounded by the capacity.
 #[derive(Debug)]
 pub struct NamespaceShares {
     policy: SharePolicy,
@@ -66,7 +66,7 @@
 }
 
 impl NamespaceShares {
-    /// Nothing held.
+    /// Creates the state with no exchanges held.
     pub fn new(policy: SharePolicy) -> Self {
         NamespaceShares {
             policy,
@@ -76,23 +76,23 @@
         }
     }
 
-    /// Exchanges held, over all namespaces.
+    /// Number of exchanges held, over all namespaces.
     pub fn total(&self) -> u32 {
         self.total
     }
 
-    /// Exchanges that a namespace holds and how many of them wait.
+    /// Returns how many exchanges a namespace holds and how many of them wait.
     pub fn held(&self, namespace: &str) -> (u32, usize) {
         let usage = self.usage_by_namespace.get(namespace);
         usage.map_or((0, 0), |usage| (usage.held, usage.waiting.len()))
     }
 
-    /// Every namespace that holds something.
+    /// Namespaces that hold an exchange.
     pub fn namespaces(&self) -> impl Iterator<Item = &Arc<str>> {
         self.usage_by_namespace.keys()
     }
 
-    /// What to do with a request; changes nothing. O(log n).
+    /// Decides on a new request without changing anything; O(log n).
     pub fn decide(&self, namespace: &str, priority: Priority) -> Admission {
         let (held, _) = self.held(namespace);
         if held < self.guaranteed_share(held) {
@@ -113,26 +113,27 @@
         Admission::Full
     }
 
-    /// A request was taken.
+    /// Counts an admitted exchange.
     pub fn add_exchange(&mut self, namespace: &Arc<str>) {
         self.update_held(namespace, |held| held + 1);
         self.total += 1;
     }
 
-    /// An exchange ended.
+    /// Removes an exchange that ended.
     pub fn remove_exchange(&mut self, namespace: &Arc<str>) {
         self.update_held(namespace, |held| held.saturating_sub(1));
         self.total = self.total.saturating_sub(1);
     }
 
-    /// An exchange began to wait, with nothing of it sent.
+    /// Registers a waiting exchange of which nothing was sent, so that it may
+    /// be evicted.
     pub fn start_waiting(&mut self, namespace: &str, eviction_order: EvictionOrder) {
         if let Some(usage) = self.usage_by_namespace.get_mut(namespace) {
             usage.waiting.insert(eviction_order);
         }
     }
 
-    /// An exchange waits no more.
+    /// Removes an exchange from the waiting ones.
     pub fn stop_waiting(&mut self, namespace: &str, eviction_order: EvictionOrder) {
         if let Some(usage) = self.usage_by_namespace.get_mut(namespace) {
             usage.waiting.remove(&eviction_order);
@@ -158,15 +159,16 @@
         }
     }
 
-    /// Part that a namespace is sure of, given how many hold something. A
-    /// namespace that holds nothing yet is counted in.
+    /// Number of exchanges guaranteed to a namespace, given how many namespaces
+    /// hold any. A namespace that holds none yet is counted as one of them.
     fn guaranteed_share(&self, held: u32) -> u32 {
         let active = self.usage_by_namespace.len() + usize::from(held == 0);
         let equal_part = self.policy.capacity / u32::try_from(active.max(1)).unwrap_or(u32::MAX);
         self.percent(self.policy.share_percent).min(equal_part)
     }
 
-    /// Number up to which a namespace above its share may fill the router.
+    /// Number of exchanges up to which a namespace above its share may fill the
+    /// router.
     fn unreserved_capacity(&self) -> u32 {
         let reserve = self.percent(self.policy.reserve_percent);
         self.policy.capacity.saturating_sub(reserve)
@@ -177,8 +179,8 @@
         u32::try_from(part).unwrap_or(u32::MAX)
     }
 
-    /// Waiting request of the namespace that holds the most, if that is more
-    /// than its share.
+    /// First request to evict of the namespace that holds the most, if that is
+    /// more than its share.
     fn victim_above_share(&self) -> Option<ExchangeId> {
         let (held, namespace) = self.by_held.last()?;
         if *held <= self.guaranteed_share(*held) {
@@ -188,7 +190,7 @@
         Some(id.0)
     }
 
-    /// Waiting request of the same namespace with a lower priority.
+    /// First request to evict of the same namespace, if its priority is lower.
     fn victim_with_lower_priority(
         &self,
         namespace: &str,
--- a/crates/routing/src/head.rs
+++ b/crates/routing/src/head.rs
@@ -1,11 +1,11 @@
-//! The parts of a request's head that decisions depend on.
+//! Parts of the request head that routing decisions depend on.
 
 /// Looks up request headers by name.
 pub trait HeaderLookup {
-    /// Value of the header `name` (matched without regard to case), or `None`
-    /// when it is absent. For a header that stands more than once the values
-    /// are joined with `, ` or the first is given; the caller of this trait
-    /// only reads headers that may stand once.
+    /// Returns the value of the header `name` (matched case-insensitively), or
+    /// `None` when it is absent. For a repeated header the values may be joined
+    /// with `, ` or the first one returned; this crate only reads headers that
+    /// must not be repeated.
     fn header(&self, name: &str) -> Option<&str>;
 }
 
@@ -34,10 +34,10 @@
     pub path: &'a str,
     /// Query without the `?`, percent-encoded as on the wire.
     pub query: Option<&'a str>,
-    /// The headers.
+    /// Request headers.
     pub headers: &'a dyn HeaderLookup,
     /// Whether the shell can send the body again: there is none, or it is
-    /// held whole. A request whose body is streamed from the caller can be
-    /// sent again only while nothing of it was sent.
+    /// buffered completely. A request whose body is streamed from the caller
+    /// can be sent again only while nothing of it was sent.
     pub body_replayable: bool,
 }
--- a/crates/routing/src/host.rs
+++ b/crates/routing/src/host.rs
@@ -1,9 +1,9 @@
-//! Host names as routes match them.
+//! Normalization of host names for route matching.
 
 use std::borrow::Cow;
 
-/// Brings a `Host` value to the form in which hosts are matched: without
-/// port, without a final dot, in lower case.
+/// Normalizes a `Host` value for matching: without port, without a final dot,
+/// in lower case.
 pub fn normalize_host(host: &str) -> Cow<'_, str> {
     let name = without_port(host.trim());
     let name = name.strip_suffix('.').unwrap_or(name);
@@ -15,7 +15,7 @@
 }
 
 fn without_port(host: &str) -> &str {
-    // An IPv6 literal stands in brackets and holds colons of its own.
+    // An IPv6 literal is enclosed in brackets and contains colons itself.
     if host.starts_with('[') {
         return host.find(']').map_or(host, |end| &host[..=end]);
     }
--- a/crates/routing/src/key.rs
+++ b/crates/routing/src/key.rs
@@ -1,4 +1,4 @@
-//! Finds the key of a request where its route says it stands.
+//! Extracts the key of a request from the place that its route names.
 
 use std::borrow::Cow;
 
@@ -7,14 +7,14 @@
 
 use crate::head::RequestHead;
 
-/// Bytes of the request's key.
+/// Returns the bytes of the request's key.
 ///
 /// # Errors
 ///
-/// `MissingKey` when the key is absent or empty; `Malformed` when it has a
-/// wrong percent-encoding, or when a query parameter stands twice with
-/// different values: the back end might read another one than the router, and
-/// then two owners would serve one key.
+/// `MissingKey` when the key is absent or empty; `Malformed` when its
+/// percent-encoding is invalid, or when a query parameter occurs twice with
+/// different values: the back end might read the other value than the router,
+/// and then two owners would serve one key.
 pub fn extract_key<'a>(
     source: &KeySource,
     head: &RequestHead<'a>,
@@ -67,13 +67,13 @@
     percent_decode(raw_name, Plus::Space).is_ok_and(|decoded| *decoded == *name.as_bytes())
 }
 
-/// How a `+` is read.
+/// How a `+` is decoded.
 #[derive(Clone, Copy, PartialEq)]
 enum Plus {
-    /// As itself, in paths.
+    /// As a literal `+`, in paths.
     Literal,
-    /// As a space, in queries. A back end that reads it as itself still gets
-    /// both spellings from one owner.
+    /// As a space, in queries. A back end that reads it literally still
+    /// receives both spellings from the same owner.
     Space,
 }
 
--- a/crates/routing/src/latency.rs
+++ b/crates/routing/src/latency.rs
@@ -1,25 +1,28 @@
-//! Recent answer times of one back end: smoothed means and a quantile.
+//! Recent response times of one back end: moving averages and a quantile.
 
 use std::time::Duration;
 
 /// Buckets for each doubling of the latency.
 const STEPS_PER_DOUBLING: u32 = 4;
-/// Doublings covered, from one microsecond on; the last is above an hour.
+/// Doublings covered, starting at one microsecond; the last bucket is above an
+/// hour.
 const DOUBLINGS: u32 = 32;
 const BUCKETS: usize = (STEPS_PER_DOUBLING * DOUBLINGS) as usize;
-/// Once this many samples are held, all counts are halved, so that old ones
-/// fade.
+/// All counts are halved once this many samples are held, so that old samples
+/// lose weight.
 const HALVE_AT: u32 = 1_024;
-/// Weight of a new sample in the short mean.
+/// Weight of a new sample in the short moving average.
 const SHORT_WEIGHT: f64 = 0.2;
-/// Weight of a new sample in the long mean.
+/// Weight of a new sample in the long moving average.
 const LONG_WEIGHT: f64 = 0.01;
 
-/// A sample counts for at most this many times the long mean: one answer that
-/// got stuck says little about the others, several in a row say enough.
+/// Samples are capped at this multiple of the long average: a single delayed
+/// response says little about the others, while several in a row raise the
+/// average enough.
 const OUTLIER_FACTOR: f64 = 4.0;
 
-/// Answer times of one back end. Takes 300 bytes whatever it has seen.
+/// Response-time statistics of one back end. Takes 300 bytes regardless of the
+/// number of samples.
 #[derive(Clone, Debug)]
 pub struct LatencyEstimate {
     short_micros: f64,
@@ -40,7 +43,7 @@
 }
 
 impl LatencyEstimate {
-    /// Takes in one answer time.
+    /// Records one response time.
     pub fn record(&mut self, latency: Duration) {
         let micros = latency.as_micros().clamp(1, u128::from(u64::MAX)) as u64;
         if self.total == 0 {
@@ -57,14 +60,14 @@
         }
     }
 
-    /// Mean of the latest few answers; `None` before the first.
+    /// Moving average of the latest few responses; `None` before the first.
     pub fn recent(&self) -> Option<Duration> {
         let micros = self.short_micros as u64;
         (self.total > 0).then(|| Duration::from_micros(micros))
     }
 
-    /// Ratio of the mean of the latest few answers to that of the latest
-    /// hundred; 1 when there is no sample.
+    /// Ratio of the average of the latest few responses to that of the latest
+    /// hundred; 1 without samples.
     pub fn inflation(&self) -> f64 {
         if self.long_micros <= 0.0 {
             return 1.0;
@@ -72,19 +75,19 @@
         self.short_micros / self.long_micros
     }
 
-    /// How much longer the latest few answers took than the latest hundred.
+    /// How much longer the latest few responses took than the latest hundred.
     pub fn growth(&self) -> Duration {
         let micros = (self.short_micros - self.long_micros).max(0.0);
         Duration::from_micros(micros as u64)
     }
 
-    /// Samples that the quantile rests on.
+    /// Number of samples behind the quantile.
     pub fn samples(&self) -> u32 {
         self.total
     }
 
-    /// Upper bound, at most a quarter too high, of the time that `percent`
-    /// per cent of the recent answers took at most.
+    /// Returns an upper bound, at most a quarter too high, of the time within
+    /// which `percent` percent of the recent responses arrived.
     pub fn quantile(&self, percent: u32) -> Option<Duration> {
         if self.total == 0 {
             return None;
@@ -108,7 +111,8 @@
     }
 }
 
-/// Bucket by the leading bit and the two bits after it.
+/// Returns the bucket of a value, given by its leading bit and the two bits
+/// after it.
 fn bucket_index(micros: u64) -> usize {
     let doubling = micros.ilog2();
     let step = (micros << 2 >> doubling) & 3;
@@ -116,7 +120,7 @@
     (bucket as usize).min(BUCKETS - 1)
 }
 
-/// First value above a bucket.
+/// Returns the first value above a bucket.
 fn upper_bound(bucket: usize) -> u64 {
     let doubling = bucket as u32 / STEPS_PER_DOUBLING;
     let step = bucket as u64 % u64::from(STEPS_PER_DOUBLING);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,12 +1,13 @@
-//! One request's path as decisions: route, owner, limits, queueing, retries,
-//! hedges and the one outcome of each exchange.
+//! Sans-I/O decisions for forwarding one request: matching its route, finding
+//! the owner of its key, applying limits, queueing, retrying, hedging, and
+//! settling the single outcome of each exchange.
 //!
-//! Nothing here opens a socket, reads a clock or draws randomness. A shell
-//! drives a [`Dispatcher`]: it calls [`Dispatcher::begin`] for each request,
-//! then [`Dispatcher::next`] whenever something may have changed, carries out
-//! the [`Step`] it gets, and reports what happened to each attempt with
-//! [`Dispatcher::on_event`]. The simulator drives the same code in virtual
-//! time.
+//! Nothing here opens a socket, reads a clock or draws randomness. The code
+//! that does the I/O, called the shell here, drives a [`Dispatcher`]: it calls
+//! [`Dispatcher::begin`] for each request, then [`Dispatcher::next`] whenever
+//! something may have changed, carries out the [`Step`] it gets, and reports
+//! what happened to each attempt with [`Dispatcher::on_event`]. The simulator
+//! drives the same code in virtual time.
 
 pub mod attempt;
 mod back_end;
--- a/crates/routing/src/owner_refusals.rs
+++ b/crates/routing/src/owner_refusals.rs
@@ -1,11 +1,13 @@
-//! Requests whose owner refused them as not its own.
+//! Coordinates the retries of requests that an owner refused because it does
+//! not consider the slice its own.
 //!
 //! During a planned move a router may still know the former owner, or know the
-//! next one before that has its grant. The requests wait, nothing of them
-//! running anywhere, and go on when the slice has a newer epoch, or when the
-//! owner has answered another request under the same one. Only the first that
-//! waits asks the owner again, for all of them: neither many requests nor many
-//! routers make a wave of refusals out of one move.
+//! next one before that has its grant. The refused requests wait with nothing
+//! of them running anywhere. They are resent when the slice has a newer epoch,
+//! or when the owner has accepted another request under the same epoch. Only
+//! the first waiting request probes the owner, on behalf of all, so that
+//! neither many requests nor many routers turn one move into a wave of
+//! refusals.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,16 +18,16 @@
 use crate::backoff::backoff;
 use crate::exchange::Target;
 
-/// Longest wait between two asks of one owner.
+/// Maximum backoff between two probes of one owner.
 const MAX_PROBE_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Exchanges that wait, by the assignment that refused them.
+/// Waiting exchanges, by the assignment that refused them.
 #[derive(Debug, Default)]
 pub(crate) struct OwnerRefusals {
     by_target: BTreeMap<Target, Waiters>,
 }
 
-/// Who waits for one owner. Forgotten when nobody does.
+/// Exchanges that wait for one owner. The entry is removed when none is left.
 #[derive(Debug)]
 struct Waiters {
     waiting: BTreeSet<ExchangeId>,
@@ -33,19 +35,20 @@
     probe_at: Timestamp,
 }
 
-/// What one that waits may do.
+/// What a waiting exchange may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WaiterAction {
-    /// The owner has answered another request meanwhile.
+    /// Resend: the owner has accepted another request in the meantime.
     Resend,
-    /// It asks for all, not before this time.
+    /// Probe the owner for all waiting exchanges, not before this time.
     Probe(Timestamp),
-    /// Another one asks.
+    /// Wait, because another exchange probes the owner.
     Wait,
 }
 
 impl OwnerRefusals {
-    /// An exchange was refused after it had asked `asked` times.
+    /// Adds an exchange that was refused. `probes` is the number of probes that
+    /// the owner has got so far.
     pub(crate) fn join(
         &mut self,
         now: Timestamp,
@@ -62,7 +65,7 @@
         waiters.waiting.insert(id);
     }
 
-    /// What `id` may do.
+    /// Returns what the exchange `id` may do.
     pub(crate) fn next_action(&self, target: Target, id: ExchangeId) -> WaiterAction {
         match self.by_target.get(&target) {
             Some(waiters) if waiters.waiting.first() == Some(&id) => {
@@ -73,8 +76,8 @@
         }
     }
 
-    /// The next ask is due later: one is on its way, or there was no leave.
-    /// Answers how often the owner has been asked.
+    /// Postpones the next probe, because one is being sent or the retry budget
+    /// is empty. Returns the number of probes so far.
     pub(crate) fn schedule_next_probe(
         &mut self,
         now: Timestamp,
@@ -95,7 +98,8 @@
         waiters.probes
     }
 
-    /// An exchange waits no more. Answers who asks in its place from now on.
+    /// Removes a waiting exchange. Returns the one that probes in its place
+    /// from now on, if that changed.
     pub(crate) fn leave(&mut self, target: Target, id: ExchangeId) -> Option<ExchangeId> {
         let waiters = self.by_target.get_mut(&target)?;
         let was_probing = waiters.waiting.first() == Some(&id);
@@ -107,7 +111,8 @@
         next.filter(|_| was_probing)
     }
 
-    /// The owner answers under this assignment: everyone may go on.
+    /// Removes and returns all exchanges that wait for this assignment, because
+    /// the owner accepts requests under it.
     pub(crate) fn release_all(&mut self, target: Target) -> BTreeSet<ExchangeId> {
         let waiters = self.by_target.remove(&target);
         waiters.map(|waiters| waiters.waiting).unwrap_or_default()
--- a/crates/routing/src/queue.rs
+++ b/crates/routing/src/queue.rs
@@ -10,7 +10,7 @@
 
 const PRIORITIES: usize = 3;
 
-/// QueuePosition of a request in a queue: higher priority first, then the earlier
+/// Position of a request in a queue: higher priority first, then the earlier
 /// deadline, then the earlier arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueuePosition {
@@ -20,7 +20,7 @@
 }
 
 impl QueuePosition {
-    /// The place of a request.
+    /// Creates the position of a request.
     pub fn new(priority: Priority, deadline: Timestamp, id: ExchangeId) -> Self {
         QueuePosition {
             priority: Reverse(priority),
@@ -29,20 +29,20 @@
         }
     }
 
-    /// Which request.
+    /// Id of the request.
     pub fn id(&self) -> ExchangeId {
         self.id
     }
 }
 
-/// What became of a request that was to wait.
+/// Result of adding a request to a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PushOutcome {
-    /// It waits.
+    /// The request was queued.
     Queued,
-    /// It waits in place of this one, which came last.
+    /// The request was queued and this one, the last in the queue, was removed.
     Displaced(ExchangeId),
-    /// The queue is full of requests that go before it.
+    /// The queue is full of requests that come before it.
     Full,
 }
 
@@ -57,8 +57,9 @@
 }
 
 impl WaitQueue {
-    /// A queue of at most `capacity` requests. One of `low_priority_turn`
-    /// taken is of the lowest priority that waits, so that none starves.
+    /// Creates a queue of at most `capacity` requests. Every
+    /// `low_priority_turn`th request taken is of the lowest priority that
+    /// waits, so that none starves.
     pub fn new(capacity: u32, low_priority_turn: u32) -> Self {
         WaitQueue {
             positions: BTreeSet::new(),
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Takes a request out that no longer waits. Says whether it was there.
+    /// Removes a request. Returns whether it was queued.
     pub fn remove(&mut self, position: QueuePosition) -> bool {
         let removed = self.positions.remove(&position);
         if removed {
@@ -94,12 +95,12 @@
         removed
     }
 
-    /// Whether a request waits.
+    /// Whether a request is queued.
     pub fn contains(&self, position: QueuePosition) -> bool {
         self.positions.contains(&position)
     }
 
-    /// Takes the request whose turn it is; O(log n).
+    /// Removes and returns the next request to serve; O(log n).
     pub fn pop(&mut self) -> Option<ExchangeId> {
         self.pop_count = self.pop_count.wrapping_add(1);
         let is_low_priority_turn = self.pop_count.is_multiple_of(self.low_priority_turn);
@@ -112,12 +113,12 @@
         Some(position.id)
     }
 
-    /// The request that goes first.
+    /// First request in the queue.
     pub fn first(&self) -> Option<ExchangeId> {
         self.positions.first().map(|position| position.id)
     }
 
-    /// Upper bound of the requests that go before one in `place`.
+    /// Upper bound of the number of requests ahead of `position`.
     pub fn ahead_of(&self, position: QueuePosition) -> u32 {
         let priority = position.priority.0 as usize;
         let higher: u32 = self.counts[priority + 1..].iter().sum();
@@ -134,17 +135,17 @@
         }
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.positions.len()
     }
 
-    /// Whether none waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.positions.is_empty()
     }
 
-    /// All that wait, in order.
+    /// All queued requests, in order.
     pub fn ids(&self) -> impl Iterator<Item = ExchangeId> + '_ {
         self.positions.iter().map(|position| position.id)
     }
--- a/crates/routing/src/ramp.rs
+++ b/crates/routing/src/ramp.rs
@@ -1,10 +1,10 @@
-//! Ramp of a back end process that has just started and is still cold.
+//! Slow start of a back-end process that has just started and is still cold.
 
 use std::time::Duration;
 
 use threadledge_types::Timestamp;
 
-/// Grows the number of requests at once from 1 to the full number.
+/// Raises the number of concurrent requests linearly from 1 to the full limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ramp {
     started: Timestamp,
@@ -12,7 +12,7 @@
 }
 
 impl Ramp {
-    /// A ramp that starts now.
+    /// Creates a ramp of this length that starts at `started`.
     pub fn new(started: Timestamp, length: Duration) -> Self {
         Ramp { started, length }
     }
@@ -22,7 +22,7 @@
         now.since(self.started) >= self.length
     }
 
-    /// Requests allowed at once out of `full`.
+    /// Number of concurrent requests allowed, given the usual limit `full`.
     pub fn allowed(&self, now: Timestamp, full: u32) -> u32 {
         if self.is_over(now) || full <= 1 {
             return full;
@@ -33,7 +33,8 @@
         1 + u32::try_from(extra).unwrap_or(full - 1)
     }
 
-    /// When [`Ramp::allowed`] grows next; `None` once it is over.
+    /// Time at which [`Ramp::allowed`] grows next; `None` once the ramp is
+    /// over.
     pub fn next_change(&self, now: Timestamp, full: u32) -> Option<Timestamp> {
         if self.is_over(now) || full <= 1 {
             return None;
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -1,72 +1,75 @@
-//! Limits of one router's data path.
+//! Settings of one router's data path.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Limits and waits; the defaults suit the sizes of today.
+/// Limits and timeouts. The defaults suit the current deployment sizes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Settings {
-    /// Exchanges held at once, running and waiting, over all namespaces.
+    /// Maximum number of concurrent exchanges, running and waiting, over all
+    /// namespaces.
     pub max_exchanges: u32,
-    /// Share of `max_exchanges` that a namespace may hold when others want
-    /// it, in percent. With more namespaces active each gets an equal part,
+    /// Share of `max_exchanges` that a namespace may hold when others compete
+    /// for it, in percent. With more active namespaces each gets an equal part,
     /// if that is less.
     pub namespace_share_percent: u32,
-    /// Share of `max_exchanges` kept free for namespaces below their share,
-    /// in percent.
+    /// Share of `max_exchanges` reserved for namespaces below their share, in
+    /// percent.
     pub namespace_reserve_percent: u32,
-    /// Requests that wait for one back end at once.
+    /// Maximum number of requests queued for one back end.
     pub queue_per_back_end: u32,
-    /// Of this many requests taken from a queue, one is the longest waiting
-    /// of the lowest priority, so that none starves.
+    /// One of this many requests taken from a queue is the first one of the
+    /// lowest priority that waits, so that none starves.
     pub low_priority_turn: u32,
-    /// Longest wait for a slot of a request that may not queue, in
+    /// Maximum wait for a slot for requests that may not queue, in
     /// milliseconds.
     pub short_wait_ms: u64,
-    /// Longest wait for a slice to get an owner, in milliseconds.
+    /// Maximum wait for a slice to get an owner, in milliseconds.
     pub owner_wait_ms: u64,
-    /// Attempts of one exchange.
+    /// Maximum number of attempts of one exchange.
     pub max_attempts: u32,
-    /// Retries allowed for each hundred first attempts to a back end.
+    /// Retries allowed per hundred first attempts to a back end.
     pub retry_percent: u32,
-    /// Retries saved up at most, and at the start.
+    /// Capacity and initial level of the retry budget.
     pub retry_reserve: u32,
-    /// Retries that a back end gets each second whatever its traffic, over
+    /// Retries allowed per second at a back end regardless of its traffic, over
     /// all routers.
     pub retry_refill_per_second: u32,
-    /// Hedges allowed for each hundred first attempts to a back end.
+    /// Hedges allowed per hundred first attempts to a back end.
     pub hedge_percent: u32,
-    /// Hedges saved up at most, and at the start.
+    /// Capacity and initial level of the hedge budget.
     pub hedge_reserve: u32,
-    /// A hedge is sent once an attempt has taken longer than this percentage
-    /// of the back end's recent answers.
+    /// Quantile, in percent, of the back end's recent response times after
+    /// which an attempt is hedged.
     pub hedge_quantile_percent: u32,
-    /// Shortest time until a hedge, in milliseconds.
+    /// Minimum time until a hedge, in milliseconds.
     pub hedge_min_ms: u64,
-    /// First wait between attempts, in milliseconds; it doubles.
+    /// Initial backoff between attempts, in milliseconds; it doubles.
     pub backoff_min_ms: u64,
-    /// Longest wait between attempts, in milliseconds.
+    /// Maximum backoff between attempts, in milliseconds.
     pub backoff_max_ms: u64,
-    /// Failures in a row after which a back end is ejected.
+    /// Consecutive failures after which a back end is ejected.
     pub ejection_failures: u32,
-    /// First length of an ejection, in milliseconds; it doubles.
+    /// Duration of the first ejection, in milliseconds; it doubles.
     pub ejection_min_ms: u64,
-    /// Longest ejection, in milliseconds.
+    /// Maximum duration of an ejection, in milliseconds.
     pub ejection_max_ms: u64,
-    /// Successes one at a time after which an ejected back end is back.
+    /// Successful probes, one at a time, after which an ejected back end is
+    /// readmitted.
     pub return_successes: u32,
-    /// An attempt that had no answer by its deadline counts as a failure of
-    /// the back end if it ran at least this long, in milliseconds.
+    /// An attempt without a response by its deadline counts as a failure of the
+    /// back end if it ran at least this long, in milliseconds.
     pub timeout_evidence_ms: u64,
-    /// Time over which a new back end process is ramped up, in milliseconds.
+    /// Time over which a new back-end process is ramped up, in milliseconds.
     pub ramp_ms: u64,
-    /// How long a draining back end still gets requests for slices it owns,
-    /// in milliseconds from when this router learned of the drain.
+    /// How long a draining back end still gets requests for slices it owns, in
+    /// milliseconds from when this router learned of the drain.
     pub drain_grace_ms: u64,
-    /// Largest number of requests at a back end at once, in percent of its
-    /// slots. Above 100 the next request is already there when a slot frees.
+    /// Maximum number of concurrent requests at a back end, in percent of its
+    /// slots. Above 100, the next request is already queued at the back end
+    /// when a slot becomes free.
     pub slot_overcommit_percent: u32,
 }
 
@@ -103,23 +106,23 @@
 }
 
 impl Settings {
-    /// Longest wait for a slot of a request that may not queue.
+    /// Maximum wait for a slot for requests that may not queue.
     pub fn short_wait(&self) -> Duration {
         Duration::from_millis(self.short_wait_ms)
     }
 
-    /// Longest wait for a slice to get an owner.
+    /// Maximum wait for a slice to get an owner.
     pub fn owner_wait(&self) -> Duration {
         Duration::from_millis(self.owner_wait_ms)
     }
 
-    /// Shortest time until a hedge.
+    /// Minimum time until a hedge.
     pub fn hedge_min(&self) -> Duration {
         Duration::from_millis(self.hedge_min_ms)
     }
 
-    /// Time in which one of `routers` may retry once more at a back end,
-    /// whatever its traffic; zero for never.
+    /// Interval at which one of `routers` routers gains one retry at a back
+    /// end, regardless of its traffic; zero means never.
     pub fn retry_refill(&self, routers: u32) -> Duration {
         let routers = routers.max(1);
         let second = Duration::from_secs(1) * routers;
@@ -128,32 +131,33 @@
             .unwrap_or(Duration::ZERO)
     }
 
-    /// First wait between attempts.
+    /// Initial backoff between attempts.
     pub fn backoff_min(&self) -> Duration {
         Duration::from_millis(self.backoff_min_ms)
     }
 
-    /// Longest wait between attempts.
+    /// Maximum backoff between attempts.
     pub fn backoff_max(&self) -> Duration {
         Duration::from_millis(self.backoff_max_ms)
     }
 
-    /// First length of an ejection.
+    /// Duration of the first ejection.
     pub fn ejection_min(&self) -> Duration {
         Duration::from_millis(self.ejection_min_ms)
     }
 
-    /// Longest ejection.
+    /// Maximum duration of an ejection.
     pub fn ejection_max(&self) -> Duration {
         Duration::from_millis(self.ejection_max_ms)
     }
 
-    /// Shortest unanswered attempt that counts against its back end.
+    /// Minimum duration after which an attempt without a response counts as a
+    /// failure of its back end.
     pub fn timeout_evidence(&self) -> Duration {
         Duration::from_millis(self.timeout_evidence_ms)
     }
 
-    /// Time over which a new back end process is ramped up.
+    /// Time over which a new back-end process is ramped up.
     pub fn ramp(&self) -> Duration {
         Duration::from_millis(self.ramp_ms)
     }
--- a/crates/routing/src/table/apply.rs
+++ b/crates/routing/src/table/apply.rs
@@ -1,4 +1,4 @@
-//! Applying deltas to the copy in place.
+//! Applies deltas to the copy in place.
 
 use std::collections::BTreeSet;
 
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Brings the copy to the state that `changes` describe whole. Services,
-    /// back ends and sessions that stay keep their numbers.
+    /// Replaces the copy by the complete state in `changes`. Services, back
+    /// ends and sessions that remain keep their indices.
     pub(super) fn replace(&mut self, changes: &[RecordChange], effects: &mut Effects) {
         let removals = self.removals_of_unlisted(changes);
         let previous = self.services.take_slices();
@@ -113,7 +113,7 @@
         self.apply_changes(&removals, effects);
     }
 
-    /// Removals of everything that `changes` do not mention.
+    /// Returns removals of everything that `changes` do not list.
     fn removals_of_unlisted(&self, changes: &[RecordChange]) -> Vec<RecordChange> {
         let mut services = BTreeSet::new();
         let mut back_ends = BTreeSet::new();
--- a/crates/routing/src/table/effects.rs
+++ b/crates/routing/src/table/effects.rs
@@ -1,18 +1,19 @@
-//! What a delta touched, so that only the exchanges concerned are woken.
+//! Parts of the table touched by a delta, so that only the affected exchanges
+//! are woken.
 
 use threadledge_types::Slice;
 
 use super::services::ServiceIndex;
 use super::sessions::BackEndIndex;
 
-/// Parts of the table that a delta touched, in the order of its changes.
+/// Parts of the table touched by a delta, in the order of its changes.
 #[derive(Debug, Default)]
 pub(crate) struct Effects {
     /// The whole table was replaced.
     pub(crate) full: bool,
     /// Slices whose owner, epoch or range may have changed.
     pub(crate) slices: Vec<(ServiceIndex, Slice)>,
-    /// Services that are removals.
+    /// Services that were removed.
     pub(crate) services: Vec<ServiceIndex>,
     /// Back ends whose record or session may have changed.
     pub(crate) back_ends: Vec<BackEndIndex>,
--- a/crates/routing/src/table/mod.rs
+++ b/crates/routing/src/table/mod.rs
@@ -1,4 +1,4 @@
-//! The copy of a group's records as the data path needs it.
+//! A router's copy of a group's records, indexed for the data path.
 
 mod apply;
 mod effects;
@@ -23,10 +23,10 @@
 pub(crate) use services::{ServiceEntry, ServiceIndex, Services};
 pub(crate) use sessions::{BackEndIndex, Sessions};
 
-/// Why a delta was not applied. The copy is unchanged.
+/// Reason why a delta was not applied. The copy is unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
-    /// The delta starts at another revision than the copy has.
+    /// The delta starts at another revision than that of the copy.
     #[error("the copy is at {have} and the delta starts at {from}; fetch the full state")]
     Gap {
         /// Revision of the copy.
@@ -54,22 +54,22 @@
     },
 }
 
-/// A request with the route that it matches.
+/// The route that a request matched and the properties it gives the request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MatchedRoute {
     /// The service.
     pub service: Arc<ServiceId>,
     /// Name of the route.
     pub route: Arc<str>,
-    /// Order under contention.
+    /// Priority under contention.
     pub priority: Priority,
-    /// Whether it may be carried out more than once.
+    /// Whether the request may be run more than once.
     pub repeatable: bool,
-    /// Longest time until the caller has its outcome, in milliseconds.
+    /// Deadline for the outcome, in milliseconds after arrival.
     pub deadline_ms: u64,
-    /// Whether it may wait for a slot until its deadline.
+    /// Whether the request may wait for a slot until its deadline.
     pub may_queue: bool,
-    /// Point of its key.
+    /// Point that the key hashes to.
     pub point: Point,
 }
 
@@ -87,22 +87,22 @@
     }
 }
 
-/// Who owns a point.
+/// The owner of a point.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Owner {
     /// The back end.
     pub back_end: Arc<BackEndId>,
-    /// BackEndProcess of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Where requests go.
+    /// Address that requests are sent to.
     pub address: SocketAddr,
     /// Fencing token of the assignment.
     pub epoch: Epoch,
-    /// It announced that it is leaving.
+    /// Whether it announced that it is leaving.
     pub draining: bool,
 }
 
-/// Who owns a point, by numbers.
+/// The owner of a point, by table index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OwnerEntry {
     pub(crate) back_end: BackEndIndex,
@@ -111,8 +111,8 @@
     pub(crate) draining: bool,
 }
 
-/// The copy of one group's records, updated in place by deltas. Applying a
-/// delta costs what it changes; a lookup is O(log n).
+/// A copy of one group's records, updated in place by deltas. The cost of
+/// applying a delta is proportional to its changes; a lookup is O(log n).
 #[derive(Debug, Default)]
 pub struct RoutingTable {
     group: Option<GroupId>,
@@ -122,7 +122,7 @@
 }
 
 impl RoutingTable {
-    /// An empty copy. It belongs to the group of the first delta.
+    /// Creates an empty copy. The first delta determines its group.
     pub fn new() -> Self {
         RoutingTable::default()
     }
@@ -146,7 +146,7 @@
         self.apply_with_effects(delta).map(|_| ())
     }
 
-    /// Applies a delta and says what it touched.
+    /// Applies a delta and returns which parts of the table it touched.
     pub(crate) fn apply_with_effects(
         &mut self,
         delta: &RecordDelta,
@@ -185,8 +185,8 @@
         Ok((index, service, route, hash_key(&key)))
     }
 
-    /// Owner of a point of a service; `None` without one or when its session
-    /// has ended.
+    /// Returns the owner of a point of a service; `None` if there is none or
+    /// its session has ended.
     pub fn owner(&self, service: &ServiceId, point: Point) -> Option<Owner> {
         let index = self.services.find(service)?;
         let entry = self.owner_entry(index, point)?;
--- a/crates/routing/src/table/route.rs
+++ b/crates/routing/src/table/route.rs
@@ -1,17 +1,17 @@
-//! Routes in the form in which requests are matched.
+//! Routes compiled for matching.
 
 use std::sync::Arc;
 
 use threadledge_types::objects::{KeySource, Priority, RouteRule};
 
-/// Methods that HTTP defines as safe; by default only these may be repeated.
+/// Methods that HTTP defines as safe. Only these may be repeated by default.
 const SAFE_METHODS: [&str; 3] = ["GET", "HEAD", "OPTIONS"];
 
 /// One compiled route.
 #[derive(Debug, PartialEq)]
 pub(crate) struct Route {
     pub(crate) name: Arc<str>,
-    /// Without a final slash, so that `/` is the empty prefix.
+    /// Path prefix without a final slash, so that `/` becomes the empty prefix.
     prefix: Box<str>,
     methods: Vec<String>,
     pub(crate) key: KeySource,
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Whether the route covers a request. Prefixes match whole segments:
-    /// `/orders` covers `/orders/7` but not `/orders-old`.
+    /// Whether the route matches a request. Prefixes match whole segments:
+    /// `/orders` matches `/orders/7` but not `/orders-old`.
     pub(crate) fn matches(&self, method: &str, path: &str) -> bool {
         self.matches_path(path) && self.matches_method(method)
     }
@@ -52,12 +52,13 @@
         self.methods.is_empty() || self.methods.iter().any(|own| own == method)
     }
 
-    /// Bytes of the prefix: among services of one host the longest wins.
+    /// Length of the prefix in bytes; among the services of one host the
+    /// longest prefix wins.
     pub(crate) fn prefix_length(&self) -> usize {
         self.prefix.len()
     }
 
-    /// Whether a request with this method may be carried out more than once.
+    /// Whether a request with this method may be run more than once.
     pub(crate) fn is_repeatable(&self, method: &str) -> bool {
         self.repeatable
             .unwrap_or_else(|| SAFE_METHODS.contains(&method))
--- a/crates/routing/src/table/services.rs
+++ b/crates/routing/src/table/services.rs
@@ -10,11 +10,11 @@
 use super::slices::SliceMap;
 use crate::host::normalize_host;
 
-/// Number of a service; never used twice by one table.
+/// Index of a service; a table never reuses one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ServiceIndex(u32);
 
-/// One service, with a record or named by slices before its record came.
+/// One service. It may have no record yet if slices named it first.
 #[derive(Debug)]
 pub(crate) struct ServiceEntry {
     pub(crate) id: Arc<ServiceId>,
@@ -50,9 +50,9 @@
         self.by_index.values()
     }
 
-    /// The route for a request: among the services of the host the first
-    /// route of each that covers it, and of these the longest prefix; a tie
-    /// goes to the first service by name.
+    /// Returns the route for a request. Each service of the host contributes
+    /// its first matching route, and the longest prefix among these wins; ties
+    /// go to the first service by name.
     pub(crate) fn route(
         &self,
         host: &str,
@@ -103,13 +103,14 @@
         Some((index, entry))
     }
 
-    /// Slices of a service, which is made up if its record has not come yet.
+    /// Returns the slices of a service, adding an entry for the service if its
+    /// record has not arrived yet.
     pub(crate) fn slices_of(&mut self, id: &ServiceId) -> (ServiceIndex, &mut SliceMap) {
         let index = self.index_of(id);
         (index, &mut self.entry(index).slices)
     }
 
-    /// Takes the slices of every service out.
+    /// Removes and returns the slices of all services.
     pub(crate) fn take_slices(&mut self) -> Vec<SliceMap> {
         let entries = self.by_index.values_mut();
         entries
--- a/crates/routing/src/table/sessions.rs
+++ b/crates/routing/src/table/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions and back ends under small numbers, so that a slice holds four
+//! Sessions and back ends under small indices, so that a slice stores four
 //! bytes instead of names.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,8 +8,8 @@
 use threadledge_types::objects::BackEndSpec;
 use threadledge_types::{BackEndId, Incarnation, SessionId};
 
-/// Number of a session. It is used again once the session has ended and no
-/// slice names it any more.
+/// Index of a session. It is reused once the session has ended and no slice
+/// refers to it any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct SessionIndex(NonZeroU32);
 
@@ -26,22 +26,22 @@
     }
 }
 
-/// Number of a back end; never used twice by one table.
+/// Index of a back end; a table never reuses one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct BackEndIndex(u32);
 
-/// One session, open or still named by slices.
+/// One session, open or still referred to by slices.
 #[derive(Debug)]
 pub(crate) struct SessionEntry {
     pub(crate) back_end: BackEndIndex,
     pub(crate) incarnation: Incarnation,
-    /// Has a record. A session without one has ended.
+    /// Whether the session has a record. A session without one has ended.
     pub(crate) open: bool,
     pub(crate) draining: bool,
     slice_count: u32,
 }
 
-/// One back end, with a record or still named by sessions.
+/// One back end that has a record or is still referred to by sessions.
 #[derive(Debug)]
 pub(crate) struct BackEndEntry {
     pub(crate) id: Arc<BackEndId>,
@@ -52,7 +52,7 @@
 /// All sessions and back ends of a table.
 #[derive(Debug, Default)]
 pub(crate) struct Sessions {
-    /// By number, so that finding the session of a slice is one step.
+    /// Sessions by index, so that the session of a slice is found in one step.
     sessions: Vec<Option<SessionEntry>>,
     free_sessions: Vec<SessionIndex>,
     back_ends: BTreeMap<BackEndIndex, BackEndEntry>,
@@ -69,7 +69,7 @@
         self.back_ends.get(&index)
     }
 
-    /// The open session with the latest incarnation of a back end.
+    /// Returns the open session of a back end with the latest incarnation.
     pub(crate) fn current_session(&self, index: BackEndIndex) -> Option<&SessionEntry> {
         let entry = self.back_ends.get(&index)?;
         let latest_first = entry.sessions.iter().rev();
@@ -108,14 +108,14 @@
         Some(back_end)
     }
 
-    /// Number for a session that a slice names.
+    /// Returns the index of a session and counts a slice that refers to it.
     pub(crate) fn retain(&mut self, id: &SessionId) -> SessionIndex {
         let index = self.session_index(id);
         self.session_entry(index).slice_count += 1;
         index
     }
 
-    /// A slice no longer names the session.
+    /// Counts off a slice that no longer refers to the session.
     pub(crate) fn release(&mut self, index: SessionIndex) {
         if let Some(Some(entry)) = self.sessions.get_mut(index.position()) {
             entry.slice_count = entry.slice_count.saturating_sub(1);
@@ -123,7 +123,7 @@
         self.remove_session_if_unused(index);
     }
 
-    /// Back ends that have a record.
+    /// All back ends that have a record.
     pub(crate) fn recorded_back_ends(&self) -> impl Iterator<Item = (BackEndIndex, &BackEndEntry)> {
         self.back_ends
             .iter()
@@ -131,7 +131,7 @@
             .map(|(index, entry)| (*index, entry))
     }
 
-    /// Sessions that have a record.
+    /// All sessions that have a record.
     pub(crate) fn open_sessions(&self) -> Vec<SessionId> {
         let entries = self.sessions.iter().flatten();
         let open = entries.filter(|entry| entry.open);
--- a/crates/routing/src/table/slices.rs
+++ b/crates/routing/src/table/slices.rs
@@ -1,8 +1,8 @@
-//! Slices of one service by their first point.
+//! Ordered map of the slices of one service, by their first point.
 //!
-//! The slices stand in sorted chunks under a tree. A tree of single slices
-//! costs more memory, because its nodes are half empty after an ordered load,
-//! and more cache misses for each lookup.
+//! The slices are stored in sorted chunks, which are indexed by a tree. A tree
+//! of single slices costs more memory, because its nodes are half empty after
+//! an ordered load, and more cache misses per lookup.
 
 use std::collections::BTreeMap;
 
@@ -10,13 +10,13 @@
 
 use super::sessions::SessionIndex;
 
-/// Slices in one chunk at most: an insertion moves a few kilobytes.
+/// Maximum number of slices in a chunk. An insertion moves a few kilobytes.
 const CHUNK_CAPACITY: usize = 256;
 /// Lower bound of the first chunk.
 const LOWEST: Point = Point(0);
 
-/// What one slice costs in memory besides its first point of eight bytes: 24
-/// bytes. The epoch is taken apart so that no padding is left.
+/// Data of one slice besides its first point of eight bytes. It takes 24 bytes;
+/// the epoch is split into its parts so that there is no padding.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     last: Point,
@@ -25,14 +25,14 @@
     owner: Option<SessionIndex>,
 }
 
-/// Who owns a slice and under which epoch.
+/// The owner of a slice and the epoch of its assignment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SliceOwner {
     pub(crate) session: SessionIndex,
     pub(crate) epoch: Epoch,
 }
 
-/// Neighbouring slices. The points are apart from the rest, so that a search
+/// Adjacent slices. The first points are stored separately, so that a search
 /// reads few cache lines.
 #[derive(Debug, Default)]
 struct Chunk {
@@ -43,17 +43,18 @@
 /// The slices of one service.
 #[derive(Debug, Default)]
 pub(crate) struct SliceMap {
-    /// By a lower bound of the first points; that of the first chunk is
-    /// [`LOWEST`]. No other chunk is empty.
+    /// Chunks by a lower bound of their first points; the bound of the first
+    /// chunk is [`LOWEST`]. No other chunk is empty.
     chunks: BTreeMap<Point, Chunk>,
     length: usize,
 }
 
 impl SliceMap {
-    /// Owner of the slice that holds `point`; O(log n).
+    /// Returns the owner of the slice that contains `point`; O(log n).
     pub(crate) fn owner(&self, point: Point) -> Option<SliceOwner> {
         let chunks = self.chunks.range(..=point).rev();
-        // The slice that holds the point may be the last of the chunk before.
+        // The slice that contains the point may be the last one of the previous
+        // chunk.
         let mut found = chunks.filter_map(|(_, chunk)| chunk.last_up_to(point));
         let entry = found.next()?;
         if point > entry.last {
@@ -65,8 +66,8 @@
         })
     }
 
-    /// Puts a slice in place of the one with the same first point. Answers
-    /// the session that owned it until now.
+    /// Inserts a slice, replacing one with the same first point. Returns the
+    /// session that owned the replaced slice.
     pub(crate) fn insert(
         &mut self,
         slice: Slice,
@@ -94,7 +95,7 @@
         None
     }
 
-    /// Takes a slice out. Answers its range and owner, if it was there.
+    /// Removes a slice. Returns its range and owner, if it was present.
     pub(crate) fn remove(&mut self, first: Point) -> Option<(Slice, Option<SessionIndex>)> {
         let (bound, chunk) = self.chunks.range_mut(..=first).next_back()?;
         let bound = *bound;
@@ -110,7 +111,7 @@
         Some((slice, entry.owner))
     }
 
-    /// Owners of all slices, one for each owned slice.
+    /// Returns the owners of all slices, one item per owned slice.
     pub(crate) fn owners(&self) -> impl Iterator<Item = SessionIndex> + '_ {
         let entries = self.chunks.values().flat_map(|chunk| &chunk.entries);
         entries.filter_map(|entry| entry.owner)
@@ -123,13 +124,13 @@
 }
 
 impl Chunk {
-    /// The last slice that begins at `point` or before.
+    /// Returns the last slice that begins at or before `point`.
     fn last_up_to(&self, point: Point) -> Option<Entry> {
         let after = self.firsts.partition_point(|first| *first <= point);
         self.entries.get(after.checked_sub(1)?).copied()
     }
 
-    /// Answers the entry that stood there until now.
+    /// Inserts an entry and returns the one it replaces.
     fn insert(&mut self, first: Point, entry: Entry) -> Option<Entry> {
         match self.firsts.binary_search(&first) {
             Ok(position) => Some(std::mem::replace(&mut self.entries[position], entry)),
@@ -147,8 +148,9 @@
         Some(self.entries.remove(position))
     }
 
-    /// Gives its upper part away when it is over its capacity: half, or only
-    /// the slice just added at the end, so that ordered loads fill chunks.
+    /// Splits off and returns the upper part when the chunk is over its
+    /// capacity: half of it, or only the slice just added if that is the last
+    /// one, so that ordered loads fill the chunks.
     fn split_if_full(&mut self, added: Point) -> Option<Chunk> {
         if self.firsts.len() <= CHUNK_CAPACITY {
             return None;
