--- a/crates/control/src/intake.rs
+++ b/crates/control/src/intake.rs
@@ -345,7 +345,7 @@
         intake.statuses.push(StatusWrite {
             object,
             observed_generation: generation,
-            verdict: AcceptanceResult::Accepted(self.in_force),
+            acceptance: AcceptanceResult::Accepted(self.in_force),
         });
     }
 }
--- a/crates/control/src/intake/judgement.rs
+++ b/crates/control/src/intake/judgement.rs
@@ -125,7 +125,7 @@
     intake.statuses.push(StatusWrite {
         object: reference,
         observed_generation: generation,
-        verdict: AcceptanceResult::Rejected(problems),
+        acceptance: AcceptanceResult::Rejected(problems),
     });
 }
 
--- a/crates/control/src/object_status.rs
+++ b/crates/control/src/object_status.rs
@@ -48,7 +48,7 @@
     /// `metadata.generation` that was judged.
     pub observed_generation: i64,
     /// The judgement.
-    pub verdict: AcceptanceResult,
+    pub acceptance: AcceptanceResult,
 }
 
 /// Whether an object's status already says this about this generation.
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -15,7 +15,7 @@
     let object = service(namespace, name, host, stamp(10, 1));
     let event = ConfigurationEvent::ServiceChanged(observed_service(object));
     let statuses = alone.configure(event);
-    statuses.into_iter().map(|write| write.verdict).collect()
+    statuses.into_iter().map(|write| write.acceptance).collect()
 }
 
 fn slots(alone: &Alone) -> Option<u32> {
@@ -34,7 +34,7 @@
     object.spec.slots = slots;
     let event = ConfigurationEvent::BackEndChanged(observed_back_end(object));
     let statuses = alone.configure(event);
-    statuses.into_iter().map(|write| write.verdict).collect()
+    statuses.into_iter().map(|write| write.acceptance).collect()
 }
 
 #[test]
@@ -82,7 +82,7 @@
     let stolen = back_end("two", "thief", 4_000, stamp(11, 1));
     let event = ConfigurationEvent::BackEndChanged(observed_back_end(stolen));
     let statuses = alone.configure(event);
-    assert!(matches!(statuses[0].verdict, AcceptanceResult::Rejected(_)));
+    assert!(matches!(statuses[0].acceptance, AcceptanceResult::Rejected(_)));
     let thief = BackEndId::new("two", "thief");
     assert!(alone.node.replica().back_end(&thief).is_none());
 }
@@ -167,7 +167,7 @@
     assert_eq!(slots(&alone), Some(2));
     let rejected = statuses
         .iter()
-        .filter(|write| matches!(write.verdict, AcceptanceResult::Rejected(_)));
+        .filter(|write| matches!(write.acceptance, AcceptanceResult::Rejected(_)));
     assert_eq!(rejected.count(), 1);
 }
 
--- a/crates/router/src/control_shell/configuration/statuses.rs
+++ b/crates/router/src/control_shell/configuration/statuses.rs
@@ -102,7 +102,7 @@
 }
 
 fn next_status(previous: Option<&AcceptanceStatus>, write: &StatusWrite) -> AcceptanceStatus {
-    let (problems, revision) = match &write.verdict {
+    let (problems, revision) = match &write.acceptance {
         AcceptanceResult::Accepted(revision) => (Vec::new(), Some(*revision)),
         AcceptanceResult::Rejected(problems) => (problems.clone(), None),
     };
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -156,7 +156,7 @@
         if self.down {
             return;
         }
-        if let AcceptanceResult::Accepted(revision) = write.verdict {
+        if let AcceptanceResult::Accepted(revision) = write.acceptance {
             let acceptance = Acceptance {
                 generation: write.observed_generation,
                 revision,
