--- a/crates/control/src/founding.rs
+++ b/crates/control/src/bootstrap.rs
@@ -27,7 +27,7 @@
     Absent,
     /// The object as it stands.
     Present {
-        /// Founding it records.
+        /// GroupBootstrap it records.
         generation: Generation,
         /// Router that founded it.
         founder: RouterId,
@@ -38,7 +38,7 @@
 
 /// What the answer to a reading calls for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FoundingStep {
+pub enum BootstrapStep {
     /// Nothing now; ask again later.
     Wait,
     /// Attempt the founding write.
@@ -55,15 +55,15 @@
 
 /// Paces the readings and decides on each answer.
 #[derive(Debug)]
-pub struct Founding {
+pub struct GroupBootstrap {
     own: RouterId,
     next_read: Timestamp,
 }
 
-impl Founding {
+impl GroupBootstrap {
     /// Starts to look for a group; the first reading comes after `settling`.
     pub fn new(own: RouterId, now: Timestamp, settling: Duration) -> Self {
-        Founding {
+        GroupBootstrap {
             own,
             next_read: now + settling,
         }
@@ -79,11 +79,11 @@
     }
 
     /// Decides on a reading.
-    pub fn observed(&mut self, now: Timestamp, state: GroupObjectState) -> FoundingStep {
+    pub fn on_group_object(&mut self, now: Timestamp, state: GroupObjectState) -> BootstrapStep {
         self.next_read = now + READ_INTERVAL;
         match state {
-            GroupObjectState::Unavailable => FoundingStep::Wait,
-            GroupObjectState::Absent => FoundingStep::Write {
+            GroupObjectState::Unavailable => BootstrapStep::Wait,
+            GroupObjectState::Absent => BootstrapStep::Write {
                 generation: Generation(1),
                 expected: None,
             },
@@ -91,8 +91,8 @@
                 generation,
                 founder,
                 ..
-            } if founder == self.own => FoundingStep::AlreadyFounder(generation),
-            GroupObjectState::Present { .. } => FoundingStep::Wait,
+            } if founder == self.own => BootstrapStep::AlreadyFounder(generation),
+            GroupObjectState::Present { .. } => BootstrapStep::Wait,
         }
     }
 
--- a/crates/control/src/group_member.rs
+++ b/crates/control/src/group_member.rs
@@ -18,16 +18,16 @@
 
 /// What draining the log gave.
 #[derive(Debug, Default)]
-pub struct Drained {
+pub struct ReadyOutput {
     /// Messages to other members.
     pub messages: Vec<Outgoing<Command, Snapshot>>,
     /// Changes of the state, in order.
-    pub advances: Vec<Advance>,
+    pub updates: Vec<StateUpdate>,
 }
 
 /// One step forward of the state.
 #[derive(Debug)]
-pub enum Advance {
+pub enum StateUpdate {
     /// One entry was applied.
     Entry {
         /// Revision of the entry.
@@ -44,18 +44,18 @@
     },
 }
 
-impl Advance {
+impl StateUpdate {
     /// The step as a delta for copies of the state at `from`.
     pub fn delta(&self, group: GroupId, from: Revision) -> RecordDelta {
         match self {
-            Advance::Entry { revision, changes } => RecordDelta {
+            StateUpdate::Entry { revision, changes } => RecordDelta {
                 group,
                 from,
                 to: *revision,
                 full: false,
                 changes: changes.clone(),
             },
-            Advance::Replaced { revision, records } => RecordDelta {
+            StateUpdate::Replaced { revision, records } => RecordDelta {
                 group,
                 from: Revision::NONE,
                 to: *revision,
@@ -78,7 +78,7 @@
     }
 
     /// Founds the group with this router as its only voter.
-    pub fn found(
+    pub fn bootstrap(
         settings: Settings,
         identity: RouterIdentity,
         generation: Generation,
@@ -149,37 +149,37 @@
     }
 
     /// Applies what was committed and collects what is to be sent.
-    pub fn drain(&mut self) -> Drained {
+    pub fn process_ready(&mut self) -> ReadyOutput {
         let ready = self.node.ready();
-        let mut drained = Drained {
+        let mut ready_output = ReadyOutput {
             messages: ready.messages,
-            advances: Vec::new(),
+            updates: Vec::new(),
         };
         if let Some(restored) = ready.restore {
             self.machine = StateMachine::restore(self.node.settings().group, restored.snapshot);
             self.applied_index = restored.revision.index;
-            drained.advances.push(Advance::Replaced {
+            ready_output.updates.push(StateUpdate::Replaced {
                 revision: restored.revision,
                 records: self.machine.records(),
             });
         }
         for committed in ready.committed {
-            drained.advances.push(self.apply(committed));
+            ready_output.updates.push(self.apply(committed));
         }
         if ready.snapshot_wanted {
             let snapshot = self.machine.snapshot();
             self.node.compact(snapshot, self.applied_index);
         }
-        drained
+        ready_output
     }
 
-    fn apply(&mut self, committed: CommittedEntry<Command>) -> Advance {
+    fn apply(&mut self, committed: CommittedEntry<Command>) -> StateUpdate {
         self.applied_index = committed.revision.index;
         let changes = match &committed.payload {
             Payload::Command(command) => self.machine.apply(committed.revision, command).changes,
             Payload::Empty | Payload::Members(_) => Vec::new(),
         };
-        Advance::Entry {
+        StateUpdate::Entry {
             revision: committed.revision,
             changes,
         }
--- a/crates/control/src/input.rs
+++ b/crates/control/src/input.rs
@@ -6,7 +6,7 @@
 use threadledge_types::validation::Problem;
 use threadledge_types::{BackEndId, Generation};
 
-use crate::founding::GroupObjectState;
+use crate::bootstrap::GroupObjectState;
 use crate::message::PeerBatch;
 use crate::object_status::ObjectRef;
 
--- a/crates/control/src/intake.rs
+++ b/crates/control/src/intake.rs
@@ -10,7 +10,7 @@
 //! host or an address that another object claims, accepted or about to be, is
 //! refused.
 
-mod judgement;
+mod validation;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,10 +23,11 @@
 use threadledge_types::{RegionName, Revision, Timestamp};
 
 use crate::input::{ConfigurationEvent, Listing, ObservedObject};
-use crate::object_status::{AcceptanceResult, ObjectRef, StatusWrite, TRUE, has_verdict};
+use crate::object_status::{ACCEPTED, AcceptanceResult, ObjectRef, StatusWrite, has_acceptance};
 use crate::output::Observation;
-use judgement::{
-    Standing, is_applied, judge, kept_objects, readable, same_back_end, same_service, stale,
+use validation::{
+    AppliedComparison, content_or_reject, is_applied, is_same_back_end, is_same_service,
+    listed_or_withheld, record_or_reject, report_stale,
 };
 
 /// Most changes in one command, so that no entry of the log is very large.
@@ -36,7 +37,7 @@
 
 /// What the intake calls for.
 #[derive(Debug, Default)]
-pub struct Intake {
+pub struct IntakeActions {
     /// Commands to propose, in order.
     pub commands: Vec<Command>,
     /// Statuses that can be written at once.
@@ -47,7 +48,7 @@
 
 /// A change that was proposed and not yet seen applied.
 #[derive(Clone, Debug)]
-struct Awaited {
+struct PendingProposal {
     change: ObjectChange,
     object_generation: i64,
     proposed_at: Timestamp,
@@ -59,22 +60,22 @@
     region: RegionName,
     hosts: HostClaims,
     addresses: AddressClaims,
-    awaited: BTreeMap<ObjectRef, Awaited>,
+    pending: BTreeMap<ObjectRef, PendingProposal>,
     /// Changes found by the event under way.
-    found: Vec<ObjectRef>,
+    pending_objects: Vec<ObjectRef>,
     /// Revision at which everything applied is in force.
     in_force: Revision,
 }
 
 impl ConfigurationIntake {
-    /// Intake for one region; services of other regions are left to theirs.
+    /// IntakeActions for one region; services of other regions are left to theirs.
     pub fn new(region: RegionName, machine: &StateMachine) -> Self {
         let mut intake = ConfigurationIntake {
             region,
             hosts: HostClaims::default(),
             addresses: AddressClaims::default(),
-            awaited: BTreeMap::new(),
-            found: Vec::new(),
+            pending: BTreeMap::new(),
+            pending_objects: Vec::new(),
             in_force: Revision::NONE,
         };
         // What was accepted had passed these checks already.
@@ -95,9 +96,9 @@
         event: ConfigurationEvent,
         in_force: Revision,
         machine: &StateMachine,
-    ) -> Intake {
+    ) -> IntakeActions {
         self.in_force = in_force;
-        let mut intake = Intake::default();
+        let mut intake = IntakeActions::default();
         match event {
             ConfigurationEvent::BackEndsListed(listing) => {
                 self.back_ends_listed(now, listing, machine, &mut intake);
@@ -116,30 +117,35 @@
                 resource_version,
             } => self.deleted(now, object, resource_version),
         }
-        let found = std::mem::take(&mut self.found);
+        let found = std::mem::take(&mut self.pending_objects);
         intake.commands = self.commands_for(&found);
         intake
     }
 
     /// Turns proposals that were applied since into statuses to write, and
     /// makes overdue ones again: a proposal is lost when the log is busy.
-    pub fn tick(&mut self, now: Timestamp, in_force: Revision, machine: &StateMachine) -> Intake {
+    pub fn tick(
+        &mut self,
+        now: Timestamp,
+        in_force: Revision,
+        machine: &StateMachine,
+    ) -> IntakeActions {
         self.in_force = in_force;
-        let mut intake = Intake::default();
+        let mut intake = IntakeActions::default();
         let mut overdue = Vec::new();
-        let objects: Vec<ObjectRef> = self.awaited.keys().cloned().collect();
+        let objects: Vec<ObjectRef> = self.pending.keys().cloned().collect();
         for object in objects {
-            let Some(awaited) = self.awaited.get_mut(&object) else {
+            let Some(pending) = self.pending.get_mut(&object) else {
                 continue;
             };
-            if is_applied(&awaited.change, machine) {
-                let accepted = awaited.is_put().then_some(awaited.object_generation);
-                self.awaited.remove(&object);
+            if is_applied(&pending.change, machine) {
+                let accepted = pending.is_put().then_some(pending.object_generation);
+                self.pending.remove(&object);
                 if let Some(generation) = accepted {
                     self.accept(object, generation, &mut intake);
                 }
-            } else if now.since(awaited.proposed_at) >= PROPOSAL_RETRY {
-                awaited.proposed_at = now;
+            } else if now.since(pending.proposed_at) >= PROPOSAL_RETRY {
+                pending.proposed_at = now;
                 overdue.push(object);
             }
         }
@@ -149,12 +155,12 @@
 
     /// Whether any proposal is awaited.
     pub fn is_waiting(&self) -> bool {
-        !self.awaited.is_empty()
+        !self.pending.is_empty()
     }
 
     fn commands_for(&self, objects: &[ObjectRef]) -> Vec<Command> {
-        let awaited = objects.iter().filter_map(|object| self.awaited.get(object));
-        let changes: Vec<ObjectChange> = awaited.map(|awaited| awaited.change.clone()).collect();
+        let pending = objects.iter().filter_map(|object| self.pending.get(object));
+        let changes: Vec<ObjectChange> = pending.map(|pending| pending.change.clone()).collect();
         let commands = changes.chunks(MAX_CHANGES);
         commands
             .map(|changes| Command::ApplyObjects {
@@ -168,9 +174,9 @@
         now: Timestamp,
         listing: Listing<BackEndObject>,
         machine: &StateMachine,
-        intake: &mut Intake,
+        intake: &mut IntakeActions,
     ) {
-        let kept = kept_objects(&listing);
+        let kept = listed_or_withheld(&listing);
         for record in machine.back_ends() {
             let object = ObjectRef::BackEnd(record.id.clone());
             if !kept.contains(&object) && record.resource_version < listing.resource_version {
@@ -187,9 +193,9 @@
         now: Timestamp,
         listing: Listing<KeyedServiceObject>,
         machine: &StateMachine,
-        intake: &mut Intake,
+        intake: &mut IntakeActions,
     ) {
-        let kept = kept_objects(&listing);
+        let kept = listed_or_withheld(&listing);
         for record in machine.services() {
             let object = ObjectRef::Service(record.id.clone());
             if !kept.contains(&object) && record.resource_version < listing.resource_version {
@@ -226,28 +232,28 @@
         now: Timestamp,
         observed: ObservedObject<BackEndObject>,
         machine: &StateMachine,
-        intake: &mut Intake,
+        intake: &mut IntakeActions,
     ) {
-        let Some(object) = readable(&observed, intake) else {
+        let Some(object) = content_or_reject(&observed, intake) else {
             return;
         };
         let claimed = validate_back_end(object)
             .and_then(|record| self.addresses.claim(&record).map(|()| record));
-        let judged = judge(&observed, &object.status, claimed, intake);
-        let Some(record) = judged else { return };
+        let record = record_or_reject(&observed, &object.status, claimed, intake);
+        let Some(record) = record else { return };
         let applied = machine.back_end(&record.id);
-        let standing = Standing {
+        let comparison = AppliedComparison {
             applied: applied.map(|applied| applied.resource_version),
             offered: record.resource_version,
-            same: applied.is_some_and(|applied| same_back_end(applied, &record)),
-            told: has_verdict(&object.status, observed.generation, TRUE),
+            is_unchanged: applied.is_some_and(|applied| is_same_back_end(applied, &record)),
+            is_status_accepted: has_acceptance(&object.status, observed.generation, ACCEPTED),
         };
         let change = ObjectChange::PutBackEnd(Box::new(record));
-        self.take(
+        self.propose_if_newer(
             now,
             observed.object,
             observed.generation,
-            standing,
+            comparison,
             change,
             intake,
         );
@@ -258,9 +264,9 @@
         now: Timestamp,
         observed: ObservedObject<KeyedServiceObject>,
         machine: &StateMachine,
-        intake: &mut Intake,
+        intake: &mut IntakeActions,
     ) {
-        let Some(object) = readable(&observed, intake) else {
+        let Some(object) = content_or_reject(&observed, intake) else {
             return;
         };
         if object.spec.region != self.region {
@@ -268,40 +274,40 @@
         }
         let claimed =
             validate_service(object).and_then(|record| self.hosts.claim(&record).map(|()| record));
-        let judged = judge(&observed, &object.status, claimed, intake);
-        let Some(record) = judged else { return };
+        let record = record_or_reject(&observed, &object.status, claimed, intake);
+        let Some(record) = record else { return };
         let applied = machine.service(&record.id);
-        let standing = Standing {
+        let comparison = AppliedComparison {
             applied: applied.map(|applied| applied.resource_version),
             offered: record.resource_version,
-            same: applied.is_some_and(|applied| same_service(applied, &record)),
-            told: has_verdict(&object.status, observed.generation, TRUE),
+            is_unchanged: applied.is_some_and(|applied| is_same_service(applied, &record)),
+            is_status_accepted: has_acceptance(&object.status, observed.generation, ACCEPTED),
         };
         let change = ObjectChange::PutService(Box::new(record));
-        self.take(
+        self.propose_if_newer(
             now,
             observed.object,
             observed.generation,
-            standing,
+            comparison,
             change,
             intake,
         );
     }
 
     /// Proposes a valid object, unless the state holds it or a later version.
-    fn take(
+    fn propose_if_newer(
         &mut self,
         now: Timestamp,
         object: ObjectRef,
         generation: i64,
-        standing: Standing,
+        comparison: AppliedComparison,
         change: ObjectChange,
-        intake: &mut Intake,
+        intake: &mut IntakeActions,
     ) {
-        if standing.applied > Some(standing.offered) {
-            stale(&object, intake);
-        } else if standing.same {
-            self.already_applied(object, generation, standing.told, intake);
+        if comparison.applied > Some(comparison.offered) {
+            report_stale(&object, intake);
+        } else if comparison.is_unchanged {
+            self.already_applied(object, generation, comparison.is_status_accepted, intake);
         } else {
             self.propose(now, object, change, generation);
         }
@@ -313,10 +319,10 @@
         &mut self,
         reference: ObjectRef,
         generation: i64,
-        told: bool,
-        intake: &mut Intake,
+        is_status_accepted: bool,
+        intake: &mut IntakeActions,
     ) {
-        if !told && !self.awaited.contains_key(&reference) {
+        if !is_status_accepted && !self.pending.contains_key(&reference) {
             self.accept(reference, generation, intake);
         }
     }
@@ -328,16 +334,16 @@
         change: ObjectChange,
         object_generation: i64,
     ) {
-        let awaited = Awaited {
+        let pending = PendingProposal {
             change,
             object_generation,
             proposed_at: now,
         };
-        self.awaited.insert(object.clone(), awaited);
-        self.found.push(object);
+        self.pending.insert(object.clone(), pending);
+        self.pending_objects.push(object);
     }
 
-    fn accept(&self, object: ObjectRef, generation: i64, intake: &mut Intake) {
+    fn accept(&self, object: ObjectRef, generation: i64, intake: &mut IntakeActions) {
         intake.observations.push(Observation::ObjectAccepted {
             object: object.describe(),
             revision: self.in_force,
@@ -350,7 +356,7 @@
     }
 }
 
-impl Awaited {
+impl PendingProposal {
     fn is_put(&self) -> bool {
         matches!(
             self.change,
--- a/crates/control/src/intake/judgement.rs
+++ b/crates/control/src/intake/validation.rs
@@ -7,27 +7,27 @@
 use threadledge_types::records::{BackEndRecord, ServiceRecord};
 use threadledge_types::validation::Problem;
 
-use super::Intake;
+use super::IntakeActions;
 use crate::input::{Listing, ObservedObject};
-use crate::object_status::{AcceptanceResult, FALSE, ObjectRef, StatusWrite, has_verdict};
+use crate::object_status::{AcceptanceResult, ObjectRef, REJECTED, StatusWrite, has_acceptance};
 use crate::output::Observation;
 
 /// How a valid object stands to the applied state.
-pub(super) struct Standing {
+pub(super) struct AppliedComparison {
     /// Version of the object that is applied, if any.
     pub(super) applied: Option<u64>,
     /// Version that is offered.
     pub(super) offered: u64,
     /// The applied version asks for the same.
-    pub(super) same: bool,
+    pub(super) is_unchanged: bool,
     /// The object's status says that it is accepted.
-    pub(super) told: bool,
+    pub(super) is_status_accepted: bool,
 }
 
 /// The object, if it can be read; otherwise it is rejected.
-pub(super) fn readable<'a, K>(
+pub(super) fn content_or_reject<'a, K>(
     observed: &'a ObservedObject<K>,
-    intake: &mut Intake,
+    intake: &mut IntakeActions,
 ) -> Option<&'a K> {
     match &observed.content {
         Ok(object) => Some(object),
@@ -46,15 +46,15 @@
 
 /// The record, if the object passed; otherwise it is rejected, unless its
 /// status says so already.
-pub(super) fn judge<K, R>(
+pub(super) fn record_or_reject<K, R>(
     observed: &ObservedObject<K>,
     status: &Option<AcceptanceStatus>,
     claimed: Result<R, Vec<Problem>>,
-    intake: &mut Intake,
+    intake: &mut IntakeActions,
 ) -> Option<R> {
     match claimed {
         Ok(record) => Some(record),
-        Err(_) if has_verdict(status, observed.generation, FALSE) => None,
+        Err(_) if has_acceptance(status, observed.generation, REJECTED) => None,
         Err(problems) => {
             reject(
                 observed.object.clone(),
@@ -68,7 +68,7 @@
 }
 
 /// Objects that the store still has.
-pub(super) fn kept_objects<K>(listing: &Listing<K>) -> BTreeSet<ObjectRef> {
+pub(super) fn listed_or_withheld<K>(listing: &Listing<K>) -> BTreeSet<ObjectRef> {
     let listed = listing.objects.iter().map(|observed| &observed.object);
     listed.chain(&listing.withheld).cloned().collect()
 }
@@ -101,13 +101,13 @@
 
 /// A write to an object's status raises its version without changing what it
 /// asks for; such a version needs no command.
-pub(super) fn same_back_end(applied: &BackEndRecord, offered: &BackEndRecord) -> bool {
+pub(super) fn is_same_back_end(applied: &BackEndRecord, offered: &BackEndRecord) -> bool {
     applied.spec == offered.spec
         && applied.labels == offered.labels
         && applied.object_generation == offered.object_generation
 }
 
-pub(super) fn same_service(applied: &ServiceRecord, offered: &ServiceRecord) -> bool {
+pub(super) fn is_same_service(applied: &ServiceRecord, offered: &ServiceRecord) -> bool {
     applied.spec == offered.spec && applied.object_generation == offered.object_generation
 }
 
@@ -115,7 +115,7 @@
     reference: ObjectRef,
     generation: i64,
     problems: Vec<Problem>,
-    intake: &mut Intake,
+    intake: &mut IntakeActions,
 ) {
     let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
     intake.observations.push(Observation::ObjectRejected {
@@ -129,7 +129,7 @@
     });
 }
 
-pub(super) fn stale(reference: &ObjectRef, intake: &mut Intake) {
+pub(super) fn report_stale(reference: &ObjectRef, intake: &mut IntakeActions) {
     intake.observations.push(Observation::StoreReverted {
         object: reference.describe(),
     });
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -1,4 +1,4 @@
-//! Duties of the group's leader: sessions and grants, placement,
+//! LeaderActions of the group's leader: sessions and grants, placement,
 //! configuration intake and the group's own membership.
 
 use std::time::Duration;
@@ -14,7 +14,7 @@
 
 use crate::group_member::GroupMember;
 use crate::input::ConfigurationEvent;
-use crate::intake::{ConfigurationIntake, Intake};
+use crate::intake::{ConfigurationIntake, IntakeActions};
 use crate::output::{Observation, Output};
 use crate::service_alerts::ServiceAlerts;
 use crate::settings::ControlSettings;
@@ -26,17 +26,17 @@
 const PLANNING_INTERVAL: Duration = Duration::from_millis(50);
 /// A group that did not reach its size by this time after an election begins
 /// to assign when it has every router that can be seen.
-const SETTLING_LIMIT: Duration = Duration::from_secs(3);
+const GROUP_FORMATION_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time after an election in which back ends without a session may still
 /// appear. Assigning earlier would give the first to answer too much, and
 /// keys would have to move again.
-const ARRIVAL_LIMIT: Duration = Duration::from_secs(1);
+const SESSION_WAIT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Placement actions proposed in one round.
 const MAX_ACTIONS: usize = 256;
 
 /// What the leader's duties call for.
 #[derive(Debug, Default)]
-pub struct Duties {
+pub struct LeaderActions {
     /// Commands to propose, in order.
     pub commands: Vec<Command>,
     /// Work for the shell.
@@ -51,10 +51,10 @@
     planner: Planner,
     intake: ConfigurationIntake,
     alerts: ServiceAlerts,
-    settled: bool,
+    is_group_formed: bool,
     /// When the first configuration was there to plan for.
     configured_at: Option<Timestamp>,
-    has_arrived: bool,
+    back_ends_ready: bool,
     started: Timestamp,
     next_membership: Timestamp,
     next_planning: Timestamp,
@@ -91,9 +91,9 @@
             planner,
             intake: ConfigurationIntake::new(node.identity().region.clone(), machine),
             alerts: ServiceAlerts::default(),
-            settled: false,
+            is_group_formed: false,
             configured_at: None,
-            has_arrived: false,
+            back_ends_ready: false,
             started: now,
             next_membership: now,
             next_planning: now,
@@ -116,11 +116,11 @@
         now: Timestamp,
         in_force: Revision,
         member: &GroupMember,
-        duties: &mut Duties,
+        actions: &mut LeaderActions,
     ) {
-        self.step_grantor(now, GrantorInput::Tick, member, duties);
-        self.tick_intake(now, in_force, member, duties);
-        self.plan(now, member, duties);
+        self.step_grantor(now, GrantorInput::Tick, member, actions);
+        self.tick_intake(now, in_force, member, actions);
+        self.plan(now, member, actions);
     }
 
     /// Takes the changes of one applied entry. `in_force` is the revision that
@@ -132,24 +132,24 @@
         in_force: Revision,
         changes: &[RecordChange],
         member: &GroupMember,
-        duties: &mut Duties,
+        actions: &mut LeaderActions,
     ) {
         let mut slice_changes = SliceChanges::default();
         for change in changes {
-            slice_changes.note(change, &self.planner);
+            slice_changes.count(change, &self.planner);
             self.planner.observe(change);
-            observe_change(change, duties);
+            report_session_change(change, actions);
         }
         let observations = slice_changes.into_observations().map(Output::Observe);
-        duties.outputs.extend(observations);
+        actions.outputs.extend(observations);
         // Also an entry without changes may concern the grantor: the first
         // command of its term is one.
         let input = GrantorInput::Applied(changes.to_vec());
-        self.step_grantor(now, input, member, duties);
+        self.step_grantor(now, input, member, actions);
         if !changes.is_empty() {
             self.next_planning = now;
         }
-        self.tick_intake(now, in_force, member, duties);
+        self.tick_intake(now, in_force, member, actions);
     }
 
     fn tick_intake(
@@ -157,11 +157,11 @@
         now: Timestamp,
         in_force: Revision,
         member: &GroupMember,
-        duties: &mut Duties,
+        actions: &mut LeaderActions,
     ) {
         if self.intake.is_waiting() {
             let intake = self.intake.tick(now, in_force, member.machine());
-            take_intake(intake, duties);
+            apply_intake(intake, actions);
         }
     }
 
@@ -171,9 +171,9 @@
         now: Timestamp,
         input: GrantorInput,
         member: &GroupMember,
-        duties: &mut Duties,
+        actions: &mut LeaderActions,
     ) {
-        self.step_grantor(now, input, member, duties);
+        self.step_grantor(now, input, member, actions);
     }
 
     /// Takes what the watcher saw. `in_force` is the revision that copies of
@@ -184,10 +184,10 @@
         event: ConfigurationEvent,
         in_force: Revision,
         member: &GroupMember,
-        duties: &mut Duties,
+        actions: &mut LeaderActions,
     ) {
         let intake = self.intake.observe(now, event, in_force, member.machine());
-        take_intake(intake, duties);
+        apply_intake(intake, actions);
     }
 
     /// The next change of the group's membership, if one is due.
@@ -202,14 +202,14 @@
             return Vec::new();
         }
         self.next_membership = now + MEMBERSHIP_INTERVAL;
-        self.update_settled(now, settings, node, membership);
+        self.update_group_formed(now, settings, node, membership);
         next_member_changes(settings, node, membership)
     }
 
     /// Kept here: *an assignment that is done survives the losses claimed*.
     /// Nothing is assigned before the group has the members over which it
     /// promises to replicate.
-    fn update_settled(
+    fn update_group_formed(
         &mut self,
         now: Timestamp,
         settings: &ControlSettings,
@@ -217,10 +217,10 @@
         membership: &Membership,
     ) {
         let voters = node.members().voters.len();
-        let waited = now.since(self.started) >= SETTLING_LIMIT;
+        let waited = now.since(self.started) >= GROUP_FORMATION_TIMEOUT;
         let visible = membership.alive().count().max(1);
         let complete = voters >= settings.group_size;
-        self.settled |= complete || (waited && voters >= visible.min(settings.group_size));
+        self.is_group_formed |= complete || (waited && voters >= visible.min(settings.group_size));
     }
 
     fn step_grantor(
@@ -228,16 +228,16 @@
         now: Timestamp,
         input: GrantorInput,
         member: &GroupMember,
-        duties: &mut Duties,
+        actions: &mut LeaderActions,
     ) {
         let lease = member.node().has_leader_lease(now);
         let outputs = self.grantor.step(now, input, member.machine(), lease);
         for output in outputs {
             match output {
                 GrantorOutput::Send { to, request } => {
-                    duties.outputs.push(Output::SendLease { to, request });
+                    actions.outputs.push(Output::SendLease { to, request });
                 }
-                GrantorOutput::Propose(command) => duties.commands.push(command),
+                GrantorOutput::Propose(command) => actions.commands.push(command),
                 GrantorOutput::Load { back_end, report } => {
                     self.planner.observe_load(now, &back_end, &report);
                 }
@@ -249,43 +249,45 @@
                 }
                 GrantorOutput::Observed(observation) => {
                     let observation = Observation::Session(observation);
-                    duties.outputs.push(Output::Observe(observation));
+                    actions.outputs.push(Output::Observe(observation));
                 }
             }
         }
     }
 
     /// Whether the back ends that are there have had time to answer.
-    fn arrived(&mut self, now: Timestamp, member: &GroupMember) -> bool {
+    fn are_back_ends_ready(&mut self, now: Timestamp, member: &GroupMember) -> bool {
         let configured = self.configured_at.get_or_insert(now);
-        let waited = now.since(*configured) >= ARRIVAL_LIMIT;
-        self.has_arrived |= waited || every_back_end_answers(member);
-        self.has_arrived
+        let waited = now.since(*configured) >= SESSION_WAIT_TIMEOUT;
+        self.back_ends_ready |= waited || every_back_end_has_session(member);
+        self.back_ends_ready
     }
 
-    fn plan(&mut self, now: Timestamp, member: &GroupMember, duties: &mut Duties) {
+    fn plan(&mut self, now: Timestamp, member: &GroupMember, actions: &mut LeaderActions) {
         let machine = member.machine();
         let configured = machine.services().next().is_some();
-        let may_assign =
-            configured && self.settled && !machine.is_recovering() && self.arrived(now, member);
+        let may_assign = configured
+            && self.is_group_formed
+            && !machine.is_recovering()
+            && self.are_back_ends_ready(now, member);
         if !may_assign || now < self.next_planning {
             return;
         }
-        let alerts = self.alerts.look(now, &self.planner, machine.services());
-        duties
+        let alerts = self.alerts.check(now, &self.planner, machine.services());
+        actions
             .outputs
             .extend(alerts.into_iter().map(Output::Observe));
         self.next_planning = now + PLANNING_INTERVAL;
-        let actions = self.planner.plan(now, MAX_ACTIONS);
-        if actions.is_empty() {
+        let placement_actions = self.planner.plan(now, MAX_ACTIONS);
+        if placement_actions.is_empty() {
             return;
         }
-        let commands = actions.into_iter().map(command_for).collect();
-        duties.commands.push(Command::Batch(commands));
+        let commands = placement_actions.into_iter().map(command_for).collect();
+        actions.commands.push(Command::Batch(commands));
     }
 }
 
-fn every_back_end_answers(member: &GroupMember) -> bool {
+fn every_back_end_has_session(member: &GroupMember) -> bool {
     let machine = member.machine();
     // Back ends that no service here selects are left to other regions.
     let mut services = machine.services();
@@ -320,15 +322,15 @@
     changes
 }
 
-fn take_intake(intake: Intake, duties: &mut Duties) {
-    duties.commands.extend(intake.commands);
+fn apply_intake(intake: IntakeActions, actions: &mut LeaderActions) {
+    actions.commands.extend(intake.commands);
     let statuses = intake.statuses.into_iter().map(Output::WriteStatus);
-    duties.outputs.extend(statuses);
+    actions.outputs.extend(statuses);
     let observations = intake.observations.into_iter().map(Output::Observe);
-    duties.outputs.extend(observations);
+    actions.outputs.extend(observations);
 }
 
-fn observe_change(change: &RecordChange, duties: &mut Duties) {
+fn report_session_change(change: &RecordChange, actions: &mut LeaderActions) {
     let observation = match change {
         RecordChange::Session(record) if record.draining => {
             Observation::SessionDraining(record.id.clone())
@@ -337,7 +339,7 @@
         RecordChange::SessionRemoved(id) => Observation::SessionClosed(id.clone()),
         _ => return,
     };
-    duties.outputs.push(Output::Observe(observation));
+    actions.outputs.push(Output::Observe(observation));
 }
 
 fn command_for(action: Action) -> Command {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -5,7 +5,7 @@
 //! [`Input`]s and carries out its [`Output`]s. The binary and the simulator
 //! run the same node.
 
-mod founding;
+mod bootstrap;
 mod group_member;
 mod input;
 mod intake;
@@ -14,13 +14,13 @@
 mod node;
 mod object_status;
 mod output;
-mod refounding;
+mod recovery;
 mod service_alerts;
 mod settings;
 mod slice_changes;
 mod view;
 
-pub use founding::{GroupObjectState, GroupObjectVersion};
+pub use bootstrap::{GroupObjectState, GroupObjectVersion};
 pub use input::{ConfigurationEvent, GroupWriteResult, Input, Listing, ObservedObject};
 pub use message::{PeerBatch, PeerMessage};
 pub use node::ControlNode;
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,6 +1,6 @@
 //! The composition of the control cores.
 
-mod founding;
+mod group;
 mod log;
 mod peers;
 
@@ -12,12 +12,12 @@
 use threadledge_spread::{Replica, SpreadInput, SpreadNode};
 use threadledge_types::{Generation, RouterId, RouterIdentity, Timestamp};
 
-use crate::founding::Founding;
+use crate::bootstrap::GroupBootstrap;
 use crate::group_member::GroupMember;
 use crate::input::Input;
-use crate::leader::{Duties, Leader};
+use crate::leader::{Leader, LeaderActions};
 use crate::output::Output;
-use crate::refounding::Refounding;
+use crate::recovery::GroupRecovery;
 use crate::settings::ControlSettings;
 use crate::view::GroupView;
 
@@ -31,9 +31,9 @@
     replica: Replica,
     spread: SpreadNode,
     view: Option<GroupView>,
-    founding: Founding,
-    founded: Option<Generation>,
-    refounding: Refounding,
+    bootstrap: GroupBootstrap,
+    bootstrapped_generation: Option<Generation>,
+    recovery: GroupRecovery,
     next_generation_check: Timestamp,
     next_search: Timestamp,
     leaving: bool,
@@ -57,9 +57,9 @@
             replica: Replica::new(settings.group),
             spread,
             view: None,
-            founding: Founding::new(identity.id, now, settings.group_discovery_time),
-            founded: None,
-            refounding: Refounding::new(now),
+            bootstrap: GroupBootstrap::new(identity.id, now, settings.group_discovery_time),
+            bootstrapped_generation: None,
+            recovery: GroupRecovery::new(now),
             next_generation_check: now,
             next_search: now,
             leaving: false,
@@ -158,24 +158,24 @@
     /// Takes one input and returns what is to be carried out.
     pub fn step(&mut self, now: Timestamp, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
-        let mut duties = Duties::default();
-        self.take(now, input, &mut duties, &mut outputs);
-        self.advance(now, duties, &mut outputs);
+        let mut actions = LeaderActions::default();
+        self.handle_input(now, input, &mut actions, &mut outputs);
+        self.advance(now, actions, &mut outputs);
         self.refresh_view();
         self.refresh_parents(now, &mut outputs);
         outputs
     }
 
-    fn take(
+    fn handle_input(
         &mut self,
         now: Timestamp,
         input: Input,
-        duties: &mut Duties,
+        actions: &mut LeaderActions,
         outputs: &mut Vec<Output>,
     ) {
         match input {
-            Input::Tick => self.tick(now, duties, outputs),
-            Input::Peer(batch) => self.take_batch(now, batch, outputs),
+            Input::Tick => self.tick(now, actions, outputs),
+            Input::Peer(batch) => self.on_peer_batch(now, batch, outputs),
             Input::Machines(list) => {
                 let input = threadledge_membership::Input::MachineList(list);
                 self.step_membership(now, input, outputs);
@@ -185,44 +185,44 @@
                     from: back_end,
                     response,
                 };
-                self.step_leader(now, input, duties);
+                self.step_leader(now, input, actions);
             }
             Input::LeaseFailed { back_end, order } => {
-                self.step_leader(now, GrantorInput::Failed { back_end, order }, duties);
+                self.step_leader(now, GrantorInput::Failed { back_end, order }, actions);
             }
-            Input::GroupObject(state) => self.take_group_object(now, state, outputs),
+            Input::GroupObject(state) => self.on_group_object(now, state, outputs),
             Input::GroupObjectWritten { generation, result } => {
                 self.on_group_object_written(now, generation, result, outputs);
             }
             Input::Configuration(event) => {
                 if let Some(leader) = &mut self.leader {
                     let in_force = self.replica.revision();
-                    leader.configuration(now, *event, in_force, &self.member, duties);
+                    leader.configuration(now, *event, in_force, &self.member, actions);
                 }
             }
             Input::Leave => self.leave(now, outputs),
         }
     }
 
-    fn tick(&mut self, now: Timestamp, duties: &mut Duties, outputs: &mut Vec<Output>) {
+    fn tick(&mut self, now: Timestamp, actions: &mut LeaderActions, outputs: &mut Vec<Output>) {
         self.step_membership(now, threadledge_membership::Input::Tick, outputs);
         self.member.tick(now);
         self.confirm_root(now, outputs);
         self.step_spread(now, SpreadInput::Tick, None, outputs);
         if let Some(leader) = &mut self.leader {
-            leader.tick(now, self.replica.revision(), &self.member, duties);
+            leader.tick(now, self.replica.revision(), &self.member, actions);
         }
         self.change_members(now, outputs);
         if self.leaving && self.member.node().role() == Role::Leader {
             // Repeated until some voter takes over; refused while none can.
             let _ = self.member.node_mut().transfer_leadership(now, None);
         }
-        self.look_for_group(now, outputs);
+        self.find_or_recover_group(now, outputs);
     }
 
-    fn step_leader(&mut self, now: Timestamp, input: GrantorInput, duties: &mut Duties) {
+    fn step_leader(&mut self, now: Timestamp, input: GrantorInput, actions: &mut LeaderActions) {
         if let Some(leader) = &mut self.leader {
-            leader.lease_input(now, input, &self.member, duties);
+            leader.lease_input(now, input, &self.member, actions);
         }
     }
 
--- a/crates/control/src/node/founding.rs
+++ b/crates/control/src/node/group.rs
@@ -1,4 +1,4 @@
-//! Founding the group, at first and after it was lost.
+//! GroupBootstrap the group, at first and after it was lost.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,43 +8,43 @@
 use threadledge_types::{Generation, Revision, RouterId, RouterIdentity, Timestamp};
 
 use super::{ControlNode, consensus_settings};
-use crate::founding::{FoundingStep, GroupObjectState};
+use crate::bootstrap::{BootstrapStep, GroupObjectState};
 use crate::group_member::GroupMember;
 use crate::input::GroupWriteResult;
 use crate::message::PeerMessage;
 use crate::output::{Observation, Output};
-use crate::refounding::RefoundingAction;
+use crate::recovery::RecoveryAction;
 use crate::view::GroupView;
 
 /// Routers asked before the group is founded anew.
-const MOST_ASKED: usize = 64;
+const MAX_INQUIRIES: usize = 64;
 /// Time without a known leader after which a router asks others.
-const SEARCH_AFTER: Duration = Duration::from_millis(1_500);
+const LEADER_SEARCH_DELAY: Duration = Duration::from_millis(1_500);
 /// Time between two such searches.
 const SEARCH_INTERVAL: Duration = Duration::from_secs(2);
 /// Time between a leader's looks at the group object.
-const GENERATION_CHECK: Duration = Duration::from_secs(2);
+const GENERATION_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 impl ControlNode {
     /// Asks the platform about the group while none is known, or when the one
     /// known is provably lost.
-    pub(super) fn look_for_group(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
+    pub(super) fn find_or_recover_group(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
         if self.needs_group() {
-            outputs.extend(self.founding.tick(now));
+            outputs.extend(self.bootstrap.tick(now));
             return;
         }
-        if self.follows_a_leader() {
-            self.refounding.saw_leader(now);
+        if self.follows_leader() {
+            self.recovery.record_leader_seen(now);
         }
         if let Some(confirmed) = self.confirmed_as_of() {
-            self.refounding.saw_leader(confirmed);
+            self.recovery.record_leader_seen(confirmed);
         }
         self.search_for_leader(now, outputs);
         if let Some(view) = self.view.as_ref().filter(|_| !self.leaving) {
             let is_member = self.member.node().members().contains(self.identity.id);
-            match self.refounding.tick(now, view, is_member, &self.membership) {
-                Some(RefoundingAction::AskOthers) => self.ask_others(outputs),
-                Some(RefoundingAction::ReadGroupObject) => outputs.push(Output::ReadGroupObject),
+            match self.recovery.tick(now, view, is_member, &self.membership) {
+                Some(RecoveryAction::AskPeers) => self.ask_peers(outputs),
+                Some(RecoveryAction::ReadGroupObject) => outputs.push(Output::ReadGroupObject),
                 None => {}
             }
         }
@@ -55,27 +55,27 @@
     /// parents of a router follow from its view, so one that missed a founding
     /// would otherwise look for records only where nobody knows of it.
     fn search_for_leader(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
-        let lost = now.since(self.refounding.leader_seen()) >= SEARCH_AFTER;
+        let lost = now.since(self.recovery.leader_seen()) >= LEADER_SEARCH_DELAY;
         if lost && now >= self.next_search {
             self.next_search = now + SEARCH_INTERVAL;
-            self.ask_others(outputs);
+            self.ask_peers(outputs);
         }
     }
 
     /// Whether this router hears of a leader regularly. A learner keeps the
     /// last one it heard of, and so proves nothing.
-    fn follows_a_leader(&self) -> bool {
+    fn follows_leader(&self) -> bool {
         let node = self.member.node();
-        let notices_silence = matches!(node.role(), Role::Leader | Role::Follower);
-        notices_silence && node.leader().is_some()
+        let detects_leader_loss = matches!(node.role(), Role::Leader | Role::Follower);
+        detects_leader_loss && node.leader().is_some()
     }
 
     /// Asks the voters and some other routers what they know of the group.
-    fn ask_others(&self, outputs: &mut Vec<Output>) {
+    fn ask_peers(&self, outputs: &mut Vec<Output>) {
         let voters = self.view.iter().flat_map(|view| &view.voters);
         let alive = self.membership.alive().map(|member| &member.identity);
         let mut asked: BTreeMap<RouterId, &RouterIdentity> = BTreeMap::new();
-        for identity in voters.chain(alive).take(MOST_ASKED) {
+        for identity in voters.chain(alive).take(MAX_INQUIRIES) {
             asked.insert(identity.id, identity);
         }
         asked.remove(&self.identity.id);
@@ -97,7 +97,7 @@
         asker: &RouterIdentity,
         outputs: &mut Vec<Output>,
     ) {
-        let age = now.since(self.refounding.leader_seen()).as_micros();
+        let age = now.since(self.recovery.leader_seen()).as_micros();
         let known = self.view.is_some();
         outputs.push(Output::SendPeer {
             to: asker.peer_address,
@@ -112,7 +112,7 @@
 
     /// Takes what another router knows of the group. The time on the way only
     /// makes the leader seem older than it is.
-    pub(super) fn take_answer(
+    pub(super) fn on_group_answer(
         &mut self,
         now: Timestamp,
         view: Option<Box<GroupView>>,
@@ -120,8 +120,8 @@
     ) {
         self.adopt_view(view);
         if let Some(micros) = leader_age_micros {
-            self.refounding
-                .saw_leader(now - Duration::from_micros(micros));
+            self.recovery
+                .record_leader_seen(now - Duration::from_micros(micros));
         }
     }
 
@@ -132,12 +132,12 @@
     /// out of date; this group then ends, as the platform's object decides.
     fn check_generation(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
         if self.leader.is_some() && now >= self.next_generation_check {
-            self.next_generation_check = now + GENERATION_CHECK;
+            self.next_generation_check = now + GENERATION_CHECK_INTERVAL;
             outputs.push(Output::ReadGroupObject);
         }
     }
 
-    fn retire_if_founded_anew(&mut self, state: &GroupObjectState) {
+    fn retire_if_superseded(&mut self, state: &GroupObjectState) {
         if let GroupObjectState::Present { generation, .. } = state {
             self.retire(*generation);
         }
@@ -156,28 +156,32 @@
         self.view.is_none() && !self.leaving && self.member.node().role() == Role::Joining
     }
 
-    pub(super) fn take_group_object(
+    pub(super) fn on_group_object(
         &mut self,
         now: Timestamp,
         state: GroupObjectState,
         outputs: &mut Vec<Output>,
     ) {
-        self.retire_if_founded_anew(&state);
+        self.retire_if_superseded(&state);
         let step = match &self.view {
-            Some(view) => self.refounding.observed(now, state, view, &self.membership),
-            None if self.needs_group() => self.founding.observed(now, state),
-            None => FoundingStep::Wait,
+            Some(view) => self
+                .recovery
+                .on_group_object(now, state, view, &self.membership),
+            None if self.needs_group() => self.bootstrap.on_group_object(now, state),
+            None => BootstrapStep::Wait,
         };
         match step {
-            FoundingStep::Wait => {}
-            FoundingStep::Write {
+            BootstrapStep::Wait => {}
+            BootstrapStep::Write {
                 generation,
                 expected,
             } => outputs.push(Output::WriteGroupObject {
                 generation,
                 expected,
             }),
-            FoundingStep::AlreadyFounder(generation) => self.found(now, generation, outputs),
+            BootstrapStep::AlreadyFounder(generation) => {
+                self.bootstrap_group(now, generation, outputs)
+            }
         }
     }
 
@@ -189,10 +193,10 @@
         outputs: &mut Vec<Output>,
     ) {
         match result {
-            GroupWriteResult::Written => self.found(now, generation, outputs),
+            GroupWriteResult::Written => self.bootstrap_group(now, generation, outputs),
             GroupWriteResult::Conflict | GroupWriteResult::Unavailable => {
-                self.founding.write_failed(now);
-                self.refounding.write_failed(now);
+                self.bootstrap.write_failed(now);
+                self.recovery.write_failed(now);
             }
         }
     }
@@ -204,19 +208,19 @@
     /// state if it was a member, else its copy of the records. The state
     /// machine then treats every session as over until all leases of earlier
     /// generations have run out, and takes back what back ends still hold.
-    pub(super) fn found(
+    pub(super) fn bootstrap_group(
         &mut self,
         now: Timestamp,
         generation: Generation,
         outputs: &mut Vec<Output>,
     ) {
         let known = self.view.as_ref().map(|view| view.generation);
-        if self.founded >= Some(generation) || known >= Some(generation) {
+        if self.bootstrapped_generation >= Some(generation) || known >= Some(generation) {
             return;
         }
-        self.founded = Some(generation);
+        self.bootstrapped_generation = Some(generation);
         let recovered = known.and_then(|_| self.recoverable_state());
-        self.member = GroupMember::found(
+        self.member = GroupMember::bootstrap(
             consensus_settings(&self.settings),
             self.identity.clone(),
             generation,
--- a/crates/control/src/node/log.rs
+++ b/crates/control/src/node/log.rs
@@ -6,8 +6,8 @@
 use threadledge_types::Timestamp;
 
 use super::ControlNode;
-use crate::group_member::Advance;
-use crate::leader::{Duties, Leader};
+use crate::group_member::StateUpdate;
+use crate::leader::{Leader, LeaderActions};
 use crate::message::PeerMessage;
 use crate::output::{Observation, Output};
 
@@ -40,33 +40,33 @@
     pub(super) fn advance(
         &mut self,
         now: Timestamp,
-        mut duties: Duties,
+        mut actions: LeaderActions,
         outputs: &mut Vec<Output>,
     ) {
         for _ in 0..MAX_ROUNDS {
-            outputs.append(&mut duties.outputs);
-            for command in duties.commands.drain(..) {
+            outputs.append(&mut actions.outputs);
+            for command in actions.commands.drain(..) {
                 // A refused proposal is made again by whoever wanted it.
                 let _: Result<u64, ProposeError> = self.member.node_mut().propose(now, command);
             }
-            let drained = self.member.drain();
-            for message in drained.messages {
+            let ready_output = self.member.process_ready();
+            for message in ready_output.messages {
                 outputs.push(self.consensus_output(message));
             }
-            let progressed = !drained.advances.is_empty();
-            for advance in &drained.advances {
+            let progressed = !ready_output.updates.is_empty();
+            for advance in &ready_output.updates {
                 self.publish(now, advance, outputs);
             }
-            self.notify_leader(now, &drained.advances, &mut duties);
+            self.notify_leader(now, &ready_output.updates, &mut actions);
             self.update_leadership(now, outputs);
-            if !progressed && duties.commands.is_empty() {
+            if !progressed && actions.commands.is_empty() {
                 break;
             }
         }
         if self.member.rejoin(now) {
             self.parents_changed = true;
         }
-        outputs.append(&mut duties.outputs);
+        outputs.append(&mut actions.outputs);
     }
 
     pub(super) fn consensus_output(&self, outgoing: Outgoing<Command, Snapshot>) -> Output {
@@ -81,12 +81,17 @@
     }
 
     /// Brings the records that this router and its children use forward.
-    pub(super) fn publish(&mut self, now: Timestamp, advance: &Advance, outputs: &mut Vec<Output>) {
+    pub(super) fn publish(
+        &mut self,
+        now: Timestamp,
+        advance: &StateUpdate,
+        outputs: &mut Vec<Output>,
+    ) {
         let before = self.replica.revision();
         match advance {
-            Advance::Entry { changes, .. } if changes.is_empty() => return,
-            Advance::Entry { revision, changes } => self.replica.commit(*revision, changes),
-            Advance::Replaced { revision, records } => self.replica.replace(*revision, records),
+            StateUpdate::Entry { changes, .. } if changes.is_empty() => return,
+            StateUpdate::Entry { revision, changes } => self.replica.commit(*revision, changes),
+            StateUpdate::Replaced { revision, records } => self.replica.replace(*revision, records),
         }
         if self.replica.revision() > before {
             let delta = advance.delta(self.settings.group, before);
@@ -123,16 +128,16 @@
     pub(super) fn notify_leader(
         &mut self,
         now: Timestamp,
-        advances: &[Advance],
-        duties: &mut Duties,
+        updates: &[StateUpdate],
+        actions: &mut LeaderActions,
     ) {
         let Some(leader) = &mut self.leader else {
             return;
         };
         let in_force = self.replica.revision();
-        for advance in advances {
-            if let Advance::Entry { changes, .. } = advance {
-                leader.applied(now, in_force, changes, &self.member, duties);
+        for advance in updates {
+            if let StateUpdate::Entry { changes, .. } = advance {
+                leader.applied(now, in_force, changes, &self.member, actions);
             }
         }
     }
--- a/crates/control/src/node/peers.rs
+++ b/crates/control/src/node/peers.rs
@@ -12,19 +12,19 @@
 use crate::view::{GroupView, ViewVersion};
 
 /// Routers asked for a first copy of the records and of the group's view.
-const FIRST_CONTACTS: usize = 16;
+const MAX_FIRST_CONTACTS: usize = 16;
 /// Odd factor near the golden ratio of 2^64; multiplying by it spreads
 /// neighbouring numbers over the whole range.
-const SPREADING_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
+const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl ControlNode {
-    pub(super) fn take_batch(
+    pub(super) fn on_peer_batch(
         &mut self,
         now: Timestamp,
         batch: PeerBatch,
         outputs: &mut Vec<Output>,
     ) {
-        let meant = batch.to.is_none_or(|to| to == self.identity.id);
+        let addressed_to_us = batch.to.is_none_or(|to| to == self.identity.id);
         for message in batch.messages {
             match message {
                 PeerMessage::Membership(message) => {
@@ -33,12 +33,12 @@
                     self.step_membership(now, input, outputs);
                 }
                 PeerMessage::Consensus { group, message } => {
-                    if meant && group == self.settings.group {
+                    if addressed_to_us && group == self.settings.group {
                         self.member.step(now, batch.from.id, *message);
                     }
                 }
                 PeerMessage::GroupInquiry { group } => {
-                    if meant && group == self.settings.group {
+                    if addressed_to_us && group == self.settings.group {
                         self.answer_inquiry(now, &batch.from, outputs);
                     }
                 }
@@ -47,8 +47,8 @@
                     view,
                     leader_age_micros,
                 } => {
-                    if meant && group == self.settings.group {
-                        self.take_answer(now, view, leader_age_micros);
+                    if addressed_to_us && group == self.settings.group {
+                        self.on_group_answer(now, view, leader_age_micros);
                     }
                 }
                 PeerMessage::Spread {
@@ -210,10 +210,10 @@
     pub(super) fn first_contacts(&self, alive: &[RouterId]) -> Vec<RouterIdentity> {
         let own = self.identity.id.0;
         let mut order: Vec<RouterId> = alive.to_vec();
-        order.sort_by_key(|id| (id.0 ^ own).wrapping_mul(SPREADING_FACTOR));
+        order.sort_by_key(|id| (id.0 ^ own).wrapping_mul(HASH_MULTIPLIER));
         let asked = order.into_iter().filter(|id| *id != self.identity.id);
         asked
-            .take(FIRST_CONTACTS)
+            .take(MAX_FIRST_CONTACTS)
             .filter_map(|id| self.identity_of(id, &[]))
             .collect()
     }
--- a/crates/control/src/object_status.rs
+++ b/crates/control/src/object_status.rs
@@ -7,9 +7,9 @@
 use threadledge_types::{BackEndId, Revision, ServiceId};
 
 /// Condition status of an accepted object.
-pub(crate) const TRUE: &str = "True";
+pub(crate) const ACCEPTED: &str = "True";
 /// Condition status of a rejected object.
-pub(crate) const FALSE: &str = "False";
+pub(crate) const REJECTED: &str = "False";
 
 /// Names one configuration object.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -52,15 +52,15 @@
 }
 
 /// Whether an object's status already says this about this generation.
-pub(crate) fn has_verdict(
+pub(crate) fn has_acceptance(
     status: &Option<AcceptanceStatus>,
     generation: i64,
-    verdict: &str,
+    acceptance: &str,
 ) -> bool {
     let conditions = status.iter().flat_map(|status| &status.conditions);
     conditions
         .filter(|condition| condition.type_ == ACCEPTED_CONDITION)
         .any(|condition| {
-            condition.observed_generation == Some(generation) && condition.status == verdict
+            condition.observed_generation == Some(generation) && condition.status == acceptance
         })
 }
--- a/crates/control/src/output.rs
+++ b/crates/control/src/output.rs
@@ -6,7 +6,7 @@
 use threadledge_types::session::LeaseRequest;
 use threadledge_types::{Generation, Revision, RouterId, ServiceId, SessionId};
 
-use crate::founding::GroupObjectVersion;
+use crate::bootstrap::GroupObjectVersion;
 use crate::message::PeerMessage;
 use crate::object_status::{ObjectRef, StatusWrite};
 use crate::slice_changes::SliceChange;
--- a/crates/control/src/refounding.rs
+++ b/crates/control/src/recovery.rs
@@ -21,35 +21,35 @@
 use threadledge_membership::Membership;
 use threadledge_types::{Generation, RouterId, RouterIdentity, Timestamp};
 
-use crate::founding::{FoundingStep, GroupObjectState};
+use crate::bootstrap::{BootstrapStep, GroupObjectState};
 use crate::view::{GroupView, ViewVersion};
 
 /// Time without a leader before a surviving member looks into it. It may be
 /// short, for it is the proof that counts; it only keeps routers from asking
 /// the platform during an ordinary election.
-const MEMBER_PATIENCE: Duration = Duration::from_millis(500);
+const MEMBER_LEADERLESS_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time without a leader before any other router looks into it.
-const OTHERS_PATIENCE: Duration = Duration::from_secs(2);
+const NON_MEMBER_LEADERLESS_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause between attempts.
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 /// An answer of the platform that takes longer counts as none.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Time that other routers have to contradict.
-const INQUIRY_TIME: Duration = Duration::from_millis(600);
+const INQUIRY_WINDOW: Duration = Duration::from_millis(600);
 
 /// What the loss of the group calls for next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RefoundingAction {
+pub enum RecoveryAction {
     /// Ask other routers whether they know better.
-    AskOthers,
+    AskPeers,
     /// Read the group object.
     ReadGroupObject,
 }
 
 /// Watches for the loss of the group.
 #[derive(Debug)]
-pub struct Refounding {
+pub struct GroupRecovery {
     /// Last time at which the group was known to have a leader.
     leader_seen: Timestamp,
     /// When other routers were asked about the view that seems lost.
@@ -57,10 +57,10 @@
     next_attempt: Timestamp,
 }
 
-impl Refounding {
+impl GroupRecovery {
     /// Nothing is lost yet.
     pub fn new(now: Timestamp) -> Self {
-        Refounding {
+        GroupRecovery {
             leader_seen: now,
             asked: None,
             next_attempt: now,
@@ -69,7 +69,7 @@
 
     /// The group was known to have a leader at `at`, by this router or by
     /// another.
-    pub fn saw_leader(&mut self, at: Timestamp) {
+    pub fn record_leader_seen(&mut self, at: Timestamp) {
         self.leader_seen = self.leader_seen.max(at);
     }
 
@@ -88,30 +88,30 @@
         view: &GroupView,
         is_member: bool,
         membership: &Membership,
-    ) -> Option<RefoundingAction> {
-        let patience = if is_member {
-            MEMBER_PATIENCE
+    ) -> Option<RecoveryAction> {
+        let timeout = if is_member {
+            MEMBER_LEADERLESS_TIMEOUT
         } else {
-            OTHERS_PATIENCE
+            NON_MEMBER_LEADERLESS_TIMEOUT
         };
-        let waited = now.since(self.leader_seen) >= patience;
-        if !waited || !majority_is_gone(view, membership) {
+        let waited = now.since(self.leader_seen) >= timeout;
+        if !waited || !is_majority_gone(view, membership) {
             self.asked = None;
             return None;
         }
         match self.asked {
             Some((at, version)) if version == view.version() => {
-                if now < at + INQUIRY_TIME || now < self.next_attempt {
+                if now < at + INQUIRY_WINDOW || now < self.next_attempt {
                     return None;
                 }
                 self.next_attempt = now + ANSWER_TIMEOUT;
                 self.asked = None;
-                Some(RefoundingAction::ReadGroupObject)
+                Some(RecoveryAction::ReadGroupObject)
             }
             _ if now < self.next_attempt => None,
             _ => {
                 self.asked = Some((now, view.version()));
-                Some(RefoundingAction::AskOthers)
+                Some(RecoveryAction::AskPeers)
             }
         }
     }
@@ -121,35 +121,37 @@
     /// The founding that this router knows may be replaced by the next one. A
     /// later founding of which no router asked knew anything may be replaced
     /// when its founder is provably gone: it was lost before it grew.
-    pub fn observed(
+    pub fn on_group_object(
         &mut self,
         now: Timestamp,
         state: GroupObjectState,
         view: &GroupView,
         membership: &Membership,
-    ) -> FoundingStep {
-        self.next_attempt = now + RETRY;
+    ) -> BootstrapStep {
+        self.next_attempt = now + RETRY_INTERVAL;
         match state {
             GroupObjectState::Present {
                 generation,
                 founder,
                 version,
-            } if founding_is_gone(generation, founder, view, membership) => FoundingStep::Write {
-                generation: Generation(generation.0 + 1),
-                expected: Some(version),
-            },
-            _ => FoundingStep::Wait,
+            } if is_generation_lost(generation, founder, view, membership) => {
+                BootstrapStep::Write {
+                    generation: Generation(generation.0 + 1),
+                    expected: Some(version),
+                }
+            }
+            _ => BootstrapStep::Wait,
         }
     }
 
     /// The attempt ended without effect.
     pub fn write_failed(&mut self, now: Timestamp) {
-        self.next_attempt = now + RETRY;
+        self.next_attempt = now + RETRY_INTERVAL;
     }
 }
 
 /// Whether the founding that the group object names is provably lost.
-fn founding_is_gone(
+fn is_generation_lost(
     generation: Generation,
     founder: RouterId,
     view: &GroupView,
@@ -157,13 +159,13 @@
 ) -> bool {
     match generation.cmp(&view.generation) {
         Ordering::Less => false,
-        Ordering::Equal => majority_is_gone(view, membership),
+        Ordering::Equal => is_majority_gone(view, membership),
         Ordering::Greater => membership.death_proof(founder).is_some(),
     }
 }
 
 /// Whether so many voters are provably gone that the rest is no quorum.
-fn majority_is_gone(view: &GroupView, membership: &Membership) -> bool {
+fn is_majority_gone(view: &GroupView, membership: &Membership) -> bool {
     let gone = |voter: &&RouterIdentity| membership.death_proof(voter.id).is_some();
     let gone = view.voters.iter().filter(gone).count();
     let quorum = view.voters.len() / 2 + 1;
--- a/crates/control/src/service_alerts.rs
+++ b/crates/control/src/service_alerts.rs
@@ -11,51 +11,51 @@
 use crate::output::Observation;
 
 /// Pause between looks at all services.
-const LOOK_INTERVAL: Duration = Duration::from_secs(5);
+const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 /// Time for which an imbalance may stay above the tolerated one: the churn
 /// budget lets it be mended step by step.
-const IMBALANCE_LIMIT: Duration = Duration::from_secs(60);
+const IMBALANCE_ALERT_DELAY: Duration = Duration::from_secs(60);
 
 /// Imbalance of one service above what is tolerated.
 #[derive(Clone, Copy, Debug)]
 struct Imbalance {
     since: Timestamp,
-    is_told: bool,
+    is_reported: bool,
 }
 
 /// Remembers what was told.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceAlerts {
-    next_look: Timestamp,
+    next_check: Timestamp,
     imbalances: BTreeMap<ServiceId, Imbalance>,
     without_back_end: BTreeSet<ServiceId>,
 }
 
 impl ServiceAlerts {
     /// Looks at the services if it is time; O(services and their back ends).
-    pub fn look<'a>(
+    pub fn check<'a>(
         &mut self,
         now: Timestamp,
         planner: &Planner,
         services: impl Iterator<Item = &'a ServiceRecord>,
     ) -> Vec<Observation> {
-        if now < self.next_look {
+        if now < self.next_check {
             return Vec::new();
         }
-        self.next_look = now + LOOK_INTERVAL;
+        self.next_check = now + CHECK_INTERVAL;
         let imbalances = std::mem::take(&mut self.imbalances);
         let without_back_end = std::mem::take(&mut self.without_back_end);
         let mut observations = Vec::new();
         for service in services {
             let known = imbalances.get(&service.id).copied();
-            observations.extend(self.look_at_imbalance(now, planner, service, known));
+            observations.extend(self.check_imbalance(now, planner, service, known));
             let is_known = without_back_end.contains(&service.id);
-            observations.extend(self.look_for_back_end(planner, service, is_known));
+            observations.extend(self.check_back_ends(planner, service, is_known));
         }
         observations
     }
 
-    fn look_at_imbalance(
+    fn check_imbalance(
         &mut self,
         now: Timestamp,
         planner: &Planner,
@@ -68,10 +68,10 @@
         }
         let mut imbalance = known.unwrap_or(Imbalance {
             since: now,
-            is_told: false,
+            is_reported: false,
         });
-        let is_due = !imbalance.is_told && now.since(imbalance.since) >= IMBALANCE_LIMIT;
-        imbalance.is_told |= is_due;
+        let is_due = !imbalance.is_reported && now.since(imbalance.since) >= IMBALANCE_ALERT_DELAY;
+        imbalance.is_reported |= is_due;
         self.imbalances.insert(service.id.clone(), imbalance);
         is_due.then(|| Observation::ImbalanceTooHigh {
             service: service.id.clone(),
@@ -79,7 +79,7 @@
         })
     }
 
-    fn look_for_back_end(
+    fn check_back_ends(
         &mut self,
         planner: &Planner,
         service: &ServiceRecord,
--- a/crates/control/src/slice_changes.rs
+++ b/crates/control/src/slice_changes.rs
@@ -35,7 +35,7 @@
 impl SliceChanges {
     /// Counts one change. `planner` must not have followed it yet: it holds
     /// the slice as it was before.
-    pub fn note(&mut self, change: &RecordChange, planner: &Planner) {
+    pub fn count(&mut self, change: &RecordChange, planner: &Planner) {
         let (service, change) = match change {
             RecordChange::Slice(after) => {
                 let before = planner.slice_record(&after.key());
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -7,7 +7,7 @@
 /// messages, so that every router knows where the tree has its roots.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupView {
-    /// Founding of the group.
+    /// GroupBootstrap of the group.
     pub generation: Generation,
     /// Consensus term in which the view was taken.
     pub term: u64,
@@ -22,7 +22,7 @@
 /// Order of views: a later one replaces an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ViewVersion {
-    /// Founding of the group.
+    /// GroupBootstrap of the group.
     pub generation: Generation,
     /// Consensus term.
     pub term: u64,
