--- a/crates/control/src/bootstrap.rs
+++ b/crates/control/src/bootstrap.rs
@@ -1,7 +1,7 @@
-//! When a router asks the platform whether to found its group.
+//! Decides when a router asks the platform whether to bootstrap its group.
 //!
-//! The group object is created by a conditional write, so that of any number
-//! of routers that start at once exactly one founds the group.
+//! The group object is created by a conditional write, so that exactly one of
+//! any number of routers that start at once bootstraps the group.
 
 use std::time::Duration;
 
@@ -9,51 +9,51 @@
 
 use crate::output::Output;
 
-/// Pause between readings of the group object.
+/// Interval between readings of the group object.
 const READ_INTERVAL: Duration = Duration::from_secs(1);
-/// An answer that takes longer counts as none.
+/// Timeout of a platform request; a later answer counts as none.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// `resourceVersion` of the group object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupObjectVersion(pub String);
 
-/// What a reading of the group object gave.
+/// State of the group object as read from the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GroupObjectState {
     /// The platform did not answer.
     Unavailable,
-    /// There is no such object.
+    /// The object does not exist.
     Absent,
-    /// The object as it stands.
+    /// The object exists.
     Present {
-        /// GroupBootstrap it records.
+        /// Generation of the group that it records.
         generation: Generation,
-        /// Router that founded it.
+        /// Router that bootstrapped that generation.
         founder: RouterId,
         /// Version for a conditional write.
         version: GroupObjectVersion,
     },
 }
 
-/// What the answer to a reading calls for.
+/// Next step after the group object was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BootstrapStep {
-    /// Nothing now; ask again later.
+    /// Nothing to do now; read again later.
     Wait,
-    /// Attempt the founding write.
+    /// Attempt the conditional write.
     Write {
-        /// Generation to found.
+        /// Generation to bootstrap.
         generation: Generation,
         /// Version the object must have.
         expected: Option<GroupObjectVersion>,
     },
-    /// The object names this router as founder already: an earlier write of
-    /// its own took effect although its answer was lost.
+    /// The object already names this router as founder: an earlier write of its
+    /// own succeeded although the answer was lost.
     AlreadyFounder(Generation),
 }
 
-/// Paces the readings and decides on each answer.
+/// Schedules readings of the group object and decides on each result.
 #[derive(Debug)]
 pub struct GroupBootstrap {
     own: RouterId,
@@ -61,7 +61,8 @@
 }
 
 impl GroupBootstrap {
-    /// Starts to look for a group; the first reading comes after `settling`.
+    /// Starts looking for a group. The first reading comes after
+    /// `group_discovery_time`.
     pub fn new(own: RouterId, now: Timestamp, settling: Duration) -> Self {
         GroupBootstrap {
             own,
@@ -69,7 +70,8 @@
         }
     }
 
-    /// Called while no group is known.
+    /// Returns a request to read the group object when one is due. Called while
+    /// no group is known.
     pub fn tick(&mut self, now: Timestamp) -> Option<Output> {
         if now < self.next_read {
             return None;
@@ -78,7 +80,7 @@
         Some(Output::ReadGroupObject)
     }
 
-    /// Decides on a reading.
+    /// Decides on a reading of the group object.
     pub fn on_group_object(&mut self, now: Timestamp, state: GroupObjectState) -> BootstrapStep {
         self.next_read = now + READ_INTERVAL;
         match state {
@@ -96,7 +98,7 @@
         }
     }
 
-    /// A write ended without effect; read again soon.
+    /// Schedules another reading after a write had no effect.
     pub fn write_failed(&mut self, now: Timestamp) {
         self.next_read = now + READ_INTERVAL;
     }
--- a/crates/control/src/group_member.rs
+++ b/crates/control/src/group_member.rs
@@ -1,5 +1,5 @@
-//! This router's place in its group: the replicated log and the state that
-//! the log's commands build.
+//! This router's membership of its group: the replicated log and the state
+//! machine that applies its commands.
 
 use threadledge_consensus::{CommittedEntry, Message, Node, Outgoing, Payload, Settings};
 use threadledge_ownership::{Command, Snapshot, StateMachine};
@@ -9,43 +9,43 @@
 use crate::object_status::ObjectRef;
 use crate::output::AppliedObject;
 
-/// Log node and state machine of one group on one router.
+/// Consensus node and state machine of one group on one router.
 pub struct GroupMember {
     node: Node<Command, Snapshot>,
     machine: StateMachine,
     applied_index: u64,
 }
 
-/// What draining the log gave.
+/// Output of [`GroupMember::process_ready`].
 #[derive(Debug, Default)]
 pub struct ReadyOutput {
     /// Messages to other members.
     pub messages: Vec<Outgoing<Command, Snapshot>>,
-    /// Changes of the state, in order.
+    /// Updates of the state, in order.
     pub updates: Vec<StateUpdate>,
 }
 
-/// One step forward of the state.
+/// One update of the state.
 #[derive(Debug)]
 pub enum StateUpdate {
-    /// One entry was applied.
+    /// One log entry was applied.
     Entry {
         /// Revision of the entry.
         revision: Revision,
-        /// What it changed; may be empty.
+        /// Records changed by the entry; may be empty.
         changes: Vec<RecordChange>,
     },
     /// The state was replaced by a snapshot.
     Replaced {
         /// Revision of the snapshot.
         revision: Revision,
-        /// The whole state.
+        /// All records of the snapshot.
         records: Vec<RecordChange>,
     },
 }
 
 impl StateUpdate {
-    /// The step as a delta for copies of the state at `from`.
+    /// Converts the update to a delta for copies of the state at `from`.
     pub fn delta(&self, group: GroupId, from: Revision) -> RecordDelta {
         match self {
             StateUpdate::Entry { revision, changes } => RecordDelta {
@@ -67,7 +67,7 @@
 }
 
 impl GroupMember {
-    /// A router that waits to be added to its group.
+    /// Creates the member for a router that waits to be added to its group.
     pub fn join(settings: Settings, identity: RouterIdentity, now: Timestamp) -> Self {
         let machine = StateMachine::new(settings.group);
         GroupMember {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Founds the group with this router as its only voter.
+    /// Bootstraps the group with this router as its only voter.
     pub fn bootstrap(
         settings: Settings,
         identity: RouterIdentity,
@@ -93,8 +93,8 @@
         }
     }
 
-    /// After the group was founded again without this member: waits to be
-    /// added to the new founding. Returns whether that was the case.
+    /// Prepares a member that the group was bootstrapped again without to be
+    /// added to the new generation. Returns whether that was the case.
     pub fn rejoin(&mut self, now: Timestamp) -> bool {
         let Some(node) = self.node.rejoin(now) else {
             return false;
@@ -105,22 +105,22 @@
         true
     }
 
-    /// The log node.
+    /// The consensus node.
     pub fn node(&self) -> &Node<Command, Snapshot> {
         &self.node
     }
 
-    /// The log node, to propose to.
+    /// Mutable access to the consensus node, for proposals.
     pub fn node_mut(&mut self) -> &mut Node<Command, Snapshot> {
         &mut self.node
     }
 
-    /// The applied state.
+    /// The state machine with all applied commands.
     pub fn machine(&self) -> &StateMachine {
         &self.machine
     }
 
-    /// Versions of the configuration objects that are applied.
+    /// Returns the applied versions of the configuration objects.
     pub fn known_objects(&self) -> Vec<AppliedObject> {
         let back_ends = self.machine.back_ends().map(|record| AppliedObject {
             object: ObjectRef::BackEnd(record.id.clone()),
@@ -133,22 +133,23 @@
         back_ends.chain(services).collect()
     }
 
-    /// Whether everything committed is applied and this router leads.
+    /// Whether this router leads and has applied everything committed.
     pub fn is_serving_leader(&self) -> bool {
         self.node.has_committed_in_term() && self.applied_index >= self.node.commit_index()
     }
 
-    /// Takes a message of another member.
+    /// Handles a consensus message of another member.
     pub fn step(&mut self, now: Timestamp, from: RouterId, message: Message<Command, Snapshot>) {
         self.node.step(now, from, message);
     }
 
-    /// Lets time pass.
+    /// Advances the time of the consensus node.
     pub fn tick(&mut self, now: Timestamp) {
         self.node.tick(now);
     }
 
-    /// Applies what was committed and collects what is to be sent.
+    /// Applies committed entries and returns state updates and messages to
+    /// send.
     pub fn process_ready(&mut self) -> ReadyOutput {
         let ready = self.node.ready();
         let mut ready_output = ReadyOutput {
--- a/crates/control/src/input.rs
+++ b/crates/control/src/input.rs
@@ -1,4 +1,4 @@
-//! What the shell tells the control core.
+//! Inputs from the shell to the control plane.
 
 use threadledge_membership::MachineList;
 use threadledge_types::objects::{BackEndObject, KeyedServiceObject};
@@ -10,61 +10,62 @@
 use crate::message::PeerBatch;
 use crate::object_status::ObjectRef;
 
-/// One event for the control core.
+/// One input event.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time passed. Expected at least every 25 ms.
+    /// Time has passed. Expected at least every 25 ms.
     Tick,
     /// Messages from another router.
     Peer(PeerBatch),
-    /// A reading of the platform's machine list.
+    /// A new reading of the platform's machine list.
     Machines(MachineList),
     /// A back end answered a lease request.
     LeaseAnswered {
-        /// The back end asked.
+        /// The back end that the request was sent to.
         back_end: BackEndId,
         /// Its answer.
         response: Box<LeaseResponse>,
     },
-    /// A lease request got no usable answer; it may have been taken.
+    /// A lease request got no usable answer. The back end may still have
+    /// accepted it.
     LeaseFailed {
-        /// The back end asked.
+        /// The back end that the request was sent to.
         back_end: BackEndId,
-        /// Order of the request.
+        /// Sequence number of the request.
         order: LeaseSequence,
     },
     /// Answer to [`crate::Output::ReadGroupObject`].
     GroupObject(GroupObjectState),
-    /// Answer to [`crate::Output::WriteGroupObject`].
+    /// Result of [`crate::Output::WriteGroupObject`].
     GroupObjectWritten {
-        /// The generation that was to be founded.
+        /// Generation that was to be written.
         generation: Generation,
-        /// What became of the write.
+        /// Result of the write.
         result: GroupWriteResult,
     },
-    /// The watcher saw the configuration or a change of it.
+    /// The watcher saw the configuration or a change to it.
     Configuration(Box<ConfigurationEvent>),
-    /// A planned stop begins: hand over duties and leave.
+    /// A planned stop begins: hand over all roles and leave the group.
     Leave,
 }
 
-/// What became of a founding write.
+/// Result of writing the group object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GroupWriteResult {
-    /// The object carries this router as founder.
+    /// The object names this router as founder.
     Written,
-    /// Another router's write came first.
+    /// Another router wrote the object first.
     Conflict,
-    /// The platform did not answer and could not be read back.
+    /// The platform did not answer, and the object could not be read back.
     Unavailable,
 }
 
-/// Something the watcher of the object API saw.
+/// A configuration event from the watcher of the object API.
 #[derive(Clone, Debug)]
 pub enum ConfigurationEvent {
-    /// Every back end at one version of the store.
+    /// All back ends at one version of the store.
     BackEndsListed(Listing<BackEndObject>),
-    /// Every service at one version of the store.
+    /// All services at one version of the store.
     ServicesListed(Listing<KeyedServiceObject>),
     /// A back end was added or changed.
     BackEndChanged(ObservedObject<BackEndObject>),
@@ -72,15 +73,15 @@
     ServiceChanged(ObservedObject<KeyedServiceObject>),
     /// An object was deleted.
     Deleted {
-        /// Which object.
+        /// The object.
         object: ObjectRef,
-        /// A version at or below that of the deletion, and above every
+        /// A version no higher than that of the deletion, and above every
         /// version of the object that was seen.
         resource_version: u64,
     },
 }
 
-/// All objects of one kind.
+/// List of all objects of one kind.
 #[derive(Clone, Debug)]
 pub struct Listing<K> {
     /// The objects.
@@ -91,13 +92,13 @@
     pub resource_version: u64,
 }
 
-/// One object as the store holds it.
+/// One object as stored.
 #[derive(Clone, Debug)]
 pub struct ObservedObject<K> {
-    /// Which object.
+    /// The object.
     pub object: ObjectRef,
     /// `metadata.generation`.
     pub generation: i64,
-    /// The object, or why it cannot be read.
+    /// The object, or the problem that makes it unreadable.
     pub content: Result<K, Problem>,
 }
--- a/crates/control/src/intake.rs
+++ b/crates/control/src/intake.rs
@@ -1,14 +1,14 @@
-//! From objects in the platform's API to commands in the log, and from
-//! applied commands to the status operators see.
+//! Configuration intake: turns objects in the platform's API into log commands,
+//! and applied commands into the status that operators see.
 //!
-//! Kept here: *accepted configuration never reverts*. An object is proposed
-//! only when its `resourceVersion` is above the applied one, the state machine
-//! checks that again when it applies the command, and `Accepted` is written
-//! only after the command was applied.
+//! Enforces the invariant *accepted configuration never reverts*. An object is
+//! proposed only when its `resourceVersion` is above the applied one, the state
+//! machine checks that again when it applies the command, and `Accepted` is
+//! written only after the command was applied.
 //!
-//! Kept here as well: *no partner reaches another's traffic or servers*. A
+//! Enforces as well that *no partner reaches another's traffic or servers*. A
 //! host or an address that another object claims, accepted or about to be, is
-//! refused.
+//! rejected.
 
 mod validation;
 
@@ -30,23 +30,24 @@
     listed_or_withheld, record_or_reject, report_stale,
 };
 
-/// Most changes in one command, so that no entry of the log is very large.
+/// Maximum number of changes in one command, so that no log entry becomes very
+/// large.
 const MAX_CHANGES: usize = 256;
-/// A proposal that was not applied for this long is made again.
+/// A proposal that was not applied within this time is made again.
 const PROPOSAL_RETRY: Duration = Duration::from_secs(1);
 
-/// What the intake calls for.
+/// Commands, statuses and observations that follow from an event.
 #[derive(Debug, Default)]
 pub struct IntakeActions {
     /// Commands to propose, in order.
     pub commands: Vec<Command>,
-    /// Statuses that can be written at once.
+    /// Statuses that can be written immediately.
     pub statuses: Vec<StatusWrite>,
-    /// Facts for the log.
+    /// Observations for the log.
     pub observations: Vec<Observation>,
 }
 
-/// A change that was proposed and not yet seen applied.
+/// A change that was proposed and has not been applied yet.
 #[derive(Clone, Debug)]
 struct PendingProposal {
     change: ObjectChange,
@@ -61,14 +62,15 @@
     hosts: HostClaims,
     addresses: AddressClaims,
     pending: BTreeMap<ObjectRef, PendingProposal>,
-    /// Changes found by the event under way.
+    /// Objects whose changes the current event proposes.
     pending_objects: Vec<ObjectRef>,
-    /// Revision at which everything applied is in force.
+    /// Revision at which all applied configuration is in force.
     in_force: Revision,
 }
 
 impl ConfigurationIntake {
-    /// IntakeActions for one region; services of other regions are left to theirs.
+    /// Creates the intake for one region; services of other regions are left to
+    /// their own routers.
     pub fn new(region: RegionName, machine: &StateMachine) -> Self {
         let mut intake = ConfigurationIntake {
             region,
@@ -78,7 +80,7 @@
             pending_objects: Vec::new(),
             in_force: Revision::NONE,
         };
-        // What was accepted had passed these checks already.
+        // Accepted objects passed these checks before.
         for record in machine.services() {
             let _ = intake.hosts.claim(record);
         }
@@ -88,7 +90,7 @@
         intake
     }
 
-    /// Judges one event against the applied state, which is in force at
+    /// Validates one event against the applied state, which is in force at
     /// `in_force`.
     pub fn observe(
         &mut self,
@@ -153,7 +155,7 @@
         intake
     }
 
-    /// Whether any proposal is awaited.
+    /// Whether any proposal is pending.
     pub fn is_waiting(&self) -> bool {
         !self.pending.is_empty()
     }
@@ -294,7 +296,8 @@
         );
     }
 
-    /// Proposes a valid object, unless the state holds it or a later version.
+    /// Proposes a valid object, unless the state already holds this or a later
+    /// version.
     fn propose_if_newer(
         &mut self,
         now: Timestamp,
@@ -313,8 +316,9 @@
         }
     }
 
-    /// The state holds what the object says. Only its status may be missing,
-    /// for example because an earlier leader was lost before it wrote it.
+    /// Handles an object that the state already holds. Only its status may be
+    /// missing, for example because an earlier leader was lost before it wrote
+    /// it.
     fn already_applied(
         &mut self,
         reference: ObjectRef,
--- a/crates/control/src/intake/validation.rs
+++ b/crates/control/src/intake/validation.rs
@@ -1,4 +1,4 @@
-//! Judging single objects against the applied state.
+//! Compares single objects with the applied state and reports rejections.
 
 use std::collections::BTreeSet;
 
@@ -12,19 +12,19 @@
 use crate::object_status::{AcceptanceResult, ObjectRef, REJECTED, StatusWrite, has_acceptance};
 use crate::output::Observation;
 
-/// How a valid object stands to the applied state.
+/// Comparison of a valid object with the applied state.
 pub(super) struct AppliedComparison {
-    /// Version of the object that is applied, if any.
+    /// Applied version of the object, if any.
     pub(super) applied: Option<u64>,
-    /// Version that is offered.
+    /// Version of the observed object.
     pub(super) offered: u64,
-    /// The applied version asks for the same.
+    /// Whether the applied version has the same content.
     pub(super) is_unchanged: bool,
-    /// The object's status says that it is accepted.
+    /// Whether the object's status already says that it is accepted.
     pub(super) is_status_accepted: bool,
 }
 
-/// The object, if it can be read; otherwise it is rejected.
+/// Returns the object if it can be read; otherwise rejects it.
 pub(super) fn content_or_reject<'a, K>(
     observed: &'a ObservedObject<K>,
     intake: &mut IntakeActions,
@@ -44,8 +44,8 @@
     }
 }
 
-/// The record, if the object passed; otherwise it is rejected, unless its
-/// status says so already.
+/// Returns the record if the object is valid; otherwise rejects the object,
+/// unless its status says so already.
 pub(super) fn record_or_reject<K, R>(
     observed: &ObservedObject<K>,
     status: &Option<AcceptanceStatus>,
@@ -67,13 +67,13 @@
     }
 }
 
-/// Objects that the store still has.
+/// Returns the objects that the store still has.
 pub(super) fn listed_or_withheld<K>(listing: &Listing<K>) -> BTreeSet<ObjectRef> {
     let listed = listing.objects.iter().map(|observed| &observed.object);
     listed.chain(&listing.withheld).cloned().collect()
 }
 
-/// Whether the state holds the change or something later.
+/// Whether the state holds the change or a later one.
 pub(super) fn is_applied(change: &ObjectChange, machine: &StateMachine) -> bool {
     match change {
         ObjectChange::PutBackEnd(record) => machine
@@ -99,8 +99,9 @@
     }
 }
 
-/// A write to an object's status raises its version without changing what it
-/// asks for; such a version needs no command.
+/// Whether both records have the same content. A write to an object's status
+/// raises its version without changing the content; such a version needs no
+/// command.
 pub(super) fn is_same_back_end(applied: &BackEndRecord, offered: &BackEndRecord) -> bool {
     applied.spec == offered.spec
         && applied.labels == offered.labels
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -1,5 +1,5 @@
-//! LeaderActions of the group's leader: sessions and grants, placement,
-//! configuration intake and the group's own membership.
+//! The work of the group's leader: sessions and grants, placement,
+//! configuration intake and changes of the group's membership.
 
 use std::time::Duration;
 
@@ -20,30 +20,31 @@
 use crate::settings::ControlSettings;
 use crate::slice_changes::SliceChanges;
 
-/// Pause between looks at the group's membership.
+/// Interval between checks of the group's membership.
 const MEMBERSHIP_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause between rounds of placement while nothing changes.
+/// Interval between placement rounds while nothing changes.
 const PLANNING_INTERVAL: Duration = Duration::from_millis(50);
-/// A group that did not reach its size by this time after an election begins
-/// to assign when it has every router that can be seen.
+/// Time after an election after which a group that has not reached its target
+/// size may assign slices, provided that it includes every router that is
+/// visible.
 const GROUP_FORMATION_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time after an election in which back ends without a session may still
-/// appear. Assigning earlier would give the first to answer too much, and
-/// keys would have to move again.
+/// register. Assigning earlier would give too much to the first ones to answer,
+/// and keys would have to move again.
 const SESSION_WAIT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Placement actions proposed in one round.
+/// Maximum number of placement actions proposed in one round.
 const MAX_ACTIONS: usize = 256;
 
-/// What the leader's duties call for.
+/// Commands and outputs that follow from the leader's work.
 #[derive(Debug, Default)]
 pub struct LeaderActions {
     /// Commands to propose, in order.
     pub commands: Vec<Command>,
-    /// Work for the shell.
+    /// Outputs for the shell.
     pub outputs: Vec<Output>,
 }
 
-/// Everything a leader does beyond replicating the log. Volatile: a new
+/// The leader's state beyond the replicated log. It is not persisted: a new
 /// leader starts from the applied state.
 pub struct Leader {
     term: LeaderTerm,
@@ -52,7 +53,7 @@
     intake: ConfigurationIntake,
     alerts: ServiceAlerts,
     is_group_formed: bool,
-    /// When the first configuration was there to plan for.
+    /// Time at which there was first a configuration to plan for.
     configured_at: Option<Timestamp>,
     back_ends_ready: bool,
     started: Timestamp,
@@ -61,7 +62,7 @@
 }
 
 impl Leader {
-    /// Takes up the duties of the term in which `member` was elected.
+    /// Starts the work of the term in which `member` was elected.
     pub fn start(settings: &ControlSettings, member: &GroupMember, now: Timestamp) -> Self {
         let node = member.node();
         let machine = member.machine();
@@ -100,17 +101,17 @@
         }
     }
 
-    /// The term served.
+    /// The leader's term.
     pub fn term(&self) -> LeaderTerm {
         self.term
     }
 
-    /// The planner, for status.
+    /// The placement planner, for status pages.
     pub fn planner(&self) -> &Planner {
         &self.planner
     }
 
-    /// Regular work.
+    /// Does the periodic work.
     pub fn tick(
         &mut self,
         now: Timestamp,
@@ -123,9 +124,9 @@
         self.plan(now, member, actions);
     }
 
-    /// Takes the changes of one applied entry. `in_force` is the revision that
-    /// copies of the records have when they hold everything applied; it stays
-    /// behind the entry's own revision when the entry changed nothing.
+    /// Handles the changes of one applied log entry. `in_force` is the revision
+    /// of a copy of the records that holds everything applied; it stays below
+    /// the entry's own revision when the entry changed nothing.
     pub fn applied(
         &mut self,
         now: Timestamp,
@@ -142,8 +143,8 @@
         }
         let observations = slice_changes.into_observations().map(Output::Observe);
         actions.outputs.extend(observations);
-        // Also an entry without changes may concern the grantor: the first
-        // command of its term is one.
+        // The grantor is stepped even without changes, because the first
+        // command of its term is such an entry.
         let input = GrantorInput::Applied(changes.to_vec());
         self.step_grantor(now, input, member, actions);
         if !changes.is_empty() {
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Takes what a back end answered, or that it did not.
+    /// Handles the answer of a back end to a lease request, or its failure.
     pub fn lease_input(
         &mut self,
         now: Timestamp,
@@ -176,8 +177,8 @@
         self.step_grantor(now, input, member, actions);
     }
 
-    /// Takes what the watcher saw. `in_force` is the revision that copies of
-    /// the records have when they hold everything applied.
+    /// Handles a configuration event of the watcher. `in_force` is the revision
+    /// of a copy of the records that holds everything applied.
     pub fn configuration(
         &mut self,
         now: Timestamp,
@@ -190,7 +191,7 @@
         apply_intake(intake, actions);
     }
 
-    /// The next change of the group's membership, if one is due.
+    /// Returns the next changes of the group's membership, if any are due.
     pub fn member_change(
         &mut self,
         now: Timestamp,
@@ -206,9 +207,9 @@
         next_member_changes(settings, node, membership)
     }
 
-    /// Kept here: *an assignment that is done survives the losses claimed*.
-    /// Nothing is assigned before the group has the members over which it
-    /// promises to replicate.
+    /// Enforces an invariant: *an assignment that is done survives the losses
+    /// claimed*. Nothing is assigned before the group has the members over
+    /// which it promises to replicate.
     fn update_group_formed(
         &mut self,
         now: Timestamp,
@@ -255,7 +256,7 @@
         }
     }
 
-    /// Whether the back ends that are there have had time to answer.
+    /// Whether the existing back ends have had time to register.
     fn are_back_ends_ready(&mut self, now: Timestamp, member: &GroupMember) -> bool {
         let configured = self.configured_at.get_or_insert(now);
         let waited = now.since(*configured) >= SESSION_WAIT_TIMEOUT;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,9 +1,9 @@
-//! One router's control plane as a single steppable core.
+//! One router's control plane as a single sans-I/O state machine.
 //!
-//! [`ControlNode`] composes membership, consensus, ownership, placement and
-//! spread. It opens no sockets and reads no clock: a shell feeds it
-//! [`Input`]s and carries out its [`Output`]s. The binary and the simulator
-//! run the same node.
+//! [`ControlNode`] composes membership, consensus, ownership, placement and the
+//! spreading of records. It opens no sockets and reads no clock: the code that
+//! does the I/O, called the shell, feeds it [`Input`]s and carries out its
+//! [`Output`]s. The router binary and the simulator run the same node.
 
 mod bootstrap;
 mod group_member;
--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -9,30 +9,31 @@
 /// Consensus messages of a group.
 pub type ConsensusMessage = threadledge_consensus::Message<Command, Snapshot>;
 
-/// One message between the control cores of two routers.
+/// One message between the control planes of two routers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerMessage {
-    /// A step of the group's replicated log.
+    /// A consensus message for the group's replicated log.
     Consensus {
         /// Which group.
         group: GroupId,
-        /// The step.
+        /// The message.
         message: Box<ConsensusMessage>,
     },
     /// Failure detection and member gossip.
     Membership(threadledge_membership::Message),
-    /// Copies of records on their way down the tree.
+    /// A message that spreads copies of records down the tree.
     Spread {
         /// The spread message.
         message: threadledge_spread::SpreadMessage,
-        /// Version of the group view that the sender holds.
+        /// Version of the sender's group view.
         view_version: Option<ViewVersion>,
-        /// The sender's group view, when it believes the receiver lacks it.
+        /// The sender's group view, included when it believes the receiver does
+        /// not have it.
         view: Option<Box<GroupView>>,
     },
-    /// Asks what the receiver knows of the group, before the sender has it
-    /// founded anew.
+    /// Asks what the receiver knows of the group, before the sender lets it be
+    /// bootstrapped again.
     GroupInquiry {
         /// Which group.
         group: GroupId,
@@ -43,19 +44,19 @@
         group: GroupId,
         /// The sender's view of it.
         view: Option<Box<GroupView>>,
-        /// Time since the sender last knew it to have a leader, in
+        /// Time since the sender last knew the group to have a leader, in
         /// microseconds; `None` if it never did.
         leader_age_micros: Option<u64>,
     },
 }
 
-/// Everything one router has to say to another at one moment.
+/// All messages that one router sends to another at one time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerBatch {
     /// The sender.
     pub from: RouterIdentity,
-    /// The process meant, when the sender knows it. Another process at the
-    /// same address takes only membership messages from the batch.
+    /// The process addressed, when the sender knows it. Another process at the
+    /// same address accepts only membership messages from the batch.
     pub to: Option<RouterId>,
     /// The messages, in order.
     pub messages: Vec<PeerMessage>,
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,4 +1,4 @@
-//! The composition of the control cores.
+//! The control node: composition of the parts of the control plane.
 
 mod group;
 mod log;
@@ -21,7 +21,7 @@
 use crate::settings::ControlSettings;
 use crate::view::GroupView;
 
-/// One router's control plane.
+/// One router's control plane. See the [crate documentation](crate).
 pub struct ControlNode {
     settings: ControlSettings,
     identity: RouterIdentity,
@@ -41,7 +41,7 @@
 }
 
 impl ControlNode {
-    /// A router that knows nobody yet.
+    /// Creates the control plane of a router that knows no other router yet.
     pub fn new(settings: ControlSettings, identity: RouterIdentity, now: Timestamp) -> Self {
         let membership_settings = threadledge_membership::Settings {
             seed: settings.seed,
@@ -69,27 +69,27 @@
         }
     }
 
-    /// This router.
+    /// Identity of this router.
     pub fn identity(&self) -> &RouterIdentity {
         &self.identity
     }
 
-    /// Who is alive.
+    /// Membership of the routers in the region.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// The group's members as last heard.
+    /// The last known view of the group.
     pub fn view(&self) -> Option<&GroupView> {
         self.view.as_ref()
     }
 
-    /// This router's part in the group.
+    /// Consensus role of this router.
     pub fn role(&self) -> Role {
         self.member.node().role()
     }
 
-    /// Members of the group that are catching up, as this router knows them.
+    /// Members of the group that are catching up, as far as this router knows.
     pub fn learners(&self) -> Vec<RouterId> {
         self.member
             .node()
@@ -105,7 +105,7 @@
         self.member.node().term()
     }
 
-    /// The applied state, meaningful on members of the group.
+    /// The state machine; meaningful on members of the group only.
     pub fn machine(&self) -> &StateMachine {
         self.member.machine()
     }
@@ -115,28 +115,28 @@
         &self.replica
     }
 
-    /// The leader's planner.
+    /// The placement planner, if this router leads.
     pub fn planner(&self) -> Option<&Planner> {
         self.leader.as_ref().map(Leader::planner)
     }
 
-    /// Whether this router leads, with its state complete and its leader
-    /// lease valid at `now`.
+    /// Whether this router leads, with its state complete and its leader lease
+    /// valid at `now`.
     pub fn is_leader(&self, now: Timestamp) -> bool {
         self.leader.is_some() && self.member.node().has_leader_lease(now)
     }
 
-    /// When, by this router's clock, its records were last known to be the
-    /// latest.
+    /// Time, by this router's clock, as of which its records are known to be
+    /// the latest.
     ///
-    /// Kept by the caller: *accepted configuration is in force everywhere
-    /// within seconds*. A router whose confirmation is older than the bound
-    /// takes no new work.
+    /// The caller uses it to enforce *accepted configuration is in force
+    /// everywhere within seconds*: a router whose confirmation is older than
+    /// the bound takes no new work.
     pub fn confirmed_as_of(&self) -> Option<Timestamp> {
         self.spread.confirmed_as_of()
     }
 
-    /// Routers of the region that can take requests, this one included.
+    /// Number of live routers in the region, including this one.
     pub fn live_router_count(&self) -> usize {
         let others = self.membership.alive();
         others
@@ -145,17 +145,18 @@
             + 1
     }
 
-    /// Whether a planned stop may go on: no duty of the group rests on this
-    /// router any more.
+    /// Whether a planned stop may proceed: this router is neither the leader
+    /// nor a voter of the group any more.
     pub fn can_stop(&self) -> bool {
         let node = self.member.node();
-        // A removed member is told so and may lack the entry that removed it.
+        // A removed member learns of its removal by message and may lack the
+        // log entry that removed it.
         let outside = matches!(node.role(), Role::Removed | Role::Joining | Role::Retired);
         let voter = !outside && node.members().is_voter(self.identity.id);
         self.leader.is_none() && !voter
     }
 
-    /// Takes one input and returns what is to be carried out.
+    /// Handles one input and returns the outputs for the shell.
     pub fn step(&mut self, now: Timestamp, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
         let mut actions = LeaderActions::default();
@@ -214,7 +215,7 @@
         }
         self.change_members(now, outputs);
         if self.leaving && self.member.node().role() == Role::Leader {
-            // Repeated until some voter takes over; refused while none can.
+            // Repeated until a voter takes over; refused while none can.
             let _ = self.member.node_mut().transfer_leadership(now, None);
         }
         self.find_or_recover_group(now, outputs);
--- a/crates/control/src/node/group.rs
+++ b/crates/control/src/node/group.rs
@@ -1,4 +1,4 @@
-//! GroupBootstrap the group, at first and after it was lost.
+//! Finds, bootstraps and recovers the group.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,18 +16,19 @@
 use crate::recovery::RecoveryAction;
 use crate::view::GroupView;
 
-/// Routers asked before the group is founded anew.
+/// Maximum number of routers asked about the group before it is bootstrapped
+/// again.
 const MAX_INQUIRIES: usize = 64;
 /// Time without a known leader after which a router asks others.
 const LEADER_SEARCH_DELAY: Duration = Duration::from_millis(1_500);
-/// Time between two such searches.
+/// Interval between two such inquiries.
 const SEARCH_INTERVAL: Duration = Duration::from_secs(2);
-/// Time between a leader's looks at the group object.
+/// Interval at which a leader checks the group object.
 const GENERATION_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 impl ControlNode {
-    /// Asks the platform about the group while none is known, or when the one
-    /// known is provably lost.
+    /// Asks the platform about the group while none is known or the known one
+    /// is provably lost.
     pub(super) fn find_or_recover_group(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
         if self.needs_group() {
             outputs.extend(self.bootstrap.tick(now));
@@ -51,9 +52,10 @@
         self.check_generation(now, outputs);
     }
 
-    /// Asks others for a later view once no leader was known for a while. The
-    /// parents of a router follow from its view, so one that missed a founding
-    /// would otherwise look for records only where nobody knows of it.
+    /// Asks other routers for a later view once no leader has been known for a
+    /// while. A router derives its parents from its view, so one that missed a
+    /// new generation would otherwise look for records only where nobody knows
+    /// of it.
     fn search_for_leader(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
         let lost = now.since(self.recovery.leader_seen()) >= LEADER_SEARCH_DELAY;
         if lost && now >= self.next_search {
@@ -62,8 +64,8 @@
         }
     }
 
-    /// Whether this router hears of a leader regularly. A learner keeps the
-    /// last one it heard of, and so proves nothing.
+    /// Whether this router is in regular contact with a leader. A learner keeps
+    /// the last leader it heard of, so its knowledge proves nothing.
     fn follows_leader(&self) -> bool {
         let node = self.member.node();
         let detects_leader_loss = matches!(node.role(), Role::Leader | Role::Follower);
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Tells another router what is known of the group.
+    /// Sends another router what this one knows of the group.
     pub(super) fn answer_inquiry(
         &self,
         now: Timestamp,
@@ -110,8 +112,8 @@
         });
     }
 
-    /// Takes what another router knows of the group. The time on the way only
-    /// makes the leader seem older than it is.
+    /// Handles what another router knows of the group. The transit time of the
+    /// message only makes the leader contact seem older than it is.
     pub(super) fn on_group_answer(
         &mut self,
         now: Timestamp,
@@ -125,11 +127,12 @@
         }
     }
 
-    /// A leader looks regularly whether its group was founded anew.
+    /// Makes a leader check regularly whether its group was bootstrapped again.
     ///
-    /// Kept here: *one owner*, *accepted configuration never reverts*. The
-    /// proof on which another router had the group founded anew may have been
-    /// out of date; this group then ends, as the platform's object decides.
+    /// Enforces the invariants *one owner* and *accepted configuration never
+    /// reverts*. The proof on which another router had the group bootstrapped
+    /// again may have been out of date; this group must then end, because the
+    /// platform's object decides.
     fn check_generation(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
         if self.leader.is_some() && now >= self.next_generation_check {
             self.next_generation_check = now + GENERATION_CHECK_INTERVAL;
@@ -143,8 +146,8 @@
         }
     }
 
-    /// Ends this router's part in foundings before `generation`. One that was
-    /// never added to a group has none to end.
+    /// Ends this router's membership of generations before `generation`. A
+    /// router that was never added to a group has none to end.
     pub(super) fn retire(&mut self, generation: Generation) {
         let node = self.member.node_mut();
         if node.role() != Role::Joining {
@@ -201,13 +204,14 @@
         }
     }
 
-    /// Founds the group, at most once for each generation: a second founding
-    /// of the same generation would start its history over.
+    /// Bootstraps the group, at most once per generation: a second time would
+    /// start the history of that generation over.
     ///
-    /// A later generation starts from what this router holds: its applied
-    /// state if it was a member, else its copy of the records. The state
-    /// machine then treats every session as over until all leases of earlier
-    /// generations have run out, and takes back what back ends still hold.
+    /// A later generation starts from the state that this router holds: its
+    /// applied state if it was a member, otherwise its copy of the records. The
+    /// state machine then treats every session as ended until all leases of
+    /// earlier generations have expired, and takes back the slices that back
+    /// ends still hold.
     pub(super) fn bootstrap_group(
         &mut self,
         now: Timestamp,
--- a/crates/control/src/node/log.rs
+++ b/crates/control/src/node/log.rs
@@ -1,4 +1,5 @@
-//! The group's log: proposing, applying, leading, changing its members.
+//! The group's log: proposals, applied entries, leadership and membership
+//! changes.
 
 use threadledge_consensus::{Outgoing, ProposeError};
 use threadledge_ownership::{Command, Snapshot};
@@ -11,8 +12,8 @@
 use crate::message::PeerMessage;
 use crate::output::{Observation, Output};
 
-/// Bound on rounds of proposing and applying within one step. A single-member
-/// group commits at once, so that each round may lead to another.
+/// Maximum number of rounds of proposing and applying in one step. A
+/// single-member group commits immediately, so each round may lead to another.
 const MAX_ROUNDS: usize = 64;
 
 impl ControlNode {
@@ -36,7 +37,8 @@
         }
     }
 
-    /// Proposes, applies and sends until nothing more follows.
+    /// Proposes commands, applies entries and sends messages until nothing more
+    /// follows.
     pub(super) fn advance(
         &mut self,
         now: Timestamp,
@@ -46,7 +48,7 @@
         for _ in 0..MAX_ROUNDS {
             outputs.append(&mut actions.outputs);
             for command in actions.commands.drain(..) {
-                // A refused proposal is made again by whoever wanted it.
+                // A refused proposal is repeated by the component that made it.
                 let _: Result<u64, ProposeError> = self.member.node_mut().propose(now, command);
             }
             let ready_output = self.member.process_ready();
@@ -80,7 +82,8 @@
         }
     }
 
-    /// Brings the records that this router and its children use forward.
+    /// Applies a state update to the records that this router and its children
+    /// use.
     pub(super) fn publish(
         &mut self,
         now: Timestamp,
--- a/crates/control/src/node/peers.rs
+++ b/crates/control/src/node/peers.rs
@@ -1,4 +1,5 @@
-//! Messages of other routers, and this router's place in the spreading tree.
+//! Handles messages of other routers, and chooses this router's parents in the
+//! tree that spreads records.
 
 use threadledge_consensus::Role;
 use threadledge_membership::MemberState;
@@ -11,10 +12,11 @@
 use crate::output::{Observation, Output};
 use crate::view::{GroupView, ViewVersion};
 
-/// Routers asked for a first copy of the records and of the group's view.
+/// Maximum number of routers asked for a first copy of the records and the
+/// group's view.
 const MAX_FIRST_CONTACTS: usize = 16;
-/// Odd factor near the golden ratio of 2^64; multiplying by it spreads
-/// neighbouring numbers over the whole range.
+/// Multiplier of a multiplicative hash: an odd number near 2^64 divided by the
+/// golden ratio. It spreads neighbouring numbers over the whole range.
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl ControlNode {
@@ -101,8 +103,8 @@
         }
     }
 
-    /// Steps the spread core. `their_view` is the view version of the router
-    /// that asks; if it is behind, the answer carries this router's view.
+    /// Steps the spread node. `their_view` is the view version of the router
+    /// that sent the input; if it is older, answers carry this router's view.
     pub(super) fn step_spread(
         &mut self,
         now: Timestamp,
@@ -145,7 +147,8 @@
         }
     }
 
-    /// Members of the group know its view first hand.
+    /// Updates the view from this router's own consensus state, if it is a
+    /// member of the group.
     pub(super) fn refresh_view(&mut self) {
         let node = self.member.node();
         let is_member = matches!(node.role(), Role::Leader | Role::Follower | Role::Learner);
@@ -204,9 +207,9 @@
             .collect()
     }
 
-    /// Routers to ask while nothing is known of the group, in an order that
-    /// differs from router to router: by a common order the group's view would
-    /// travel as one slow wave.
+    /// Returns the routers to ask while nothing is known of the group. The
+    /// order differs between routers: with a common order the group's view
+    /// would spread in one slow wave.
     pub(super) fn first_contacts(&self, alive: &[RouterId]) -> Vec<RouterIdentity> {
         let own = self.identity.id.0;
         let mut order: Vec<RouterId> = alive.to_vec();
--- a/crates/control/src/object_status.rs
+++ b/crates/control/src/object_status.rs
@@ -1,4 +1,4 @@
-//! Names of configuration objects and the statuses written to them.
+//! References to configuration objects, and the statuses written to them.
 
 use threadledge_types::objects::{
     ACCEPTED_CONDITION, AcceptanceStatus, BACK_END_KIND, KEYED_SERVICE_KIND,
@@ -11,7 +11,7 @@
 /// Condition status of a rejected object.
 pub(crate) const REJECTED: &str = "False";
 
-/// Names one configuration object.
+/// Identifies one configuration object.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ObjectRef {
     /// A back end.
@@ -21,7 +21,7 @@
 }
 
 impl ObjectRef {
-    /// Kind, namespace and name for logs.
+    /// Returns kind, namespace and name for logs.
     pub fn describe(&self) -> String {
         match self {
             ObjectRef::BackEnd(id) => format!("{BACK_END_KIND} {id}"),
@@ -30,28 +30,28 @@
     }
 }
 
-/// What became of an object.
+/// Result of validating an object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AcceptanceResult {
-    /// It is in force from this revision on.
+    /// Accepted; in force from this revision on.
     Accepted(Revision),
-    /// It is not in force, for these problems; an earlier accepted version
-    /// stays in force.
+    /// Rejected for these problems. An earlier accepted version stays in force.
     Rejected(Vec<Problem>),
 }
 
 /// A status to be written to an object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatusWrite {
-    /// Which object.
+    /// The object.
     pub object: ObjectRef,
-    /// `metadata.generation` that was judged.
+    /// `metadata.generation` that was validated.
     pub observed_generation: i64,
-    /// The judgement.
+    /// Result of the validation.
     pub acceptance: AcceptanceResult,
 }
 
-/// Whether an object's status already says this about this generation.
+/// Whether an object's status already states this acceptance of this
+/// generation.
 pub(crate) fn has_acceptance(
     status: &Option<AcceptanceStatus>,
     generation: i64,
--- a/crates/control/src/output.rs
+++ b/crates/control/src/output.rs
@@ -1,4 +1,4 @@
-//! What the control core asks of its shell.
+//! Outputs of the control plane, to be carried out by the shell.
 
 use std::net::SocketAddr;
 
@@ -20,19 +20,19 @@
     pub resource_version: u64,
 }
 
-/// One thing for the shell to carry out.
+/// One action for the shell to carry out.
 #[derive(Clone, Debug)]
 pub enum Output {
     /// Send a message to another router.
     SendPeer {
-        /// Peer address of the receiver.
+        /// Peer address of the receiving router.
         to: SocketAddr,
-        /// The process meant, when known.
+        /// The process addressed, when known.
         to_id: Option<RouterId>,
         /// The message.
         message: Box<PeerMessage>,
     },
-    /// Send a lease request to a back end's control address and report its
+    /// Send a lease request to a back end's control address and report the
     /// answer or failure.
     SendLease {
         /// Control address of the back end.
@@ -40,41 +40,41 @@
         /// The request.
         request: Box<LeaseRequest>,
     },
-    /// Bring the data path's copy of the records forward.
+    /// Apply a delta to the data path's copy of the records.
     Records(RecordDelta),
-    /// Read the group object and report it.
+    /// Read the group object and report its state.
     ReadGroupObject,
     /// Write the group object, only if it still has the expected version, and
-    /// report what became of it.
+    /// report the result.
     WriteGroupObject {
-        /// The generation to found.
+        /// Generation to bootstrap.
         generation: Generation,
         /// Version the object must have; `None` if it must not exist.
         expected: Option<GroupObjectVersion>,
     },
-    /// Start watching the configuration, in place of any earlier watch. The
-    /// store is to be distrusted while it shows less than what is known.
+    /// Start watching the configuration, in place of any earlier watch. Do not
+    /// trust the store while it shows older versions than these.
     WatchConfiguration(Vec<AppliedObject>),
     /// Stop watching the configuration.
     StopWatching,
     /// Write the status of a configuration object.
     WriteStatus(StatusWrite),
-    /// Something worth a line in the log.
+    /// An event for the log.
     Observe(Observation),
 }
 
-/// Facts for logs and metrics.
+/// Events for logs and metrics.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
     /// Another router was seen for the first time.
     RouterUp(RouterId),
-    /// A router does not answer; others are asked about it.
+    /// A router does not answer; other routers are asked to probe it.
     RouterSuspected(RouterId),
-    /// A router is considered gone.
+    /// A router is considered dead.
     RouterDown(RouterId),
     /// A router announced that it is leaving.
     RouterLeaving(RouterId),
-    /// This router founded its group.
+    /// This router bootstrapped its group.
     GroupFounded(Generation),
     /// This router was elected leader.
     BecameLeader {
@@ -103,45 +103,44 @@
     ObjectRejected {
         /// Kind, namespace and name.
         object: String,
-        /// Every problem with its remedy.
+        /// All problems, each with its remedy.
         message: String,
     },
     /// A back end's process opened a session.
     SessionOpened(SessionId),
-    /// A session ended: its lease ran out or a later process answered.
+    /// A session ended because its lease expired or a later process answered.
     SessionClosed(SessionId),
-    /// A back end began to drain.
+    /// A back end started draining.
     SessionDraining(SessionId),
-    /// The platform's store answered with an older state than one already
-    /// applied; it was ignored.
+    /// The platform's store returned an older state than one already applied;
+    /// it was ignored.
     StoreReverted {
-        /// The back end or service concerned.
+        /// The back end or service affected.
         object: String,
     },
-    /// Slices of one service changed in one entry of the log.
+    /// Slices of one service changed in the same way in one log entry.
     Slices {
         /// The service.
         service: ServiceId,
-        /// What became of the slices.
+        /// The kind of change.
         change: SliceChange,
-        /// Their number.
+        /// Number of slices changed.
         slices: u64,
     },
-    /// A service's imbalance stayed above what its policy tolerates.
+    /// The imbalance of a service stayed above what its policy tolerates.
     ImbalanceTooHigh {
         /// The service.
         service: ServiceId,
-        /// Load of the busiest back end over the mean.
+        /// Load of the busiest back end divided by the mean.
         ratio: f64,
     },
-    /// A service has slices without an owner and no back end that may take
-    /// them.
+    /// A service has slices without an owner and no back end that may own them.
     NoEligibleBackEnd {
         /// The service.
         service: ServiceId,
-        /// Its slices without an owner.
+        /// Number of its slices without an owner.
         unowned: usize,
     },
-    /// Something the grantor saw at a back end.
+    /// An event that the grantor observed at a back end.
     Session(threadledge_ownership::grantor::Observation),
 }
--- a/crates/control/src/recovery.rs
+++ b/crates/control/src/recovery.rs
@@ -1,19 +1,19 @@
-//! When a router asks the platform to found its group anew.
+//! Decides when a router asks the platform to bootstrap its lost group again.
 //!
-//! Loss of a majority of voters is beyond what the log tolerates. The group
-//! is then founded again with the next generation, but only on proof: a
-//! majority of the voters known must be *provably* gone, by a later process on
-//! the same machine or by the platform having taken the machine off its list.
-//! Silence alone proves nothing, for a voter that cannot be reached may still
-//! lead.
+//! The log cannot tolerate the loss of a majority of voters. The group is then
+//! bootstrapped again with the next generation, but only on proof: a majority
+//! of the known voters must be *provably* gone, either because a later process
+//! runs on the same machine or because the platform has taken the machine off
+//! its list. Silence alone proves nothing, because a voter that cannot be
+//! reached may still lead.
 //!
-//! The proof is about the voters that this router knows. They may be out of
-//! date, so other routers are asked before, and a leader looks regularly
-//! whether the platform's object names a later founding than its own: then it
-//! retires.
+//! The proof concerns the voters that this router knows, which may be out of
+//! date. Other routers are therefore asked first, and a leader checks regularly
+//! whether the platform's object names a later generation than its own; if so,
+//! it retires.
 //!
-//! Surviving members of the group come first, because they hold the most
-//! recent state; other routers follow after a pause.
+//! Surviving members of the group try first, because they hold the most recent
+//! state; other routers follow after a delay.
 
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -24,41 +24,42 @@
 use crate::bootstrap::{BootstrapStep, GroupObjectState};
 use crate::view::{GroupView, ViewVersion};
 
-/// Time without a leader before a surviving member looks into it. It may be
-/// short, for it is the proof that counts; it only keeps routers from asking
-/// the platform during an ordinary election.
+/// Time without a leader after which a surviving member starts recovery. It may
+/// be short, because safety rests on the proof; it only keeps routers from
+/// asking the platform during an ordinary election.
 const MEMBER_LEADERLESS_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time without a leader before any other router looks into it.
+/// Time without a leader after which any other router starts recovery.
 const NON_MEMBER_LEADERLESS_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause between attempts.
+/// Interval between attempts.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// An answer of the platform that takes longer counts as none.
+/// Timeout of a platform request; a later answer counts as none.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time that other routers have to contradict.
+/// Time for other routers to report a later view or a leader.
 const INQUIRY_WINDOW: Duration = Duration::from_millis(600);
 
-/// What the loss of the group calls for next.
+/// Next action towards recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecoveryAction {
-    /// Ask other routers whether they know better.
+    /// Ask other routers what they know of the group.
     AskPeers,
     /// Read the group object.
     ReadGroupObject,
 }
 
-/// Watches for the loss of the group.
+/// Detects the loss of the group and paces the attempts to recover it.
 #[derive(Debug)]
 pub struct GroupRecovery {
     /// Last time at which the group was known to have a leader.
     leader_seen: Timestamp,
-    /// When other routers were asked about the view that seems lost.
+    /// Time at which other routers were asked, and the version of the view that
+    /// seemed lost.
     asked: Option<(Timestamp, ViewVersion)>,
     next_attempt: Timestamp,
 }
 
 impl GroupRecovery {
-    /// Nothing is lost yet.
+    /// Creates the state of a group that has a leader.
     pub fn new(now: Timestamp) -> Self {
         GroupRecovery {
             leader_seen: now,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// The group was known to have a leader at `at`, by this router or by
+    /// Records that the group had a leader at `at`, according to this router or
     /// another.
     pub fn record_leader_seen(&mut self, at: Timestamp) {
         self.leader_seen = self.leader_seen.max(at);
@@ -78,10 +79,10 @@
         self.leader_seen
     }
 
-    /// Looks at the group. Proof is sought for the voters of the view that
-    /// this router holds, and the group may have other voters by now; so
-    /// others are asked first, and any that knows a later view or a leader
-    /// contradicts.
+    /// Returns the next action if the group seems lost. The proof covers only
+    /// the voters of the view that this router holds, and the group may have
+    /// other voters by now. Other routers are therefore asked first, and any
+    /// that knows a later view or a leader stops the recovery.
     pub fn tick(
         &mut self,
         now: Timestamp,
@@ -118,9 +119,10 @@
 
     /// Decides on a reading of the group object.
     ///
-    /// The founding that this router knows may be replaced by the next one. A
-    /// later founding of which no router asked knew anything may be replaced
-    /// when its founder is provably gone: it was lost before it grew.
+    /// The generation that this router knows may be replaced by the next one. A
+    /// later generation that none of the routers asked knew of may be replaced
+    /// if its founder is provably gone: it was lost before it got other
+    /// members.
     pub fn on_group_object(
         &mut self,
         now: Timestamp,
@@ -144,13 +146,13 @@
         }
     }
 
-    /// The attempt ended without effect.
+    /// Schedules another attempt after a write had no effect.
     pub fn write_failed(&mut self, now: Timestamp) {
         self.next_attempt = now + RETRY_INTERVAL;
     }
 }
 
-/// Whether the founding that the group object names is provably lost.
+/// Whether the generation named by the group object is provably lost.
 fn is_generation_lost(
     generation: Generation,
     founder: RouterId,
@@ -164,7 +166,7 @@
     }
 }
 
-/// Whether so many voters are provably gone that the rest is no quorum.
+/// Whether so many voters are provably gone that the rest cannot form a quorum.
 fn is_majority_gone(view: &GroupView, membership: &Membership) -> bool {
     let gone = |voter: &&RouterIdentity| membership.death_proof(voter.id).is_some();
     let gone = view.voters.iter().filter(gone).count();
--- a/crates/control/src/service_alerts.rs
+++ b/crates/control/src/service_alerts.rs
@@ -1,5 +1,5 @@
-//! States of a service that operators should know of. Each is told when it
-//! begins and not again before it has ended.
+//! Alerts about services. Each is raised once when its condition begins, and
+//! again only after the condition has ended in between.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,20 +10,20 @@
 
 use crate::output::Observation;
 
-/// Pause between looks at all services.
+/// Interval between checks of all services.
 const CHECK_INTERVAL: Duration = Duration::from_secs(5);
-/// Time for which an imbalance may stay above the tolerated one: the churn
-/// budget lets it be mended step by step.
+/// Time for which an imbalance may stay above the tolerated level before it is
+/// reported. The churn budget lets it be corrected only step by step.
 const IMBALANCE_ALERT_DELAY: Duration = Duration::from_secs(60);
 
-/// Imbalance of one service above what is tolerated.
+/// An imbalance of one service above the tolerated level.
 #[derive(Clone, Copy, Debug)]
 struct Imbalance {
     since: Timestamp,
     is_reported: bool,
 }
 
-/// Remembers what was told.
+/// Alert conditions that currently hold.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceAlerts {
     next_check: Timestamp,
@@ -32,7 +32,8 @@
 }
 
 impl ServiceAlerts {
-    /// Looks at the services if it is time; O(services and their back ends).
+    /// Checks all services when a check is due and returns new alerts;
+    /// O(services and their back ends).
     pub fn check<'a>(
         &mut self,
         now: Timestamp,
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,24 +1,24 @@
-//! Settings of the control core.
+//! Settings of the control plane.
 
 use std::time::Duration;
 
 use threadledge_types::{GroupId, Timing};
 
-/// Settings of one router's control core.
+/// Settings of one router's control plane.
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
-    /// Group that decides ownership in this router's region.
+    /// Consensus group that decides ownership in this router's region.
     pub group: GroupId,
-    /// Voters the group should have: 1, 3 or 5.
+    /// Target number of voters in the group: 1, 3 or 5.
     pub group_size: usize,
-    /// Durations shared by the deployment.
+    /// Timing shared by the whole deployment.
     pub timing: Timing,
-    /// Time a router looks for a group before it asks the platform whether to
-    /// found one.
+    /// Time for which a starting router looks for an existing group before it
+    /// asks the platform whether to bootstrap one.
     pub group_discovery_time: Duration,
-    /// Children of each node in the spreading tree.
+    /// Number of children of each node in the tree that spreads records.
     pub fanout: usize,
-    /// Seed of everything drawn at random in the core.
+    /// Seed for all random choices in the control plane.
     pub seed: u64,
 }
 
--- a/crates/control/src/slice_changes.rs
+++ b/crates/control/src/slice_changes.rs
@@ -1,5 +1,5 @@
-//! What became of the slices of a service, counted for the log: one line for
-//! each kind of change in an entry, however many slices the entry changed.
+//! Counts changes of slices for the log: one line for each kind of change in a
+//! log entry, however many slices the entry changed.
 
 use std::collections::BTreeMap;
 
@@ -9,32 +9,32 @@
 
 use crate::output::Observation;
 
-/// What became of a slice.
+/// Kind of change of a slice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SliceChange {
-    /// It had no owner and was given one.
+    /// A slice without an owner was assigned to one.
     Assigned,
-    /// Its handover began.
+    /// The handover of a slice started.
     MoveStarted,
-    /// Its handover ended; the next owner owns it.
+    /// The handover of a slice was completed; the next owner owns it.
     MoveCompleted,
-    /// Its handover was given up.
+    /// The handover of a slice was cancelled.
     MoveCancelled,
-    /// A part of it became a slice of its own.
+    /// A part of a slice became a separate slice.
     Split,
-    /// It was joined to the slice before it.
+    /// A slice was merged into the preceding one.
     Merged,
 }
 
-/// Counts the changes of one entry of the log.
+/// Counts of the changes in one log entry.
 #[derive(Debug, Default)]
 pub(crate) struct SliceChanges {
     counts: BTreeMap<(ServiceId, SliceChange), u64>,
 }
 
 impl SliceChanges {
-    /// Counts one change. `planner` must not have followed it yet: it holds
-    /// the slice as it was before.
+    /// Counts one change. Call this before `planner` observes the change,
+    /// because the previous state of the slice is read from it.
     pub fn count(&mut self, change: &RecordChange, planner: &Planner) {
         let (service, change) = match change {
             RecordChange::Slice(after) => {
@@ -44,8 +44,8 @@
             }
             RecordChange::SliceRemoved(key) => {
                 let before = planner.slice_record(key);
-                // A service that was never used is divided anew without an
-                // owner noticing.
+                // A service that was never used may be divided again; no owner
+                // is affected, so this is not counted.
                 let merged = before.is_some_and(|before| before.owner.is_some());
                 (&key.service, merged.then_some(SliceChange::Merged))
             }
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The counts as observations.
+    /// Converts the counts to observations.
     pub fn into_observations(self) -> impl Iterator<Item = Observation> {
         self.counts
             .into_iter()
--- a/crates/control/src/view.rs
+++ b/crates/control/src/view.rs
@@ -1,28 +1,28 @@
-//! What a router outside the group knows about it.
+//! The view of the group that routers outside it hold.
 
 use serde::{Deserialize, Serialize};
 use threadledge_types::{Generation, RouterId, RouterIdentity};
 
-/// Members of a group as one of them last told. Carried along with spread
-/// messages, so that every router knows where the tree has its roots.
+/// Members of a group as last reported by one of them. It is attached to spread
+/// messages, so that every router knows the roots of the tree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupView {
-    /// GroupBootstrap of the group.
+    /// Generation of the group.
     pub generation: Generation,
     /// Consensus term in which the view was taken.
     pub term: u64,
     /// Commit index at which the view was taken.
     pub index: u64,
-    /// The leader, first in order of preference as a parent.
+    /// The leader, preferred as a parent in the tree.
     pub leader: Option<RouterId>,
     /// The voters.
     pub voters: Vec<RouterIdentity>,
 }
 
-/// Order of views: a later one replaces an earlier one.
+/// Version of a view. A later one replaces an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ViewVersion {
-    /// GroupBootstrap of the group.
+    /// Generation of the group.
     pub generation: Generation,
     /// Consensus term.
     pub term: u64,
@@ -31,7 +31,7 @@
 }
 
 impl GroupView {
-    /// Position of this view among all views of the group.
+    /// Version of this view, for comparison with other views of the group.
     pub fn version(&self) -> ViewVersion {
         ViewVersion {
             generation: self.generation,
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -82,7 +82,10 @@
     let stolen = back_end("two", "thief", 4_000, stamp(11, 1));
     let event = ConfigurationEvent::BackEndChanged(observed_back_end(stolen));
     let statuses = alone.configure(event);
-    assert!(matches!(statuses[0].acceptance, AcceptanceResult::Rejected(_)));
+    assert!(matches!(
+        statuses[0].acceptance,
+        AcceptanceResult::Rejected(_)
+    ));
     let thief = BackEndId::new("two", "thief");
     assert!(alone.node.replica().back_end(&thief).is_none());
 }
