--- a/crates/spread/src/change_log.rs
+++ b/crates/spread/src/change_log.rs
@@ -15,12 +15,12 @@
 
 impl Position {
     /// The first possible position of a revision.
-    pub(crate) const fn first_of(index: u64) -> Self {
+    pub(crate) const fn min_of_index(index: u64) -> Self {
         Position { index, ordinal: 0 }
     }
 
     /// The last possible position of a revision.
-    pub(crate) const fn last_of(index: u64) -> Self {
+    pub(crate) const fn max_of_index(index: u64) -> Self {
         Position {
             index,
             ordinal: u32::MAX,
@@ -49,21 +49,21 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ChangeLog {
     order: BTreeMap<Position, LogEntry>,
-    removals: BTreeMap<RecordKey, Position>,
-    removal_order: BTreeSet<Position>,
+    tombstones: BTreeMap<RecordKey, Position>,
+    tombstone_order: BTreeSet<Position>,
     pruned_through: Position,
-    max_removals: usize,
+    max_tombstones: usize,
 }
 
 impl ChangeLog {
     /// A log that knows of no removal up to and including `complete_from`.
-    pub(crate) fn new(max_removals: usize, complete_from: Position) -> Self {
+    pub(crate) fn new(max_tombstones: usize, complete_from: Position) -> Self {
         ChangeLog {
             order: BTreeMap::new(),
-            removals: BTreeMap::new(),
-            removal_order: BTreeSet::new(),
+            tombstones: BTreeMap::new(),
+            tombstone_order: BTreeSet::new(),
             pruned_through: complete_from,
-            max_removals,
+            max_tombstones,
         }
     }
 
@@ -71,12 +71,17 @@
     ///
     /// A record that is written with the value it had moves as well: another
     /// copy may have seen a different value in between.
-    pub(crate) fn written(&mut self, key: RecordKey, previous: Option<Position>, at: Position) {
-        self.forget(previous);
+    pub(crate) fn record_write(
+        &mut self,
+        key: RecordKey,
+        previous: Option<Position>,
+        at: Position,
+    ) {
+        self.remove_entry(previous);
         // The removal of a service also removes its slices, so it stays in the
         // log when a service comes back under the same name.
         if !matches!(key, RecordKey::Service(_)) {
-            self.forget_removal(&key);
+            self.remove_tombstone(&key);
         }
         let removed = false;
         self.order.insert(at, LogEntry { key, removed });
@@ -84,18 +89,23 @@
 
     /// Notes that a record was removed, even one that this copy never had:
     /// a copy below may have it.
-    pub(crate) fn removed(&mut self, key: RecordKey, previous: Option<Position>, at: Position) {
-        self.forget(previous);
-        self.forget_removal(&key);
-        self.removals.insert(key.clone(), at);
-        self.removal_order.insert(at);
+    pub(crate) fn record_removal(
+        &mut self,
+        key: RecordKey,
+        previous: Option<Position>,
+        at: Position,
+    ) {
+        self.remove_entry(previous);
+        self.remove_tombstone(&key);
+        self.tombstones.insert(key.clone(), at);
+        self.tombstone_order.insert(at);
         let removed = true;
         self.order.insert(at, LogEntry { key, removed });
         self.prune();
     }
 
     /// Drops the entry at `previous`, whose record goes with another.
-    pub(crate) fn forget(&mut self, previous: Option<Position>) {
+    pub(crate) fn remove_entry(&mut self, previous: Option<Position>) {
         if let Some(previous) = previous {
             self.order.remove(&previous);
         }
@@ -107,7 +117,10 @@
     }
 
     /// Entries after `position`, in order.
-    pub(crate) fn after(&self, position: Position) -> impl Iterator<Item = (Position, &LogEntry)> {
+    pub(crate) fn entries_after(
+        &self,
+        position: Position,
+    ) -> impl Iterator<Item = (Position, &LogEntry)> {
         use std::ops::Bound::{Excluded, Unbounded};
         self.order
             .range((Excluded(position), Unbounded))
@@ -119,20 +132,20 @@
         self.pruned_through <= position
     }
 
-    fn forget_removal(&mut self, key: &RecordKey) {
-        if let Some(position) = self.removals.remove(key) {
-            self.removal_order.remove(&position);
+    fn remove_tombstone(&mut self, key: &RecordKey) {
+        if let Some(position) = self.tombstones.remove(key) {
+            self.tombstone_order.remove(&position);
             self.order.remove(&position);
         }
     }
 
     fn prune(&mut self) {
-        while self.removal_order.len() > self.max_removals {
-            let Some(oldest) = self.removal_order.pop_first() else {
+        while self.tombstone_order.len() > self.max_tombstones {
+            let Some(oldest) = self.tombstone_order.pop_first() else {
                 return;
             };
             if let Some(entry) = self.order.remove(&oldest) {
-                self.removals.remove(&entry.key);
+                self.tombstones.remove(&entry.key);
             }
             self.pruned_through = oldest;
         }
--- a/crates/spread/src/children.rs
+++ b/crates/spread/src/children.rs
@@ -19,7 +19,7 @@
     /// Revision it has, or will have once the last message arrives.
     have: Revision,
     /// It is being sent pages; a push would not fit between them.
-    in_transfer: bool,
+    is_in_transfer: bool,
     /// This router is its first choice.
     preferred: bool,
     expires_at: Timestamp,
@@ -36,7 +36,7 @@
 
 impl Children {
     /// Answers a pull, or refuses it when there are enough children.
-    pub(crate) fn answer(
+    pub(crate) fn handle_pull(
         &mut self,
         now: Timestamp,
         settings: &Settings,
@@ -70,16 +70,16 @@
         }
         let fresh = confirmed_as_of
             .is_some_and(|confirmed| now.since(confirmed) <= settings.max_parent_staleness);
-        let in_transfer = answer.resume.is_some();
-        if fresh || in_transfer {
+        let is_in_transfer = answer.resume.is_some();
+        if fresh || is_in_transfer {
             let child = Child {
                 identity: from.clone(),
-                have: if in_transfer {
+                have: if is_in_transfer {
                     pull.have
                 } else {
                     replica.revision().max(pull.have)
                 },
-                in_transfer,
+                is_in_transfer,
                 preferred: pull.preferred,
                 expires_at: now + settings.child_expiry,
             };
@@ -117,7 +117,7 @@
         self.expire(now);
         let mut deltas = BTreeMap::new();
         for child in self.by_id.values_mut() {
-            if child.in_transfer || child.have >= replica.revision() {
+            if child.is_in_transfer || child.have >= replica.revision() {
                 continue;
             }
             let delta = deltas
@@ -159,7 +159,7 @@
         }
         self.expire(now);
         if self.by_id.len() >= settings.max_children && preferred {
-            self.evict_one();
+            self.evict_non_preferring();
         }
         self.by_id.len() < settings.max_children
     }
@@ -167,10 +167,10 @@
     /// Gives up one child whose first choice is another router. It learns so
     /// from its next pull. Without this, children that lost their parents
     /// could keep the rightful ones out.
-    fn evict_one(&mut self) {
+    fn evict_non_preferring(&mut self) {
         let mut children = self.by_id.iter();
-        let stray = children.find(|(_, child)| !child.preferred);
-        if let Some(id) = stray.map(|(id, _)| *id) {
+        let non_preferring = children.find(|(_, child)| !child.preferred);
+        if let Some(id) = non_preferring.map(|(id, _)| *id) {
             self.by_id.remove(&id);
         }
     }
@@ -183,8 +183,8 @@
 /// The delta to push to a child at `have`, unless it is too large.
 fn push_delta(replica: &Replica, have: Revision, settings: &Settings) -> Option<RecordDelta> {
     let page = replica.page(have, None, limits(settings));
-    let whole = page.resume.is_none() && !page.delta.full;
-    whole.then_some(page.delta)
+    let is_complete = page.resume.is_none() && !page.delta.full;
+    is_complete.then_some(page.delta)
 }
 
 fn limits(settings: &Settings) -> PageLimits {
--- a/crates/spread/src/intern.rs
+++ b/crates/spread/src/intern.rs
@@ -12,14 +12,14 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Interner<T> {
     known: BTreeSet<Arc<T>>,
-    collect_at: usize,
+    collect_threshold: usize,
 }
 
 impl<T: Clone + Ord> Interner<T> {
     pub(crate) fn new() -> Self {
         Interner {
             known: BTreeSet::new(),
-            collect_at: MIN_COLLECTION_SIZE,
+            collect_threshold: MIN_COLLECTION_SIZE,
         }
     }
 
@@ -28,7 +28,7 @@
         if let Some(shared) = self.known.get(value) {
             return Arc::clone(shared);
         }
-        if self.known.len() >= self.collect_at {
+        if self.known.len() >= self.collect_threshold {
             self.collect();
         }
         let shared = Arc::new(value.clone());
@@ -40,6 +40,6 @@
     /// since the last time, because the bound doubles.
     fn collect(&mut self) {
         self.known.retain(|shared| Arc::strong_count(shared) > 1);
-        self.collect_at = (self.known.len() * 2).max(MIN_COLLECTION_SIZE);
+        self.collect_threshold = (self.known.len() * 2).max(MIN_COLLECTION_SIZE);
     }
 }
--- a/crates/spread/src/node.rs
+++ b/crates/spread/src/node.rs
@@ -131,15 +131,15 @@
                 let settings = &self.settings;
                 let answer = self
                     .children
-                    .answer(now, settings, from, &pull, confirmed, replica);
+                    .handle_pull(now, settings, from, &pull, confirmed, replica);
                 outputs.push(answer);
             }
             SpreadMessage::Answer(answer) => {
                 self.puller
-                    .answered(now, &self.settings, from.id, answer, replica);
+                    .on_response(now, &self.settings, from.id, answer, replica);
             }
             SpreadMessage::Busy { sequence, .. } => {
-                self.puller.refused(now, &self.settings, from.id, sequence);
+                self.puller.on_busy(now, &self.settings, from.id, sequence);
             }
             SpreadMessage::Push(delta) => {
                 if let Err(ApplyError::Gap { .. }) = replica.apply(&delta) {
--- a/crates/spread/src/parents.rs
+++ b/crates/spread/src/parents.rs
@@ -15,18 +15,18 @@
     current: usize,
     attempts: u32,
     /// Since when a less preferred candidate is in use.
-    away_since: Option<Timestamp>,
+    off_preferred_since: Option<Timestamp>,
     /// While the preferred candidate is tried again, the one to go back to.
     fallback: Option<usize>,
 }
 
 /// What follows from giving a candidate up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NextStep {
+pub(crate) enum RetryDecision {
     /// Another candidate may be tried at once.
-    TryNow,
+    Now,
     /// All were tried; wait before the next round.
-    Wait,
+    Later,
 }
 
 impl Parents {
@@ -65,7 +65,7 @@
     /// passed since it was left.
     pub(crate) fn retry_preferred(&mut self, now: Timestamp, retry_after: Duration) {
         let due = self
-            .away_since
+            .off_preferred_since
             .is_some_and(|since| now >= since + retry_after);
         if due && self.fallback.is_none() {
             self.fallback = Some(self.current);
@@ -79,42 +79,42 @@
         self.attempts = 0;
         self.fallback = None;
         if self.current == 0 {
-            self.away_since = None;
+            self.off_preferred_since = None;
         }
     }
 
     /// The parent in use did not answer in time.
-    pub(crate) fn timed_out(&mut self, now: Timestamp) -> NextStep {
+    pub(crate) fn timed_out(&mut self, now: Timestamp) -> RetryDecision {
         self.attempts += 1;
         if self.attempts < MAX_ATTEMPTS && self.fallback.is_none() {
-            return NextStep::TryNow;
+            return RetryDecision::Now;
         }
-        self.give_up(now)
+        self.advance_to_next(now)
     }
 
     /// The parent in use refused, or is itself cut off: go on to the next.
-    pub(crate) fn give_up(&mut self, now: Timestamp) -> NextStep {
+    pub(crate) fn advance_to_next(&mut self, now: Timestamp) -> RetryDecision {
         self.attempts = 0;
         if let Some(fallback) = self.fallback.take() {
             self.current = fallback;
-            self.away_since = Some(now);
-            return NextStep::TryNow;
+            self.off_preferred_since = Some(now);
+            return RetryDecision::Now;
         }
         let next = self.current + 1;
         if next >= self.candidates.len() {
             self.select(0, now);
-            return NextStep::Wait;
+            return RetryDecision::Later;
         }
         self.select(next, now);
-        NextStep::TryNow
+        RetryDecision::Now
     }
 
     fn select(&mut self, index: usize, now: Timestamp) {
         self.current = index;
         if index == 0 {
-            self.away_since = None;
+            self.off_preferred_since = None;
         } else {
-            self.away_since.get_or_insert(now);
+            self.off_preferred_since.get_or_insert(now);
         }
     }
 
--- a/crates/spread/src/puller.rs
+++ b/crates/spread/src/puller.rs
@@ -9,7 +9,7 @@
 use crate::apply::ApplyError;
 use crate::message::{Pull, PullResponse, Resume, SpreadMessage};
 use crate::node::SpreadOutput;
-use crate::parents::{NextStep, Parents};
+use crate::parents::{Parents, RetryDecision};
 use crate::replica::Replica;
 use crate::settings::Settings;
 use crate::transfer::{PageResult, Transfer};
@@ -34,7 +34,7 @@
     sequence: u64,
     sent: VecDeque<SentPull>,
     /// The pull whose answer is awaited, and until when.
-    awaited: Option<(u64, Timestamp)>,
+    pending: Option<(u64, Timestamp)>,
     next_pull_at: Timestamp,
     /// Something became known while an answer was awaited that the answer
     /// may not yet contain.
@@ -49,7 +49,7 @@
             parents: Parents::default(),
             sequence: 0,
             sent: VecDeque::new(),
-            awaited: None,
+            pending: None,
             next_pull_at: now,
             pull_again: false,
             transfer: None,
@@ -70,7 +70,7 @@
     /// Takes new candidates for the parent.
     pub(crate) fn set_parents(&mut self, candidates: Vec<RouterIdentity>, now: Timestamp) {
         if self.parents.replace(candidates, now) {
-            self.awaited = None;
+            self.pending = None;
             self.transfer = None;
             self.next_pull_at = now;
         }
@@ -78,7 +78,7 @@
 
     /// Pulls as soon as no answer is awaited.
     pub(crate) fn pull_now(&mut self, now: Timestamp) {
-        if self.awaited.is_some() {
+        if self.pending.is_some() {
             self.pull_again = true;
         } else {
             self.next_pull_at = self.next_pull_at.min(now);
@@ -92,12 +92,12 @@
         settings: &Settings,
         replica: &Replica,
     ) -> Option<SpreadOutput> {
-        if self.awaited.is_some_and(|(_, until)| now >= until) {
-            self.awaited = None;
-            let step = self.parents.timed_out(now);
-            self.after_failure(step, now, settings.pull_timeout);
+        if self.pending.is_some_and(|(_, until)| now >= until) {
+            self.pending = None;
+            let decision = self.parents.timed_out(now);
+            self.after_failure(decision, now, settings.pull_timeout);
         }
-        if self.awaited.is_some() || now < self.next_pull_at {
+        if self.pending.is_some() || now < self.next_pull_at {
             return None;
         }
         if self.transfer.is_none() {
@@ -107,7 +107,7 @@
     }
 
     /// Takes an answer. Returns whether the replica advanced.
-    pub(crate) fn answered(
+    pub(crate) fn on_response(
         &mut self,
         now: Timestamp,
         settings: &Settings,
@@ -115,44 +115,44 @@
         answer: PullResponse,
         replica: &mut Replica,
     ) -> bool {
-        let Some(pull) = self.take_sent(from, answer.sequence) else {
+        let Some(pull) = self.remove_sent_pull(from, answer.sequence) else {
             return false;
         };
-        let awaited = self.stop_awaiting(answer.sequence);
-        if awaited {
+        let pending = self.clear_pending(answer.sequence);
+        if pending {
             let again = std::mem::take(&mut self.pull_again);
             let next = pull.sent_at + settings.confirm_interval;
             self.next_pull_at = if again { now } else { next };
         }
         let before = replica.revision();
         let staleness = answer.staleness_micros.map(Duration::from_micros);
-        if self.take_delta(now, &pull, answer, replica) {
-            self.confirm_from(&pull, staleness);
+        if self.apply_response(now, &pull, answer, replica) {
+            self.confirm_as_of_pull(&pull, staleness);
         }
-        if awaited || self.parents.is_current(from) {
-            self.judge_parent(now, settings, awaited, staleness);
+        if pending || self.parents.is_current(from) {
+            self.update_parent(now, settings, pending, staleness);
         }
         replica.revision() > before
     }
 
     /// Takes a refusal.
-    pub(crate) fn refused(
+    pub(crate) fn on_busy(
         &mut self,
         now: Timestamp,
         settings: &Settings,
         from: RouterId,
         sequence: u64,
     ) {
-        if self.take_sent(from, sequence).is_some() && self.stop_awaiting(sequence) {
-            let step = self.parents.give_up(now);
-            self.after_failure(step, now, settings.pull_timeout);
+        if self.remove_sent_pull(from, sequence).is_some() && self.clear_pending(sequence) {
+            let decision = self.parents.advance_to_next(now);
+            self.after_failure(decision, now, settings.pull_timeout);
         }
     }
 
     /// When the next pull or timeout is due.
     pub(crate) fn next_wakeup(&self) -> Option<Timestamp> {
         self.parents.current()?;
-        Some(match self.awaited {
+        Some(match self.pending {
             Some((_, until)) => until,
             None => self.next_pull_at,
         })
@@ -178,43 +178,43 @@
             preferred: self.parents.is_preferred(),
             resume: transfer.map(Transfer::resume),
         };
-        self.remember(SentPull {
+        self.record_sent_pull(SentPull {
             sequence: pull.sequence,
             parent: parent.id,
             sent_at: now,
             have: pull.have,
             resume: pull.resume,
         });
-        self.awaited = Some((pull.sequence, now + settings.pull_timeout));
+        self.pending = Some((pull.sequence, now + settings.pull_timeout));
         Some(SpreadOutput::Send {
             to: parent,
             message: Box::new(SpreadMessage::Pull(pull)),
         })
     }
 
-    fn remember(&mut self, pull: SentPull) {
+    fn record_sent_pull(&mut self, pull: SentPull) {
         if self.sent.len() >= MAX_REMEMBERED_PULLS {
             self.sent.pop_front();
         }
         self.sent.push_back(pull);
     }
 
-    fn take_sent(&mut self, from: RouterId, sequence: u64) -> Option<SentPull> {
+    fn remove_sent_pull(&mut self, from: RouterId, sequence: u64) -> Option<SentPull> {
         let matches = |pull: &SentPull| pull.sequence == sequence && pull.parent == from;
         let index = self.sent.iter().position(matches)?;
         self.sent.remove(index)
     }
 
     /// Whether the answer with this number was awaited.
-    fn stop_awaiting(&mut self, sequence: u64) -> bool {
-        self.awaited
-            .take_if(|(awaited, _)| *awaited == sequence)
+    fn clear_pending(&mut self, sequence: u64) -> bool {
+        self.pending
+            .take_if(|(pending, _)| *pending == sequence)
             .is_some()
     }
 
     /// Takes the changes of an answer. Returns whether the replica has all
     /// that the parent had when it answered.
-    fn take_delta(
+    fn apply_response(
         &mut self,
         now: Timestamp,
         pull: &SentPull,
@@ -265,7 +265,7 @@
     /// The parent answered no earlier than the pull was sent, so the moment
     /// confirmed is no later than the parent's, however long pull and answer
     /// were under way. Around a cycle of parents it therefore never advances.
-    fn confirm_from(&mut self, pull: &SentPull, staleness: Option<Duration>) {
+    fn confirm_as_of_pull(&mut self, pull: &SentPull, staleness: Option<Duration>) {
         let Some(staleness) = staleness else {
             return;
         };
@@ -277,26 +277,26 @@
 
     /// Stays with a parent that is itself confirmed and leaves one that is
     /// not: it may hang below this router, or be cut off from the leader.
-    fn judge_parent(
+    fn update_parent(
         &mut self,
         now: Timestamp,
         settings: &Settings,
-        awaited: bool,
+        pending: bool,
         staleness: Option<Duration>,
     ) {
         let fresh = staleness.is_some_and(|age| age <= settings.max_parent_staleness);
         if fresh || self.transfer.is_some() {
             self.parents.succeeded();
-        } else if awaited {
-            self.parents.give_up(now);
+        } else if pending {
+            self.parents.advance_to_next(now);
             self.next_pull_at = now + settings.pull_timeout;
         }
     }
 
-    fn after_failure(&mut self, step: NextStep, now: Timestamp, wait: Duration) {
-        self.next_pull_at = match step {
-            NextStep::TryNow => now,
-            NextStep::Wait => now + wait,
+    fn after_failure(&mut self, decision: RetryDecision, now: Timestamp, wait: Duration) {
+        self.next_pull_at = match decision {
+            RetryDecision::Now => now,
+            RetryDecision::Later => now + wait,
         };
     }
 }
--- a/crates/spread/src/replica.rs
+++ b/crates/spread/src/replica.rs
@@ -75,7 +75,7 @@
         if revision <= self.revision {
             return;
         }
-        self.clear(Position::last_of(revision.index));
+        self.clear(Position::max_of_index(revision.index));
         self.advance_to(revision, changes);
         self.tables.slices.compact();
         self.tables.log.compact();
@@ -112,7 +112,7 @@
     /// ends, sessions and slices, and the other removals last.
     pub fn ordered_delta_since(&self, from: Revision) -> RecordDelta {
         let mut delta = self.page(from, None, PageLimits::NONE).delta;
-        delta.changes.sort_by_key(dependency_rank);
+        delta.changes.sort_by_key(dependency_order);
         delta
     }
 
@@ -126,7 +126,7 @@
         let continued = resume.is_some_and(|resume| self.can_continue(&resume));
         let resume = match resume {
             Some(resume) if continued => resume,
-            _ => self.begin_transfer(from),
+            _ => self.start_transfer(from),
         };
         let mut cursor = Position {
             index: resume.index,
@@ -134,9 +134,9 @@
         };
         let mut builder = PageBuilder::new(limits);
         let mut more = false;
-        for (position, entry) in self.tables.log.after(cursor) {
-            let needless = resume.full && entry.removed && position.index <= resume.began.index;
-            if !needless && !builder.add(self.tables.change(entry)) {
+        for (position, entry) in self.tables.log.entries_after(cursor) {
+            let is_skippable = resume.full && entry.removed && position.index <= resume.began.index;
+            if !is_skippable && !builder.add(self.tables.change(entry)) {
                 more = true;
                 break;
             }
@@ -225,8 +225,11 @@
         let services = services.map(|record| RecordChange::Service(Box::new(record)));
         let sessions = self.sessions().cloned().map(RecordChange::Session);
         let slices = self.slices().map(RecordChange::Slice);
-        let named = back_ends.chain(services);
-        named.chain(sessions).chain(slices).collect()
+        let back_ends_and_services = back_ends.chain(services);
+        back_ends_and_services
+            .chain(sessions)
+            .chain(slices)
+            .collect()
     }
 
     /// The slices of one service, in the order of their points.
@@ -269,7 +272,7 @@
         // A full transfer began from nothing and needs the removals since; a
         // difference needs those that earlier pages did not yet carry.
         let needed_after = if resume.full {
-            Position::last_of(resume.began.index)
+            Position::max_of_index(resume.began.index)
         } else {
             cursor
         };
@@ -278,8 +281,8 @@
             && self.tables.log.is_complete_after(needed_after)
     }
 
-    fn begin_transfer(&self, from: Revision) -> Resume {
-        let after = Position::last_of(from.index);
+    fn start_transfer(&self, from: Revision) -> Resume {
+        let after = Position::max_of_index(from.index);
         let full = from.generation != self.revision.generation
             || !self.tables.log.is_complete_after(after);
         let cursor = if full { Position::default() } else { after };
@@ -299,12 +302,12 @@
     /// grows.
     fn advance_to(&mut self, revision: Revision, changes: &[RecordChange]) {
         debug_assert!(revision > self.revision);
-        let mut position = Position::first_of(revision.index);
+        let mut position = Position::min_of_index(revision.index);
         for change in changes {
             // Ordinals start at 1, so that no entry stands at the default
             // position, which is the cursor before everything.
             position.ordinal += 1;
-            self.tables.put(change, position);
+            self.tables.apply_change(change, position);
         }
         self.revision = revision;
     }
@@ -313,7 +316,7 @@
 /// Place of a kind of change in [`Replica::ordered_delta_since`]. Sorting is safe
 /// there because the log holds one entry for each record, and no slice older
 /// than the removal of its service.
-fn dependency_rank(change: &RecordChange) -> u8 {
+fn dependency_order(change: &RecordChange) -> u8 {
     match change {
         RecordChange::ServiceRemoved(_) => 0,
         RecordChange::Service(_) => 1,
--- a/crates/spread/src/tables.rs
+++ b/crates/spread/src/tables.rs
@@ -48,7 +48,7 @@
     }
 
     /// Carries one change out and notes it in the order of changes.
-    pub(crate) fn put(&mut self, change: &RecordChange, position: Position) {
+    pub(crate) fn apply_change(&mut self, change: &RecordChange, position: Position) {
         match change {
             RecordChange::Service(record) => self.put_service(record, position),
             RecordChange::ServiceRemoved(id) => self.remove_service(id, position),
@@ -67,16 +67,18 @@
         let versioned = Versioned { record, position };
         let old = self.services.insert(Arc::clone(&id), versioned);
         let previous = old.map(|old| old.position);
-        self.log.written(RecordKey::Service(id), previous, position);
+        self.log
+            .record_write(RecordKey::Service(id), previous, position);
     }
 
     fn remove_service(&mut self, id: &ServiceId, position: Position) {
         let id = self.service_ids.intern(id);
         for slice in self.slices.remove_service(&id) {
-            self.log.forget(Some(slice));
+            self.log.remove_entry(Some(slice));
         }
         let previous = self.services.remove(&id).map(|old| old.position);
-        self.log.removed(RecordKey::Service(id), previous, position);
+        self.log
+            .record_removal(RecordKey::Service(id), previous, position);
     }
 
     fn put_back_end(&mut self, record: &BackEndRecord, position: Position) {
@@ -85,13 +87,15 @@
         let versioned = Versioned { record, position };
         let old = self.back_ends.insert(Arc::clone(&id), versioned);
         let previous = old.map(|old| old.position);
-        self.log.written(RecordKey::BackEnd(id), previous, position);
+        self.log
+            .record_write(RecordKey::BackEnd(id), previous, position);
     }
 
     fn remove_back_end(&mut self, id: &BackEndId, position: Position) {
         let id = self.back_end_ids.intern(id);
         let previous = self.back_ends.remove(&id).map(|old| old.position);
-        self.log.removed(RecordKey::BackEnd(id), previous, position);
+        self.log
+            .record_removal(RecordKey::BackEnd(id), previous, position);
     }
 
     fn put_session(&mut self, record: &SessionRecord, position: Position) {
@@ -100,13 +104,15 @@
         let versioned = Versioned { record, position };
         let old = self.sessions.insert(Arc::clone(&id), versioned);
         let previous = old.map(|old| old.position);
-        self.log.written(RecordKey::Session(id), previous, position);
+        self.log
+            .record_write(RecordKey::Session(id), previous, position);
     }
 
     fn remove_session(&mut self, id: &SessionId, position: Position) {
         let id = self.session_ids.intern(id);
         let previous = self.sessions.remove(&id).map(|old| old.position);
-        self.log.removed(RecordKey::Session(id), previous, position);
+        self.log
+            .record_removal(RecordKey::Session(id), previous, position);
     }
 
     fn put_slice(&mut self, record: &SliceRecord, position: Position) {
@@ -123,27 +129,27 @@
         };
         let previous = self.slices.insert(Arc::clone(&service), first, entry);
         let key = RecordKey::Slice(service, first);
-        self.log.written(key, previous, position);
+        self.log.record_write(key, previous, position);
     }
 
     fn remove_slice(&mut self, key: &SliceKey, position: Position) {
         let service = self.service_ids.intern(&key.service);
         let previous = self.slices.remove(&service, key.first);
         let key = RecordKey::Slice(service, key.first);
-        self.log.removed(key, previous, position);
+        self.log.record_removal(key, previous, position);
     }
 
     /// The change that an entry of the log stands for.
     pub(crate) fn change(&self, entry: &LogEntry) -> RecordChange {
-        let written = if entry.removed {
+        let current = if entry.removed {
             None
         } else {
-            self.written_change(&entry.key)
+            self.current_record(&entry.key)
         };
-        written.unwrap_or_else(|| removal(&entry.key))
+        current.unwrap_or_else(|| removal_change(&entry.key))
     }
 
-    fn written_change(&self, key: &RecordKey) -> Option<RecordChange> {
+    fn current_record(&self, key: &RecordKey) -> Option<RecordChange> {
         match key {
             RecordKey::Service(id) => {
                 let record = self.services.get(id)?.record.clone();
@@ -164,7 +170,7 @@
     }
 }
 
-fn removal(key: &RecordKey) -> RecordChange {
+fn removal_change(key: &RecordKey) -> RecordChange {
     match key {
         RecordKey::Service(id) => RecordChange::ServiceRemoved(id.as_ref().clone()),
         RecordKey::BackEnd(id) => RecordChange::BackEndRemoved(id.as_ref().clone()),
