--- a/crates/spread/src/apply.rs
+++ b/crates/spread/src/apply.rs
@@ -2,7 +2,7 @@
 
 use threadledge_types::{GroupId, Revision};
 
-/// A delta was applied.
+/// Revisions before and after a delta was applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Applied {
     /// Revision before.
@@ -11,7 +11,7 @@
     pub to: Revision,
 }
 
-/// Why a delta was not applied. The copy is unchanged.
+/// Reason why a delta was not applied. The copy is unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
     /// The delta starts after the copy's revision, or in another generation.
@@ -22,7 +22,7 @@
         /// Revision the delta starts from.
         from: Revision,
     },
-    /// The delta leads to nothing newer; a copy never goes back.
+    /// The delta does not lead to a newer revision; a copy never goes back.
     #[error("the delta leads to {to}, the copy is at {have} already; drop the delta")]
     Stale {
         /// Revision of the copy.
--- a/crates/spread/src/change_log.rs
+++ b/crates/spread/src/change_log.rs
@@ -1,12 +1,12 @@
-//! The order in which records last changed, removals included.
+//! Log of the last change of each record, including removals.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use threadledge_types::{BackEndId, Point, ServiceId, SessionId};
 
-/// When a record last changed: the index of the revision, and the place among
-/// the changes of that revision.
+/// Position of a change in the log: the index of its revision, and its ordinal
+/// among the changes of that revision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Position {
     pub(crate) index: u64,
@@ -14,12 +14,12 @@
 }
 
 impl Position {
-    /// The first possible position of a revision.
+    /// Returns the lowest position of a revision.
     pub(crate) const fn min_of_index(index: u64) -> Self {
         Position { index, ordinal: 0 }
     }
 
-    /// The last possible position of a revision.
+    /// Returns the highest position of a revision.
     pub(crate) const fn max_of_index(index: u64) -> Self {
         Position {
             index,
@@ -37,15 +37,16 @@
     Slice(Arc<ServiceId>, Point),
 }
 
-/// What happened at a position.
+/// Entry of the log: a record that was written or removed.
 #[derive(Clone, Debug)]
 pub(crate) struct LogEntry {
     pub(crate) key: RecordKey,
     pub(crate) removed: bool,
 }
 
-/// The last change of every record, in order. Removals are kept up to a
-/// bound; a copy that is older than the oldest one kept needs a full state.
+/// The last change of every record, in order. Removals are kept as tombstones
+/// up to a bound; a copy that is older than the oldest tombstone needs a full
+/// state.
 #[derive(Clone, Debug)]
 pub(crate) struct ChangeLog {
     order: BTreeMap<Position, LogEntry>,
@@ -56,7 +57,8 @@
 }
 
 impl ChangeLog {
-    /// A log that knows of no removal up to and including `complete_from`.
+    /// Creates a log without tombstones for removals up to and including
+    /// `complete_from`.
     pub(crate) fn new(max_tombstones: usize, complete_from: Position) -> Self {
         ChangeLog {
             order: BTreeMap::new(),
@@ -67,10 +69,10 @@
         }
     }
 
-    /// Notes that a record was written. `previous` is where it stood.
+    /// Records the write of a record. `previous` is its former position.
     ///
-    /// A record that is written with the value it had moves as well: another
-    /// copy may have seen a different value in between.
+    /// A record that is written with an unchanged value moves as well, because
+    /// another copy may have seen a different value in between.
     pub(crate) fn record_write(
         &mut self,
         key: RecordKey,
@@ -79,7 +81,7 @@
     ) {
         self.remove_entry(previous);
         // The removal of a service also removes its slices, so it stays in the
-        // log when a service comes back under the same name.
+        // log when a service with the same name is created again.
         if !matches!(key, RecordKey::Service(_)) {
             self.remove_tombstone(&key);
         }
@@ -87,8 +89,8 @@
         self.order.insert(at, LogEntry { key, removed });
     }
 
-    /// Notes that a record was removed, even one that this copy never had:
-    /// a copy below may have it.
+    /// Records the removal of a record, even one that this copy never had,
+    /// because a copy further down the tree may have it.
     pub(crate) fn record_removal(
         &mut self,
         key: RecordKey,
@@ -104,14 +106,16 @@
         self.prune();
     }
 
-    /// Drops the entry at `previous`, whose record goes with another.
+    /// Removes the entry at `previous`, whose record is removed together with
+    /// another.
     pub(crate) fn remove_entry(&mut self, previous: Option<Position>) {
         if let Some(previous) = previous {
             self.order.remove(&previous);
         }
     }
 
-    /// Packs the index, which ordered insertion leaves half empty.
+    /// Rebuilds the index compactly, because ordered insertion leaves its nodes
+    /// half empty.
     pub(crate) fn compact(&mut self) {
         self.order = std::mem::take(&mut self.order).into_iter().collect();
     }
@@ -127,7 +131,7 @@
             .map(|(position, entry)| (*position, entry))
     }
 
-    /// Whether every removal after `position` is known.
+    /// Whether the log has every removal after `position`.
     pub(crate) fn is_complete_after(&self, position: Position) -> bool {
         self.pruned_through <= position
     }
--- a/crates/spread/src/children.rs
+++ b/crates/spread/src/children.rs
@@ -1,4 +1,4 @@
-//! The parent's side: answering pulls and pushing deltas.
+//! The parent's side of spreading: answers pulls and pushes deltas.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,16 +16,16 @@
 #[derive(Debug)]
 struct Child {
     identity: RouterIdentity,
-    /// Revision it has, or will have once the last message arrives.
+    /// Revision that the child has, or will have once the last message arrives.
     have: Revision,
-    /// It is being sent pages; a push would not fit between them.
+    /// Whether it is being sent pages; a push would not fit between them.
     is_in_transfer: bool,
-    /// This router is its first choice.
+    /// Whether this router is its first choice.
     preferred: bool,
     expires_at: Timestamp,
 }
 
-/// The routers that pull from this one. Their number is bounded, which bounds
+/// The routers that pull from this one. Their number is bounded, which limits
 /// both memory and the cost of a push.
 #[derive(Debug, Default)]
 pub(crate) struct Children {
@@ -61,7 +61,8 @@
             resume: None,
             continued: false,
         };
-        // A child ahead of this copy gets no delta: nothing is newer here.
+        // A child that is ahead of this copy gets no delta, because there is
+        // nothing newer here.
         if replica.revision() > pull.have {
             let page = replica.page(pull.have, pull.resume, limits(settings));
             answer.delta = Some(page.delta);
@@ -85,14 +86,14 @@
             };
             self.by_id.insert(from.id, child);
         } else {
-            // It will leave for a confirmed parent; it must not take the
-            // place of one that stays.
+            // The child will move to a confirmed parent, so it must not take
+            // the place of one that stays.
             self.by_id.remove(&from.id);
         }
         send(from, SpreadMessage::Answer(answer))
     }
 
-    /// Notes that the replica advanced, so that a push is due.
+    /// Schedules a push after the replica advanced.
     pub(crate) fn replica_advanced(&mut self, now: Timestamp, settings: &Settings) {
         let earliest = match self.last_push {
             Some(last) => now.max(last + settings.push_interval),
@@ -101,7 +102,7 @@
         self.push_due.get_or_insert(earliest);
     }
 
-    /// Pushes to every child that lacks something, if a push is due.
+    /// Pushes to every child that is behind, if a push is due.
     pub(crate) fn push_if_due(
         &mut self,
         now: Timestamp,
@@ -130,19 +131,20 @@
                     revision: replica.revision(),
                 },
             };
-            // If the push is lost, the next one leaves a gap and the child
+            // If the push is lost, the child detects a gap at the next one and
             // pulls.
             child.have = replica.revision();
             outputs.push(send(child.identity.clone(), message));
         }
     }
 
-    /// When the next push is due.
+    /// Time of the next push.
     pub(crate) fn next_wakeup(&self) -> Option<Timestamp> {
         self.push_due
     }
 
-    /// Number of children, those that will soon be forgotten included.
+    /// Number of children, including expired ones that have not been removed
+    /// yet.
     pub(crate) fn len(&self) -> usize {
         self.by_id.len()
     }
@@ -164,9 +166,9 @@
         self.by_id.len() < settings.max_children
     }
 
-    /// Gives up one child whose first choice is another router. It learns so
-    /// from its next pull. Without this, children that lost their parents
-    /// could keep the rightful ones out.
+    /// Drops one child whose first choice is another router; it learns of this
+    /// at its next pull. Otherwise children that lost their own parents could
+    /// keep out those for which this router is the first choice.
     fn evict_non_preferring(&mut self) {
         let mut children = self.by_id.iter();
         let non_preferring = children.find(|(_, child)| !child.preferred);
@@ -180,7 +182,7 @@
     }
 }
 
-/// The delta to push to a child at `have`, unless it is too large.
+/// Returns the delta to push to a child at `have`, unless it is too large.
 fn push_delta(replica: &Replica, have: Revision, settings: &Settings) -> Option<RecordDelta> {
     let page = replica.page(have, None, limits(settings));
     let is_complete = page.resume.is_none() && !page.delta.full;
@@ -194,7 +196,8 @@
     }
 }
 
-/// Age of a confirmation, lengthened by what this clock may run slow.
+/// Returns the age of a confirmation in microseconds, increased by the maximum
+/// drift of this clock.
 fn staleness_micros(age: Duration, drift_percent: u64) -> u64 {
     let micros = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
     let drift = (micros / 100).saturating_mul(drift_percent);
--- a/crates/spread/src/intern.rs
+++ b/crates/spread/src/intern.rs
@@ -3,12 +3,14 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Unused identifiers are dropped once this many are held and at least half
-/// of them may be unused.
+/// Minimum number of identifiers held before unused ones are dropped. After
+/// each collection the threshold is twice the number still in use, so that at
+/// least half of them may be unused when it is reached.
 const MIN_COLLECTION_SIZE: usize = 64;
 
-/// Keeps one copy of each identifier. A million slices name a few hundred
-/// services and sessions, so a copy in every record would dominate memory.
+/// Keeps one shared copy of each identifier. A million slices refer to a few
+/// hundred services and sessions, so a copy in every record would dominate
+/// memory.
 #[derive(Clone, Debug)]
 pub(crate) struct Interner<T> {
     known: BTreeSet<Arc<T>>,
@@ -23,7 +25,7 @@
         }
     }
 
-    /// The shared copy of `value`.
+    /// Returns the shared copy of `value`.
     pub(crate) fn intern(&mut self, value: &T) -> Arc<T> {
         if let Some(shared) = self.known.get(value) {
             return Arc::clone(shared);
@@ -36,8 +38,9 @@
         shared
     }
 
-    /// Drops what nobody else holds. Its cost is spread over the insertions
-    /// since the last time, because the bound doubles.
+    /// Drops identifiers that are not used elsewhere. The cost is amortized
+    /// over the insertions since the last collection, because the threshold
+    /// doubles.
     fn collect(&mut self) {
         self.known.retain(|shared| Arc::strong_count(shared) > 1);
         self.collect_threshold = (self.known.len() * 2).max(MIN_COLLECTION_SIZE);
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -1,8 +1,9 @@
-//! Copies of a group's records on every router of its region.
+//! Spreads copies of a group's records to every router of its region.
 //!
-//! [`Replica`] holds the copy and makes and applies deltas. [`SpreadNode`] is
-//! the pure core that pulls deltas from a parent in the fan-out tree, pushes
-//! them to its children, and says since when the copy is confirmed.
+//! [`Replica`] holds the copy and creates and applies deltas. [`SpreadNode`] is
+//! the sans-I/O state machine that pulls deltas from a parent in the fan-out
+//! tree, pushes them to its children, and reports as of when the copy is
+//! confirmed to be up to date.
 
 mod apply;
 mod change_log;
--- a/crates/spread/src/message.rs
+++ b/crates/spread/src/message.rs
@@ -1,30 +1,30 @@
-//! Messages between the spreading cores of two routers.
+//! Messages between the spread nodes of two routers.
 
 use serde::{Deserialize, Serialize};
 use threadledge_types::records::RecordDelta;
 use threadledge_types::{GroupId, Revision};
 
-/// One message; [`Settings::max_page_bytes`](crate::Settings::max_page_bytes)
-/// bounds the changes in it.
+/// A message between spread nodes. The changes in it are bounded by
+/// [`Settings::max_page_bytes`](crate::Settings::max_page_bytes).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum SpreadMessage {
-    /// Child to parent: asks for what is new.
+    /// Child to parent: requests changes.
     Pull(Pull),
     /// Parent to child: answers a pull.
     Answer(PullResponse),
-    /// Parent to child: refuses a pull, because it serves enough children.
-    /// The child tries the next candidate.
+    /// Parent to child: refuses a pull because it has enough children. The
+    /// child tries the next candidate.
     Busy {
         /// Group of the pull.
         group: GroupId,
-        /// Number of the pull.
+        /// Sequence number of the pull.
         sequence: u64,
     },
-    /// Parent to child: what is new, unasked. It confirms nothing, for the
-    /// child cannot tell how long it was under way.
+    /// Parent to child: sends changes without a pull. It confirms nothing,
+    /// because the child cannot tell how long the message was in transit.
     Push(RecordDelta),
-    /// Parent to child: more is new than fits a push; pull now.
+    /// Parent to child: there are more changes than fit into a push; pull now.
     Advanced {
         /// Group that advanced.
         group: GroupId,
@@ -45,59 +45,59 @@
     }
 }
 
-/// Asks a parent for what is new.
+/// Requests the changes since a revision from a parent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Pull {
-    /// Group whose records are meant.
+    /// Group of the records.
     pub group: GroupId,
-    /// Chosen by the child, echoed in the answer.
+    /// Sequence number chosen by the child and echoed in the answer.
     pub sequence: u64,
     /// Revision of the child's copy.
     pub have: Revision,
-    /// The parent is the child's first choice. A parent that serves enough
-    /// children gives up another one for it.
+    /// Whether the parent is the child's first choice. A parent that has enough
+    /// children drops another one for it.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub preferred: bool,
-    /// Continues a transfer of several pages.
+    /// Position at which a transfer of several pages continues.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub resume: Option<Resume>,
 }
 
-/// Answers a pull.
+/// Response to a pull.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct PullResponse {
     /// Group of the pull.
     pub group: GroupId,
-    /// Number of the pull.
+    /// Sequence number of the pull.
     pub sequence: u64,
-    /// Age of the parent's own confirmation when it answered, in
-    /// microseconds, drift added; `None` when it never had one.
+    /// Age of the parent's own confirmation when it answered, in microseconds,
+    /// with the clock drift added; `None` if it never had one.
     pub staleness_micros: Option<u64>,
-    /// What is new; `None` when the child's copy is as new as the parent's.
+    /// The changes; `None` when the child's copy is as new as the parent's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delta: Option<RecordDelta>,
     /// Where the next page begins; `None` when this is the last one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub resume: Option<Resume>,
-    /// The delta goes on where the pull's `resume` pointed; if not, it is the
+    /// Whether the delta continues at the pull's `resume`; if not, it is the
     /// first page of a new transfer.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub continued: bool,
 }
 
-/// Place in the parent's order of changes at which a transfer goes on. Only
-/// the parent that issued it can read it.
+/// Position in the parent's change log at which a transfer continues. Only the
+/// parent that issued it can interpret it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Resume {
     /// Revision of the parent when the transfer began.
     pub began: Revision,
-    /// The transfer carries the whole state.
+    /// Whether the transfer carries the full state.
     pub full: bool,
     /// Index at which the last record sent had changed.
     pub index: u64,
-    /// Place of that record among those that changed at the same index.
+    /// Ordinal of that record among those that changed at the same index.
     pub ordinal: u32,
 }
--- a/crates/spread/src/node.rs
+++ b/crates/spread/src/node.rs
@@ -1,4 +1,4 @@
-//! The steppable core of spreading.
+//! The sans-I/O state machine that spreads records.
 
 use threadledge_types::records::RecordDelta;
 use threadledge_types::{GroupId, RouterIdentity, Timestamp};
@@ -10,7 +10,7 @@
 use crate::replica::Replica;
 use crate::settings::Settings;
 
-/// What a [`SpreadNode`] is stepped with.
+/// Input of a [`SpreadNode`].
 #[derive(Clone, Debug)]
 pub enum SpreadInput {
     /// Time has passed.
@@ -24,29 +24,29 @@
     },
     /// Routers to pull from, best first; empty for the root.
     Parents(Vec<RouterIdentity>),
-    /// This router is the leader with a valid leader lease now, and its
-    /// replica has every entry committed before its election.
+    /// This router is now the leader with a valid leader lease, and its replica
+    /// has every entry committed before its election.
     RootConfirmed,
     /// The replica advanced by a local commit.
     ReplicaAdvanced,
 }
 
-/// What a [`SpreadNode`] asks for or reports.
+/// Output of a [`SpreadNode`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum SpreadOutput {
     /// Send a message. It may be lost.
     Send {
-        /// Where to.
+        /// The receiver.
         to: RouterIdentity,
         /// The message.
         message: Box<SpreadMessage>,
     },
-    /// The replica advanced by this delta. A record comes after those it
-    /// names.
+    /// The replica advanced by this delta. Its changes are ordered so that a
+    /// record comes after those it refers to.
     Applied(RecordDelta),
 }
 
-/// One router's part in the spreading of one group's records.
+/// One router's node in the tree that spreads one group's records.
 #[derive(Debug)]
 pub struct SpreadNode {
     settings: Settings,
@@ -58,7 +58,7 @@
 }
 
 impl SpreadNode {
-    /// A node without parents or children.
+    /// Creates a node without parents or children.
     pub fn new(settings: Settings, own: RouterIdentity, group: GroupId, now: Timestamp) -> Self {
         SpreadNode {
             settings,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Takes one input at `now` and returns what follows from it.
+    /// Handles one input at `now` and returns the resulting outputs.
     pub fn step(
         &mut self,
         now: Timestamp,
@@ -99,14 +99,13 @@
         outputs
     }
 
-    /// A reading of this router's clock such that the replica has every
-    /// change that the leader had committed by then; `None` when there is no
-    /// such reading yet.
+    /// Time, by this router's clock, as of which the replica has every change
+    /// that the leader had committed; `None` if nothing was confirmed yet.
     pub fn confirmed_as_of(&self) -> Option<Timestamp> {
         self.puller.confirmed_as_of()
     }
 
-    /// When [`SpreadNode::step`] wants to be called next, at the latest.
+    /// Latest time of the next call of [`SpreadNode::step`].
     pub fn next_wakeup(&self) -> Timestamp {
         self.next_wakeup
     }
--- a/crates/spread/src/page.rs
+++ b/crates/spread/src/page.rs
@@ -1,4 +1,4 @@
-//! Pages: deltas cut to a size.
+//! Pages: parts of a delta with a bounded size.
 
 use std::io;
 
@@ -9,34 +9,34 @@
 /// One page of a delta.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DeltaPage {
-    /// The changes of this page. A copy has the revision `to` only when it
-    /// applied the changes of all pages together.
+    /// The changes of this page. A copy reaches the revision `to` only after
+    /// applying the changes of all pages together.
     pub delta: RecordDelta,
     /// Where the next page begins; `None` when this is the last one.
     pub resume: Option<Resume>,
-    /// The page goes on where the resume token of the request pointed; if
+    /// Whether the page continues at the resume position of the request; if
     /// not, it is the first page of a new transfer.
     pub continued: bool,
 }
 
-/// Largest size of one page. A page has at least one change, however large.
+/// Maximum size of one page. A page has at least one change, however large.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PageLimits {
-    /// Most changes.
+    /// Maximum number of changes.
     pub max_changes: usize,
-    /// Most bytes of changes, as JSON.
+    /// Maximum size of the changes, in bytes of JSON.
     pub max_bytes: usize,
 }
 
 impl PageLimits {
-    /// No limit: one page carries everything.
+    /// No limit: one page holds everything.
     pub const NONE: PageLimits = PageLimits {
         max_changes: usize::MAX,
         max_bytes: usize::MAX,
     };
 }
 
-/// Fills one page.
+/// Collects the changes of one page.
 #[derive(Debug)]
 pub(crate) struct PageBuilder {
     limits: PageLimits,
@@ -77,15 +77,16 @@
 /// Length of a change as JSON, with the comma that follows it.
 fn json_bytes(change: &RecordChange) -> usize {
     let mut counter = ByteCounter(1);
-    // Records are plain data and the counter takes every write, so this does
-    // not fail; if it ever did, the change would count as large.
+    // Serializing records does not fail, because they are plain data and the
+    // counter accepts every write. If it ever did, the change would count as
+    // large.
     match serde_json::to_writer(&mut counter, change) {
         Ok(()) => counter.0,
         Err(_) => usize::MAX / 2,
     }
 }
 
-/// Counts what is written to it.
+/// Writer that counts bytes.
 struct ByteCounter(usize);
 
 impl io::Write for ByteCounter {
--- a/crates/spread/src/parents.rs
+++ b/crates/spread/src/parents.rs
@@ -1,11 +1,11 @@
-//! The child's choice among its candidates for a parent.
+//! Selection of the parent among the candidates of a child.
 
 use std::time::Duration;
 
 use threadledge_types::{RouterId, RouterIdentity, Timestamp};
 
-/// A pull is sent to the same candidate this many times before the next one
-/// is tried, so that one lost message does not change the tree.
+/// Number of pulls sent to the same candidate before the next one is tried, so
+/// that one lost message does not change the tree.
 const MAX_ATTEMPTS: u32 = 2;
 
 /// Candidates for the parent, best first, and the one in use.
@@ -14,23 +14,24 @@
     candidates: Vec<RouterIdentity>,
     current: usize,
     attempts: u32,
-    /// Since when a less preferred candidate is in use.
+    /// Time since which a less preferred candidate is in use.
     off_preferred_since: Option<Timestamp>,
-    /// While the preferred candidate is tried again, the one to go back to.
+    /// The candidate to return to, while the preferred one is being tried
+    /// again.
     fallback: Option<usize>,
 }
 
-/// What follows from giving a candidate up.
+/// When to pull after leaving a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RetryDecision {
-    /// Another candidate may be tried at once.
+    /// Another candidate may be tried immediately.
     Now,
-    /// All were tried; wait before the next round.
+    /// All candidates were tried; wait before the next round.
     Later,
 }
 
 impl Parents {
-    /// Takes new candidates and returns whether the parent in use changed.
+    /// Sets new candidates and returns whether the parent in use changed.
     pub(crate) fn replace(&mut self, candidates: Vec<RouterIdentity>, now: Timestamp) -> bool {
         if candidates == self.candidates {
             return false;
@@ -61,8 +62,8 @@
         self.current == 0
     }
 
-    /// Goes back to the preferred candidate for a trial, if `retry_after` has
-    /// passed since it was left.
+    /// Tries the preferred candidate again if `retry_after` has passed since it
+    /// was left.
     pub(crate) fn retry_preferred(&mut self, now: Timestamp, retry_after: Duration) {
         let due = self
             .off_preferred_since
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The parent in use answered well.
+    /// Records a good answer of the parent in use.
     pub(crate) fn succeeded(&mut self) {
         self.attempts = 0;
         self.fallback = None;
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The parent in use did not answer in time.
+    /// Records that the parent in use did not answer in time.
     pub(crate) fn timed_out(&mut self, now: Timestamp) -> RetryDecision {
         self.attempts += 1;
         if self.attempts < MAX_ATTEMPTS && self.fallback.is_none() {
@@ -92,7 +93,8 @@
         self.advance_to_next(now)
     }
 
-    /// The parent in use refused, or is itself cut off: go on to the next.
+    /// Moves on to the next candidate, because the parent in use refused or is
+    /// itself cut off.
     pub(crate) fn advance_to_next(&mut self, now: Timestamp) -> RetryDecision {
         self.attempts = 0;
         if let Some(fallback) = self.fallback.take() {
--- a/crates/spread/src/puller.rs
+++ b/crates/spread/src/puller.rs
@@ -1,4 +1,5 @@
-//! The child's side: pulling from a parent and confirming the revision.
+//! The child's side of spreading: pulls from a parent and confirms the
+//! revision.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,7 +15,8 @@
 use crate::settings::Settings;
 use crate::transfer::{PageResult, Transfer};
 
-/// How many pulls are remembered, so that a late answer still counts.
+/// Maximum number of sent pulls that are remembered, so that late answers still
+/// count.
 const MAX_REMEMBERED_PULLS: usize = 8;
 
 /// A pull that was sent.
@@ -33,11 +35,11 @@
     parents: Parents,
     sequence: u64,
     sent: VecDeque<SentPull>,
-    /// The pull whose answer is awaited, and until when.
+    /// Sequence number of the pull whose answer is pending, and its timeout.
     pending: Option<(u64, Timestamp)>,
     next_pull_at: Timestamp,
-    /// Something became known while an answer was awaited that the answer
-    /// may not yet contain.
+    /// Whether to pull again right after the pending answer, because something
+    /// became known that the answer may not contain yet.
     pull_again: bool,
     transfer: Option<Transfer>,
     confirmed_as_of: Option<Timestamp>,
@@ -62,12 +64,12 @@
         self.confirmed_as_of
     }
 
-    /// Raises the confirmation; an earlier one never replaces a later one.
+    /// Advances the confirmation; an earlier one never replaces a later one.
     pub(crate) fn confirm(&mut self, as_of: Timestamp) {
         self.confirmed_as_of = self.confirmed_as_of.max(Some(as_of));
     }
 
-    /// Takes new candidates for the parent.
+    /// Sets new candidates for the parent.
     pub(crate) fn set_parents(&mut self, candidates: Vec<RouterIdentity>, now: Timestamp) {
         if self.parents.replace(candidates, now) {
             self.pending = None;
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Pulls as soon as no answer is awaited.
+    /// Schedules a pull as soon as no answer is pending.
     pub(crate) fn pull_now(&mut self, now: Timestamp) {
         if self.pending.is_some() {
             self.pull_again = true;
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Gives up on a late answer and sends a pull, where due.
+    /// Handles a timeout and sends a pull if one is due.
     pub(crate) fn tick(
         &mut self,
         now: Timestamp,
@@ -106,7 +108,7 @@
         self.send_pull(now, settings, replica)
     }
 
-    /// Takes an answer. Returns whether the replica advanced.
+    /// Handles the answer to a pull. Returns whether the replica advanced.
     pub(crate) fn on_response(
         &mut self,
         now: Timestamp,
@@ -135,7 +137,7 @@
         replica.revision() > before
     }
 
-    /// Takes a refusal.
+    /// Handles the refusal of a pull.
     pub(crate) fn on_busy(
         &mut self,
         now: Timestamp,
@@ -149,7 +151,7 @@
         }
     }
 
-    /// When the next pull or timeout is due.
+    /// Time of the next pull or timeout.
     pub(crate) fn next_wakeup(&self) -> Option<Timestamp> {
         self.parents.current()?;
         Some(match self.pending {
@@ -173,7 +175,7 @@
         let pull = Pull {
             group: replica.group(),
             sequence: self.sequence,
-            // A transfer goes on from the revision at which it began.
+            // A transfer continues from the revision at which it began.
             have: transfer.map_or(replica.revision(), Transfer::from),
             preferred: self.parents.is_preferred(),
             resume: transfer.map(Transfer::resume),
@@ -205,15 +207,16 @@
         self.sent.remove(index)
     }
 
-    /// Whether the answer with this number was awaited.
+    /// Clears the pending pull if it has this sequence number. Returns whether
+    /// it had.
     fn clear_pending(&mut self, sequence: u64) -> bool {
         self.pending
             .take_if(|(pending, _)| *pending == sequence)
             .is_some()
     }
 
-    /// Takes the changes of an answer. Returns whether the replica has all
-    /// that the parent had when it answered.
+    /// Applies the changes of an answer. Returns whether the replica has
+    /// everything that the parent had when it answered.
     fn apply_response(
         &mut self,
         now: Timestamp,
@@ -233,7 +236,7 @@
         }
         let expected = self.transfer.as_ref().map(Transfer::resume);
         if pull.resume != expected {
-            // A repeated page, or one of a transfer that was given up.
+            // A duplicate page, or one of a transfer that was abandoned.
             return false;
         }
         let current = self.transfer.take();
@@ -259,24 +262,25 @@
         }
     }
 
-    /// Confirms as of the time the pull was sent, less the age of the
+    /// Confirms the copy as of the time the pull was sent, minus the age of the
     /// parent's own confirmation when it answered.
     ///
-    /// The parent answered no earlier than the pull was sent, so the moment
+    /// The parent answered no earlier than the pull was sent, so the time
     /// confirmed is no later than the parent's, however long pull and answer
-    /// were under way. Around a cycle of parents it therefore never advances.
+    /// were in transit. In a cycle of parents it therefore never advances.
     fn confirm_as_of_pull(&mut self, pull: &SentPull, staleness: Option<Duration>) {
         let Some(staleness) = staleness else {
             return;
         };
-        // A moment before this clock's origin can not be expressed.
+        // A time before the origin of this clock cannot be represented.
         if pull.sent_at.since(Timestamp::ZERO) >= staleness {
             self.confirm(pull.sent_at - staleness);
         }
     }
 
-    /// Stays with a parent that is itself confirmed and leaves one that is
-    /// not: it may hang below this router, or be cut off from the leader.
+    /// Keeps a parent that is itself confirmed and leaves one that is not,
+    /// because that one may be below this router in the tree or cut off from
+    /// the leader.
     fn update_parent(
         &mut self,
         now: Timestamp,
--- a/crates/spread/src/replica.rs
+++ b/crates/spread/src/replica.rs
@@ -11,14 +11,13 @@
 use crate::page::{DeltaPage, PageBuilder, PageLimits};
 use crate::tables::Tables;
 
-/// Most removed records remembered, if not set otherwise.
+/// Default maximum number of tombstones.
 const DEFAULT_MAX_TOMBSTONES: usize = 4_096;
 
-/// A copy of one group's records, with the revision at which each last
-/// changed.
+/// A copy of one group's records, with the revision at which each last changed.
 ///
 /// Invariant: the records are exactly those of the group's log at
-/// [`Replica::revision`], which never decreases (kept in `advance_to`, the
+/// [`Replica::revision`], which never decreases (ensured by `advance_to`, the
 /// only place that sets it).
 #[derive(Clone, Debug)]
 pub struct Replica {
@@ -29,12 +28,13 @@
 }
 
 impl Replica {
-    /// An empty copy.
+    /// Creates an empty copy.
     pub fn new(group: GroupId) -> Self {
         Replica::with_max_tombstones(group, DEFAULT_MAX_TOMBSTONES)
     }
 
-    /// An empty copy that remembers at most `max_tombstones` removed records.
+    /// Creates an empty copy that keeps at most `max_tombstones` removed
+    /// records.
     pub fn with_max_tombstones(group: GroupId, max_tombstones: usize) -> Self {
         Replica {
             group,
@@ -54,11 +54,11 @@
         self.revision
     }
 
-    /// Takes the changes of one committed entry, at a member of the group.
+    /// Applies the changes of one committed entry, on a member of the group.
     ///
-    /// Entries at or below the copy's revision are ignored: the copy has them
-    /// already. The first entry of a later generation starts from an empty
-    /// state, as that generation's log does.
+    /// Entries at or below the copy's revision are ignored, because the copy
+    /// already has them. The first entry of a later generation starts from an
+    /// empty state, as that generation's log does.
     pub fn commit(&mut self, revision: Revision, changes: &[RecordChange]) {
         if revision <= self.revision {
             return;
@@ -69,7 +69,7 @@
         self.advance_to(revision, changes);
     }
 
-    /// Replaces the whole copy, after a restored snapshot. Ignored when
+    /// Replaces the entire copy after a snapshot was restored. Ignored when
     /// `revision` is not above the copy's.
     pub fn replace(&mut self, revision: Revision, changes: &[RecordChange]) {
         if revision <= self.revision {
@@ -96,9 +96,9 @@
         Ok(Applied { from, to: delta.to })
     }
 
-    /// The first page, of at most `max_changes`, of what changed since `from`.
-    /// It is the whole state when `from` is of another generation or older
-    /// than the removals remembered.
+    /// Returns the first page, of at most `max_changes`, of the changes since
+    /// `from`. It is part of the full state when `from` is of another
+    /// generation or older than the tombstones kept.
     pub fn delta_since(&self, from: Revision, max_changes: usize) -> DeltaPage {
         let limits = PageLimits {
             max_changes,
@@ -107,21 +107,21 @@
         self.page(from, None, limits)
     }
 
-    /// Everything that changed since `from`, ordered so that a record comes
-    /// after those it names: removed services first, then services, back
-    /// ends, sessions and slices, and the other removals last.
+    /// Returns all changes since `from`, ordered so that a record comes after
+    /// those it refers to: removed services first, then services, back ends,
+    /// sessions and slices, and the other removals last.
     pub fn ordered_delta_since(&self, from: Revision) -> RecordDelta {
         let mut delta = self.page(from, None, PageLimits::NONE).delta;
         delta.changes.sort_by_key(dependency_order);
         delta
     }
 
-    /// One page of what changed since `from`, going on at `resume`.
+    /// Returns one page of the changes since `from`, continuing at `resume`.
     ///
     /// The copy may advance between two pages: a record that changes moves to
-    /// the end of the order, so a later page carries it, and the pages
-    /// together lead to the revision of the last one. When a removal that the
-    /// receiver needs is no longer remembered, the transfer starts again.
+    /// the end of the log, so a later page carries it, and the pages together
+    /// lead to the revision of the last one. When a tombstone that the receiver
+    /// needs was already dropped, the transfer starts again.
     pub fn page(&self, from: Revision, resume: Option<Resume>, limits: PageLimits) -> DeltaPage {
         let continued = resume.is_some_and(|resume| self.can_continue(&resume));
         let resume = match resume {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// A service by id.
+    /// Returns a service by id.
     pub fn service(&self, id: &ServiceId) -> Option<&ServiceRecord> {
         self.tables
             .services
@@ -167,7 +167,7 @@
             .map(|versioned| &versioned.record)
     }
 
-    /// A back end by id.
+    /// Returns a back end by id.
     pub fn back_end(&self, id: &BackEndId) -> Option<&BackEndRecord> {
         self.tables
             .back_ends
@@ -175,7 +175,7 @@
             .map(|versioned| &versioned.record)
     }
 
-    /// A session by id.
+    /// Returns a session by id.
     pub fn session(&self, id: &SessionId) -> Option<&SessionRecord> {
         self.tables
             .sessions
@@ -183,7 +183,7 @@
             .map(|versioned| &versioned.record)
     }
 
-    /// A slice by its start.
+    /// Returns a slice by its first point.
     pub fn slice(&self, key: &SliceKey) -> Option<SliceRecord> {
         self.tables.slices.get(&key.service, key.first)
     }
@@ -217,7 +217,8 @@
         self.tables.slices.iter()
     }
 
-    /// Every record, for a new founding from this copy.
+    /// Returns every record, for bootstrapping a new generation of the group
+    /// from this copy.
     pub fn records(&self) -> Vec<RecordChange> {
         let back_ends = self.back_ends().cloned();
         let back_ends = back_ends.map(|record| RecordChange::BackEnd(Box::new(record)));
@@ -269,8 +270,8 @@
             index: resume.index,
             ordinal: resume.ordinal,
         };
-        // A full transfer began from nothing and needs the removals since; a
-        // difference needs those that earlier pages did not yet carry.
+        // A full transfer began from an empty copy and needs the removals since
+        // then; a delta needs those that earlier pages did not carry yet.
         let needed_after = if resume.full {
             Position::max_of_index(resume.began.index)
         } else {
@@ -298,14 +299,14 @@
         self.tables = Tables::new(self.max_tombstones, complete_from);
     }
 
-    /// The only place that changes the revision; callers checked that it
-    /// grows.
+    /// The only place that changes the revision; callers have checked that it
+    /// increases.
     fn advance_to(&mut self, revision: Revision, changes: &[RecordChange]) {
         debug_assert!(revision > self.revision);
         let mut position = Position::min_of_index(revision.index);
         for change in changes {
-            // Ordinals start at 1, so that no entry stands at the default
-            // position, which is the cursor before everything.
+            // Ordinals start at 1, so that no entry has the default position,
+            // which is the cursor before all entries.
             position.ordinal += 1;
             self.tables.apply_change(change, position);
         }
@@ -313,8 +314,8 @@
     }
 }
 
-/// Place of a kind of change in [`Replica::ordered_delta_since`]. Sorting is safe
-/// there because the log holds one entry for each record, and no slice older
+/// Sort key of a kind of change in [`Replica::ordered_delta_since`]. Sorting is
+/// safe there because the log holds one entry per record, and no slice older
 /// than the removal of its service.
 fn dependency_order(change: &RecordChange) -> u8 {
     match change {
--- a/crates/spread/src/settings.rs
+++ b/crates/spread/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the spreading of records.
+//! Settings for spreading records.
 
 use std::time::Duration;
 
@@ -9,29 +9,28 @@
 pub struct Settings {
     /// Interval at which a router pulls from its parent.
     pub confirm_interval: Duration,
-    /// A pull without answer for this long goes to the next candidate.
+    /// Timeout of a pull; afterwards the next candidate is tried.
     pub pull_timeout: Duration,
-    /// A parent whose own confirmation is older than this is left for the
-    /// next candidate.
+    /// Maximum age of a parent's own confirmation; with an older one the next
+    /// candidate is tried.
     pub max_parent_staleness: Duration,
-    /// A router that does not pull from its preferred parent tries it again
-    /// after this time.
+    /// Time after which a router that left its preferred parent tries it again.
     pub preferred_retry: Duration,
-    /// Shortest time between two rounds of pushes.
+    /// Minimum time between two rounds of pushes.
     pub push_interval: Duration,
-    /// Most children served at once; others are refused as busy.
+    /// Maximum number of children; further ones are refused as busy.
     pub max_children: usize,
-    /// A child that did not pull for this long is forgotten.
+    /// Time without a pull after which a child is removed.
     pub child_expiry: Duration,
-    /// Largest difference in rate between two machines' clocks, in percent.
+    /// Maximum difference in rate between two machines' clocks, in percent.
     pub drift_percent: u64,
-    /// Most bytes of changes in one message, as JSON. A single change larger
-    /// than this travels alone.
+    /// Maximum size of the changes in one message, in bytes of JSON. A single
+    /// larger change is sent alone.
     pub max_page_bytes: usize,
 }
 
 impl Settings {
-    /// Settings that follow from the timing of a deployment.
+    /// Derives the settings from the timing of a deployment.
     pub fn from_timing(timing: &Timing) -> Self {
         let confirm = timing.confirm();
         Settings {
--- a/crates/spread/src/slice_table.rs
+++ b/crates/spread/src/slice_table.rs
@@ -1,4 +1,4 @@
-//! The slices of a copy, held compactly.
+//! Compact table of the slices of a copy.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 use crate::change_log::Position;
 
-/// One slice without the identifiers that its neighbours repeat.
+/// One slice without the identifiers that adjacent slices repeat.
 #[derive(Clone, Debug)]
 pub(crate) struct SliceEntry {
     pub(crate) last: Point,
@@ -67,7 +67,8 @@
         slices.into_values().map(|entry| entry.position).collect()
     }
 
-    /// Packs the table, which ordered insertion leaves half empty.
+    /// Rebuilds the table compactly, because ordered insertion leaves its nodes
+    /// half empty.
     pub(crate) fn compact(&mut self) {
         for slices in self.services.values_mut() {
             *slices = std::mem::take(slices).into_iter().collect();
--- a/crates/spread/src/tables.rs
+++ b/crates/spread/src/tables.rs
@@ -12,7 +12,7 @@
 use crate::intern::Interner;
 use crate::slice_table::{SliceEntry, SliceTable};
 
-/// A record and where it last changed.
+/// A record and the position of its last change.
 #[derive(Clone, Debug)]
 pub(crate) struct Versioned<R> {
     pub(crate) record: R,
@@ -33,7 +33,7 @@
 }
 
 impl Tables {
-    /// Empty tables; removals up to `complete_from` are unknown.
+    /// Creates empty tables; removals up to `complete_from` are unknown.
     pub(crate) fn new(max_tombstones: usize, complete_from: Position) -> Self {
         Tables {
             services: BTreeMap::new(),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Carries one change out and notes it in the order of changes.
+    /// Applies one change and records it in the change log.
     pub(crate) fn apply_change(&mut self, change: &RecordChange, position: Position) {
         match change {
             RecordChange::Service(record) => self.put_service(record, position),
@@ -139,7 +139,7 @@
         self.log.record_removal(key, previous, position);
     }
 
-    /// The change that an entry of the log stands for.
+    /// Returns the change that a log entry represents.
     pub(crate) fn change(&self, entry: &LogEntry) -> RecordChange {
         let current = if entry.removed {
             None
--- a/crates/spread/src/transfer.rs
+++ b/crates/spread/src/transfer.rs
@@ -1,13 +1,13 @@
-//! Putting the pages of one transfer together.
+//! Assembles the pages of one transfer.
 
 use threadledge_types::records::{RecordChange, RecordDelta};
 use threadledge_types::{Revision, RouterId};
 
 use crate::message::{PullResponse, Resume};
 
-/// Pages received so far of a transfer that is under way. The copy is not
-/// touched until the last page is here, so that it never shows a mixture of
-/// two revisions.
+/// Pages received so far of a transfer in progress. The copy is not changed
+/// until the last page has arrived, so that it never shows a mixture of two
+/// revisions.
 #[derive(Debug)]
 pub(crate) struct Transfer {
     parent: RouterId,
@@ -17,7 +17,7 @@
     resume: Resume,
 }
 
-/// What a page led to.
+/// Result of adding a page.
 #[derive(Debug)]
 pub(crate) enum PageResult {
     /// The delta is complete.
@@ -29,7 +29,7 @@
 }
 
 impl Transfer {
-    /// Router that sends the pages.
+    /// Parent that sends the pages.
     pub(crate) fn parent(&self) -> RouterId {
         self.parent
     }
@@ -44,8 +44,8 @@
         self.resume
     }
 
-    /// Adds the page that answers a pull at revision `have` for the place
-    /// where `current` goes on.
+    /// Adds the page that answers a pull at revision `have` for the position
+    /// where `current` continues.
     pub(crate) fn add_page(
         current: Option<Transfer>,
         parent: RouterId,
