--- a/crates/control/tests/observations.rs
+++ b/crates/control/tests/observations.rs
@@ -1,11 +1,13 @@
-//! What the leader tells of slices and services, for the log.
+//! Observations of the leader about slices and services.
 
 mod support;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use support::{Alone, back_end, observed_back_end, observed_service, service, stamp};
+use support::{
+    SingleRouter, back_end, object_version, observed_back_end, observed_service, service,
+};
 use threadledge_control::{ConfigurationEvent, Input, Observation, Output, SliceChange};
 use threadledge_ownership::holder::Holder;
 use threadledge_types::session::LeaseRequest;
@@ -13,27 +15,27 @@
 
 const TICK: Duration = Duration::from_millis(20);
 
-/// A leader with back ends that answer at once.
+/// A leader with back ends that answer immediately.
 struct Group {
-    alone: Alone,
+    router: SingleRouter,
     holders: BTreeMap<BackEndId, Holder>,
     observations: Vec<Observation>,
 }
 
 impl Group {
-    /// Accepts `names` as back ends of one service.
+    /// Creates a leader that has accepted `names` as back ends of one service.
     fn new(names: &[&str]) -> Self {
-        let mut alone = Alone::found();
+        let mut router = SingleRouter::bootstrap();
         for (port, name) in (4_000..).zip(names) {
-            let object = back_end("one", name, port, stamp(10, 1));
-            alone.configure(ConfigurationEvent::BackEndChanged(observed_back_end(
+            let object = back_end("one", name, port, object_version(10, 1));
+            router.configure(ConfigurationEvent::BackEndChanged(observed_back_end(
                 object,
             )));
         }
-        let object = service("one", "gallery", "gallery.example", stamp(10, 1));
-        alone.configure(ConfigurationEvent::ServiceChanged(observed_service(object)));
+        let object = service("one", "gallery", "gallery.example", object_version(10, 1));
+        router.configure(ConfigurationEvent::ServiceChanged(observed_service(object)));
         Group {
-            alone,
+            router,
             holders: BTreeMap::new(),
             observations: Vec::new(),
         }
@@ -45,23 +47,23 @@
         self.holders.insert(id, holder);
     }
 
-    /// Lets time pass and collects what is observed meanwhile.
+    /// Runs for `time` and collects the observations made.
     fn run(&mut self, time: Duration) {
-        let end = self.alone.now + time;
-        while self.alone.now < end {
-            self.alone.now = self.alone.now + TICK;
-            let outputs = self.alone.step(Input::Tick);
-            self.carry_out(outputs);
+        let end = self.router.now + time;
+        while self.router.now < end {
+            self.router.now = self.router.now + TICK;
+            let outputs = self.router.step(Input::Tick);
+            self.handle_outputs(outputs);
         }
     }
 
-    fn carry_out(&mut self, outputs: Vec<Output>) {
+    fn handle_outputs(&mut self, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::SendLease { request, .. } => {
                     let answer = self.answer(*request);
-                    let following = self.alone.step(answer);
-                    self.carry_out(following);
+                    let following = self.router.step(answer);
+                    self.handle_outputs(following);
                 }
                 Output::Observe(observation) => self.observations.push(observation),
                 _ => {}
@@ -74,7 +76,7 @@
         let order = request.order;
         match self.holders.get_mut(&back_end) {
             Some(holder) => {
-                let response = Box::new(holder.handle(self.alone.now, request));
+                let response = Box::new(holder.handle(self.router.now, request));
                 let prepared: Vec<_> = holder.slices_to_prepare().cloned().collect();
                 for grant in prepared {
                     holder.mark_ready(&grant);
@@ -85,7 +87,8 @@
         }
     }
 
-    /// Takes the number of slices observed to have changed so.
+    /// Removes and returns the number of slices observed for each kind of
+    /// change.
     fn take_changes(&mut self) -> BTreeMap<SliceChange, u64> {
         let mut counts = BTreeMap::new();
         for observation in self.observations.drain(..) {
@@ -103,7 +106,7 @@
     group.start("a");
     group.start("b");
     group.run(Duration::from_secs(5));
-    let slices = group.alone.node.replica().slices().count() as u64;
+    let slices = group.router.node.replica().slices().count() as u64;
     let changes = group.take_changes();
     assert_eq!(changes, [(SliceChange::Assigned, slices)].into());
 
@@ -121,22 +124,22 @@
 }
 
 #[test]
-fn service_without_a_back_end_is_told_once_until_it_has_one() {
+fn service_without_a_back_end_raises_one_alert_until_it_has_one() {
     let mut group = Group::new(&["a"]);
     group.run(Duration::from_secs(30));
-    let told = |group: &Group| {
-        let mut told = group.observations.iter();
+    let alert_count = |group: &Group| {
+        let mut alert_count = group.observations.iter();
         let none = |observation: &&Observation| {
             matches!(observation, Observation::NoEligibleBackEnd { .. })
         };
-        told.by_ref().filter(none).count()
+        alert_count.by_ref().filter(none).count()
     };
-    assert_eq!(told(&group), 1);
+    assert_eq!(alert_count(&group), 1);
     group.start("a");
     group.run(Duration::from_secs(10));
-    assert_eq!(told(&group), 1);
-    // Its process is gone, and with its lease its slices have no owner.
+    assert_eq!(alert_count(&group), 1);
+    // The process is gone, and once its lease expires its slices have no owner.
     group.holders.clear();
     group.run(Duration::from_secs(30));
-    assert_eq!(told(&group), 2);
+    assert_eq!(alert_count(&group), 2);
 }
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! One router that founds its group alone, and objects to feed it.
+//! A single router that bootstraps its group, and objects to configure it.
 
 use std::time::Duration;
 
@@ -18,42 +18,42 @@
 
 pub const REGION: &str = "region-0";
 
-/// A router that leads a group of one.
-pub struct Alone {
+/// A router that leads a group of which it is the only member.
+pub struct SingleRouter {
     pub node: ControlNode,
     pub now: Timestamp,
 }
 
-impl Alone {
-    /// Founds the group.
-    pub fn found() -> Self {
+impl SingleRouter {
+    /// Creates the router and bootstraps the group.
+    pub fn bootstrap() -> Self {
         let now = Timestamp::from_millis(1_000);
         let settings = ControlSettings {
             group_size: 1,
             ..Default::default()
         };
-        let mut alone = Alone {
+        let mut router = SingleRouter {
             node: ControlNode::new(settings, identity(1), now),
             now,
         };
-        let asked = alone.run_until(|output| matches!(output, Output::ReadGroupObject));
+        let asked = router.run_until(|output| matches!(output, Output::ReadGroupObject));
         assert!(asked, "the router never asked for its group");
-        let outputs = alone.step(Input::GroupObject(GroupObjectState::Absent));
+        let outputs = router.step(Input::GroupObject(GroupObjectState::Absent));
         let generation = outputs.iter().find_map(|output| match output {
             Output::WriteGroupObject { generation, .. } => Some(*generation),
             _ => None,
         });
         let generation = generation.expect("an absent group is founded");
         let result = GroupWriteResult::Written;
-        alone.step(Input::GroupObjectWritten { generation, result });
-        alone
+        router.step(Input::GroupObjectWritten { generation, result });
+        router
     }
 
     pub fn step(&mut self, input: Input) -> Vec<Output> {
         self.node.step(self.now, input)
     }
 
-    /// Ticks until an output is seen, for two seconds at most.
+    /// Ticks until an output matches, for two seconds at most.
     pub fn run_until(&mut self, wanted: impl Fn(&Output) -> bool) -> bool {
         for _ in 0..100 {
             self.now = self.now + Duration::from_millis(20);
@@ -64,7 +64,7 @@
         false
     }
 
-    /// Feeds one event and returns the statuses that follow from it.
+    /// Handles one event and returns the statuses written in response.
     pub fn configure(&mut self, event: ConfigurationEvent) -> Vec<StatusWrite> {
         let outputs = self.step(Input::Configuration(Box::new(event)));
         statuses(outputs)
@@ -96,22 +96,27 @@
 
 /// Version and generation of an object.
 #[derive(Clone, Copy)]
-pub struct Stamp {
+pub struct ObjectVersion {
     pub version: u64,
     pub generation: i64,
 }
 
-pub fn stamp(version: u64, generation: i64) -> Stamp {
-    Stamp {
+pub fn object_version(version: u64, generation: i64) -> ObjectVersion {
+    ObjectVersion {
         version,
         generation,
     }
 }
 
-pub fn back_end(namespace: &str, name: &str, port: u16, stamp: Stamp) -> BackEndObject {
+pub fn back_end(
+    namespace: &str,
+    name: &str,
+    port: u16,
+    object_version: ObjectVersion,
+) -> BackEndObject {
     object::Object {
         types: None,
-        metadata: metadata(namespace, name, stamp),
+        metadata: metadata(namespace, name, object_version),
         spec: BackEndSpec {
             address: format!("127.0.1.1:{port}").parse().expect("an address"),
             control_address: format!("127.0.1.2:{port}").parse().expect("an address"),
@@ -123,10 +128,15 @@
     }
 }
 
-pub fn service(namespace: &str, name: &str, host: &str, stamp: Stamp) -> KeyedServiceObject {
+pub fn service(
+    namespace: &str,
+    name: &str,
+    host: &str,
+    object_version: ObjectVersion,
+) -> KeyedServiceObject {
     object::Object {
         types: None,
-        metadata: metadata(namespace, name, stamp),
+        metadata: metadata(namespace, name, object_version),
         spec: KeyedServiceSpec {
             region: RegionName::from(REGION),
             hosts: vec![host.to_owned()],
@@ -150,13 +160,13 @@
     }
 }
 
-fn metadata(namespace: &str, name: &str, stamp: Stamp) -> ObjectMeta {
+fn metadata(namespace: &str, name: &str, object_version: ObjectVersion) -> ObjectMeta {
     ObjectMeta {
         namespace: Some(namespace.to_owned()),
         name: Some(name.to_owned()),
         uid: Some(format!("uid-{namespace}-{name}")),
-        resource_version: Some(stamp.version.to_string()),
-        generation: Some(stamp.generation),
+        resource_version: Some(object_version.version.to_string()),
+        generation: Some(object_version.generation),
         labels: Some([("app".to_owned(), "a".to_owned())].into()),
         ..Default::default()
     }
--- a/crates/routing/examples/routing_costs.rs
+++ b/crates/routing/examples/routing_costs.rs
@@ -1,7 +1,8 @@
-//! Measures what the data path's decisions cost: memory for each slice, owner
-//! lookups, deltas, and whole exchanges without I/O.
+//! Measures the cost of the data path's decisions: memory per slice, owner
+//! lookups, deltas, and complete exchanges without I/O.
 //!
-//! `cargo run --release -p threadledge-routing --example routing_costs [SLICES]`
+//! `cargo run --release -p threadledge-routing --example routing_costs
+//! [SLICES]`
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -27,7 +28,7 @@
 const LOOKUPS: u64 = 2_000_000;
 const DELTAS: u64 = 200_000;
 const EXCHANGES: u64 = 200_000;
-/// Bytes of a page, as `/proc/self/statm` counts them.
+/// Bytes per page, the unit of `/proc/self/statm`.
 const PAGE: u64 = 4_096;
 
 fn main() {
@@ -90,14 +91,14 @@
     dispatcher.set_accepting(true);
     let start = Instant::now();
     for number in 0..EXCHANGES {
-        carry_out(&mut dispatcher, number);
+        run_exchange(&mut dispatcher, number);
     }
     let nanos = start.elapsed().as_nanos() / u128::from(EXCHANGES);
     println!("{slices} slices: {nanos} ns for all decisions of one answered exchange");
 }
 
 #[inline(never)]
-fn carry_out(dispatcher: &mut Dispatcher, number: u64) {
+fn run_exchange(dispatcher: &mut Dispatcher, number: u64) {
     let now = Timestamp::ZERO + Duration::from_micros(number * 10);
     let path = format!("/gallery/member-{number}/near");
     let headers: [(&str, &str); 0] = [];
--- a/crates/routing/tests/attempt_outcomes.rs
+++ b/crates/routing/tests/attempt_outcomes.rs
@@ -1,4 +1,4 @@
-//! What attempts say about whether a request ran, exhaustively.
+//! Exhaustive tests of what attempt events show about whether a request ran.
 
 use threadledge_routing::classify::{Execution, RetryContext, classify, may_retry};
 use threadledge_routing::{AttemptEvent, AttemptFailure};
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_request_of_which_nothing_was_sent_was_not_run() {
+fn an_unsent_request_was_not_run() {
     let not_run = Execution::No(NotRunReason::Unreachable);
     assert_eq!(classify(AttemptEvent::ConnectFailed, false), not_run);
     for permitted in [false, true] {
@@ -24,13 +24,13 @@
 }
 
 #[test]
-fn a_report_that_contradicts_the_permission_proves_nothing() {
+fn a_report_that_contradicts_the_permission_is_inconclusive() {
     let maybe = Execution::Maybe(UnknownReason::ConnectionLost);
     assert_eq!(classify(AttemptEvent::ConnectFailed, true), maybe);
 }
 
 #[test]
-fn every_refusal_is_a_request_not_run() {
+fn every_refused_request_was_not_run() {
     for refusal in Refusal::ALL {
         let ran = classify(AttemptEvent::Refused(refusal), true);
         assert_eq!(ran, Execution::No(refusal.into()));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_non_repeatable_request_that_may_have_run_is_never_sent_again() {
+fn a_non_repeatable_request_that_may_have_run_is_never_retried() {
     for context in all_retry_contexts().filter(|context| !context.repeatable) {
         let maybe = Execution::Maybe(UnknownReason::ConnectionLost);
         assert!(!may_retry(maybe, context));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_body_that_is_spent_is_never_sent_again() {
+fn a_sent_body_that_cannot_be_replayed_is_never_retried() {
     for context in all_retry_contexts().filter(|it| it.sent && !it.body_replayable) {
         for ran in [
             Execution::No(NotRunReason::Overloaded),
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn an_unsent_request_may_always_be_sent_again_if_nothing_else_ran() {
+fn an_unsent_request_may_always_be_retried_if_nothing_else_ran() {
     for context in all_retry_contexts().filter(|it| !it.sent && !it.others_may_have_run) {
         let not_run = Execution::No(NotRunReason::Unreachable);
         assert!(may_retry(not_run, context));
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Records and requests for tests.
 #![allow(dead_code)]
 
-pub mod station;
+pub mod overload_model;
 pub mod world;
 
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
     Slice, Timestamp, ZoneName,
 };
 
-pub const NOTHING: [(&str, &str); 0] = [];
+pub const NO_HEADERS: [(&str, &str); 0] = [];
 
 pub fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
@@ -168,7 +168,7 @@
 
 pub fn begin(dispatcher: &mut Dispatcher, now: u64, method: &str, path: &str) -> ExchangeId {
     dispatcher
-        .begin(at(now), &head(method, path, &NOTHING))
+        .begin(at(now), &head(method, path, &NO_HEADERS))
         .expect("admitted")
 }
 
@@ -197,7 +197,7 @@
 }
 
 /// One back end and two routes; requests under `/queued` may queue.
-pub fn simple(slots: u32) -> Dispatcher {
+pub fn dispatcher_with_slots(slots: u32) -> Dispatcher {
     let mut queued = route("queued", "/queued");
     queued.may_queue = true;
     let records = one_back_end(slots, vec![queued, route("r", "/")]);
--- a/crates/routing/tests/common/station.rs
+++ b/crates/routing/tests/common/overload_model.rs
@@ -1,5 +1,5 @@
-//! Routers that share one back end with few slots, in virtual time, under
-//! open load: for overload, priorities and shares.
+//! Simulation of routers that share back ends with few slots, in virtual time
+//! and under open load, for tests of overload, priorities and shares.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -15,34 +15,34 @@
 
 use super::*;
 
-/// One way between router and back end.
+/// One-way network delay between router and back end.
 const NETWORK_MICROS: u64 = 500;
 
-/// Delay of an answer that gets stuck on its connection.
-const STUCK_MICROS: u64 = 300_000;
+/// Delay of a response that is stuck on its connection.
+const STUCK_RESPONSE_MICROS: u64 = 300_000;
 
 type Request = (usize, ExchangeId, AttemptNumber);
 
 #[derive(Debug)]
 enum Event {
     Poll(usize, ExchangeId),
-    Thaw,
+    Unfreeze,
     Connected(Request, Box<Attempt>),
     Arrive(Request, Box<Attempt>),
     Served(String, Request),
     Report(Request, AttemptEvent),
 }
 
-/// A process with slots and a queue of its own.
+/// A back-end process with slots and a queue of its own.
 #[derive(Debug, Default)]
 struct Server {
     running: u32,
     waiting: VecDeque<Request>,
 }
 
-/// How requests of one path fared.
+/// Results of the requests of one path.
 #[derive(Clone, Debug, Default)]
-pub struct Fared {
+pub struct PathStats {
     pub offered: u64,
     pub answered: u64,
     pub not_run: BTreeMap<&'static str, u64>,
@@ -50,7 +50,7 @@
     pub latencies: Vec<Duration>,
 }
 
-impl Fared {
+impl PathStats {
     pub fn answered_share(&self) -> f64 {
         self.answered as f64 / self.offered as f64
     }
@@ -68,7 +68,7 @@
     }
 }
 
-/// One stream of requests.
+/// A stream of requests at a constant rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Stream {
     pub host: &'static str,
@@ -77,29 +77,29 @@
     pub per_second: u64,
 }
 
-pub struct Station {
+pub struct OverloadModel {
     pub routers: Vec<Dispatcher>,
-    pub fared: BTreeMap<&'static str, Fared>,
+    pub stats: BTreeMap<&'static str, PathStats>,
     pub refusals: u64,
-    pub most_open: usize,
-    /// Callers know this many of the routers.
-    pub known_routers: usize,
-    /// One answer in so many gets stuck on its connection; 0 for none.
-    pub stuck_one_in: u64,
+    pub max_open_connections: usize,
+    /// Number of routers that callers use.
+    pub used_routers: usize,
+    /// One response in this many is stuck on its connection; 0 for none.
+    pub stuck_response_interval: u64,
     frozen: bool,
-    held_back: Vec<Event>,
+    deferred_events: Vec<Event>,
     slots: u32,
     server_queue: usize,
     service_micros: u64,
     now: Timestamp,
     events: BTreeMap<(Timestamp, u64), Event>,
-    numbered: u64,
+    event_count: u64,
     servers: BTreeMap<String, Server>,
     started: BTreeMap<(usize, ExchangeId), (Timestamp, &'static str)>,
     open: BTreeMap<Request, ()>,
 }
 
-impl Station {
+impl OverloadModel {
     pub fn new(routers: usize, settings: Settings, records: &RecordDelta) -> Self {
         let routers = (0..routers).map(|number| {
             let mut router = Dispatcher::new(settings.clone(), number as u64, at(0));
@@ -112,28 +112,28 @@
         for router in &mut routers {
             router.set_router_count(at(0), count);
         }
-        Station {
+        OverloadModel {
             routers,
-            fared: BTreeMap::new(),
+            stats: BTreeMap::new(),
             refusals: 0,
-            most_open: 0,
-            known_routers: count as usize,
-            stuck_one_in: 0,
+            max_open_connections: 0,
+            used_routers: count as usize,
+            stuck_response_interval: 0,
             frozen: false,
-            held_back: Vec::new(),
+            deferred_events: Vec::new(),
             slots: 2,
             server_queue: 4,
             service_micros: 10_000,
             now: at(0),
             events: BTreeMap::new(),
-            numbered: 0,
+            event_count: 0,
             servers: BTreeMap::new(),
             started: BTreeMap::new(),
             open: BTreeMap::new(),
         }
     }
 
-    /// Offers the streams for so many seconds, each at random times.
+    /// Offers the streams for `seconds`, with arrivals at random times.
     pub fn offer(&mut self, streams: &[Stream], seconds: u64) {
         let mut arrivals: Vec<(u64, Stream)> = Vec::new();
         for (salt, stream) in (1..).zip(streams) {
@@ -162,51 +162,51 @@
         self.now = end;
     }
 
-    /// Every server process stops for a while; nothing is lost.
+    /// Stops every server process for a while; nothing is lost.
     pub fn freeze(&mut self, length: Duration) {
         self.frozen = true;
-        self.schedule(length.as_micros() as u64, Event::Thaw);
+        self.schedule(length.as_micros() as u64, Event::Unfreeze);
     }
 
-    /// Lets everything end.
+    /// Runs until every exchange has ended.
     pub fn finish(&mut self) {
         self.run_until(self.now + Duration::from_secs(60));
         assert!(self.started.is_empty());
     }
 
-    pub fn fared(&self, path: &str) -> &Fared {
-        &self.fared[path]
+    pub fn stats(&self, path: &str) -> &PathStats {
+        &self.stats[path]
     }
 
     fn request(&mut self, stream: Stream) {
-        let draw = splitmix64(self.numbered ^ 0xabc);
-        let router = draw as usize % self.known_routers;
+        let draw = splitmix64(self.event_count ^ 0xabc);
+        let router = draw as usize % self.used_routers;
         let query = format!("key={}", draw >> 32);
         let head = RequestHead {
             method: stream.method,
             host: stream.host,
             path: stream.path,
             query: Some(&query),
-            headers: &NOTHING,
+            headers: &NO_HEADERS,
             body_replayable: true,
         };
-        let fared = self.fared.entry(stream.path).or_default();
-        fared.offered += 1;
-        self.numbered += 1;
+        let stats = self.stats.entry(stream.path).or_default();
+        stats.offered += 1;
+        self.event_count += 1;
         match self.routers[router].begin(self.now, &head) {
             Ok(id) => {
                 self.started.insert((router, id), (self.now, stream.path));
                 self.poll(router, id);
             }
-            Err(refused) => fared.refused(refused.reason),
+            Err(refused) => stats.refused(refused.reason),
         }
         self.poll_woken(router);
     }
 
     fn schedule(&mut self, after_micros: u64, event: Event) {
-        self.numbered += 1;
+        self.event_count += 1;
         let time = self.now + Duration::from_micros(after_micros);
-        self.events.insert((time, self.numbered), event);
+        self.events.insert((time, self.event_count), event);
     }
 
     fn handle(&mut self, event: Event) {
@@ -215,13 +215,15 @@
                 self.poll(router, id);
                 self.poll_woken(router);
             }
-            Event::Arrive(..) | Event::Served(..) if self.frozen => self.held_back.push(event),
+            Event::Arrive(..) | Event::Served(..) if self.frozen => {
+                self.deferred_events.push(event)
+            }
             Event::Connected(request, attempt) => self.connected(request, attempt),
             Event::Arrive(request, attempt) => self.arrive(request, &attempt),
             Event::Served(name, request) => self.served(&name, request),
-            Event::Thaw => {
+            Event::Unfreeze => {
                 self.frozen = false;
-                for event in std::mem::take(&mut self.held_back) {
+                for event in std::mem::take(&mut self.deferred_events) {
                     self.handle(event);
                 }
             }
@@ -247,7 +249,7 @@
                 Step::Send(attempt) => {
                     let request = (router, id, attempt.number);
                     self.open.insert(request, ());
-                    self.most_open = self.most_open.max(self.open.len());
+                    self.max_open_connections = self.max_open_connections.max(self.open.len());
                     let connected = Event::Connected(request, Box::new(attempt));
                     self.schedule(NETWORK_MICROS, connected);
                 }
@@ -270,14 +272,14 @@
         self.open
             .retain(|(of, open, _), ()| (*of, *open) != (router, id));
         let (start, path) = self.started.remove(&(router, id)).expect("one outcome");
-        let fared = self.fared.get_mut(path).expect("offered");
+        let stats = self.stats.get_mut(path).expect("offered");
         match outcome {
             Outcome::Answered => {
-                fared.answered += 1;
-                fared.latencies.push(self.now.since(start));
+                stats.answered += 1;
+                stats.latencies.push(self.now.since(start));
             }
-            Outcome::NotRun(reason) => fared.refused(reason),
-            Outcome::Unknown(_) => fared.unknown += 1,
+            Outcome::NotRun(reason) => stats.refused(reason),
+            Outcome::Unknown(_) => stats.unknown += 1,
         }
     }
 
@@ -307,16 +309,21 @@
     }
 
     fn serve(&mut self, name: String, request: Request) {
-        let draw = splitmix64(self.numbered) % self.service_micros;
+        let draw = splitmix64(self.event_count) % self.service_micros;
         let micros = self.service_micros / 2 + draw;
         self.schedule(micros, Event::Served(name, request));
     }
 
     fn served(&mut self, name: &str, request: Request) {
         let done = Event::Report(request, AttemptEvent::Completed);
-        let draw = splitmix64(self.numbered ^ 0xdef);
-        let stuck = self.stuck_one_in > 0 && draw.is_multiple_of(self.stuck_one_in);
-        let micros = if stuck { STUCK_MICROS } else { NETWORK_MICROS };
+        let draw = splitmix64(self.event_count ^ 0xdef);
+        let stuck =
+            self.stuck_response_interval > 0 && draw.is_multiple_of(self.stuck_response_interval);
+        let micros = if stuck {
+            STUCK_RESPONSE_MICROS
+        } else {
+            NETWORK_MICROS
+        };
         self.schedule(micros, done);
         let server = self.servers.get_mut(name).expect("serves");
         match server.waiting.pop_front() {
--- a/crates/routing/tests/common/world.rs
+++ b/crates/routing/tests/common/world.rs
@@ -1,6 +1,6 @@
-//! A world in virtual time around one dispatcher: callers, back ends that
+//! Simulation of one dispatcher in virtual time, with callers, back ends that
 //! fail in every way, and records that change. It drives the dispatcher as a
-//! shell does, knows the truth about what ran, and checks every promise.
+//! shell does, records what really ran, and checks every guarantee.
 
 mod records;
 
@@ -23,7 +23,7 @@
 const SERVICES: [(&str, &str); 2] = [("a/s", "a.test"), ("b/s", "b.test")];
 const SLICES: u32 = 8;
 
-/// How often things go wrong, in percent.
+/// Fault rates, in percent.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     pub attempts: u64,
@@ -36,12 +36,12 @@
     Connected(ExchangeId, Box<Attempt>),
     Report(ExchangeId, AttemptNumber, AttemptEvent),
     Records(Vec<RecordChange>),
-    HangUp(ExchangeId),
+    Disconnect(ExchangeId),
 }
 
-/// What the world knows of one exchange.
+/// What really happened to one exchange.
 #[derive(Clone, Debug, Default)]
-pub struct Known {
+pub struct ExchangeRecord {
     pub repeatable: bool,
     pub priority: Priority,
     pub started: Timestamp,
@@ -50,25 +50,25 @@
     pub delivered: Option<AttemptNumber>,
     pub answered: BTreeSet<AttemptNumber>,
     pub finish: Option<(Timestamp, Finish)>,
-    pub hung_up: bool,
+    pub caller_disconnected: bool,
 }
 
 pub struct World {
     pub dispatcher: Dispatcher,
     pub now: Timestamp,
-    pub known: BTreeMap<ExchangeId, Known>,
-    pub turned_away: u32,
+    pub exchanges: BTreeMap<ExchangeId, ExchangeRecord>,
+    pub rejected: u32,
     pub faults: Faults,
-    /// Time of one answer without queueing, in milliseconds.
+    /// Response time without queueing, in milliseconds.
     pub answer_ms: u64,
     events: BTreeMap<(Timestamp, u64), Event>,
-    numbered: u64,
+    event_count: u64,
     seed: u64,
     draws: u64,
-    /// Truth about owners: service and slice number to back end, its life and
-    /// the epoch.
+    /// The real owners: service and slice number to back end, its incarnation
+    /// and the epoch.
     owners: BTreeMap<(usize, u32), (usize, u64, u64)>,
-    lives: [u64; BACK_ENDS.len()],
+    incarnations: [u64; BACK_ENDS.len()],
     revision: u64,
     open: BTreeMap<(ExchangeId, AttemptNumber), String>,
 }
@@ -78,16 +78,16 @@
         let mut world = World {
             dispatcher: Dispatcher::new(settings, seed, at(0)),
             now: at(0),
-            known: BTreeMap::new(),
-            turned_away: 0,
+            exchanges: BTreeMap::new(),
+            rejected: 0,
             faults,
             answer_ms: 6,
             events: BTreeMap::new(),
-            numbered: 0,
+            event_count: 0,
             seed,
             draws: 0,
             owners: BTreeMap::new(),
-            lives: [1; BACK_ENDS.len()],
+            incarnations: [1; BACK_ENDS.len()],
             revision: 1,
             open: BTreeMap::new(),
         };
@@ -97,13 +97,13 @@
         world
     }
 
-    /// A number below `bound`.
+    /// Draws a number below `bound`.
     pub fn draw(&mut self, bound: u64) -> u64 {
         self.draws += 1;
         splitmix64(splitmix64(self.seed) ^ self.draws) % bound
     }
 
-    /// A caller sends a request.
+    /// Sends a request of a caller.
     pub fn request(&mut self, service: usize, method: &str, path: &str) -> Option<ExchangeId> {
         let key = self.draw(64);
         let query = format!("key={key}");
@@ -112,23 +112,23 @@
             host: SERVICES[service].1,
             path,
             query: Some(&query),
-            headers: &NOTHING,
+            headers: &NO_HEADERS,
             body_replayable: key != 0,
         };
         let matched = self.dispatcher.table().match_request(&head).expect("route");
         let Ok(id) = self.dispatcher.begin(self.now, &head) else {
-            self.turned_away += 1;
+            self.rejected += 1;
             self.poll_woken();
             return None;
         };
-        let known = Known {
+        let record = ExchangeRecord {
             repeatable: matched.repeatable,
             priority: matched.priority,
             started: self.now,
-            ..Known::default()
+            ..ExchangeRecord::default()
         };
         assert!(
-            self.known.insert(id, known).is_none(),
+            self.exchanges.insert(id, record).is_none(),
             "a number used twice"
         );
         self.poll(id);
@@ -136,12 +136,12 @@
         Some(id)
     }
 
-    /// A caller hangs up after a while.
-    pub fn hang_up_later(&mut self, id: ExchangeId, after_ms: u64) {
-        self.schedule(after_ms * 1_000, Event::HangUp(id));
+    /// Schedules a disconnect of a caller.
+    pub fn disconnect_later(&mut self, id: ExchangeId, after_ms: u64) {
+        self.schedule(after_ms * 1_000, Event::Disconnect(id));
     }
 
-    /// Lets time pass.
+    /// Runs all events until `end`.
     pub fn run_until(&mut self, end: Timestamp) {
         while let Some(entry) = self.events.first_entry() {
             let time = entry.key().0;
@@ -156,18 +156,18 @@
         self.now = self.now.max(end);
     }
 
-    /// Every exchange has ended in the way it may.
-    pub fn check_ends(&self) {
-        for (id, known) in &self.known {
-            match (&known.finish, known.hung_up) {
-                (Some((_, finish)), _) => check_outcome(*id, known, finish),
+    /// Checks that every exchange has ended with an outcome that is true.
+    pub fn check_outcomes(&self) {
+        for (id, record) in &self.exchanges {
+            match (&record.finish, record.caller_disconnected) {
+                (Some((_, finish)), _) => check_outcome(*id, record, finish),
                 (None, true) => {}
-                (None, false) => panic!("{id:?} has no outcome: {known:?}"),
+                (None, false) => panic!("{id:?} has no outcome: {record:?}"),
             }
-            assert!(known.repeatable || known.runs <= 1, "{id:?}: {known:?}");
+            assert!(record.repeatable || record.runs <= 1, "{id:?}: {record:?}");
         }
         let counters = self.dispatcher.counters();
-        assert_eq!(counters.admitted, self.known.len() as u64);
+        assert_eq!(counters.admitted, self.exchanges.len() as u64);
         assert_eq!(counters.ended(), counters.admitted);
         let load = self.dispatcher.load(self.now);
         assert_eq!(load.exchanges, 0);
@@ -177,18 +177,18 @@
         }
     }
 
-    pub fn outcomes(&self, wanted: impl Fn(&Known, Outcome) -> bool) -> usize {
-        let ended = self.known.values().filter_map(|known| {
-            let (_, finish) = known.finish.as_ref()?;
-            wanted(known, finish.outcome).then_some(())
+    pub fn outcomes(&self, wanted: impl Fn(&ExchangeRecord, Outcome) -> bool) -> usize {
+        let ended = self.exchanges.values().filter_map(|record| {
+            let (_, finish) = record.finish.as_ref()?;
+            wanted(record, finish.outcome).then_some(())
         });
         ended.count()
     }
 
     fn schedule(&mut self, after_micros: u64, event: Event) {
-        self.numbered += 1;
+        self.event_count += 1;
         let time = self.now + std::time::Duration::from_micros(after_micros);
-        self.events.insert((time, self.numbered), event);
+        self.events.insert((time, self.event_count), event);
     }
 
     fn handle(&mut self, event: Event) {
@@ -201,10 +201,10 @@
                 self.revision += 1;
                 self.dispatcher.apply(self.now, &records).expect("in order");
             }
-            Event::HangUp(id) => {
+            Event::Disconnect(id) => {
                 self.dispatcher.on_caller_disconnected(self.now, id);
-                let known = self.known.get_mut(&id).expect("known");
-                known.hung_up = known.finish.is_none();
+                let record = self.exchanges.get_mut(&id).expect("known");
+                record.caller_disconnected = record.finish.is_none();
                 self.close_all(id);
             }
         }
@@ -230,10 +230,10 @@
                     self.open.remove(&(id, number));
                 }
                 Step::Deliver(number) => {
-                    let known = self.known.get_mut(&id).expect("known");
-                    assert!(known.delivered.is_none(), "two answers");
-                    assert!(known.answered.contains(&number), "no answer to deliver");
-                    known.delivered = Some(number);
+                    let record = self.exchanges.get_mut(&id).expect("known");
+                    assert!(record.delivered.is_none(), "two answers");
+                    assert!(record.answered.contains(&number), "no answer to deliver");
+                    record.delivered = Some(number);
                 }
                 Step::Wait { until } => {
                     assert!(until > self.now, "waits for the past");
@@ -241,9 +241,9 @@
                     return self.schedule(micros, Event::Poll(id));
                 }
                 Step::Finish(finish) => {
-                    let known = self.known.get_mut(&id).expect("known");
-                    assert!(known.finish.is_none(), "two outcomes");
-                    known.finish = Some((self.now, finish));
+                    let record = self.exchanges.get_mut(&id).expect("known");
+                    assert!(record.finish.is_none(), "two outcomes");
+                    record.finish = Some((self.now, finish));
                     return self.close_all(id);
                 }
                 Step::Gone => return,
@@ -257,8 +257,8 @@
     }
 
     fn send(&mut self, id: ExchangeId, attempt: Attempt) {
-        let known = self.known.get_mut(&id).expect("known");
-        known.sends += 1;
+        let record = self.exchanges.get_mut(&id).expect("known");
+        record.sends += 1;
         let name = attempt.back_end.to_string();
         self.open.insert((id, attempt.number), name.clone());
         let open = self.open.values().filter(|open| **open == name).count();
@@ -273,7 +273,8 @@
             let micros = self.draw(3_000);
             return self.schedule(micros, Event::Report(id, attempt.number, event));
         }
-        // Now and then connecting takes so long that the world has moved on.
+        // Sometimes connecting takes so long that the owner has changed
+        // meanwhile.
         let slow = self.draw(100) < self.faults.attempts / 4;
         let micros = self.draw(if slow { 3_000_000 } else { 1_000 });
         self.schedule(micros, Event::Connected(id, Box::new(attempt)));
@@ -289,11 +290,12 @@
             let nothing = AttemptEvent::SentNothing;
             return self.report(id, attempt.number, nothing);
         }
-        self.carry_out(id, &attempt);
+        self.process_on_back_end(id, &attempt);
     }
 
-    /// The back end gets the request: here is decided whether it runs.
-    fn carry_out(&mut self, id: ExchangeId, attempt: &Attempt) {
+    /// Handles a request that reached the back end, and decides whether it
+    /// runs.
+    fn process_on_back_end(&mut self, id: ExchangeId, attempt: &Attempt) {
         let number = attempt.number;
         let micros = 1 + self.answer_ms * 500 + self.draw(self.answer_ms * 1_000);
         let lost = AttemptEvent::Failed(AttemptFailure::ConnectionLost);
@@ -305,17 +307,17 @@
             return self.answer(id, number, micros);
         }
         match self.draw(8) {
-            // Dies before carrying it out.
+            // Crashes before running it.
             0 => self.schedule(micros, Event::Report(id, number, lost)),
-            // Dies after carrying it out.
+            // Crashes after running it.
             1 => {
                 self.run(id);
                 self.schedule(micros, Event::Report(id, number, lost));
             }
-            // Hangs, with and without carrying it out.
+            // Hangs, with or without running it.
             2 => {}
             3 => self.run(id),
-            // Answers with a head and no end.
+            // Sends a response head without the rest.
             4 => {
                 self.run(id);
                 self.answered(id, number);
@@ -324,7 +326,7 @@
                 let cut = AttemptEvent::Failed(AttemptFailure::BadAnswer);
                 self.schedule(micros + 500, Event::Report(id, number, cut));
             }
-            // Answers late, and twice.
+            // Responds late, and twice.
             5 => {
                 self.answer(id, number, micros + 400_000);
                 let again = AttemptEvent::Completed;
@@ -347,12 +349,12 @@
     }
 
     fn run(&mut self, id: ExchangeId) {
-        self.known.get_mut(&id).expect("known").runs += 1;
+        self.exchanges.get_mut(&id).expect("known").runs += 1;
     }
 
     fn answered(&mut self, id: ExchangeId, number: AttemptNumber) {
-        let known = self.known.get_mut(&id).expect("known");
-        known.answered.insert(number);
+        let record = self.exchanges.get_mut(&id).expect("known");
+        record.answered.insert(number);
     }
 
     fn report(&mut self, id: ExchangeId, number: AttemptNumber, event: AttemptEvent) {
@@ -365,10 +367,10 @@
     }
 }
 
-fn check_outcome(id: ExchangeId, known: &Known, finish: &Finish) {
+fn check_outcome(id: ExchangeId, record: &ExchangeRecord, finish: &Finish) {
     match finish.outcome {
-        Outcome::NotRun(_) => assert_eq!(known.runs, 0, "{id:?} ran: {known:?}"),
-        Outcome::Answered => assert!(known.delivered.is_some(), "{id:?}: {known:?}"),
+        Outcome::NotRun(_) => assert_eq!(record.runs, 0, "{id:?} ran: {record:?}"),
+        Outcome::Answered => assert!(record.delivered.is_some(), "{id:?}: {record:?}"),
         Outcome::Unknown(_) => {}
     }
 }
--- a/crates/routing/tests/common/world/records.rs
+++ b/crates/routing/tests/common/world/records.rs
@@ -1,4 +1,4 @@
-//! The records of the world, the truth about owners, and how both change.
+//! Records of the simulation, the real owners, and how both change.
 
 use threadledge_routing::Attempt;
 use threadledge_types::objects::{Priority, RouteRule};
@@ -9,8 +9,9 @@
 use crate::common::*;
 
 impl World {
-    /// A slice moves, a back end restarts, drains or is lost.
-    pub fn disturb(&mut self) {
+    /// Changes an owner at random: a slice moves or loses its owner, or a back
+    /// end restarts.
+    pub fn inject_record_fault(&mut self) {
         if self.draw(100) >= self.faults.records {
             return;
         }
@@ -49,37 +50,37 @@
     pub(super) fn is_owner(&self, attempt: &Attempt) -> bool {
         let service = usize::from(attempt.service.namespace == "b");
         let number = slice_number(attempt.point);
-        let (back_end, life, epoch) = self.owners[&(service, number)];
+        let (back_end, incarnation, epoch) = self.owners[&(service, number)];
         BACK_ENDS[back_end] == attempt.back_end.to_string()
-            && self.lives[back_end] == life
-            && attempt.incarnation.0 == life
+            && self.incarnations[back_end] == incarnation
+            && attempt.incarnation.0 == incarnation
             && attempt.epoch.0.index == epoch
     }
 
     fn assign(&mut self, service: usize, number: u32, owner: Option<usize>) {
         let part = Slice::divide(SLICES)[number as usize];
-        let epoch = self.numbered + 10;
-        let life = owner.map_or(0, |owner| self.lives[owner]);
-        let truth = (owner.unwrap_or(0), life, epoch);
+        let epoch = self.event_count + 10;
+        let incarnation = owner.map_or(0, |owner| self.incarnations[owner]);
+        let truth = (owner.unwrap_or(0), incarnation, epoch);
         self.owners.insert((service, number), truth);
-        let owner = owner.map(|owner| (BACK_ENDS[owner], life));
+        let owner = owner.map(|owner| (BACK_ENDS[owner], incarnation));
         let change = slice(SERVICES[service].0, part, owner, epoch);
-        self.learn_records(vec![change]);
+        self.deliver_records_later(vec![change]);
     }
 
-    /// The process starts anew: it owns nothing until it is assigned again.
+    /// Restarts a back-end process. It owns nothing until it is assigned again.
     fn restart(&mut self, back_end: usize) {
-        let old = self.lives[back_end];
-        self.lives[back_end] += 1;
+        let old = self.incarnations[back_end];
+        self.incarnations[back_end] += 1;
         let name = BACK_ENDS[back_end];
-        self.learn_records(vec![
+        self.deliver_records_later(vec![
             RecordChange::SessionRemoved(session_id(name, old)),
             session(name, old + 1, false),
         ]);
         let owned: Vec<(usize, u32)> = self
             .owners
             .iter()
-            .filter(|(_, (owner, life, _))| *owner == back_end && *life == old)
+            .filter(|(_, (owner, incarnation, _))| *owner == back_end && *incarnation == old)
             .map(|(slice, _)| *slice)
             .collect();
         for (service, number) in owned {
@@ -87,8 +88,8 @@
         }
     }
 
-    /// The router learns a little later than things happen.
-    fn learn_records(&mut self, changes: Vec<RecordChange>) {
+    /// Delivers record changes to the router 20 ms after they happen.
+    fn deliver_records_later(&mut self, changes: Vec<RecordChange>) {
         self.schedule(20_000, Event::Records(changes));
     }
 }
--- a/crates/routing/tests/exchanges.rs
+++ b/crates/routing/tests/exchanges.rs
@@ -1,4 +1,4 @@
-//! Single exchanges, step by step.
+//! Tests of single exchanges, step by step.
 
 mod common;
 
@@ -23,8 +23,8 @@
 }
 
 #[test]
-fn an_answer_is_delivered_once_and_ends_the_exchange() {
-    let mut dispatcher = simple(1);
+fn a_response_is_delivered_once_and_ends_the_exchange() {
+    let mut dispatcher = dispatcher_with_slots(1);
     let id = begin(&mut dispatcher, 0, "POST", "/");
     let attempt = expect_send(&mut dispatcher, 0, id);
     assert_eq!(attempt.epoch, epoch(1));
@@ -45,7 +45,7 @@
 
 #[test]
 fn a_lost_connection_after_sending_is_unknown_for_a_non_repeatable_request() {
-    let mut dispatcher = simple(1);
+    let mut dispatcher = dispatcher_with_slots(1);
     let id = begin(&mut dispatcher, 0, "POST", "/");
     expect_send(&mut dispatcher, 0, id);
     dispatcher.start_sending(at(1), id, FIRST);
@@ -57,8 +57,8 @@
 }
 
 #[test]
-fn a_lost_connection_is_tried_again_for_a_repeatable_request() {
-    let mut dispatcher = simple(1);
+fn a_lost_connection_is_retried_for_a_repeatable_request() {
+    let mut dispatcher = dispatcher_with_slots(1);
     let id = begin(&mut dispatcher, 0, "GET", "/");
     let first = expect_send(&mut dispatcher, 0, id);
     dispatcher.start_sending(at(1), id, FIRST);
@@ -78,7 +78,7 @@
 
 #[test]
 fn a_deadline_before_permission_to_send_is_not_run_and_forbids_sending() {
-    let mut dispatcher = simple(1);
+    let mut dispatcher = dispatcher_with_slots(1);
     let id = begin(&mut dispatcher, 0, "POST", "/");
     expect_send(&mut dispatcher, 0, id);
     let decision = dispatcher.start_sending(at(2_000), id, FIRST);
@@ -90,7 +90,7 @@
 
 #[test]
 fn a_deadline_after_permission_to_send_is_unknown() {
-    let mut dispatcher = simple(1);
+    let mut dispatcher = dispatcher_with_slots(1);
     let id = begin(&mut dispatcher, 0, "POST", "/");
     expect_send(&mut dispatcher, 0, id);
     dispatcher.start_sending(at(1), id, FIRST);
@@ -100,8 +100,8 @@
 }
 
 #[test]
-fn an_owner_that_changed_before_sending_takes_the_permission_away() {
-    let mut dispatcher = simple(1);
+fn a_changed_owner_revokes_the_permission_to_send() {
+    let mut dispatcher = dispatcher_with_slots(1);
     let id = begin(&mut dispatcher, 0, "POST", "/");
     expect_send(&mut dispatcher, 0, id);
     let moved = delta(1, move_to_two(1));
@@ -114,8 +114,8 @@
 }
 
 #[test]
-fn a_wrong_owner_is_left_for_the_new_one_at_once() {
-    let mut dispatcher = simple(1);
+fn a_refusal_as_wrong_owner_is_resent_to_the_new_owner_at_once() {
+    let mut dispatcher = dispatcher_with_slots(1);
     let id = begin(&mut dispatcher, 0, "POST", "/");
     expect_send(&mut dispatcher, 0, id);
     dispatcher.start_sending(at(1), id, FIRST);
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_slice_without_owner_is_waited_for_and_then_not_run() {
+fn a_request_for_an_unowned_slice_waits_and_is_then_not_run() {
     let records = full(
         1,
         vec![
@@ -164,7 +164,7 @@
 
 #[test]
 fn a_draining_back_end_gets_no_new_work_after_the_grace() {
-    let mut dispatcher = simple(1);
+    let mut dispatcher = dispatcher_with_slots(1);
     let draining = delta(1, vec![session("a/one", 1, true)]);
     dispatcher.apply(at(0), &draining).expect("fits");
     let within = begin(&mut dispatcher, 900, "GET", "/");
@@ -182,7 +182,7 @@
 
 #[test]
 fn a_back_end_that_refused_as_draining_gets_no_new_work_at_all() {
-    let mut dispatcher = simple(2);
+    let mut dispatcher = dispatcher_with_slots(2);
     let id = begin(&mut dispatcher, 0, "POST", "/");
     expect_send(&mut dispatcher, 0, id);
     dispatcher.start_sending(at(0), id, FIRST);
@@ -201,7 +201,7 @@
 
 #[test]
 fn a_restarted_back_end_is_cold_and_ramped_up() {
-    let mut dispatcher = simple(3);
+    let mut dispatcher = dispatcher_with_slots(3);
     let restarted = vec![
         RecordChange::SessionRemoved(session_id("a/one", 1)),
         session("a/one", 2, false),
@@ -217,7 +217,7 @@
 
 #[test]
 fn a_back_end_that_ran_before_the_router_is_not_cold() {
-    let mut dispatcher = simple(3);
+    let mut dispatcher = dispatcher_with_slots(3);
     for _ in 0..3 {
         let id = begin(&mut dispatcher, 0, "GET", "/queued");
         expect_send(&mut dispatcher, 0, id);
@@ -226,7 +226,7 @@
 
 #[test]
 fn more_routers_leave_each_fewer_slots_and_connections() {
-    let mut dispatcher = simple(3);
+    let mut dispatcher = dispatcher_with_slots(3);
     dispatcher.set_router_count(at(0), 40);
     let first = begin(&mut dispatcher, 0, "GET", "/queued");
     let attempt = expect_send(&mut dispatcher, 0, first);
@@ -239,8 +239,8 @@
 }
 
 #[test]
-fn slots_are_given_by_priority_and_freed_by_whatever_ends() {
-    let mut dispatcher = simple(1);
+fn freed_slots_go_to_queued_requests_in_order() {
+    let mut dispatcher = dispatcher_with_slots(1);
     let running = begin(&mut dispatcher, 0, "GET", "/");
     expect_send(&mut dispatcher, 0, running);
     let early = begin(&mut dispatcher, 1, "GET", "/queued");
@@ -256,7 +256,7 @@
 
 #[test]
 fn a_request_that_may_not_queue_waits_only_shortly() {
-    let mut dispatcher = simple(1);
+    let mut dispatcher = dispatcher_with_slots(1);
     let running = begin(&mut dispatcher, 0, "GET", "/queued");
     expect_send(&mut dispatcher, 0, running);
     let id = begin(&mut dispatcher, 1, "GET", "/");
@@ -268,8 +268,8 @@
 }
 
 #[test]
-fn what_cannot_meet_its_deadline_is_shed_at_once() {
-    let mut dispatcher = simple(1);
+fn a_request_that_cannot_meet_its_deadline_is_shed_at_once() {
+    let mut dispatcher = dispatcher_with_slots(1);
     let warm = begin(&mut dispatcher, 0, "GET", "/");
     expect_send(&mut dispatcher, 0, warm);
     dispatcher.start_sending(at(0), warm, FIRST);
@@ -285,8 +285,8 @@
 }
 
 #[test]
-fn a_read_at_a_lost_back_end_is_sent_to_the_new_owner_as_well() {
-    let mut dispatcher = simple(1);
+fn a_read_at_a_lost_back_end_is_also_sent_to_the_new_owner() {
+    let mut dispatcher = dispatcher_with_slots(1);
     let read = begin(&mut dispatcher, 0, "GET", "/");
     expect_send(&mut dispatcher, 0, read);
     dispatcher.start_sending(at(0), read, FIRST);
@@ -300,7 +300,7 @@
 
 #[test]
 fn a_write_at_a_lost_back_end_is_unknown_at_once() {
-    let mut dispatcher = simple(1);
+    let mut dispatcher = dispatcher_with_slots(1);
     let write = begin(&mut dispatcher, 0, "POST", "/");
     expect_send(&mut dispatcher, 0, write);
     dispatcher.start_sending(at(0), write, FIRST);
@@ -314,11 +314,11 @@
 }
 
 #[test]
-fn a_router_that_is_not_ready_takes_nothing_new_but_ends_what_it_has() {
-    let mut dispatcher = simple(1);
+fn a_router_that_is_not_ready_rejects_new_requests_and_finishes_old_ones() {
+    let mut dispatcher = dispatcher_with_slots(1);
     let id = begin(&mut dispatcher, 0, "GET", "/");
     dispatcher.set_accepting(false);
-    let refused = dispatcher.begin(at(0), &head("GET", "/", &NOTHING));
+    let refused = dispatcher.begin(at(0), &head("GET", "/", &NO_HEADERS));
     let reason = refused.expect_err("refused").reason;
     assert_eq!(reason, NotRunReason::NotReady);
     expect_send(&mut dispatcher, 0, id);
@@ -326,8 +326,8 @@
 }
 
 #[test]
-fn an_answer_that_streams_past_its_deadline_ends_unknown_and_blames_no_back_end() {
-    let mut dispatcher = simple(1);
+fn a_response_streaming_past_its_deadline_is_unknown_and_no_failure() {
+    let mut dispatcher = dispatcher_with_slots(1);
     for round in 0..10 {
         let now = round * 3_000;
         let id = begin(&mut dispatcher, now, "POST", "/");
--- a/crates/routing/tests/giving_up.rs
+++ b/crates/routing/tests/giving_up.rs
@@ -1,5 +1,5 @@
-//! Requests that back ends refuse again and again: how often they ask, and
-//! when their callers are told.
+//! Requests that back ends keep refusing: how many attempts they make, and when
+//! their callers get an outcome.
 
 mod common;
 
@@ -9,8 +9,8 @@
 use threadledge_types::{NotRunReason, Outcome};
 
 #[test]
-fn an_owner_that_refuses_again_and_again_is_asked_rarely() {
-    let mut dispatcher = simple(1);
+fn an_owner_that_keeps_refusing_gets_few_attempts() {
+    let mut dispatcher = dispatcher_with_slots(1);
     let id = begin(&mut dispatcher, 0, "POST", "/");
     let (mut now, mut attempts) = (0, 0);
     let finish = loop {
@@ -32,8 +32,8 @@
     assert!(attempts <= 11, "{attempts} attempts");
 }
 
-/// Refuses every attempt of a request that may queue; answers its outcome and
-/// the time that it took.
+/// Refuses every attempt of a request that may queue. Returns its outcome and
+/// how long it took.
 fn refuse_all(dispatcher: &mut Dispatcher, start: u64, refusal: Refusal) -> (Finish, u64) {
     let id = begin(dispatcher, start, "POST", "/queued");
     let mut now = start;
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_overloaded_request_without_budget_is_told_at_once_when_to_come_back() {
+fn an_overloaded_request_without_retry_budget_ends_at_once_with_a_retry_time() {
     let settings = Settings {
         retry_reserve: 2,
         ..Settings::default()
@@ -68,14 +68,15 @@
         let overloaded = Outcome::NotRun(NotRunReason::Overloaded);
         assert_eq!(finish.outcome, overloaded);
         assert!(finish.retry_after.is_some());
-        // The backoff after the first refusal, and not the deadline of 20 s.
+        // The time is the backoff after the first refusal, not the deadline of
+        // 20 s.
         assert!(took <= 5, "{took} ms");
         assert_eq!(finish.attempts, 1);
     }
 }
 
 #[test]
-fn a_budget_that_was_used_up_allows_retries_again_after_a_while() {
+fn an_exhausted_retry_budget_refills_over_time() {
     let settings = Settings {
         retry_reserve: 2,
         ..Settings::default()
@@ -91,8 +92,8 @@
 }
 
 #[test]
-fn an_overloaded_request_that_could_only_wait_for_its_end_is_told_before() {
-    let mut dispatcher = simple(4);
+fn an_overloaded_request_that_cannot_be_retried_in_time_ends_early() {
+    let mut dispatcher = dispatcher_with_slots(4);
     let id = begin(&mut dispatcher, 0, "POST", "/");
     let mut now = 0;
     let finish = loop {
--- a/crates/routing/tests/handovers.rs
+++ b/crates/routing/tests/handovers.rs
@@ -1,6 +1,6 @@
-//! Planned moves of a slice, in virtual time: the former owner refuses from
-//! its release on, the router learns of the next owner later, and that one
-//! serves from when it has its grant.
+//! Planned moves of a slice in virtual time: the former owner refuses once it
+//! has released the slice, the router learns of the next owner later, and the
+//! next owner serves once it has its grant.
 
 mod common;
 
@@ -28,23 +28,23 @@
     Table,
 }
 
-/// One router and the two owners of a slice that moves.
-struct Move {
+/// Simulation of one router and the two owners of a slice that moves.
+struct HandoverModel {
     router: Dispatcher,
     now: Timestamp,
     events: BTreeMap<(Timestamp, u64), Event>,
-    numbered: u64,
+    event_count: u64,
     granted_at: Timestamp,
     sent: u64,
     refused_by_next: u64,
     started: BTreeMap<ExchangeId, Timestamp>,
     answered: u64,
-    not_answered: Vec<Outcome>,
-    slowest_ms: u64,
+    other_outcomes: Vec<Outcome>,
+    max_latency_ms: u64,
 }
 
-impl Move {
-    fn run(table_at: u64, granted_at: u64) -> Move {
+impl HandoverModel {
+    fn run(table_at: u64, granted_at: u64) -> HandoverModel {
         let changes = vec![
             service("a/s", "s.test", vec![route("r", "/")]),
             back_end("a/one", 64, 200),
@@ -53,18 +53,18 @@
             session("a/two", 1, false),
             slice("a/s", Slice::ALL, Some(("a/one", 1)), 1),
         ];
-        let mut run = Move {
+        let mut run = HandoverModel {
             router: dispatcher(Settings::default(), &full(1, changes)),
             now: at(0),
             events: BTreeMap::new(),
-            numbered: 0,
+            event_count: 0,
             granted_at: at(granted_at),
             sent: 0,
             refused_by_next: 0,
             started: BTreeMap::new(),
             answered: 0,
-            not_answered: Vec::new(),
-            slowest_ms: 0,
+            other_outcomes: Vec::new(),
+            max_latency_ms: 0,
         };
         for number in 0..REQUESTS {
             run.schedule(number * 1_000, Event::Request(number));
@@ -82,9 +82,9 @@
     }
 
     fn schedule(&mut self, after_micros: u64, event: Event) {
-        self.numbered += 1;
+        self.event_count += 1;
         let time = self.now + std::time::Duration::from_micros(after_micros);
-        self.events.insert((time, self.numbered), event);
+        self.events.insert((time, self.event_count), event);
     }
 
     fn handle(&mut self, event: Event) {
@@ -112,7 +112,7 @@
         };
         let head = RequestHead {
             query: Some(&query),
-            ..head(method, "/", &NOTHING)
+            ..head(method, "/", &NO_HEADERS)
         };
         let id = self.router.begin(self.now, &head).expect("admitted");
         self.started.insert(id, self.now);
@@ -163,45 +163,46 @@
     fn ended(&mut self, id: ExchangeId, outcome: Outcome) {
         let started = self.started.remove(&id).expect("one outcome");
         let took = self.now.since(started).as_millis() as u64;
-        self.slowest_ms = self.slowest_ms.max(took);
+        self.max_latency_ms = self.max_latency_ms.max(took);
         match outcome {
             Outcome::Answered => self.answered += 1,
-            outcome => self.not_answered.push(outcome),
+            outcome => self.other_outcomes.push(outcome),
         }
     }
 
-    /// Every request is answered within 50 ms, and few are sent in vain.
+    /// Checks that every request is answered within 50 ms and few are sent in
+    /// vain.
     #[track_caller]
     fn check(&self) {
         println!(
             "sent {} slowest {} ms refused by the next owner {}",
-            self.sent, self.slowest_ms, self.refused_by_next
+            self.sent, self.max_latency_ms, self.refused_by_next
         );
-        assert_eq!(self.not_answered, []);
+        assert_eq!(self.other_outcomes, []);
         assert_eq!(self.answered, REQUESTS);
-        assert!(self.slowest_ms < 50, "{} ms", self.slowest_ms);
-        // One refusal for each request of the gap and a few asks for all.
+        assert!(self.max_latency_ms < 50, "{} ms", self.max_latency_ms);
+        // One refusal for each request during the gap, and a few probes.
         assert!(self.sent <= REQUESTS + 50, "{} sent", self.sent);
     }
 }
 
 #[test]
-fn a_router_that_learns_late_of_a_move_sends_when_it_learns() {
-    let run = Move::run(RELEASED_AT + 25, RELEASED_AT + 10);
+fn a_router_that_learns_late_of_a_move_resends_at_once() {
+    let run = HandoverModel::run(RELEASED_AT + 25, RELEASED_AT + 10);
     run.check();
     assert_eq!(run.refused_by_next, 0);
 }
 
 #[test]
-fn a_router_that_learns_before_the_next_owner_has_its_grant_asks_seldom() {
-    let run = Move::run(RELEASED_AT + 5, RELEASED_AT + 25);
+fn a_router_that_learns_before_the_next_owner_has_its_grant_probes_rarely() {
+    let run = HandoverModel::run(RELEASED_AT + 5, RELEASED_AT + 25);
     run.check();
     assert!(run.refused_by_next <= 30, "{}", run.refused_by_next);
 }
 
 #[test]
-fn a_move_that_router_and_next_owner_learn_of_at_once_costs_nothing() {
-    let run = Move::run(RELEASED_AT, RELEASED_AT);
+fn a_move_known_to_router_and_next_owner_at_once_adds_no_latency() {
+    let run = HandoverModel::run(RELEASED_AT, RELEASED_AT);
     run.check();
-    assert!(run.slowest_ms < 10, "{} ms", run.slowest_ms);
+    assert!(run.max_latency_ms < 10, "{} ms", run.max_latency_ms);
 }
--- a/crates/routing/tests/hedges_and_ejections.rs
+++ b/crates/routing/tests/hedges_and_ejections.rs
@@ -1,4 +1,4 @@
-//! Second attempts beside slow ones, and back ends that fail in a row.
+//! Hedges of slow attempts, and ejection of back ends that fail repeatedly.
 
 mod common;
 
@@ -9,7 +9,7 @@
 const FIRST: AttemptNumber = AttemptNumber(1);
 const SECOND: AttemptNumber = AttemptNumber(2);
 
-/// Answers reads in 5 ms each until the usual answer time is known.
+/// Answers 60 reads in 5 ms each, so that the typical response time is known.
 fn warm_up(dispatcher: &mut Dispatcher) {
     for round in 0..60 {
         let id = begin(dispatcher, round * 10, "GET", "/");
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn a_hedge_goes_out_beside_a_slow_read_and_the_first_answer_wins() {
-    let mut dispatcher = simple(2);
+fn a_slow_read_is_hedged_and_the_first_response_wins() {
+    let mut dispatcher = dispatcher_with_slots(2);
     warm_up(&mut dispatcher);
     let id = begin(&mut dispatcher, 1_000, "GET", "/");
     expect_send(&mut dispatcher, 1_000, id);
@@ -43,8 +43,8 @@
 }
 
 #[test]
-fn hedges_end_with_their_budget() {
-    let mut dispatcher = simple(2);
+fn hedges_are_limited_by_their_budget() {
+    let mut dispatcher = dispatcher_with_slots(2);
     warm_up(&mut dispatcher);
     for round in 0..100 {
         let now = 1_000 + round * 20;
@@ -54,14 +54,14 @@
         dispatcher.next(at(now + 15), id);
         dispatcher.on_caller_disconnected(at(now + 15), id);
     }
-    // The reserve of 5, and a twentieth for each of the 99 first attempts
-    // after the one that found it full.
+    // The reserve of 5, and a twentieth for each of the 99 first attempts after
+    // the one that found the budget full.
     assert_eq!(dispatcher.counters().hedges, 9);
 }
 
 #[test]
 fn a_hedge_never_takes_the_last_slot_from_a_waiting_request() {
-    let mut dispatcher = simple(2);
+    let mut dispatcher = dispatcher_with_slots(2);
     warm_up(&mut dispatcher);
     let slow = begin(&mut dispatcher, 1_000, "GET", "/");
     expect_send(&mut dispatcher, 1_000, slow);
@@ -73,8 +73,8 @@
 }
 
 #[test]
-fn an_ejected_back_end_is_tried_by_one_request_at_a_time() {
-    let mut dispatcher = simple(2);
+fn an_ejected_back_end_is_probed_by_one_request_at_a_time() {
+    let mut dispatcher = dispatcher_with_slots(2);
     let mut refused = 0;
     for round in 0..5 {
         let id = begin(&mut dispatcher, round, "POST", "/");
@@ -98,8 +98,8 @@
 }
 
 #[test]
-fn an_ejection_is_noticed_once_however_often_it_is_prolonged() {
-    let mut dispatcher = simple(2);
+fn a_prolonged_ejection_is_reported_once() {
+    let mut dispatcher = dispatcher_with_slots(2);
     for round in 0..100 {
         let now = round * 3_000;
         let id = begin(&mut dispatcher, now, "POST", "/");
@@ -107,7 +107,8 @@
         dispatcher.on_event(at(now), id, attempt.number, AttemptEvent::ConnectFailed);
         dispatcher.on_caller_disconnected(at(now), id);
     }
-    // Five failures eject, and each of the 95 that follow prolongs.
+    // Five failures eject, and each of the 95 that follow prolongs the
+    // ejection.
     assert_eq!(dispatcher.counters().ejections, 96);
     let notices = dispatcher.take_notices();
     assert!(
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The limits of one back end, each by itself.
+//! Unit tests of each limit that applies to a back end.
 
 use std::time::Duration;
 
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_changed_share_starts_anew() {
+fn a_changed_share_restarts_the_limit() {
     let mut limit = ConcurrencyLimit::new(Bounds::new(8, 100, 1, 200));
     assert_eq!(limit.allowed(), 8);
     limit.set_bounds(Bounds::new(8, 100, 4, 200));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn growing_answer_times_shrink_the_limit() {
+fn growing_response_times_shrink_the_limit() {
     let mut latency = LatencyEstimate::default();
     let mut limit = ConcurrencyLimit::new(Bounds::new(10, 100, 1, 100));
     for _ in 0..100 {
@@ -117,11 +117,12 @@
 }
 
 #[test]
-fn answer_times_that_vary_by_microseconds_leave_the_limit_alone() {
+fn response_times_that_vary_by_microseconds_do_not_change_the_limit() {
     let mut latency = LatencyEstimate::default();
     let mut limit = ConcurrencyLimit::new(Bounds::new(256, 1_000, 1, 100));
     for step in 0..10_000 {
-        // Runs of five that take thirty times as long as the others.
+        // Every fourth run of five responses takes thirty times as long as the
+        // others.
         let slow = step / 5 % 4 == 0;
         latency.record(Duration::from_micros(if slow { 600 } else { 20 }));
         limit.on_response(at(step), 64, &latency);
@@ -130,7 +131,7 @@
 }
 
 #[test]
-fn a_limit_below_its_share_comes_back_in_eight_answers_for_each_request_of_it() {
+fn a_limit_below_its_share_recovers_at_eight_responses_per_step() {
     let mut latency = LatencyEstimate::default();
     latency.record(10 * MILLI);
     let mut limit = ConcurrencyLimit::new(Bounds::new(10, 100, 1, 200));
@@ -138,7 +139,7 @@
         limit.on_overload(at(1_000 * step), &latency);
     }
     assert_eq!(limit.allowed(), 1);
-    // 8 × (1 + 2 + ... + 9), and a few for the fractions between.
+    // 8 × (1 + 2 + ... + 9) responses, and a few for the fractions between.
     for step in 0..400 {
         limit.on_response(at(200_000 + step), 10, &latency);
     }
@@ -179,7 +180,7 @@
 }
 
 #[test]
-fn failures_in_a_row_eject_and_successes_one_by_one_bring_back() {
+fn consecutive_failures_eject_and_successful_probes_readmit() {
     let policy = EjectionPolicy {
         failures: 3,
         min_duration: 100 * MILLI,
@@ -207,7 +208,7 @@
 }
 
 #[test]
-fn a_queue_goes_by_priority_then_deadline_then_arrival() {
+fn a_queue_is_ordered_by_priority_then_deadline_then_arrival() {
     let mut queue = WaitQueue::new(10, 100);
     queue.push(position(Priority::Background, 1, 1));
     queue.push(position(Priority::Normal, 9, 2));
@@ -222,7 +223,7 @@
 }
 
 #[test]
-fn a_full_queue_lets_only_better_requests_in() {
+fn a_full_queue_admits_only_requests_that_go_first() {
     let mut queue = WaitQueue::new(2, 100);
     queue.push(position(Priority::Normal, 5, 1));
     queue.push(position(Priority::Normal, 6, 2));
@@ -236,7 +237,7 @@
 }
 
 #[test]
-fn the_lowest_priority_gets_its_turn_under_a_flood_of_higher_ones() {
+fn the_lowest_priority_is_not_starved_by_higher_ones() {
     let mut queue = WaitQueue::new(1_000, 16);
     queue.push(position(Priority::Background, 1, 1));
     queue.push(position(Priority::Background, 2, 2));
@@ -262,7 +263,7 @@
 }
 
 #[test]
-fn a_budget_that_refills_by_time_gains_one_token_each_interval_and_no_more() {
+fn a_budget_that_refills_by_time_gains_one_token_per_interval() {
     let mut budget = Budget::new(0, 3);
     budget.set_refill(Duration::from_millis(500));
     budget.refill(Timestamp::from_millis(10_000));
@@ -271,7 +272,7 @@
         budget.refill(Timestamp::from_millis(milli));
         taken += u64::from(budget.withdraw());
     }
-    // The reserve, and one for each interval that has passed whole.
+    // The reserve, and one token for each full interval that has passed.
     assert_eq!(taken, 3 + 19);
     budget.refill(Timestamp::from_millis(1_000_000));
     assert_eq!(budget.available(), 3);
--- a/crates/routing/tests/namespace_shares.rs
+++ b/crates/routing/tests/namespace_shares.rs
@@ -1,4 +1,4 @@
-//! Sharing of the router between namespaces.
+//! Fair sharing of the router between namespaces.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 
 struct Model {
     shares: NamespaceShares,
-    begun: u64,
+    last_id: u64,
     held: Vec<(ExchangeId, Arc<str>, bool)>,
 }
 
@@ -26,7 +26,7 @@
         };
         Model {
             shares: NamespaceShares::new(policy),
-            begun: 0,
+            last_id: 0,
             held: Vec::new(),
         }
     }
@@ -39,8 +39,8 @@
             Admission::Admit => {}
             Admission::ShareExhausted | Admission::Full => return admission,
         }
-        self.begun += 1;
-        let id = ExchangeId(self.begun);
+        self.last_id += 1;
+        let id = ExchangeId(self.last_id);
         self.shares.add_exchange(&namespace);
         if waits {
             self.shares.start_waiting(
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_lone_namespace_may_use_all_but_the_reserve() {
+fn a_single_namespace_may_use_all_but_the_reserve() {
     let mut model = Model::new();
     for _ in 0..CAPACITY * 2 {
         model.offer("a", Priority::Normal, true);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_flood_leaves_another_namespace_its_share() {
+fn a_flooding_namespace_leaves_others_their_share() {
     let mut model = Model::new();
     for _ in 0..CAPACITY * 2 {
         model.offer("flood", Priority::Critical, true);
--- a/crates/routing/tests/overload.rs
+++ b/crates/routing/tests/overload.rs
@@ -1,8 +1,9 @@
-//! Overload of a back end with two slots of 10 ms: 200 answers a second.
+//! Overload of a back end with two slots of 10 ms each, which answers 200
+//! requests a second.
 
 mod common;
 
-use common::station::{Station, Stream};
+use common::overload_model::{OverloadModel, Stream};
 use common::{back_end, full, millis, one_back_end, route, service, session, slice};
 use threadledge_routing::Settings;
 use threadledge_types::Slice;
@@ -36,40 +37,40 @@
     one_back_end(2, vec![order, pull, route("browse", "/")])
 }
 
-fn run(routers: usize, streams: &[Stream]) -> Station {
-    let mut station = Station::new(routers, Settings::default(), &records());
-    station.offer(streams, SECONDS);
-    station.finish();
-    print(&station);
-    station
+fn run(routers: usize, streams: &[Stream]) -> OverloadModel {
+    let mut model = OverloadModel::new(routers, Settings::default(), &records());
+    model.offer(streams, SECONDS);
+    model.finish();
+    print(&model);
+    model
 }
 
-fn print(station: &Station) {
-    let routers = station.routers.len();
-    for (path, fared) in &station.fared {
+fn print(model: &OverloadModel) {
+    let routers = model.routers.len();
+    for (path, stats) in &model.stats {
         println!(
             "{routers} routers {path}: offered {} answered {} p50 {} ms p99 {} ms {:?} unknown {}",
-            fared.offered,
-            fared.answered,
-            fared.latency_ms(50),
-            fared.latency_ms(99),
-            fared.not_run,
-            fared.unknown,
+            stats.offered,
+            stats.answered,
+            stats.latency_ms(50),
+            stats.latency_ms(99),
+            stats.not_run,
+            stats.unknown,
         );
     }
-    let attempts: u64 = station
+    let attempts: u64 = model
         .routers
         .iter()
         .map(|router| router.counters().attempts)
         .sum();
-    let retries: Vec<(u64, u64)> = station
+    let retries: Vec<(u64, u64)> = model
         .routers
         .iter()
         .map(|router| (router.counters().retries, router.counters().retries_denied))
         .collect();
     println!(
         "  attempts {attempts} refusals {} most open {} retries made and denied {retries:?}",
-        station.refusals, station.most_open
+        model.refusals, model.max_open_connections
     );
 }
 
@@ -78,7 +79,7 @@
     for routers in [1, 4] {
         let best = run(routers, &[stream("/", "GET", CAPACITY)]);
         let over = run(routers, &[stream("/", "GET", CAPACITY * 3)]);
-        let (best, over) = (best.fared("/").answered, over.fared("/").answered);
+        let (best, over) = (best.stats("/").answered, over.stats("/").answered);
         assert!(over * 100 >= best * 95, "{over} of {best}");
         assert!(over * 100 >= CAPACITY * SECONDS * 95, "{over}");
     }
@@ -87,77 +88,78 @@
 #[test]
 fn orders_are_answered_while_browsing_floods() {
     for routers in [1, 4] {
-        let station = run(
+        let model = run(
             routers,
             &[stream("/order", "POST", 50), stream("/", "GET", 600)],
         );
-        let orders = station.fared("/order");
+        let orders = model.stats("/order");
         assert!(orders.answered_share() >= 0.999, "{:?}", orders.not_run);
-        // At most the short wait of a browsing request and the back end's own
-        // queue of 30 ms lie before an order.
+        // The delay ahead of an order is at most the short wait of a browsing
+        // request and the back end's own queue of 30 ms.
         assert!(orders.latency_ms(99) < 150);
-        let browsing = station.fared("/");
+        let browsing = model.stats("/");
         assert!(orders.latency_ms(50) * 2 < browsing.latency_ms(50));
     }
 }
 
 #[test]
-fn pulls_queue_and_arrive_behind_orders() {
-    let mut station = Station::new(1, Settings::default(), &records());
-    station.offer(
+fn queued_pulls_are_answered_behind_orders() {
+    let mut model = OverloadModel::new(1, Settings::default(), &records());
+    model.offer(
         &[stream("/order", "POST", 190), stream("/pull", "GET", 5)],
         SECONDS,
     );
-    station.finish();
-    assert!(station.fared("/order").answered_share() >= 0.999);
-    assert!(station.fared("/pull").answered_share() >= 0.999);
+    model.finish();
+    assert!(model.stats("/order").answered_share() >= 0.999);
+    assert!(model.stats("/pull").answered_share() >= 0.999);
 }
 
 #[test]
-fn one_router_with_all_the_callers_uses_the_slots_of_the_others() {
-    let mut station = Station::new(4, Settings::default(), &records());
-    station.known_routers = 1;
-    station.offer(&[stream("/", "GET", CAPACITY * 3)], SECONDS);
-    station.finish();
-    print(&station);
-    let answered = station.fared("/").answered;
+fn one_router_with_all_callers_uses_the_slots_of_the_others() {
+    let mut model = OverloadModel::new(4, Settings::default(), &records());
+    model.used_routers = 1;
+    model.offer(&[stream("/", "GET", CAPACITY * 3)], SECONDS);
+    model.finish();
+    print(&model);
+    let answered = model.stats("/").answered;
     assert!(answered * 100 >= CAPACITY * SECONDS * 95, "{answered}");
 }
 
 #[test]
-fn a_back_end_that_froze_and_came_back_is_in_full_use_again() {
-    let mut station = Station::new(1, Settings::default(), &records());
+fn a_back_end_is_fully_used_again_after_a_freeze() {
+    let mut model = OverloadModel::new(1, Settings::default(), &records());
     let half = stream("/", "POST", CAPACITY / 2);
-    station.offer(&[half], 2);
-    station.freeze(millis(3_000));
-    station.offer(&[half], 3);
-    let before = station.fared("/").answered;
-    station.offer(&[half], 5);
-    station.finish();
-    print(&station);
-    let fared = station.fared("/");
-    // A few were caught, and the others were told at once that they had not.
-    assert!(fared.unknown <= 8, "{}", fared.unknown);
-    let afterwards = fared.answered - before;
+    model.offer(&[half], 2);
+    model.freeze(millis(3_000));
+    model.offer(&[half], 3);
+    let before = model.stats("/").answered;
+    model.offer(&[half], 5);
+    model.finish();
+    print(&model);
+    let stats = model.stats("/");
+    // A few requests were in flight when the back end froze; the others were
+    // rejected as not run.
+    assert!(stats.unknown <= 8, "{}", stats.unknown);
+    let afterwards = stats.answered - before;
     assert!(afterwards >= 480, "{afterwards} of 500");
-    assert!(station.routers[0].counters().shed > 0);
+    assert!(model.routers[0].counters().shed > 0);
 }
 
 #[test]
-fn hedges_cut_off_the_tail_of_stuck_answers() {
+fn hedges_cut_the_latency_tail_of_stuck_responses() {
     let tail = |hedge_percent| {
         let settings = Settings {
             hedge_percent,
             hedge_reserve: hedge_percent,
             ..Settings::default()
         };
-        let mut station = Station::new(1, settings, &records());
-        station.stuck_one_in = 50;
-        station.offer(&[stream("/", "GET", 40)], SECONDS);
-        station.finish();
-        print(&station);
-        let fared = station.fared("/");
-        (fared.answered_share(), fared.latency_ms(99))
+        let mut model = OverloadModel::new(1, settings, &records());
+        model.stuck_response_interval = 50;
+        model.offer(&[stream("/", "GET", 40)], SECONDS);
+        model.finish();
+        print(&model);
+        let stats = model.stats("/");
+        (stats.answered_share(), stats.latency_ms(99))
     };
     let (_, without_ms) = tail(0);
     let (answered, with_ms) = tail(5);
@@ -168,8 +170,8 @@
 
 #[test]
 fn retries_do_not_amplify_an_overload() {
-    let station = run(4, &[stream("/", "GET", CAPACITY * 3)]);
-    let counters = station.routers.iter().map(|router| router.counters());
+    let model = run(4, &[stream("/", "GET", CAPACITY * 3)]);
+    let counters = model.routers.iter().map(|router| router.counters());
     let (mut admitted, mut attempts) = (0, 0);
     for counters in counters {
         admitted += counters.admitted;
@@ -177,11 +179,11 @@
         assert!(counters.retries <= 10 + counters.admitted / 10);
     }
     assert!(attempts <= admitted * 110 / 100 + 40);
-    assert!(station.most_open <= 100);
+    assert!(model.max_open_connections <= 100);
 }
 
 #[test]
-fn a_flood_of_one_partner_leaves_the_other_its_answers() {
+fn a_flooding_partner_does_not_delay_another() {
     let flooded = RouteRule {
         may_queue: true,
         ..route("flood", "/flood")
@@ -207,7 +209,7 @@
         max_exchanges: 64,
         ..Settings::default()
     };
-    let mut station = Station::new(1, settings, &records);
+    let mut model = OverloadModel::new(1, settings, &records);
     let flood = Stream {
         host: "a.test",
         ..stream("/flood", "POST", 5_000)
@@ -216,9 +218,9 @@
         host: "b.test",
         ..stream("/calm", "POST", 100)
     };
-    station.offer(&[flood, calm], 10);
-    station.finish();
-    let (flood, calm) = (station.fared("/flood"), station.fared("/calm"));
+    model.offer(&[flood, calm], 10);
+    model.finish();
+    let (flood, calm) = (model.stats("/flood"), model.stats("/calm"));
     println!("flood {:?} {}", flood.not_run, flood.answered);
     println!("calm {:?} p99 {} ms", calm.not_run, calm.latency_ms(99));
     assert_eq!(calm.answered, calm.offered);
--- a/crates/routing/tests/random_schedules.rs
+++ b/crates/routing/tests/random_schedules.rs
@@ -1,4 +1,4 @@
-//! Promises that hold under random schedules, with fixed seeds.
+//! Guarantees that hold under random schedules, with fixed seeds.
 
 mod common;
 
@@ -10,7 +10,7 @@
 const METHODS: [&str; 2] = ["GET", "POST"];
 const PATHS: [&str; 3] = ["/", "/critical", "/background"];
 
-/// Offers requests for five seconds and lets every one of them end.
+/// Offers requests for five seconds and runs until all of them have ended.
 fn run(seed: u64, faults: Faults, requests_per_second: u64, settings: Settings) -> World {
     let mut world = World::new(seed, faults, settings);
     let requests = requests_per_second * 5;
@@ -25,14 +25,14 @@
             && world.draw(50) == 0
         {
             let after = world.draw(30);
-            world.hang_up_later(id, after);
+            world.disconnect_later(id, after);
         }
         if number % 20 == 0 {
-            world.disturb();
+            world.inject_record_fault();
         }
     }
     world.run_until(at(60_000));
-    world.check_ends();
+    world.check_outcomes();
     world
 }
 
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn promises_hold_whatever_fails() {
+fn guarantees_hold_under_any_fault() {
     for seed in 0..40 {
         let faults = Faults {
             attempts: 5 + seed % 4 * 25,
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn promises_hold_when_everything_is_scarce() {
+fn guarantees_hold_when_capacity_is_scarce() {
     for seed in 100..120 {
         let settings = Settings {
             max_exchanges: 12,
@@ -72,7 +72,7 @@
         };
         let world = run(seed, faults, 2_000, settings.clone());
         check_extra_attempts(&world, &settings);
-        assert!(world.turned_away > 0);
+        assert!(world.rejected > 0);
     }
 }
 
@@ -85,8 +85,12 @@
     for seed in 200..205 {
         let world = run(seed, faults, 200, Settings::default());
         let answered = world.outcomes(|_, outcome| outcome == Outcome::Answered);
-        let hung_up = world.known.values().filter(|known| known.hung_up).count();
-        assert_eq!(answered + hung_up, world.known.len());
+        let caller_disconnected = world
+            .exchanges
+            .values()
+            .filter(|record| record.caller_disconnected)
+            .count();
+        assert_eq!(answered + caller_disconnected, world.exchanges.len());
     }
 }
 
--- a/crates/routing/tests/routes_and_keys.rs
+++ b/crates/routing/tests/routes_and_keys.rs
@@ -1,4 +1,4 @@
-//! Matching of requests to routes, and where their keys are found.
+//! Matching of requests to routes, and extraction of their keys.
 
 mod common;
 
@@ -48,7 +48,7 @@
     let table = table(vec![route("r", "/")]);
     let request = RequestHead {
         host: "other.test",
-        ..head("GET", "/", &NOTHING)
+        ..head("GET", "/", &NO_HEADERS)
     };
     assert_eq!(table.match_request(&request), Err(NotRunReason::NoRoute));
 }
--- a/crates/routing/tests/table_deltas.rs
+++ b/crates/routing/tests/table_deltas.rs
@@ -1,4 +1,4 @@
-//! The copy of records under deltas.
+//! The routing table under deltas.
 
 mod common;
 
@@ -13,11 +13,11 @@
     Some((owner.back_end.name.clone(), owner.epoch.0.index))
 }
 
-fn named(name: &str, epoch: u64) -> Option<(String, u64)> {
+fn owner_with_epoch(name: &str, epoch: u64) -> Option<(String, u64)> {
     Some((name.to_owned(), epoch))
 }
 
-fn two_back_ends() -> RoutingTable {
+fn table_with_two_back_ends() -> RoutingTable {
     let mut table = RoutingTable::new();
     let (low, high) = Slice::ALL.split_at(Point(1_000)).expect("inside");
     let changes = vec![
@@ -34,18 +34,18 @@
 }
 
 #[test]
-fn a_point_is_found_in_the_slice_that_holds_it() {
-    let table = two_back_ends();
-    assert_eq!(owner(&table, 0), named("one", 1));
-    assert_eq!(owner(&table, 999), named("one", 1));
-    assert_eq!(owner(&table, 1_000), named("two", 2));
-    assert_eq!(owner(&table, u64::MAX), named("two", 2));
+fn a_point_is_found_in_the_slice_that_contains_it() {
+    let table = table_with_two_back_ends();
+    assert_eq!(owner(&table, 0), owner_with_epoch("one", 1));
+    assert_eq!(owner(&table, 999), owner_with_epoch("one", 1));
+    assert_eq!(owner(&table, 1_000), owner_with_epoch("two", 2));
+    assert_eq!(owner(&table, u64::MAX), owner_with_epoch("two", 2));
     assert!(table.owner(&service_id("a/other"), Point(1)).is_none());
 }
 
 #[test]
-fn a_move_a_split_and_a_merge_are_followed() {
-    let mut table = two_back_ends();
+fn moves_splits_and_merges_are_applied() {
+    let mut table = table_with_two_back_ends();
     let (low, high) = Slice::ALL.split_at(Point(1_000)).expect("inside");
     let (left, right) = low.split_at(Point(500)).expect("inside");
     let split = vec![
@@ -53,8 +53,8 @@
         slice("a/s", right, Some(("a/two", 1)), 6),
     ];
     table.apply(&delta(5, split)).expect("fits");
-    assert_eq!(owner(&table, 499), named("one", 1));
-    assert_eq!(owner(&table, 500), named("two", 6));
+    assert_eq!(owner(&table, 499), owner_with_epoch("one", 1));
+    assert_eq!(owner(&table, 500), owner_with_epoch("two", 6));
     let key = SliceKey {
         service: service_id("a/s"),
         first: high.first,
@@ -68,22 +68,22 @@
         slice("a/s", wide, Some(("a/two", 1)), 7),
     ];
     table.apply(&delta(6, merge)).expect("fits");
-    assert_eq!(owner(&table, 5_000), named("two", 7));
+    assert_eq!(owner(&table, 5_000), owner_with_epoch("two", 7));
     assert_eq!(table.slice_count(), 2);
 }
 
 #[test]
 fn a_slice_without_owner_or_whose_session_ended_is_unowned() {
-    let mut table = two_back_ends();
+    let mut table = table_with_two_back_ends();
     let ended = vec![RecordChange::SessionRemoved(session_id("a/one", 1))];
     table.apply(&delta(5, ended)).expect("fits");
     assert_eq!(owner(&table, 0), None);
-    assert_eq!(owner(&table, 1_000), named("two", 2));
+    assert_eq!(owner(&table, 1_000), owner_with_epoch("two", 2));
 }
 
 #[test]
-fn the_copy_never_goes_back_and_takes_no_gap() {
-    let mut table = two_back_ends();
+fn older_deltas_gaps_and_other_groups_are_rejected() {
+    let mut table = table_with_two_back_ends();
     let gap = table.apply(&delta(7, Vec::new()));
     assert!(matches!(gap, Err(ApplyError::Gap { .. })));
     let older = table.apply(&full(4, Vec::new()));
@@ -95,12 +95,12 @@
     let other = table.apply(&other);
     assert!(matches!(other, Err(ApplyError::OtherGroup { .. })));
     assert_eq!(table.revision(), revision(5));
-    assert_eq!(owner(&table, 0), named("one", 1));
+    assert_eq!(owner(&table, 0), owner_with_epoch("one", 1));
 }
 
 #[test]
-fn a_full_state_replaces_what_it_does_not_mention() {
-    let mut table = two_back_ends();
+fn a_full_state_removes_what_it_does_not_list() {
+    let mut table = table_with_two_back_ends();
     let changes = vec![
         service("a/s", "s.test", vec![route("r", "/")]),
         back_end("a/two", 2, 10),
@@ -108,7 +108,7 @@
         slice("a/s", Slice::ALL, Some(("a/two", 1)), 8),
     ];
     table.apply(&full(9, changes)).expect("fits");
-    assert_eq!(owner(&table, 0), named("two", 8));
+    assert_eq!(owner(&table, 0), owner_with_epoch("two", 8));
     assert_eq!(table.slice_count(), 1);
     let nothing = full(10, Vec::new());
     table.apply(&nothing).expect("fits");
@@ -118,7 +118,7 @@
 #[test]
 fn random_deltas_lead_to_the_same_owners_as_the_full_state() {
     for seed in 0..20 {
-        let mut table = two_back_ends();
+        let mut table = table_with_two_back_ends();
         let slices = Slice::divide(16);
         let owners = [Some(("a/one", 1)), Some(("a/two", 1)), None];
         let mut owned = [None; 16];
@@ -140,7 +140,7 @@
             table.apply(&delta(step + 6, vec![change])).expect("fits");
         }
         for (part, expected) in slices.iter().zip(owned) {
-            let expected = expected.and_then(|(name, index)| named(&name[2..], index));
+            let expected = expected.and_then(|(name, index)| owner_with_epoch(&name[2..], index));
             assert_eq!(owner(&table, part.first.0), expected);
             assert_eq!(owner(&table, part.last.0), expected);
         }
--- a/crates/spread/examples/costs.rs
+++ b/crates/spread/examples/costs.rs
@@ -1,7 +1,8 @@
-//! Prints what spreading costs: bytes of an idle pull with its answer, of a
-//! push, and of all messages of a router while nothing changes; how long a
-//! change takes to reach all; memory and time for many slices. JSON bodies
-//! only, without HTTP heads. Arguments: numbers of routers.
+//! Prints the costs of spreading records: bytes of an idle pull with its
+//! answer, of a push, and of all messages of a router while nothing changes;
+//! the time until a change has reached all routers; memory and time for many
+//! slices. Sizes are those of the JSON bodies, without HTTP heads. Arguments:
+//! numbers of routers.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -136,7 +137,8 @@
     );
 }
 
-/// Resident memory of this process, where the system tells it.
+/// Returns the resident memory of this process, or 0 where the system does not
+/// report it.
 fn resident_bytes() -> u64 {
     const PAGE_BYTES: u64 = 4_096;
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/spread/tests/network.rs
+++ b/crates/spread/tests/network.rs
@@ -1,5 +1,6 @@
-//! Many routers on a lossy network in virtual time. The network asserts at
-//! every step that no copy goes back and that confirmations are honest.
+//! Many routers on a lossy network in virtual time. The simulated network
+//! asserts at every step that no copy goes back and that confirmations are
+//! true.
 
 mod support;
 
@@ -11,19 +12,19 @@
 use threadledge_spread::Settings;
 use threadledge_types::Timing;
 
-const IN_FORCE: Duration = Duration::from_secs(2);
-const SETTLE: Duration = Duration::from_secs(10);
+const PROPAGATION_BOUND: Duration = Duration::from_secs(2);
+const CONVERGENCE_TIME: Duration = Duration::from_secs(10);
 
 fn confirm_bound() -> Duration {
     Timing::default().confirm_bound()
 }
 
-fn settled(count: usize, fanout: usize, loss_percent: u32, seed: u64) -> Network {
+fn converged_network(count: usize, fanout: usize, loss_percent: u32, seed: u64) -> Network {
     let mut network = Network::new(count, &Settings::default(), seed);
     network.loss_percent = loss_percent;
     network.set_tree(fanout);
     network.commit(revision(1, 1), &[service(1, 1)]);
-    network.run_for(SETTLE);
+    network.run_for(CONVERGENCE_TIME);
     assert!(network.all_at(revision(1, 1)), "seed {seed}");
     network
 }
@@ -40,13 +41,13 @@
 }
 
 #[test]
-fn a_change_is_everywhere_within_two_seconds_despite_losses() {
+fn a_change_reaches_every_node_within_two_seconds_despite_losses() {
     for seed in 0..4 {
-        let mut network = settled(300, 8, 5, seed);
+        let mut network = converged_network(300, 8, 5, seed);
         for index in 2..8 {
             let at = revision(1, index);
             network.commit(at, &[service(1, index)]);
-            let end = network.now + IN_FORCE;
+            let end = network.now + PROPAGATION_BOUND;
             let reached = network.run_until(end, |network| network.all_at(at));
             assert!(reached, "seed {seed} index {index}");
         }
@@ -55,7 +56,7 @@
 
 #[test]
 fn every_node_stays_confirmed_despite_losses() {
-    let mut network = settled(300, 8, 5, 11);
+    let mut network = converged_network(300, 8, 5, 11);
     for _ in 0..40 {
         network.run_for(Duration::from_millis(250));
         assert_eq!(confirmed_count(&network), 300);
@@ -63,30 +64,30 @@
 }
 
 #[test]
-fn nodes_below_failed_parents_go_on_with_other_candidates() {
-    let mut network = settled(200, 8, 2, 21);
+fn nodes_below_failed_parents_switch_to_other_candidates() {
+    let mut network = converged_network(200, 8, 2, 21);
     for failed in [1, 2, 9, 17, 18] {
         network.hosts[failed].alive = false;
     }
     network.run_for(confirm_bound());
     let at = revision(1, 2);
     network.commit(at, &[service(2, 1)]);
-    let end = network.now + IN_FORCE;
+    let end = network.now + PROPAGATION_BOUND;
     assert!(network.run_until(end, |network| network.all_at(at)));
     network.run_for(confirm_bound());
     assert_eq!(confirmed_count(&network), 195);
 }
 
 #[test]
-fn a_cut_off_part_stops_being_confirmed_and_recovers_when_healed() {
-    let mut network = settled(120, 8, 0, 31);
-    network.sides = (60..120).map(|node| (node, 1)).collect();
+fn a_partitioned_part_loses_confirmation_and_recovers_when_healed() {
+    let mut network = converged_network(120, 8, 0, 31);
+    network.partitions = (60..120).map(|node| (node, 1)).collect();
     network.run_for(confirm_bound());
     let at = revision(1, 2);
     network.commit(at, &[service(2, 1)]);
     network.run_for(Duration::from_secs(3));
     assert_eq!(confirmed_count(&network), 60);
-    network.sides.clear();
+    network.partitions.clear();
     let end = network.now + Duration::from_secs(4);
     assert!(network.run_until(end, |network| network.all_at(at)));
     network.run_for(Duration::from_secs(2));
@@ -94,7 +95,7 @@
 }
 
 #[test]
-fn a_cycle_of_parents_is_never_confirmed_anew() {
+fn a_cycle_of_parents_is_never_confirmed() {
     let mut network = Network::new(4, &Settings::default(), 41);
     network.set_parents(1, &[0]);
     network.set_parents(2, &[1]);
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn a_busy_parent_sends_its_surplus_children_to_the_next_candidate() {
+fn surplus_children_of_a_busy_parent_move_to_the_next_candidate() {
     let settings = Settings {
         max_children: 4,
         ..Settings::default()
@@ -125,7 +126,7 @@
         network.set_parents(node, &parents);
     }
     network.commit(revision(1, 1), &[service(1, 1)]);
-    network.run_for(SETTLE);
+    network.run_for(CONVERGENCE_TIME);
     assert!(network.all_at(revision(1, 1)));
     assert_eq!(confirmed_count(&network), 30);
     let most = network
@@ -137,7 +138,7 @@
 }
 
 #[test]
-fn a_large_state_travels_in_bounded_messages_while_it_changes() {
+fn a_large_state_is_sent_in_bounded_messages_while_it_changes() {
     let mut network = Network::new(20, &Settings::default(), 61);
     network.measure_bytes = true;
     network.loss_percent = 5;
@@ -155,7 +156,7 @@
         );
         network.run_for(Duration::from_millis(20));
     }
-    network.run_for(SETTLE);
+    network.run_for(CONVERGENCE_TIME);
     assert!(network.all_at(revision(1, 59)));
     assert!(network.largest_message <= 64 * 1_024);
     let expected = contents(&network.hosts[0].replica);
@@ -165,7 +166,7 @@
 }
 
 #[test]
-fn pages_that_arrive_after_their_timeout_still_join_up() {
+fn pages_that_arrive_after_their_timeout_are_still_assembled() {
     let mut network = Network::new(6, &Settings::default(), 65);
     network.max_delay = Duration::from_millis(300);
     let at = revision(1, 1);
@@ -180,7 +181,7 @@
 }
 
 #[test]
-fn slow_links_confirm_later_but_honestly() {
+fn slow_links_delay_confirmation_but_keep_it_correct() {
     let mut network = Network::new(10, &Settings::default(), 71);
     network.max_delay = Duration::from_millis(700);
     network.set_tree(3);
@@ -213,16 +214,16 @@
             match random.random_range(0..6) {
                 0 => network.hosts[node].alive = false,
                 1 => network.restart(node, &settings),
-                2 => network.sides = (node..60).map(|node| (node, 1)).collect(),
-                3 => network.sides.clear(),
+                2 => network.partitions = (node..60).map(|node| (node, 1)).collect(),
+                3 => network.partitions.clear(),
                 _ => {}
             }
             network.set_tree(4);
             network.run_for(Duration::from_millis(random.random_range(5..400)));
         }
-        network.sides.clear();
+        network.partitions.clear();
         network.loss_percent = 0;
-        network.run_for(SETTLE);
+        network.run_for(CONVERGENCE_TIME);
         assert!(network.all_at(revision(generation, 59)), "seed {seed}");
         let expected = contents(&network.hosts[0].replica);
         for host in network.hosts.iter().filter(|host| host.alive) {
--- a/crates/spread/tests/replica.rs
+++ b/crates/spread/tests/replica.rs
@@ -1,4 +1,4 @@
-//! The replica alone: deltas, pages, removals and generations.
+//! Tests of the replica alone: deltas, pages, removals and generations.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use threadledge_types::Revision;
 use threadledge_types::records::{RecordChange, RecordDelta};
 
-const WHOLE: usize = usize::MAX;
+const NO_LIMIT: usize = usize::MAX;
 
 /// Pulls pages until the transfer ends, calling `between` after each.
 fn pull_pages(
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn deltas_over_any_chain_of_copies_lead_to_the_same_records() {
+fn deltas_over_any_chain_of_copies_give_the_same_records() {
     for seed in 0..60 {
         let mut random = random(seed);
         let mut root = Replica::with_max_tombstones(GROUP, 8);
@@ -51,7 +51,7 @@
             let from = random.random_range(0..copies.len());
             let source = if from == to { &root } else { &copies[from] };
             if source.revision() > copies[to].revision() {
-                let delta = source.delta_since(copies[to].revision(), WHOLE).delta;
+                let delta = source.delta_since(copies[to].revision(), NO_LIMIT).delta;
                 copies[to].apply(&delta).expect("a fitting delta");
             }
             for copy in &copies {
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn pages_interrupted_by_a_new_generation_begin_again() {
+fn pages_interrupted_by_a_new_generation_start_again() {
     let limits = PageLimits {
         max_changes: 3,
         max_bytes: usize::MAX,
@@ -123,35 +123,35 @@
 }
 
 #[test]
-fn a_value_that_returns_after_a_change_is_sent_to_a_copy_that_saw_the_change() {
+fn a_value_that_is_restored_is_sent_to_a_copy_that_saw_the_change() {
     let at = revision(1, 1);
     let mut root = Replica::new(GROUP);
     let mut relay = Replica::new(GROUP);
     let mut below = Replica::new(GROUP);
     root.commit(at, &[back_end(1, 7)]);
     relay
-        .apply(&root.delta_since(Revision::NONE, WHOLE).delta)
+        .apply(&root.delta_since(Revision::NONE, NO_LIMIT).delta)
         .expect("first state");
     root.commit(revision(1, 2), &[back_end(1, 8)]);
     below
-        .apply(&root.delta_since(Revision::NONE, WHOLE).delta)
+        .apply(&root.delta_since(Revision::NONE, NO_LIMIT).delta)
         .expect("second state");
     root.commit(revision(1, 3), &[back_end(1, 7)]);
     relay
-        .apply(&root.delta_since(at, WHOLE).delta)
+        .apply(&root.delta_since(at, NO_LIMIT).delta)
         .expect("third state");
-    let delta = relay.delta_since(below.revision(), WHOLE).delta;
+    let delta = relay.delta_since(below.revision(), NO_LIMIT).delta;
     below.apply(&delta).expect("a difference");
     assert_eq!(contents(&below), contents(&root));
 }
 
 #[test]
-fn a_service_that_returns_under_its_name_has_no_old_slices() {
+fn a_recreated_service_has_no_old_slices() {
     let mut root = Replica::new(GROUP);
     let mut copy = Replica::new(GROUP);
     let at = revision(1, 1);
     root.commit(at, &[service(1, 1), slice(1, 0, at), slice(1, 10, at)]);
-    copy.apply(&root.delta_since(Revision::NONE, WHOLE).delta)
+    copy.apply(&root.delta_since(Revision::NONE, NO_LIMIT).delta)
         .expect("first state");
     let removal = RecordChange::ServiceRemoved(service_id(1));
     root.commit(revision(1, 2), &[removal, service(1, 2)]);
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_difference_that_skips_revisions_or_generations_is_refused() {
+fn a_delta_that_skips_revisions_or_generations_is_rejected() {
     let mut copy = Replica::new(GROUP);
     copy.commit(revision(1, 5), &[service(1, 1)]);
     for from in [revision(1, 6), revision(0, 3)] {
@@ -207,13 +207,13 @@
 }
 
 #[test]
-fn a_copy_older_than_the_removals_kept_gets_the_whole_state() {
+fn a_copy_older_than_the_tombstones_gets_the_full_state() {
     let mut root = Replica::with_max_tombstones(GROUP, 2);
     for index in 1..10 {
         root.commit(revision(1, index), &[slice_removed(1, index)]);
     }
-    assert!(root.delta_since(revision(1, 6), WHOLE).delta.full);
-    assert!(!root.delta_since(revision(1, 7), WHOLE).delta.full);
+    assert!(root.delta_since(revision(1, 6), NO_LIMIT).delta.full);
+    assert!(!root.delta_since(revision(1, 7), NO_LIMIT).delta.full);
 }
 
 #[test]
@@ -221,10 +221,10 @@
     let mut root = Replica::new(GROUP);
     let mut copy = Replica::new(GROUP);
     root.commit(revision(1, 9), &[service(1, 1), service(2, 1)]);
-    copy.apply(&root.delta_since(Revision::NONE, WHOLE).delta)
+    copy.apply(&root.delta_since(Revision::NONE, NO_LIMIT).delta)
         .expect("first state");
     root.replace(revision(2, 1), &[service(3, 1)]);
-    let delta = root.delta_since(copy.revision(), WHOLE).delta;
+    let delta = root.delta_since(copy.revision(), NO_LIMIT).delta;
     assert!(delta.full);
     copy.apply(&delta).expect("a full state");
     assert_eq!(contents(&copy), contents(&root));
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn a_difference_names_records_only_after_they_are_written() {
+fn an_ordered_delta_refers_only_to_records_already_written() {
     let mut root = Replica::new(GROUP);
     let at = revision(1, 2);
     root.commit(revision(1, 1), &[slice(1, 0, at), session(0, 1, false)]);
--- a/crates/spread/tests/support/mod.rs
+++ b/crates/spread/tests/support/mod.rs
@@ -35,10 +35,10 @@
     BackEndId::new("kauri", format!("back-end-{number}"))
 }
 
-pub fn session_id(number: u64, life: u64) -> SessionId {
+pub fn session_id(number: u64, incarnation: u64) -> SessionId {
     SessionId {
         back_end: back_end_id(number),
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(incarnation),
     }
 }
 
@@ -73,9 +73,9 @@
     }))
 }
 
-pub fn session(number: u64, life: u64, draining: bool) -> RecordChange {
+pub fn session(number: u64, incarnation: u64, draining: bool) -> RecordChange {
     RecordChange::Session(SessionRecord {
-        id: session_id(number, life),
+        id: session_id(number, incarnation),
         draining,
     })
 }
@@ -100,7 +100,7 @@
     })
 }
 
-/// A few random changes for one committed entry.
+/// Returns a few random changes for one committed entry.
 pub fn random_entry(random: &mut ChaCha8Rng, at: Revision) -> Vec<RecordChange> {
     let count = random.random_range(1..4);
     (0..count).map(|_| random_change(random, at)).collect()
@@ -122,7 +122,7 @@
     }
 }
 
-/// Everything a replica holds, for comparison.
+/// Returns all records of a replica, for comparison.
 pub fn contents(replica: &Replica) -> Vec<RecordChange> {
     let services = replica.services().cloned().map(Box::new);
     let back_ends = replica.back_ends().cloned().map(Box::new);
--- a/crates/spread/tests/support/network.rs
+++ b/crates/spread/tests/support/network.rs
@@ -1,4 +1,4 @@
-//! Many spreading cores on a simulated network in virtual time.
+//! Simulated network of many spread nodes in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,11 +11,11 @@
 
 use super::{GROUP, router};
 
-/// How often the leader confirms itself.
-const ROOT_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which the leader confirms itself.
+const ROOT_CONFIRM_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Each node's clock starts at another origin, for readings of two clocks are
-/// not comparable.
+/// Returns the origin of a node's clock. Origins differ because readings of two
+/// clocks are not comparable.
 fn clock_offset(node: usize) -> Duration {
     Duration::from_millis(10_000 + 37 * node as u64)
 }
@@ -42,14 +42,14 @@
     pub now: Timestamp,
     pub hosts: Vec<Host>,
     pub leader: Option<usize>,
-    /// Node to side; messages between sides are lost.
-    pub sides: BTreeMap<usize, u8>,
+    /// Partition of each node; messages between partitions are lost.
+    pub partitions: BTreeMap<usize, u8>,
     pub loss_percent: u32,
     pub max_delay: Duration,
     pub largest_message: usize,
     pub sent_bytes: usize,
     pub measure_bytes: bool,
-    /// When each revision was committed.
+    /// Commit time of each revision.
     commits: BTreeMap<Timestamp, Revision>,
     events: BTreeMap<(Timestamp, u64), Event>,
     event_number: u64,
@@ -57,14 +57,14 @@
 }
 
 impl Network {
-    /// `count` nodes, the first one being the leader.
+    /// Creates a network of `count` nodes, the first of which is the leader.
     pub fn new(count: usize, settings: &Settings, seed: u64) -> Self {
         let hosts = (0..count).map(|number| new_host(number, settings, Timestamp::ZERO));
         let mut network = Network {
             now: Timestamp::ZERO,
             hosts: hosts.collect(),
             leader: Some(0),
-            sides: BTreeMap::new(),
+            partitions: BTreeMap::new(),
             loss_percent: 0,
             max_delay: Duration::from_millis(3),
             largest_message: 0,
@@ -79,7 +79,7 @@
         network
     }
 
-    /// Gives every node its parents in a tree of `fanout` below the leader.
+    /// Sets the parents of every node for a tree of `fanout` below the leader.
     pub fn set_tree(&mut self, fanout: usize) {
         for node in 0..self.hosts.len() {
             let mut parents = Vec::new();
@@ -116,7 +116,7 @@
         self.run_until(self.now + duration, |_| false);
     }
 
-    /// Runs until `done` or the time is up; returns whether it was done.
+    /// Runs until `done` or until `end`; returns whether it was done.
     pub fn run_until(&mut self, end: Timestamp, done: impl Fn(&Network) -> bool) -> bool {
         while !done(self) {
             match self.events.first_key_value() {
@@ -139,7 +139,7 @@
         self.hosts[node] = new_host(node, settings, self.now);
     }
 
-    /// How long ago a node's copy was confirmed, by its own clock.
+    /// Returns the age of a node's confirmation, by its own clock.
     pub fn confirmation_age(&self, node: usize) -> Option<Duration> {
         let confirmed = self.hosts[node].node.confirmed_as_of()?;
         Some(self.local_time(node).since(confirmed))
@@ -166,7 +166,7 @@
                 if let Some(leader) = self.leader {
                     self.input(leader, SpreadInput::RootConfirmed);
                 }
-                self.schedule(self.now + ROOT_INTERVAL, Event::Root);
+                self.schedule(self.now + ROOT_CONFIRM_INTERVAL, Event::Root);
             }
             Event::Deliver { from, to, message } => {
                 if self.connected(from, to) {
@@ -178,7 +178,7 @@
     }
 
     fn connected(&self, from: usize, to: usize) -> bool {
-        self.sides.get(&from) == self.sides.get(&to)
+        self.partitions.get(&from) == self.partitions.get(&to)
     }
 
     pub fn input(&mut self, node: usize, input: SpreadInput) {
@@ -223,15 +223,15 @@
         }
     }
 
-    /// Honesty: a node has all that was committed when it says it was
-    /// confirmed.
+    /// Checks that a node has everything that was committed at the time as of
+    /// which it says it is confirmed.
     fn check_confirmation(&self, node: usize) {
         let host = &self.hosts[node];
         let Some(confirmed) = host.node.confirmed_as_of() else {
             return;
         };
         let offset = clock_offset(node);
-        // A moment before the start of the run precedes every commit.
+        // A time before the start of the run precedes every commit.
         if confirmed.since(Timestamp::ZERO) < offset {
             return;
         }
