--- a/crates/control/src/bootstrap.rs
+++ b/crates/control/src/bootstrap.rs
@@ -56,7 +56,9 @@
 /// Schedules readings of the group object and decides on each result.
 #[derive(Debug)]
 pub struct GroupBootstrap {
+    /// Id of this router.
     own: RouterId,
+    /// When the group object is read next.
     next_read: Timestamp,
 }
 
--- a/crates/control/src/group_member.rs
+++ b/crates/control/src/group_member.rs
@@ -13,6 +13,7 @@
 pub struct GroupMember {
     node: Node<Command, Snapshot>,
     machine: StateMachine,
+    /// Index of the last log entry applied.
     applied_index: u64,
 }
 
--- a/crates/control/src/intake.rs
+++ b/crates/control/src/intake.rs
@@ -51,6 +51,7 @@
 #[derive(Clone, Debug)]
 struct PendingProposal {
     change: ObjectChange,
+    /// `metadata.generation` of the object.
     object_generation: i64,
     proposed_at: Timestamp,
 }
@@ -59,8 +60,11 @@
 #[derive(Debug)]
 pub struct ConfigurationIntake {
     region: RegionName,
+    /// Hosts claimed by services.
     hosts: HostClaims,
+    /// Addresses claimed by back ends.
     addresses: AddressClaims,
+    /// Proposals that have not been applied yet.
     pending: BTreeMap<ObjectRef, PendingProposal>,
     /// Objects whose changes the current event proposes.
     pending_objects: Vec<ObjectRef>,
@@ -119,8 +123,8 @@
                 resource_version,
             } => self.deleted(now, object, resource_version),
         }
-        let found = std::mem::take(&mut self.pending_objects);
-        intake.commands = self.commands_for(&found);
+        let objects = std::mem::take(&mut self.pending_objects);
+        intake.commands = self.commands_for(&objects);
         intake
     }
 
@@ -156,10 +160,11 @@
     }
 
     /// Whether any proposal is pending.
-    pub fn is_waiting(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
+    /// Returns the commands that propose the pending changes of these objects.
     fn commands_for(&self, objects: &[ObjectRef]) -> Vec<Command> {
         let pending = objects.iter().filter_map(|object| self.pending.get(object));
         let changes: Vec<ObjectChange> = pending.map(|pending| pending.change.clone()).collect();
@@ -171,6 +176,8 @@
             .collect()
     }
 
+    /// Handles a list of all back ends. Applied back ends that are missing from
+    /// it are deleted, unless they are newer than the list.
     fn back_ends_listed(
         &mut self,
         now: Timestamp,
@@ -190,6 +197,8 @@
         }
     }
 
+    /// Handles a list of all services. Applied services that are missing from
+    /// it are deleted, unless they are newer than the list.
     fn services_listed(
         &mut self,
         now: Timestamp,
@@ -241,8 +250,8 @@
         };
         let claimed = validate_back_end(object)
             .and_then(|record| self.addresses.claim(&record).map(|()| record));
-        let record = record_or_reject(&observed, &object.status, claimed, intake);
-        let Some(record) = record else { return };
+        let validated = record_or_reject(&observed, &object.status, claimed, intake);
+        let Some(record) = validated else { return };
         let applied = machine.back_end(&record.id);
         let comparison = AppliedComparison {
             applied: applied.map(|applied| applied.resource_version),
@@ -276,8 +285,8 @@
         }
         let claimed =
             validate_service(object).and_then(|record| self.hosts.claim(&record).map(|()| record));
-        let record = record_or_reject(&observed, &object.status, claimed, intake);
-        let Some(record) = record else { return };
+        let validated = record_or_reject(&observed, &object.status, claimed, intake);
+        let Some(record) = validated else { return };
         let applied = machine.service(&record.id);
         let comparison = AppliedComparison {
             applied: applied.map(|applied| applied.resource_version),
@@ -310,16 +319,16 @@
         if comparison.applied > Some(comparison.offered) {
             report_stale(&object, intake);
         } else if comparison.is_unchanged {
-            self.already_applied(object, generation, comparison.is_status_accepted, intake);
+            self.write_missing_status(object, generation, comparison.is_status_accepted, intake);
         } else {
             self.propose(now, object, change, generation);
         }
     }
 
-    /// Handles an object that the state already holds. Only its status may be
+    /// Writes the status of an object that the state already holds, if that is
     /// missing, for example because an earlier leader was lost before it wrote
     /// it.
-    fn already_applied(
+    fn write_missing_status(
         &mut self,
         reference: ObjectRef,
         generation: i64,
@@ -331,6 +340,7 @@
         }
     }
 
+    /// Records a change as pending, to be proposed with the current event.
     fn propose(
         &mut self,
         now: Timestamp,
@@ -347,6 +357,7 @@
         self.pending_objects.push(object);
     }
 
+    /// Reports an object as accepted.
     fn accept(&self, object: ObjectRef, generation: i64, intake: &mut IntakeActions) {
         intake.observations.push(Observation::ObjectAccepted {
             object: object.describe(),
--- a/crates/control/src/leader.rs
+++ b/crates/control/src/leader.rs
@@ -52,9 +52,11 @@
     planner: Planner,
     intake: ConfigurationIntake,
     alerts: ServiceAlerts,
+    /// Whether the group has enough members for slices to be assigned.
     is_group_formed: bool,
     /// Time at which there was first a configuration to plan for.
     configured_at: Option<Timestamp>,
+    /// Whether back ends have had time to register.
     back_ends_ready: bool,
     started: Timestamp,
     next_membership: Timestamp,
@@ -160,7 +162,7 @@
         member: &GroupMember,
         actions: &mut LeaderActions,
     ) {
-        if self.intake.is_waiting() {
+        if self.intake.has_pending() {
             let intake = self.intake.tick(now, in_force, member.machine());
             apply_intake(intake, actions);
         }
@@ -224,6 +226,7 @@
         self.is_group_formed |= complete || (waited && voters >= visible.min(settings.group_size));
     }
 
+    /// Steps the grantor and distributes its outputs.
     fn step_grantor(
         &mut self,
         now: Timestamp,
@@ -264,6 +267,7 @@
         self.back_ends_ready
     }
 
+    /// Runs a placement round if one is due, and proposes its actions.
     fn plan(&mut self, now: Timestamp, member: &GroupMember, actions: &mut LeaderActions) {
         let machine = member.machine();
         let configured = machine.services().next().is_some();
@@ -288,6 +292,7 @@
     }
 }
 
+/// Whether every back end eligible for a service has a session.
 fn every_back_end_has_session(member: &GroupMember) -> bool {
     let machine = member.machine();
     // Back ends that no service here selects are left to other regions.
@@ -298,6 +303,7 @@
     })
 }
 
+/// Returns the promotions of learners and the next addition or removal.
 fn next_member_changes(
     settings: &ControlSettings,
     node: &Node<Command, Snapshot>,
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -30,13 +30,18 @@
     leader: Option<Leader>,
     replica: Replica,
     spread: SpreadNode,
+    /// Last known view of the group.
     view: Option<GroupView>,
     bootstrap: GroupBootstrap,
+    /// Last generation that this router bootstrapped.
     bootstrapped_generation: Option<Generation>,
     recovery: GroupRecovery,
+    /// When a leader checks the group object next.
     next_generation_check: Timestamp,
+    /// When other routers may be asked for a leader next.
     next_search: Timestamp,
     leaving: bool,
+    /// Whether the parents in the spreading tree have to be computed again.
     parents_changed: bool,
 }
 
--- a/crates/control/src/node/group.rs
+++ b/crates/control/src/node/group.rs
@@ -140,6 +140,7 @@
         }
     }
 
+    /// Retires if the group object names a later generation than this router's.
     fn retire_if_superseded(&mut self, state: &GroupObjectState) {
         if let GroupObjectState::Present { generation, .. } = state {
             self.retire(*generation);
@@ -155,10 +156,13 @@
         }
     }
 
+    /// Whether this router knows no group and may bootstrap one.
     pub(super) fn needs_group(&self) -> bool {
         self.view.is_none() && !self.leaving && self.member.node().role() == Role::Joining
     }
 
+    /// Handles the state of the group object: retires, bootstraps the group or
+    /// schedules another attempt.
     pub(super) fn on_group_object(
         &mut self,
         now: Timestamp,
@@ -188,6 +192,7 @@
         }
     }
 
+    /// Handles the result of writing the group object.
     pub(super) fn on_group_object_written(
         &mut self,
         now: Timestamp,
@@ -235,6 +240,8 @@
         outputs.push(Output::Observe(Observation::GroupFounded(generation)));
     }
 
+    /// Returns the newest state that this router holds: its applied state or
+    /// its copy of the records.
     pub(super) fn recoverable_state(&self) -> Option<Snapshot> {
         let machine = self.member.machine();
         let copied = self.replica.revision();
--- a/crates/control/src/node/log.rs
+++ b/crates/control/src/node/log.rs
@@ -17,6 +17,7 @@
 const MAX_ROUNDS: usize = 64;
 
 impl ControlNode {
+    /// Proposes the membership changes that are due, if this router leads.
     pub(super) fn change_members(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -103,6 +104,7 @@
         }
     }
 
+    /// Starts or ends the leader's work after the consensus role changed.
     pub(super) fn update_leadership(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
         let node = self.member.node();
         let serving = self.member.is_serving_leader();
@@ -128,6 +130,7 @@
         self.parents_changed = true;
     }
 
+    /// Passes applied changes to the leader's work.
     pub(super) fn notify_leader(
         &mut self,
         now: Timestamp,
--- a/crates/control/src/node/peers.rs
+++ b/crates/control/src/node/peers.rs
@@ -20,6 +20,7 @@
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl ControlNode {
+    /// Handles the messages of another router.
     pub(super) fn on_peer_batch(
         &mut self,
         now: Timestamp,
@@ -69,6 +70,7 @@
         }
     }
 
+    /// Steps the membership protocol and reports its events.
     pub(super) fn step_membership(
         &mut self,
         now: Timestamp,
@@ -96,6 +98,8 @@
         }
     }
 
+    /// Confirms the records of the leader, the root of the spreading tree,
+    /// while its lease is valid.
     pub(super) fn confirm_root(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
         let confirmed = self.member.is_serving_leader() && self.is_leader(now);
         if confirmed {
@@ -134,6 +138,7 @@
         }
     }
 
+    /// Adopts a view of the group if it is later than the known one.
     pub(super) fn adopt_view(&mut self, view: Option<Box<GroupView>>) {
         let Some(view) = view else { return };
         let newer = self
@@ -173,6 +178,8 @@
         }
     }
 
+    /// Computes this router's parents again if anything they depend on has
+    /// changed.
     pub(super) fn refresh_parents(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
         if !std::mem::take(&mut self.parents_changed) {
             return;
@@ -181,6 +188,8 @@
         self.step_spread(now, SpreadInput::Parents(parents), None, outputs);
     }
 
+    /// Returns the candidates for this router's parent in the spreading tree,
+    /// best first; empty on the leader.
     pub(super) fn parents(&self) -> Vec<RouterIdentity> {
         if self.leader.is_some() {
             return Vec::new();
@@ -221,6 +230,7 @@
             .collect()
     }
 
+    /// Returns the identity of a root or a member that is not dead.
     pub(super) fn identity_of(
         &self,
         id: RouterId,
--- a/crates/control/src/recovery.rs
+++ b/crates/control/src/recovery.rs
@@ -55,6 +55,7 @@
     /// Time at which other routers were asked, and the version of the view that
     /// seemed lost.
     asked: Option<(Timestamp, ViewVersion)>,
+    /// Earliest time of the next attempt.
     next_attempt: Timestamp,
 }
 
--- a/crates/control/src/service_alerts.rs
+++ b/crates/control/src/service_alerts.rs
@@ -56,6 +56,8 @@
         observations
     }
 
+    /// Returns an alert if an imbalance has lasted too long and was not
+    /// reported yet.
     fn check_imbalance(
         &mut self,
         now: Timestamp,
@@ -80,6 +82,8 @@
         })
     }
 
+    /// Returns an alert if a service newly has slices without an owner and no
+    /// back end that may own them.
     fn check_back_ends(
         &mut self,
         planner: &Planner,
--- a/crates/control/src/slice_changes.rs
+++ b/crates/control/src/slice_changes.rs
@@ -68,6 +68,7 @@
     }
 }
 
+/// Returns the kind of change between two records of a slice, if it is counted.
 fn change_between(before: &SliceRecord, after: &SliceRecord) -> Option<SliceChange> {
     match (&before.next, &after.next) {
         (None, Some(_)) => return Some(SliceChange::MoveStarted),
--- a/crates/routing/src/back_end.rs
+++ b/crates/routing/src/back_end.rs
@@ -41,13 +41,17 @@
     pub(crate) queue: WaitQueue,
     pub(crate) retries: Budget,
     pub(crate) hedges: Budget,
+    /// The current process; `None` without an open session.
     process: Option<BackEndProcess>,
     draining_since: Option<Timestamp>,
+    /// The current process has refused a request because it is draining.
     refuses_new_work: bool,
     ramp: Option<Ramp>,
     ramp_length: Duration,
     drain_grace: Duration,
+    /// Exchanges that were granted a slot and have not sent their attempt yet.
     granted_slots: BTreeSet<ExchangeId>,
+    /// Running attempts, oldest first.
     running: BTreeSet<(Timestamp, ExchangeId, AttemptNumber)>,
 }
 
--- a/crates/routing/src/backoff.rs
+++ b/crates/routing/src/backoff.rs
@@ -15,12 +15,12 @@
 }
 
 /// Returns the wait before attempt number `attempts + 1`: a random duration
-/// between half and all of `shortest` doubled with each attempt, capped at
-/// `longest`. The jitter keeps requests that failed together from retrying
+/// between half and all of `initial` doubled with each attempt, capped at
+/// `max`. The jitter keeps requests that failed together from retrying
 /// together.
-pub fn backoff(shortest: Duration, longest: Duration, attempts: u32, draw: u64) -> Duration {
+pub fn backoff(initial: Duration, max: Duration, attempts: u32, draw: u64) -> Duration {
     let doublings = attempts.saturating_sub(1).min(MAX_DOUBLINGS);
-    let whole = (shortest * (1 << doublings)).min(longest);
+    let whole = (initial * (1 << doublings)).min(max);
     let half = whole / 2;
     let jitter_micros = splitmix64(draw) % (half.as_micros() as u64 + 1);
     half + Duration::from_micros(jitter_micros)
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -13,7 +13,9 @@
 /// `refill` interval that has passed if the bucket refills by time.
 #[derive(Clone, Debug)]
 pub struct Budget {
+    /// Current level.
     hundredths: u64,
+    /// Hundredths gained with each first attempt.
     deposit: u64,
     capacity: u64,
     refill: Option<Refill>,
--- a/crates/routing/src/concurrency.rs
+++ b/crates/routing/src/concurrency.rs
@@ -68,7 +68,10 @@
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     bounds: Bounds,
+    /// The current limit; fractions accumulate until they allow one more
+    /// request.
     limit: f64,
+    /// Time of the last decrease.
     decreased_at: Option<Timestamp>,
 }
 
--- a/crates/routing/src/dispatcher/admission.rs
+++ b/crates/routing/src/dispatcher/admission.rs
@@ -19,6 +19,7 @@
 pub(super) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Dispatcher {
+    /// Admits a request, or rejects it with a reason.
     pub(super) fn admit(
         &mut self,
         now: Timestamp,
@@ -40,6 +41,8 @@
         Ok((id, matched))
     }
 
+    /// Creates the exchange for a request after matching its route, key and
+    /// deadline.
     fn build_exchange(
         &self,
         now: Timestamp,
@@ -76,6 +79,8 @@
         Ok((exchange, matched))
     }
 
+    /// Applies the admission decision of the namespace shares, evicting a
+    /// waiting request if necessary.
     fn make_room(
         &mut self,
         now: Timestamp,
--- a/crates/routing/src/dispatcher/advance.rs
+++ b/crates/routing/src/dispatcher/advance.rs
@@ -19,6 +19,8 @@
         }
     }
 
+    /// Advances the exchange by one transition. Returns a step if there is one
+    /// for the shell.
     fn advance_once(&mut self, now: Timestamp, exchange: &mut Exchange) -> Option<Step> {
         match exchange.state {
             State::Ended(finish) => Some(Step::Finish(finish)),
@@ -200,6 +202,8 @@
         Some(owner)
     }
 
+    /// Ends an exchange whose deadline has passed. Attempts that ran long
+    /// enough without a response count as failures of their back ends.
     fn end_at_deadline(&mut self, now: Timestamp, exchange: &mut Exchange) {
         // A back end that has started its response is not blamed: a caller that
         // reads slowly may be what delayed it.
@@ -222,7 +226,7 @@
         if matches!(exchange.state, State::Delivering { .. }) {
             self.end(now, exchange, Outcome::Unknown(late), None);
         } else {
-            self.end_without_answer(now, exchange, late);
+            self.end_without_response(now, exchange, late);
         }
     }
 }
--- a/crates/routing/src/dispatcher/attempts.rs
+++ b/crates/routing/src/dispatcher/attempts.rs
@@ -44,6 +44,7 @@
         SendDecision::Abandon
     }
 
+    /// Applies an event of an attempt to its back end and its exchange.
     pub(super) fn on_event(
         &mut self,
         now: Timestamp,
@@ -117,6 +118,7 @@
         }
     }
 
+    /// Records the response time and adjusts the concurrency limit.
     fn record_latency(&mut self, now: Timestamp, attempt: &RunningAttempt) {
         let Some(back_end) = self.back_ends.get_mut(&attempt.target.back_end) else {
             return;
@@ -185,6 +187,8 @@
         }
     }
 
+    /// Parks an exchange whose last attempt failed for a retry, if it may be
+    /// sent again; otherwise ends it.
     fn retry_or_end(
         &mut self,
         now: Timestamp,
@@ -206,7 +210,7 @@
         let allowed =
             may_retry(ran, context) && exchange.attempts_made < self.settings.max_attempts;
         if !allowed || condition == RetryCondition::Never {
-            self.end_without_answer(now, exchange, UnknownReason::ConnectionLost);
+            self.end_without_response(now, exchange, UnknownReason::ConnectionLost);
             return;
         }
         let retry_time = match condition {
@@ -219,18 +223,21 @@
         self.park(now, exchange, Some(attempt.target), retry_time);
     }
 
-    pub(super) fn end_without_answer(
+    /// Ends an exchange without a response: as not run if no attempt may have
+    /// run, otherwise as unknown.
+    pub(super) fn end_without_response(
         &mut self,
         now: Timestamp,
         exchange: &mut Exchange,
         unanswered: UnknownReason,
     ) {
-        match exchange.outcome_without_answer(unanswered) {
+        match exchange.outcome_without_response(unanswered) {
             Outcome::NotRun(reason) => self.end_not_run(now, exchange, reason),
             outcome => self.end(now, exchange, outcome, None),
         }
     }
 
+    /// Ends an exchange of which nothing ran.
     pub(super) fn end_not_run(
         &mut self,
         now: Timestamp,
--- a/crates/routing/src/dispatcher/ending.rs
+++ b/crates/routing/src/dispatcher/ending.rs
@@ -62,6 +62,7 @@
         Some(wait.clamp(DEFAULT_RETRY_AFTER, MAX_RETRY_AFTER))
     }
 
+    /// Frees everything an exchange holds: its queue position, slots and share.
     fn release_resources(&mut self, now: Timestamp, exchange: &mut Exchange) {
         self.leave_queue(now, exchange);
         self.leave_owner_refusals(exchange);
--- a/crates/routing/src/dispatcher/owner_refusals.rs
+++ b/crates/routing/src/dispatcher/owner_refusals.rs
@@ -33,9 +33,9 @@
             return self.park(now, exchange, Some(target), RetryTime::At(retry_at));
         }
         self.park(now, exchange, Some(target), RetryTime::AfterProbe);
-        let shortest = self.settings.backoff_min();
+        let initial_backoff = self.settings.backoff_min();
         self.owner_refusals
-            .join(now, target, exchange.id, refusals.probes, shortest);
+            .join(now, target, exchange.id, refusals.probes, initial_backoff);
     }
 
     /// Returns the next step of an exchange that waits with others for the
@@ -49,8 +49,8 @@
     ) -> Option<Step> {
         match self.owner_refusals.next_action(target, exchange.id) {
             WaiterAction::Wait => Some(Step::Wait { until: give_up }),
-            WaiterAction::Probe(ask_at) if now < ask_at => {
-                let until = ask_at.min(give_up);
+            WaiterAction::Probe(probe_at) if now < probe_at => {
+                let until = probe_at.min(give_up);
                 Some(Step::Wait { until })
             }
             WaiterAction::Probe(_) => {
@@ -75,16 +75,18 @@
         self.set_state(exchange, State::Ready);
     }
 
+    /// Resends an exchange as a probe on behalf of all that wait, if the retry
+    /// budget has a token.
     fn probe_owner(&mut self, now: Timestamp, exchange: &mut Exchange, target: Target) {
-        let shortest = self.settings.backoff_min();
+        let initial_backoff = self.settings.backoff_min();
         let probes = self
             .owner_refusals
-            .schedule_next_probe(now, target, shortest);
+            .schedule_next_probe(now, target, initial_backoff);
         let back_end = self.back_ends.get_mut(&target.back_end);
         if !back_end.is_none_or(|back_end| back_end.withdraw_retry(now)) {
             self.counters.retries_denied += 1;
             if exchange.unresolved.is_some() {
-                self.end_without_answer(now, exchange, UnknownReason::ConnectionLost);
+                self.end_without_response(now, exchange, UnknownReason::ConnectionLost);
             }
             return;
         }
--- a/crates/routing/src/dispatcher/records.rs
+++ b/crates/routing/src/dispatcher/records.rs
@@ -43,6 +43,8 @@
         }
     }
 
+    /// Updates, adds or removes the state of a back end according to its record
+    /// and session.
     fn update_back_end(&mut self, now: Timestamp, index: BackEndIndex, warm: bool) {
         let sessions = self.table.sessions();
         let entry = sessions.back_end(index);
@@ -74,6 +76,7 @@
         }
     }
 
+    /// Wakes the exchanges whose keys belong to changed slices or services.
     fn wake_affected(&mut self, effects: &Effects) {
         if effects.full {
             self.wakeups
--- a/crates/routing/src/dispatcher/waiting.rs
+++ b/crates/routing/src/dispatcher/waiting.rs
@@ -32,10 +32,13 @@
     pub(super) fn retry_time(&self, now: Timestamp, exchange: &Exchange) -> Timestamp {
         let rounds = exchange.attempts_made + exchange.retries_denied;
         let draw = exchange.request_id ^ u64::from(rounds);
-        let (shortest, longest) = (self.settings.backoff_min(), self.settings.backoff_max());
-        now + backoff(shortest, longest, rounds, draw)
+        let (initial_backoff, max_backoff) =
+            (self.settings.backoff_min(), self.settings.backoff_max());
+        now + backoff(initial_backoff, max_backoff, rounds, draw)
     }
 
+    /// Resumes a parked exchange if its owner changed or its retry is due;
+    /// otherwise returns how long to wait, or gives it up.
     pub(super) fn wait_parked(
         &mut self,
         now: Timestamp,
@@ -54,7 +57,7 @@
         }
         let give_up = self.give_up_time(now, exchange);
         if now >= give_up {
-            self.end_without_answer(now, exchange, UnknownReason::ConnectionLost);
+            self.end_without_response(now, exchange, UnknownReason::ConnectionLost);
             return None;
         }
         let retry_at = match (parked.retry, owner) {
@@ -69,7 +72,7 @@
         if exchange.not_run == NotRunReason::Overloaded && retry_at >= give_up {
             // The request could not be retried before it is given up, so it is
             // ended now.
-            self.end_without_answer(now, exchange, UnknownReason::ConnectionLost);
+            self.end_without_response(now, exchange, UnknownReason::ConnectionLost);
             return None;
         }
         if now < retry_at || owner.is_none() {
@@ -80,7 +83,7 @@
             };
             return Some(Step::Wait { until });
         }
-        self.retry_or_put_off(now, exchange, parked);
+        self.retry_or_postpone(now, exchange, parked);
         None
     }
 
@@ -88,7 +91,7 @@
     /// token, a request that may have run, or that the owner had no capacity
     /// for, is ended so that its caller is told immediately. Others keep
     /// waiting for another owner, with nothing sent.
-    fn retry_or_put_off(&mut self, now: Timestamp, exchange: &mut Exchange, parked: Parked) {
+    fn retry_or_postpone(&mut self, now: Timestamp, exchange: &mut Exchange, parked: Parked) {
         let back_end = parked
             .avoid
             .and_then(|target| self.back_ends.get_mut(&target.back_end));
@@ -99,7 +102,7 @@
         }
         self.counters.retries_denied += 1;
         if exchange.unresolved.is_some() || exchange.not_run == NotRunReason::Overloaded {
-            self.end_without_answer(now, exchange, UnknownReason::ConnectionLost);
+            self.end_without_response(now, exchange, UnknownReason::ConnectionLost);
             return;
         }
         exchange.retries_denied += 1;
@@ -139,7 +142,7 @@
         let misses_deadline = now + wait > until || now + wait + response_time > exchange.deadline;
         if misses_deadline {
             self.counters.shed += 1;
-            self.end_without_answer(now, exchange, UnknownReason::ConnectionLost);
+            self.end_without_response(now, exchange, UnknownReason::ConnectionLost);
             return;
         }
         match back_end.queue.push(position) {
@@ -150,7 +153,7 @@
             }
             PushOutcome::Full => {
                 self.counters.shed += 1;
-                self.end_without_answer(now, exchange, UnknownReason::ConnectionLost);
+                self.end_without_response(now, exchange, UnknownReason::ConnectionLost);
                 return;
             }
         }
@@ -159,6 +162,8 @@
         self.set_state(exchange, State::Queued { back_end, until });
     }
 
+    /// Sends a queued exchange once it was granted a slot; otherwise returns
+    /// how long to wait, or ends it.
     pub(super) fn wait_queued(
         &mut self,
         now: Timestamp,
@@ -194,7 +199,7 @@
         if !still_queued || now >= until {
             back_end.queue.remove(position);
             self.wake_queue_head(now, index);
-            self.end_without_answer(now, exchange, UnknownReason::ConnectionLost);
+            self.end_without_response(now, exchange, UnknownReason::ConnectionLost);
             return None;
         }
         let is_first = back_end.queue.first() == Some(exchange.id);
--- a/crates/routing/src/ejection.rs
+++ b/crates/routing/src/ejection.rs
@@ -25,6 +25,8 @@
     pub successes_to_readmit: u32,
 }
 
+/// Ejection state. While `Ejected`, no request is let through before `until`
+/// and single probes afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     InUse {
--- a/crates/routing/src/exchange.rs
+++ b/crates/routing/src/exchange.rs
@@ -95,7 +95,9 @@
     /// Its response is being forwarded to the caller.
     Delivering {
         attempt: AttemptNumber,
+        /// `Step::Deliver` was issued.
         announced: bool,
+        /// The complete response has arrived.
         complete: bool,
     },
     /// Has ended.
@@ -122,7 +124,9 @@
     pub(crate) is_evictable: bool,
     /// Time at which it was first parked.
     pub(crate) parked_since: Option<Timestamp>,
+    /// Attempts that hold a slot.
     pub(crate) attempts: Vec<RunningAttempt>,
+    /// Number of attempts made so far.
     pub(crate) attempts_made: u32,
     /// Refusals by the latest owner that does not consider the slice its own.
     pub(crate) refusals: Option<Refusals>,
@@ -131,6 +135,7 @@
     /// Whether a hedge, or a second attempt next to a lost one, was already
     /// sent or ruled out.
     pub(crate) hedged: bool,
+    /// Attempts for which `Step::Cancel` has to be issued.
     pub(crate) cancellations: Vec<AttemptNumber>,
     /// Set when an attempt ended without showing whether the request ran.
     pub(crate) unresolved: Option<UnknownReason>,
@@ -161,7 +166,7 @@
     /// Outcome if the exchange ended now without a response. Invariant: "not
     /// run" is true, because a single attempt that may have run makes the
     /// outcome "unknown".
-    pub(crate) fn outcome_without_answer(&self, unanswered: UnknownReason) -> Outcome {
+    pub(crate) fn outcome_without_response(&self, unanswered: UnknownReason) -> Outcome {
         if let Some(reason) = self.unresolved {
             return Outcome::Unknown(reason);
         }
--- a/crates/routing/src/fairness.rs
+++ b/crates/routing/src/fairness.rs
@@ -51,7 +51,9 @@
 /// Exchanges held by one namespace.
 #[derive(Debug, Default)]
 struct NamespaceUsage {
+    /// Number of exchanges, running and waiting.
     held: u32,
+    /// Those that may be evicted, in the order of eviction.
     waiting: BTreeSet<EvictionOrder>,
 }
 
@@ -62,6 +64,7 @@
     policy: SharePolicy,
     total: u32,
     usage_by_namespace: BTreeMap<Arc<str>, NamespaceUsage>,
+    /// Namespaces by the number of exchanges they hold.
     by_held: BTreeSet<(u32, Arc<str>)>,
 }
 
--- a/crates/routing/src/latency.rs
+++ b/crates/routing/src/latency.rs
@@ -27,6 +27,7 @@
 pub struct LatencyEstimate {
     short_micros: f64,
     long_micros: f64,
+    /// Number of samples in each bucket.
     counts: [u16; BUCKETS],
     total: u32,
 }
--- a/crates/routing/src/owner_refusals.rs
+++ b/crates/routing/src/owner_refusals.rs
@@ -55,12 +55,12 @@
         target: Target,
         id: ExchangeId,
         probes: u32,
-        min_backoff: Duration,
+        initial_backoff: Duration,
     ) {
         let waiters = self.by_target.entry(target).or_insert_with(|| Waiters {
             waiting: BTreeSet::new(),
             probes,
-            probe_at: now + backoff(min_backoff, MAX_PROBE_BACKOFF, probes, id.0),
+            probe_at: now + backoff(initial_backoff, MAX_PROBE_BACKOFF, probes, id.0),
         });
         waiters.waiting.insert(id);
     }
@@ -82,7 +82,7 @@
         &mut self,
         now: Timestamp,
         target: Target,
-        min_backoff: Duration,
+        initial_backoff: Duration,
     ) -> u32 {
         let Some(waiters) = self.by_target.get_mut(&target) else {
             return 0;
@@ -90,7 +90,7 @@
         waiters.probes += 1;
         waiters.probe_at = now
             + backoff(
-                min_backoff,
+                initial_backoff,
                 MAX_PROBE_BACKOFF,
                 waiters.probes,
                 waiters.probe_at.as_micros(),
--- a/crates/routing/src/queue.rs
+++ b/crates/routing/src/queue.rs
@@ -8,6 +8,7 @@
 
 use crate::attempt::ExchangeId;
 
+/// Number of values of [`Priority`].
 const PRIORITIES: usize = 3;
 
 /// Position of a request in a queue: higher priority first, then the earlier
@@ -50,6 +51,7 @@
 #[derive(Clone, Debug)]
 pub struct WaitQueue {
     positions: BTreeSet<QueuePosition>,
+    /// Number of queued requests of each priority.
     counts: [u32; PRIORITIES],
     capacity: u32,
     low_priority_turn: u32,
--- a/crates/routing/src/table/apply.rs
+++ b/crates/routing/src/table/apply.rs
@@ -8,6 +8,7 @@
 use super::{ApplyError, Effects, RoutingTable};
 
 impl RoutingTable {
+    /// Checks that a delta fits the copy.
     pub(super) fn check(&self, delta: &RecordDelta) -> Result<(), ApplyError> {
         let have = self.revision;
         if let Some(group) = self.group.filter(|group| *group != delta.group) {
--- a/crates/routing/src/table/services.rs
+++ b/crates/routing/src/table/services.rs
@@ -29,6 +29,7 @@
 pub(crate) struct Services {
     by_index: BTreeMap<ServiceIndex, ServiceEntry>,
     by_id: BTreeMap<Arc<ServiceId>, ServiceIndex>,
+    /// Services of each host, sorted by name.
     by_host: BTreeMap<String, Vec<ServiceIndex>>,
     last_index: u32,
 }
--- a/crates/routing/src/table/sessions.rs
+++ b/crates/routing/src/table/sessions.rs
@@ -38,6 +38,7 @@
     /// Whether the session has a record. A session without one has ended.
     pub(crate) open: bool,
     pub(crate) draining: bool,
+    /// Number of slices that refer to the session.
     slice_count: u32,
 }
 
@@ -46,6 +47,7 @@
 pub(crate) struct BackEndEntry {
     pub(crate) id: Arc<BackEndId>,
     pub(crate) spec: Option<BackEndSpec>,
+    /// Its sessions, by incarnation.
     sessions: BTreeSet<(Incarnation, SessionIndex)>,
 }
 
--- a/crates/spread/src/change_log.rs
+++ b/crates/spread/src/change_log.rs
@@ -49,9 +49,11 @@
 /// state.
 #[derive(Clone, Debug)]
 pub(crate) struct ChangeLog {
+    /// All entries by position.
     order: BTreeMap<Position, LogEntry>,
     tombstones: BTreeMap<RecordKey, Position>,
     tombstone_order: BTreeSet<Position>,
+    /// Removals up to and including this position may be missing.
     pruned_through: Position,
     max_tombstones: usize,
 }
--- a/crates/spread/src/children.rs
+++ b/crates/spread/src/children.rs
@@ -31,6 +31,7 @@
 pub(crate) struct Children {
     by_id: BTreeMap<RouterId, Child>,
     last_push: Option<Timestamp>,
+    /// Time of the next push, if the replica advanced since the last one.
     push_due: Option<Timestamp>,
 }
 
@@ -149,6 +150,8 @@
         self.by_id.len()
     }
 
+    /// Whether a router may pull from this one. Makes room for one that prefers
+    /// this router.
     fn admit(
         &mut self,
         now: Timestamp,
--- a/crates/spread/src/intern.rs
+++ b/crates/spread/src/intern.rs
@@ -14,6 +14,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Interner<T> {
     known: BTreeSet<Arc<T>>,
+    /// Number of identifiers at which unused ones are dropped next.
     collect_threshold: usize,
 }
 
--- a/crates/spread/src/puller.rs
+++ b/crates/spread/src/puller.rs
@@ -25,6 +25,7 @@
     sequence: u64,
     parent: RouterId,
     sent_at: Timestamp,
+    /// Revision that the pull started from.
     have: Revision,
     resume: Option<Resume>,
 }
@@ -34,6 +35,7 @@
 pub(crate) struct Puller {
     parents: Parents,
     sequence: u64,
+    /// The last pulls sent, oldest first.
     sent: VecDeque<SentPull>,
     /// Sequence number of the pull whose answer is pending, and its timeout.
     pending: Option<(u64, Timestamp)>,
@@ -41,6 +43,7 @@
     /// Whether to pull again right after the pending answer, because something
     /// became known that the answer may not contain yet.
     pull_again: bool,
+    /// Pages received so far of a transfer in progress.
     transfer: Option<Transfer>,
     confirmed_as_of: Option<Timestamp>,
 }
@@ -251,6 +254,8 @@
         }
     }
 
+    /// Applies a complete delta. Returns whether the replica is at least at its
+    /// revision.
     fn apply(&mut self, now: Timestamp, delta: &RecordDelta, replica: &mut Replica) -> bool {
         match replica.apply(delta) {
             Ok(_) | Err(ApplyError::Stale { .. }) => true,
@@ -297,6 +302,7 @@
         }
     }
 
+    /// Schedules the next pull after a timeout or refusal.
     fn after_failure(&mut self, decision: RetryDecision, now: Timestamp, wait: Duration) {
         self.next_pull_at = match decision {
             RetryDecision::Now => now,
--- a/crates/spread/src/replica.rs
+++ b/crates/spread/src/replica.rs
@@ -243,6 +243,7 @@
         self.tables.slices.len()
     }
 
+    /// Checks that a delta fits the copy.
     fn check(&self, delta: &RecordDelta) -> Result<(), ApplyError> {
         let have = self.revision;
         if delta.group != self.group {
@@ -265,6 +266,7 @@
         Ok(())
     }
 
+    /// Whether a transfer can continue at this position.
     fn can_continue(&self, resume: &Resume) -> bool {
         let cursor = Position {
             index: resume.index,
@@ -282,6 +284,7 @@
             && self.tables.log.is_complete_after(needed_after)
     }
 
+    /// Returns the start of a transfer to a copy at `from`.
     fn start_transfer(&self, from: Revision) -> Resume {
         let after = Position::max_of_index(from.index);
         let full = from.generation != self.revision.generation
