--- a/crates/routing/src/concurrency.rs
+++ b/crates/routing/src/concurrency.rs
@@ -1,10 +1,11 @@
 //! Adaptive concurrency limit for one back end: additive increase,
 //! multiplicative decrease on refusals and on growing response times.
 //!
-//! All routers share the back end's slots. Each starts at its share, `slots /
-//! routers`. A fixed share would waste slots when callers are unevenly spread,
-//! so a router may exceed its share while the back end keeps up, and backs off
-//! when the back end refuses or slows down.
+//! All routers share the back end's slots. Each starts at its share, which is
+//! the number of slots divided by the number of routers. A fixed share would
+//! waste slots when callers are unevenly spread, so a router may exceed its
+//! share while the back end keeps up, and backs off when the back end refuses
+//! or slows down.
 
 use std::time::Duration;
 
@@ -31,7 +32,7 @@
 /// Like [`INITIAL_RESPONSES_PER_STEP`], but above the share after a decrease.
 /// Slots are few, so one more request is a large step; it is tried rarely,
 /// because otherwise each router would provoke refusals with every other
-/// increase.
+/// request.
 const RESPONSES_PER_STEP: f64 = 128.0;
 /// Minimum time between two decreases while no response time is known.
 const DEFAULT_DECREASE_INTERVAL: Duration = Duration::from_millis(10);
--- a/crates/routing/src/table/mod.rs
+++ b/crates/routing/src/table/mod.rs
@@ -44,7 +44,7 @@
     },
     /// The delta belongs to another group.
     #[error(
-        "the copy is of group {have} and the delta of group {got}; apply it to that group's copy"
+        "the copy belongs to group {have} and the delta to group {got}; apply it to the copy of group {got}"
     )]
     OtherGroup {
         /// Group of the copy.
--- a/crates/routing/src/table/services.rs
+++ b/crates/routing/src/table/services.rs
@@ -141,7 +141,7 @@
     fn entry(&mut self, index: ServiceIndex) -> &mut ServiceEntry {
         self.by_index
             .get_mut(&index)
-            .expect("a numbered service has an entry")
+            .expect("every service index has an entry")
     }
 
     fn add_hosts(&mut self, index: ServiceIndex) {
--- a/crates/routing/src/table/sessions.rs
+++ b/crates/routing/src/table/sessions.rs
@@ -18,7 +18,7 @@
 
     fn at(position: usize) -> SessionIndex {
         let number = u32::try_from(position + 1).ok().and_then(NonZeroU32::new);
-        SessionIndex(number.expect("fewer sessions than fit in memory"))
+        SessionIndex(number.expect("session indices fit into 32 bits"))
     }
 
     fn position(self) -> usize {
@@ -202,13 +202,13 @@
     fn session_entry(&mut self, index: SessionIndex) -> &mut SessionEntry {
         self.sessions[index.position()]
             .as_mut()
-            .expect("a numbered session has an entry")
+            .expect("every session index has an entry")
     }
 
     fn back_end_entry(&mut self, index: BackEndIndex) -> &mut BackEndEntry {
         self.back_ends
             .get_mut(&index)
-            .expect("a numbered back end has an entry")
+            .expect("every back-end index has an entry")
     }
 
     fn remove_session_if_unused(&mut self, index: SessionIndex) {
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn concurrency_grows_only_when_used_up_and_shrinks_once_per_overload() {
+fn the_limit_grows_only_when_reached_and_shrinks_once_per_overload() {
     let mut latency = LatencyEstimate::default();
     latency.record(10 * MILLI);
     let bounds = Bounds::new(10, 100, 2, 100);
--- a/crates/spread/src/apply.rs
+++ b/crates/spread/src/apply.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
     /// The delta starts after the copy's revision, or in another generation.
-    #[error("the delta starts at {from}, the copy is at {have}; pull from {have}")]
+    #[error("the copy is at {have} and the delta starts at {from}; pull from {have}")]
     Gap {
         /// Revision of the copy.
         have: Revision,
@@ -23,7 +23,7 @@
         from: Revision,
     },
     /// The delta does not lead to a newer revision; a copy never goes back.
-    #[error("the delta leads to {to}, the copy is at {have} already; drop the delta")]
+    #[error("the copy is already at {have} and the delta leads to {to}; drop the delta")]
     Stale {
         /// Revision of the copy.
         have: Revision,
@@ -31,7 +31,9 @@
         to: Revision,
     },
     /// The delta belongs to another group.
-    #[error("the delta is of group {other}, the copy of group {group}; send it to group {other}")]
+    #[error(
+        "the delta belongs to group {other} and the copy to group {group}; send it to group {other}"
+    )]
     OtherGroup {
         /// Group of the copy.
         group: GroupId,
