--- a/crates/lab/src/hollow/measure.rs
+++ b/crates/lab/src/hollow/measure.rs
@@ -4,7 +4,9 @@
 
 use serde::{Deserialize, Serialize};
 use threadledge_simulator::MessageKind;
-use threadledge_simulator::day::{Day, Failure, PhaseReport, Rates, RoleName, StartReport};
+use threadledge_simulator::day::{
+    DaySimulation, Failure, FailureRates, PhaseReport, RoleName, StartReport,
+};
 
 use super::layout::HollowPlan;
 use super::memory::{processor_nanos, resident_bytes};
@@ -81,9 +83,9 @@
         plan.nodes, plan.regions
     ));
     let regions_listed = scenario.listed_regions;
-    let rates = Rates::default();
+    let rates = FailureRates::default();
     let configuration_speed = rates.configuration_speed();
-    let mut day = Day::new(scenario, rates, Some(processor_nanos));
+    let mut day = DaySimulation::new(scenario, rates, Some(processor_nanos));
     let start = day.start();
     let memory = memory_before.zip(resident_bytes());
     let slices = slices(&day);
@@ -129,9 +131,11 @@
     }
 }
 
-fn slices(day: &Day) -> usize {
+fn slices(day: &DaySimulation) -> usize {
     let world = day.world();
-    let leader = world.leader_of(0).and_then(|leader| world.router(leader));
+    let leader = world
+        .region_leader(0)
+        .and_then(|leader| world.router(leader));
     leader.map_or(0, |node| node.replica().slice_count())
 }
 
--- a/crates/lab/src/hollow/table.rs
+++ b/crates/lab/src/hollow/table.rs
@@ -77,7 +77,7 @@
     }
 }
 
-fn spread(values: &threadledge_simulator::day::Spread) -> String {
+fn spread(values: &threadledge_simulator::day::DurationSummary) -> String {
     format!(
         "{}/{}/{}/{}",
         values.count, values.median_ms, values.p99_ms, values.worst_ms
--- a/crates/simulator/src/day.rs
+++ b/crates/simulator/src/day.rs
@@ -1,6 +1,6 @@
 //! The failures of a day, compressed into a run.
 //!
-//! A [`Day`] starts a world and runs one [`Failure`] after the other through
+//! A [`DaySimulation`] starts a world and runs one [`Failure`] after the other through
 //! it. After each, everything that was lost is replaced and the world settles
 //! again, so that each report stands by itself.
 
@@ -12,8 +12,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-pub use failure::{Failure, Rates};
-pub use report::{PhaseReport, RoleCost, RoleName, Spread, StartReport};
+pub use failure::{Failure, FailureRates};
+pub use report::{DurationSummary, PhaseReport, RoleCost, RoleName, StartReport};
 
 use threadledge_types::Timestamp;
 
@@ -28,25 +28,25 @@
 const QUIET: Duration = Duration::from_secs(2);
 
 /// A world and what is to happen to it.
-pub struct Day {
+pub struct DaySimulation {
     world: World,
     random: ChaCha8Rng,
-    rates: Rates,
+    rates: FailureRates,
     lost_routers: Vec<RouterIndex>,
     lost_back_ends: Vec<BackEndIndex>,
     cut_regions: Vec<(usize, usize)>,
 }
 
-impl Day {
+impl DaySimulation {
     /// Lays out a world. `stopwatch` returns nanoseconds of processor time
     /// since any origin.
-    pub fn new(scenario: Scenario, rates: Rates, stopwatch: Option<fn() -> u64>) -> Self {
+    pub fn new(scenario: Scenario, rates: FailureRates, stopwatch: Option<fn() -> u64>) -> Self {
         let random = ChaCha8Rng::seed_from_u64(scenario.seed ^ 0xda7);
         let mut world = World::new(scenario);
         if let Some(stopwatch) = stopwatch {
             world.set_stopwatch(stopwatch);
         }
-        Day {
+        DaySimulation {
             world,
             random,
             rates,
--- a/crates/simulator/src/day/failure.rs
+++ b/crates/simulator/src/day/failure.rs
@@ -5,7 +5,7 @@
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
 
-use super::Day;
+use super::DaySimulation;
 use crate::world::{BackEndIndex, RouterIndex};
 
 /// Seconds of a day.
@@ -56,7 +56,7 @@
 /// How often things happen on a day, over all nodes of all regions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub struct Rates {
+pub struct FailureRates {
     /// Nodes that the other rates are meant for.
     pub nodes: f64,
     /// Regions that the changes of configuration are divided over.
@@ -69,9 +69,9 @@
     pub configuration_changes: f64,
 }
 
-impl Default for Rates {
+impl Default for FailureRates {
     fn default() -> Self {
-        Rates {
+        FailureRates {
             nodes: 13_000.0,
             regions: 6.0,
             machine_losses: 17.0,
@@ -81,7 +81,7 @@
     }
 }
 
-impl Rates {
+impl FailureRates {
     /// How many times faster than on a day configuration changes are made.
     pub fn configuration_speed(&self) -> f64 {
         let each_region = self.configuration_changes / self.regions / DAY_SECONDS;
@@ -94,7 +94,7 @@
     }
 }
 
-impl Day {
+impl DaySimulation {
     /// Causes the failure and runs on. Returns the share of keys, summed over
     /// services, that cannot stay where they are.
     pub(super) fn cause(&mut self, failure: Failure, duration: Duration) -> f64 {
@@ -177,7 +177,7 @@
 
     fn lose_leaders(&mut self, duration: Duration) -> f64 {
         for region in 0..self.world.scenario().regions {
-            if let Some(leader) = self.world.leader_of(region) {
+            if let Some(leader) = self.world.region_leader(region) {
                 self.lose_router(leader);
             }
         }
--- a/crates/simulator/src/day/report.rs
+++ b/crates/simulator/src/day/report.rs
@@ -27,7 +27,7 @@
 
 /// Values of one measure, in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Spread {
+pub struct DurationSummary {
     /// Number of values.
     pub count: usize,
     /// Median.
@@ -38,7 +38,7 @@
     pub worst_ms: u64,
 }
 
-impl Spread {
+impl DurationSummary {
     fn of(values: impl Iterator<Item = Duration>) -> Self {
         let mut sorted: Vec<u64> = values.map(super::millis).collect();
         sorted.sort_unstable();
@@ -46,7 +46,7 @@
             let rank = (sorted.len() as f64 * quantile).ceil() as usize;
             sorted.get(rank.max(1) - 1).copied().unwrap_or_default()
         };
-        Spread {
+        DurationSummary {
             count: sorted.len(),
             median_ms: at(0.5),
             p99_ms: at(0.99),
@@ -99,7 +99,7 @@
     /// Milliseconds that the failure lasted.
     pub duration_ms: u64,
     /// Outages of probed keys, one for each key and time.
-    pub unavailable: Spread,
+    pub unavailable: DurationSummary,
     /// Outages that had not ended when the failure was healed.
     pub unavailable_at_end: usize,
     /// Share of keys that moved, summed over services, until the heal.
@@ -107,7 +107,7 @@
     /// Share of keys that had to move.
     pub moved_at_least: f64,
     /// Time from an operator's edit until every ready router had it.
-    pub configuration_in_force: Spread,
+    pub configuration_in_force: DurationSummary,
     /// Edits that were not in force everywhere when the world had settled.
     pub configuration_open: usize,
     /// Costs by role, until the heal.
@@ -124,11 +124,11 @@
         PhaseReport {
             failure,
             duration_ms: super::millis(duration),
-            unavailable: Spread::default(),
+            unavailable: DurationSummary::default(),
             unavailable_at_end: measures.failing(),
             moved: measures.moved_shares(),
             moved_at_least: 0.0,
-            configuration_in_force: Spread::default(),
+            configuration_in_force: DurationSummary::default(),
             configuration_open: 0,
             roles: costs_by_role(world, duration),
             settled: false,
@@ -140,8 +140,9 @@
     pub(super) fn finish(&mut self, world: &World, violations_before: u64) {
         let measures = world.measures();
         let outages = measures.outages().iter();
-        self.unavailable = Spread::of(outages.map(|outage| outage.length(world.now())));
-        self.configuration_in_force = Spread::of(measures.times_in_force().iter().copied());
+        self.unavailable = DurationSummary::of(outages.map(|outage| outage.length(world.now())));
+        self.configuration_in_force =
+            DurationSummary::of(measures.times_in_force().iter().copied());
         self.configuration_open = world.open_edits();
         self.violations = world.invariants().count() - violations_before;
     }
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -213,11 +213,11 @@
     /// The router that leads with a valid leader lease, if any; of several
     /// regions' leaders the first.
     pub fn leader(&self) -> Option<RouterIndex> {
-        (0..self.scenario.regions).find_map(|region| self.leader_of(region))
+        (0..self.scenario.regions).find_map(|region| self.region_leader(region))
     }
 
     /// The router that leads a region with a valid leader lease, if any.
-    pub fn leader_of(&self, region: usize) -> Option<RouterIndex> {
+    pub fn region_leader(&self, region: usize) -> Option<RouterIndex> {
         self.routers_of(region).find(|index| {
             let process = self.routers[index.0].process.as_ref();
             process.is_some_and(|process| {
--- a/crates/simulator/tests/regions.rs
+++ b/crates/simulator/tests/regions.rs
@@ -42,7 +42,7 @@
 fn every_region_has_a_leader_of_its_own() {
     let world = settled_regions(1);
     for region in 0..REGIONS {
-        let leader = world.leader_of(region).expect("a leader");
+        let leader = world.region_leader(region).expect("a leader");
         assert_eq!(world.router_place(leader).region, region);
     }
 }
@@ -64,12 +64,16 @@
 #[test]
 fn lost_leader_of_one_region_disturbs_no_other() {
     let mut world = settled_regions(3);
-    let others: Vec<RouterIndex> = (1..REGIONS).filter_map(|r| world.leader_of(r)).collect();
-    let leader = world.leader_of(0).expect("a leader");
+    let others: Vec<RouterIndex> = (1..REGIONS)
+        .filter_map(|r| world.region_leader(r))
+        .collect();
+    let leader = world.region_leader(0).expect("a leader");
     world.kill_router(leader);
     world.run_for(AFTER);
     assert_undisturbed(&world);
-    let after: Vec<RouterIndex> = (1..REGIONS).filter_map(|r| world.leader_of(r)).collect();
+    let after: Vec<RouterIndex> = (1..REGIONS)
+        .filter_map(|r| world.region_leader(r))
+        .collect();
     assert_eq!(others, after);
 }
 
