--- a/crates/simulator/examples/faults.rs
+++ b/crates/simulator/examples/faults.rs
@@ -1,14 +1,14 @@
-//! Causes one fault after the other in a simulated region and prints, for
+//! Injects one fault after the other into a simulated region and prints, for
 //! each, the longest outage of any probed key, the share of keys that moved,
-//! and violations.
+//! and the violations.
 //!
 //! `cargo run --release -p threadledge-simulator --example faults -- SEED`
 
 use std::time::Duration;
 use threadledge_simulator::{BackEndIndex, RouterIndex, Scenario, ServicePlan, World};
 
-const SETTLE: Duration = Duration::from_secs(8);
-const AFTER: Duration = Duration::from_secs(10);
+const SETTLE_TIME: Duration = Duration::from_secs(8);
+const TIME_AFTER_FAULT: Duration = Duration::from_secs(10);
 
 fn scenario(seed: u64) -> Scenario {
     Scenario {
@@ -38,13 +38,13 @@
         ("back end frozen 4 s", |world| {
             world.freeze_back_end(BackEndIndex(3));
             world.run_for(Duration::from_secs(4));
-            world.thaw_back_end(BackEndIndex(3));
+            world.unfreeze_back_end(BackEndIndex(3));
         }),
         ("back end drained", |world| {
             world.drain_back_end(BackEndIndex(3))
         }),
         ("back end joins", |world| {
-            world.join_back_end("gallery");
+            world.add_back_end_to_service("gallery");
         }),
         ("leader killed", |world| {
             let leader = world.leader().expect("a leader");
@@ -58,7 +58,7 @@
         }),
         ("leader leaves", |world| {
             let leader = world.leader().expect("a leader");
-            world.leave_router(leader);
+            world.request_router_stop(leader);
         }),
         ("leader cut off 6 s", |world| {
             let leader = world.leader().expect("a leader");
@@ -113,17 +113,17 @@
     );
     for (name, fault) in faults {
         let mut world = World::new(scenario(seed));
-        world.run_for(SETTLE);
-        world.reset_measures();
+        world.run_for(SETTLE_TIME);
+        world.reset_metrics();
         fault(&mut world);
-        world.run_for(AFTER);
+        world.run_for(TIME_AFTER_FAULT);
         let service = world.service_id("gallery");
         println!(
             "{:32} {:>12} {:>8} {:>8.4} {:>10}",
             name,
-            world.measures().longest_outage(world.now()).as_millis(),
-            world.measures().outages().len(),
-            world.measures().moved_share(&service),
+            world.metrics().longest_outage(world.now()).as_millis(),
+            world.metrics().outages().len(),
+            world.metrics().moved_share(&service),
             world.invariants().count(),
         );
         for violation in world.invariants().violations().iter().take(2) {
--- a/crates/simulator/examples/region.rs
+++ b/crates/simulator/examples/region.rs
@@ -1,4 +1,4 @@
-//! Runs one simulated region and prints what became of it.
+//! Runs one simulated region and prints its state once a second.
 
 use std::time::Duration;
 use threadledge_simulator::{RouterIndex, Scenario, World};
@@ -7,7 +7,7 @@
     let mut world = World::new(Scenario::default());
     for second in 0..10 {
         world.run_for(Duration::from_secs(1));
-        let (probes, failed) = world.measures().probes();
+        let (probes, failed) = world.metrics().probes();
         let leader = world.leader();
         let node = world.router(RouterIndex(0)).expect("runs");
         println!(
@@ -20,7 +20,7 @@
             world.invariants().count(),
         );
     }
-    println!("{:?}", world.measures().sent());
+    println!("{:?}", world.metrics().sent());
     for violation in world.invariants().violations().iter().take(3) {
         println!("{violation}");
     }
--- a/crates/simulator/examples/timeline.rs
+++ b/crates/simulator/examples/timeline.rs
@@ -1,4 +1,5 @@
-//! Prints what a simulated region does in the seconds after a zone is lost.
+//! Prints the state of a simulated region in the seconds after the loss of a
+//! zone.
 
 use std::time::Duration;
 use threadledge_simulator::{BackEndIndex, RouterIndex, Scenario, ServicePlan, World};
@@ -12,7 +13,7 @@
         ..Default::default()
     });
     world.run_for(Duration::from_secs(5));
-    world.reset_measures();
+    world.reset_metrics();
     let leader = world.leader().expect("a leader");
     let zone = world.router_place(leader).zone;
     for number in 0..9 {
@@ -39,7 +40,7 @@
         println!(
             "{:>5} imbalance {imbalance:?} moved {:.4} grants {}",
             step * 200,
-            world.measures().moved_share(&service),
+            world.metrics().moved_share(&service),
             grants.join(" ")
         );
     }
--- a/crates/simulator/src/back_end.rs
+++ b/crates/simulator/src/back_end.rs
@@ -1,5 +1,5 @@
-//! A model of a server that owns keys: the reference holder with a clock of
-//! its own, warm-up and load.
+//! Model of a back end that owns keys: the reference holder with its own clock,
+//! preparation time and load.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,43 +14,43 @@
 use crate::clock::ModelClock;
 use crate::network::Place;
 
-/// Rates of requests, as the world's callers make them.
+/// Request rates that the back ends of a world report.
 #[derive(Clone, Debug, Default)]
-pub struct Traffic {
-    /// Requests a second to each service, spread evenly over its keys.
+pub struct RequestRates {
+    /// Requests per second to each service, spread evenly over its keys.
     pub base: Vec<(ServiceId, f64)>,
-    /// Keys that stand out, with their requests a second.
+    /// Hot keys, each with its requests per second.
     pub hot: Vec<(ServiceId, Point, f64)>,
 }
 
-/// One server.
+/// A back end: its machine, and its process while one runs.
 #[derive(Debug)]
 pub struct BackEndModel {
-    /// Which back end.
+    /// Id of the back end.
     pub id: BackEndId,
-    /// Where it stands.
+    /// Region and zone of its machine.
     pub place: Place,
-    /// Its control address.
+    /// Address at which it takes lease requests.
     pub control_address: SocketAddr,
-    /// Its process, if it runs.
+    /// Its process, if one runs.
     pub process: Option<Process>,
     next_incarnation: u64,
 }
 
-/// One life of a server.
+/// One incarnation of a back end.
 #[derive(Debug)]
 pub struct Process {
     /// The reference holder.
     pub holder: Holder,
     clock: ModelClock,
-    /// Frozen: neither sees nor does anything.
+    /// A frozen process neither receives nor does anything.
     pub frozen: bool,
-    /// Requests that came in while it was frozen.
-    pub held_back: Vec<crate::event::Event>,
+    /// Requests that arrived while the process was frozen.
+    pub deferred_events: Vec<crate::event::Event>,
 }
 
 impl BackEndModel {
-    /// A server that does not run yet.
+    /// Creates a back end without a process.
     pub fn new(id: BackEndId, place: Place, control_address: SocketAddr) -> Self {
         BackEndModel {
             id,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Starts a process, in place of any other.
+    /// Starts a process, replacing any earlier one.
     pub fn start(&mut self, clock: ModelClock) {
         let incarnation = Incarnation(self.next_incarnation);
         self.next_incarnation += 1;
@@ -69,17 +69,17 @@
             holder: Holder::new(self.id.clone(), incarnation),
             clock,
             frozen: false,
-            held_back: Vec::new(),
+            deferred_events: Vec::new(),
         });
     }
 
-    /// Whether a process runs and is not frozen.
+    /// Returns whether a process runs and is not frozen.
     pub fn is_running(&self) -> bool {
         self.process.as_ref().is_some_and(|process| !process.frozen)
     }
 
-    /// Whether the server would carry out a request for the point now, under
-    /// the epoch that a router believes in.
+    /// Returns whether the back end would serve a request for the first point
+    /// of the slice now, under the epoch that a router assumes.
     pub fn would_serve(&self, now: Timestamp, slice: &SliceRecord, epoch: Epoch) -> bool {
         let Some(process) = self.process.as_ref().filter(|process| !process.frozen) else {
             return false;
@@ -89,26 +89,26 @@
 }
 
 impl Process {
-    /// The process's own clock.
-    pub fn local(&self, now: Timestamp) -> Timestamp {
+    /// Reads the process's own clock.
+    pub fn local_time(&self, now: Timestamp) -> Timestamp {
         self.clock.read(now)
     }
 
-    /// Takes a lease request.
+    /// Handles a lease request.
     pub fn handle(
         &mut self,
         now: Timestamp,
         request: LeaseRequest,
-        traffic: &Traffic,
+        request_rates: &RequestRates,
     ) -> LeaseResponse {
-        let local = self.local(now);
-        let load = report(&self.holder.held_grants(), traffic);
+        let local = self.local_time(now);
+        let load = load_report(&self.holder.held_grants(), request_rates);
         self.holder.set_load(load);
         self.holder.handle(local, request)
     }
 
-    /// Whether the process believes that it owns the point now; with `epoch`,
-    /// under exactly that epoch.
+    /// Returns whether the process considers itself the owner of the point now;
+    /// with `epoch`, under exactly that epoch.
     pub fn holds(
         &self,
         now: Timestamp,
@@ -116,16 +116,16 @@
         point: Point,
         epoch: Option<Epoch>,
     ) -> bool {
-        if !self.holder.has_valid_lease(self.local(now)) {
+        if !self.holder.has_valid_lease(self.local_time(now)) {
             return false;
         }
         let held = self.holder.held_epoch(service, point);
         held.is_some_and(|held| epoch.is_none_or(|epoch| epoch == held))
     }
 
-    /// Grants that the process may act on now.
+    /// Returns the grants that the process may act on now.
     pub fn valid_grants(&self, now: Timestamp) -> Vec<Grant> {
-        if self.holder.has_valid_lease(self.local(now)) {
+        if self.holder.has_valid_lease(self.local_time(now)) {
             self.holder.held_grants()
         } else {
             Vec::new()
@@ -133,16 +133,19 @@
     }
 }
 
-/// Time a model server needs to make itself ready for a slice.
-pub const PREPARATION: Duration = Duration::from_millis(30);
+/// Time that a simulated back end needs to prepare a slice.
+pub const PREPARATION_TIME: Duration = Duration::from_millis(30);
 
-fn report(grants: &[Grant], traffic: &Traffic) -> LoadReport {
+fn load_report(grants: &[Grant], request_rates: &RequestRates) -> LoadReport {
     let mut rates = Vec::new();
     for grant in grants {
-        let base = traffic.base.iter().find(|(id, _)| *id == grant.service);
+        let base = request_rates
+            .base
+            .iter()
+            .find(|(id, _)| *id == grant.service);
         let mut per_second = base.map_or(0.0, |(_, rate)| rate * grant.slice.share());
         let mut hottest: Option<HotPoint> = None;
-        for (service, point, rate) in &traffic.hot {
+        for (service, point, rate) in &request_rates.hot {
             if *service != grant.service || !grant.slice.contains(*point) {
                 continue;
             }
--- a/crates/simulator/src/clock.rs
+++ b/crates/simulator/src/clock.rs
@@ -1,12 +1,11 @@
-//! Clocks of simulated processes: each starts somewhere else and runs at its
-//! own rate.
+//! Clocks of simulated processes, each with its own offset and rate.
 
 use threadledge_types::Timestamp;
 
 /// Parts in a million.
 const MILLION: i128 = 1_000_000;
 
-/// Maps the simulator's time to one process's monotonic clock.
+/// Converts simulation time to the monotonic clock of one process.
 #[derive(Clone, Copy, Debug)]
 pub struct ModelClock {
     offset_micros: u64,
@@ -14,8 +13,8 @@
 }
 
 impl ModelClock {
-    /// A clock that shows `offset_micros` at the beginning of the run and
-    /// gains `drift_ppm` microseconds each second.
+    /// Creates a clock that shows `offset_micros` at the start of the run and
+    /// gains `drift_ppm` microseconds per second.
     pub fn new(offset_micros: u64, drift_ppm: i64) -> Self {
         ModelClock {
             offset_micros,
@@ -23,7 +22,7 @@
         }
     }
 
-    /// What the clock shows at `now` of the simulator.
+    /// Returns the time that the clock shows at the simulation time `now`.
     pub fn read(&self, now: Timestamp) -> Timestamp {
         let elapsed = i128::from(now.as_micros());
         let gained = elapsed * i128::from(self.drift_ppm) / MILLION;
--- a/crates/simulator/src/day.rs
+++ b/crates/simulator/src/day.rs
@@ -1,8 +1,8 @@
-//! The failures of a day, compressed into a run.
+//! Simulation of the failures of a day, compressed into a short run.
 //!
-//! A [`DaySimulation`] starts a world and runs one [`Failure`] after the other through
-//! it. After each, everything that was lost is replaced and the world settles
-//! again, so that each report stands by itself.
+//! A [`DaySimulation`] starts a world and injects one [`Failure`] after the
+//! other. After each failure, everything that was lost is replaced and the
+//! world settles again, so that the reports are independent of each other.
 
 mod failure;
 mod report;
@@ -20,14 +20,15 @@
 use crate::scenario::Scenario;
 use crate::world::{BackEndIndex, RouterIndex, World};
 
-/// Step in which the day looks whether a world has settled.
-const LOOK: Duration = Duration::from_millis(100);
-/// A world that has not settled by then is reported as such.
-const SETTLING_LIMIT: Duration = Duration::from_secs(60);
-/// Time that a settled world runs on before the next failure.
-const QUIET: Duration = Duration::from_secs(2);
+/// Interval at which a run checks whether the world has settled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Time limit for a world to settle; after it the report says that the world
+/// has not settled.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time that a settled world keeps running before the next failure.
+const SETTLED_RUN_TIME: Duration = Duration::from_secs(2);
 
-/// A world and what is to happen to it.
+/// A world and the failures that are injected into it.
 pub struct DaySimulation {
     world: World,
     random: ChaCha8Rng,
@@ -38,8 +39,8 @@
 }
 
 impl DaySimulation {
-    /// Lays out a world. `stopwatch` returns nanoseconds of processor time
-    /// since any origin.
+    /// Creates a world. `stopwatch` returns nanoseconds of processor time since
+    /// any origin.
     pub fn new(scenario: Scenario, rates: FailureRates, stopwatch: Option<fn() -> u64>) -> Self {
         let random = ChaCha8Rng::seed_from_u64(scenario.seed ^ 0xda7);
         let mut world = World::new(scenario);
@@ -56,12 +57,12 @@
         }
     }
 
-    /// The world.
+    /// The simulated world.
     pub fn world(&self) -> &World {
         &self.world
     }
 
-    /// Runs until every probed key is served and every router takes requests.
+    /// Runs until every probed key is served and every router accepts requests.
     pub fn start(&mut self) -> StartReport {
         let assigned = self.run_until(|world| world.all_served());
         let settled = self.run_until(|world| world.all_ready());
@@ -70,26 +71,27 @@
             all_ready_ms: settled.then(|| millis(self.world.now().since(Timestamp::ZERO))),
             violations: self.world.invariants().count(),
         };
-        self.world.run_for(QUIET);
+        self.world.run_for(SETTLED_RUN_TIME);
         started
     }
 
-    /// Causes a failure, runs on for `duration`, heals and settles.
+    /// Injects a failure, runs for `duration`, repairs the failure and waits
+    /// until the world settles.
     pub fn run(&mut self, failure: Failure, duration: Duration) -> PhaseReport {
         let violations = self.world.invariants().count();
-        self.world.reset_measures();
-        let least = self.cause(failure, duration);
-        let mut report = PhaseReport::of(&self.world, failure, duration);
-        report.moved_at_least = least;
-        self.heal();
+        self.world.reset_metrics();
+        let must_move = self.inject(failure, duration);
+        let mut report = PhaseReport::before_repair(&self.world, failure, duration);
+        report.moved_at_least = must_move;
+        self.repair();
         report.settled = self.run_until(|world| world.is_settled());
         report.finish(&self.world, violations);
-        self.world.run_for(QUIET);
+        self.world.run_for(SETTLED_RUN_TIME);
         report
     }
 
     fn first_assignment_ms(&self) -> u64 {
-        let outages = self.world.measures().outages();
+        let outages = self.world.metrics().outages();
         let served = outages.iter().filter_map(|outage| outage.until);
         millis(
             served
@@ -99,19 +101,19 @@
         )
     }
 
-    fn run_until(&mut self, reached: impl Fn(&World) -> bool) -> bool {
-        let limit = self.world.now() + SETTLING_LIMIT;
-        while !reached(&self.world) {
+    fn run_until(&mut self, condition: impl Fn(&World) -> bool) -> bool {
+        let limit = self.world.now() + SETTLE_TIMEOUT;
+        while !condition(&self.world) {
             if self.world.now() >= limit {
                 return false;
             }
-            self.world.run_for(LOOK);
+            self.world.run_for(POLL_INTERVAL);
         }
         true
     }
 
-    /// Replaces whatever was lost.
-    fn heal(&mut self) {
+    /// Replaces everything that was lost and removes network cuts.
+    fn repair(&mut self) {
         for (one, other) in std::mem::take(&mut self.cut_regions) {
             self.world.cut_regions(one, other, false);
         }
--- a/crates/simulator/src/day/failure.rs
+++ b/crates/simulator/src/day/failure.rs
@@ -1,4 +1,4 @@
-//! What happens on a day, and how often.
+//! Failures of a simulated day and their rates.
 
 use std::time::Duration;
 
@@ -8,26 +8,26 @@
 use super::DaySimulation;
 use crate::world::{BackEndIndex, RouterIndex};
 
-/// Seconds of a day.
+/// Seconds in a day.
 const DAY_SECONDS: f64 = 86_400.0;
-/// Pause before a process that was restarted runs again.
-const RESTART: Duration = Duration::from_millis(300);
-/// Edits a second in each region while configuration changes.
+/// Time from the kill of a process until its restart.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
+/// Edits per second in each region during configuration changes.
 const EDITS_PER_SECOND: f64 = 2.0;
-/// One machine in so many of a zone shares a rack, at least two.
+/// A rack holds one in this many machines of a zone, but at least two.
 const RACKS_PER_ZONE: usize = 24;
 
-/// One kind of thing that happens.
+/// Kind of failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Failure {
-    /// Nothing.
+    /// No failure.
     None,
-    /// Operators change services.
+    /// Operators edit services.
     ConfigurationChanges,
-    /// A day's machines fail: routers and back ends.
+    /// Routers and back ends fail at the rate of a day.
     MachineLosses,
-    /// A day's restarts and replacements of routers and back ends.
+    /// Routers and back ends are restarted or replaced at the rate of a day.
     Replacements,
     /// The leader of each region is lost.
     LeaderLoss,
@@ -35,12 +35,12 @@
     RackLoss,
     /// A zone is lost with its routers and back ends.
     ZoneLoss,
-    /// The first region loses all others.
+    /// The first region is partitioned from all others.
     RegionCut,
 }
 
 impl Failure {
-    /// Everything, in the order in which a day is run.
+    /// All failures, in the order in which a day injects them.
     pub const ALL: [Failure; 8] = [
         Failure::None,
         Failure::ConfigurationChanges,
@@ -53,19 +53,19 @@
     ];
 }
 
-/// How often things happen on a day, over all nodes of all regions.
+/// Events per day, over all nodes of all regions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub struct FailureRates {
-    /// Nodes that the other rates are meant for.
+    /// Number of nodes to which the other rates refer.
     pub nodes: f64,
-    /// Regions that the changes of configuration are divided over.
+    /// Number of regions over which the configuration changes are divided.
     pub regions: f64,
     /// Machines that fail.
     pub machine_losses: f64,
     /// Machines that are restarted or replaced.
     pub replacements: f64,
-    /// Changes of configuration.
+    /// Configuration changes.
     pub configuration_changes: f64,
 }
 
@@ -82,24 +82,26 @@
 }
 
 impl FailureRates {
-    /// How many times faster than on a day configuration changes are made.
+    /// Returns how many times faster than on a real day the configuration is
+    /// changed.
     pub fn configuration_speed(&self) -> f64 {
         let each_region = self.configuration_changes / self.regions / DAY_SECONDS;
         EDITS_PER_SECOND / each_region
     }
 
-    /// The share of a day's events that `count` nodes have, at least one.
-    fn share(&self, events: f64, count: usize) -> usize {
+    /// Scales the events of a day from all nodes to `count` nodes; the result
+    /// is at least one.
+    fn scaled_count(&self, events: f64, count: usize) -> usize {
         (events * count as f64 / self.nodes).ceil().max(1.0) as usize
     }
 }
 
 impl DaySimulation {
-    /// Causes the failure and runs on. Returns the share of keys, summed over
-    /// services, that cannot stay where they are.
-    pub(super) fn cause(&mut self, failure: Failure, duration: Duration) -> f64 {
+    /// Injects the failure and runs for `duration`. Returns the share of keys,
+    /// summed over services, that must move.
+    pub(super) fn inject(&mut self, failure: Failure, duration: Duration) -> f64 {
         match failure {
-            Failure::None => self.quiet(duration),
+            Failure::None => self.run_without_failure(duration),
             Failure::ConfigurationChanges => self.change_configuration(duration),
             Failure::MachineLosses => self.lose_machines(duration),
             Failure::Replacements => self.replace(duration),
@@ -110,7 +112,7 @@
         }
     }
 
-    fn quiet(&mut self, duration: Duration) -> f64 {
+    fn run_without_failure(&mut self, duration: Duration) -> f64 {
         self.world.run_for(duration);
         0.0
     }
@@ -132,33 +134,36 @@
     fn lose_machines(&mut self, duration: Duration) -> f64 {
         let routers = self.world.router_count();
         let back_ends = self.world.back_end_count();
-        let mut least = 0.0;
-        let router_losses = self.rates.share(self.rates.machine_losses, routers);
+        let mut must_move = 0.0;
+        let router_losses = self.rates.scaled_count(self.rates.machine_losses, routers);
         for _ in 0..router_losses {
             let router = RouterIndex(self.random.random_range(0..routers));
             self.lose_router(router);
         }
-        let back_end_losses = self.rates.share(self.rates.machine_losses, back_ends);
+        let back_end_losses = self
+            .rates
+            .scaled_count(self.rates.machine_losses, back_ends);
         for _ in 0..back_end_losses {
             let back_end = BackEndIndex(self.random.random_range(0..back_ends));
-            least += self.lose_back_end(back_end);
+            must_move += self.lose_back_end(back_end);
         }
         self.world.run_for(duration);
-        least
+        must_move
     }
 
-    /// Restarts one after the other. A back end that is back at once keeps its
-    /// keys, so none has to move.
+    /// Restarts processes one after the other. A back end that is back at once
+    /// keeps its keys, so none has to move.
     fn replace(&mut self, duration: Duration) -> f64 {
         let routers = self.world.router_count();
         let back_ends = self.world.back_end_count();
-        let router_count = self.rates.share(self.rates.replacements, routers);
-        let back_end_count = self.rates.share(self.rates.replacements, back_ends);
+        let router_count = self.rates.scaled_count(self.rates.replacements, routers);
+        let back_end_count = self.rates.scaled_count(self.rates.replacements, back_ends);
         let count = router_count + back_end_count;
         let pause = duration / count as u32;
         for number in 0..count {
-            let wait = RESTART.min(pause);
-            // The two kinds alternate as long as both are left.
+            let wait = RESTART_DELAY.min(pause);
+            // Back ends and routers alternate evenly until both counts are used
+            // up.
             if number * back_end_count / count < (number + 1) * back_end_count / count {
                 let back_end = BackEndIndex(self.random.random_range(0..back_ends));
                 self.world.kill_back_end(back_end);
@@ -185,10 +190,10 @@
         0.0
     }
 
-    /// Loses one part in `parts` of the first region's first zone.
+    /// Loses one part in `parts` of the first zone of the first region.
     fn lose_part_of_zone(&mut self, parts: usize, duration: Duration) -> f64 {
         let in_zone = |place: &crate::network::Place| place.region == 0 && place.zone == 0;
-        let routers = self.world.routers_of(0);
+        let routers = self.world.region_routers(0);
         let routers: Vec<RouterIndex> = routers
             .filter(|index| in_zone(self.world.router_place(*index)))
             .collect();
@@ -196,16 +201,16 @@
         let back_ends: Vec<BackEndIndex> = back_ends
             .filter(|index| in_zone(&self.world.back_end(*index).place))
             .collect();
-        let part = |count: usize| count.div_ceil(parts).max(2).min(count);
-        for router in &routers[..part(routers.len())] {
+        let part_size = |count: usize| count.div_ceil(parts).max(2).min(count);
+        for router in &routers[..part_size(routers.len())] {
             self.lose_router(*router);
         }
-        let mut least = 0.0;
-        for back_end in &back_ends[..part(back_ends.len())] {
-            least += self.lose_back_end(*back_end);
+        let mut must_move = 0.0;
+        for back_end in &back_ends[..part_size(back_ends.len())] {
+            must_move += self.lose_back_end(*back_end);
         }
         self.world.run_for(duration);
-        least
+        must_move
     }
 
     fn cut_first_region(&mut self, duration: Duration) -> f64 {
@@ -224,7 +229,7 @@
         }
     }
 
-    /// Returns the share of keys that it had.
+    /// Kills a back end and returns the share of keys that it owned.
     fn lose_back_end(&mut self, back_end: BackEndIndex) -> f64 {
         if !self.world.back_end(back_end).is_running() {
             return 0.0;
@@ -232,6 +237,6 @@
         let id = self.world.back_end(back_end).id.clone();
         self.world.kill_back_end(back_end);
         self.lost_back_ends.push(back_end);
-        self.world.measures().share_of(&id)
+        self.world.metrics().share_owned_by(&id)
     }
 }
--- a/crates/simulator/src/day/report.rs
+++ b/crates/simulator/src/day/report.rs
@@ -1,4 +1,4 @@
-//! What a day's run reports.
+//! Reports of a simulated day.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,24 +8,24 @@
 
 use super::Failure;
 use crate::costs::RouterCost;
-use crate::measures::MessageKind;
+use crate::metrics::MessageKind;
 use crate::world::{RouterIndex, World};
 
 const NANOS_PER_SECOND: f64 = 1e9;
 const NANOS_PER_MILLI: f64 = 1e6;
 
-/// How a world came up from nothing.
+/// Results of the start of a world without any earlier state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StartReport {
     /// Milliseconds until every probed key was served for the first time.
     pub first_assignment_ms: Option<u64>,
-    /// Milliseconds until every router took requests.
+    /// Milliseconds until every router accepted requests.
     pub all_ready_ms: Option<u64>,
-    /// Breaches of the guarantees.
+    /// Number of invariant violations.
     pub violations: u64,
 }
 
-/// Values of one measure, in milliseconds.
+/// Summary of a set of durations, in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DurationSummary {
     /// Number of values.
@@ -34,99 +34,100 @@
     pub median_ms: u64,
     /// 99th percentile.
     pub p99_ms: u64,
-    /// Largest.
+    /// Maximum.
     pub worst_ms: u64,
 }
 
 impl DurationSummary {
-    fn of(values: impl Iterator<Item = Duration>) -> Self {
+    fn from_durations(values: impl Iterator<Item = Duration>) -> Self {
         let mut sorted: Vec<u64> = values.map(super::millis).collect();
         sorted.sort_unstable();
-        let at = |quantile: f64| {
+        let quantile_ms = |quantile: f64| {
             let rank = (sorted.len() as f64 * quantile).ceil() as usize;
             sorted.get(rank.max(1) - 1).copied().unwrap_or_default()
         };
         DurationSummary {
             count: sorted.len(),
-            median_ms: at(0.5),
-            p99_ms: at(0.99),
-            worst_ms: at(1.0),
+            median_ms: quantile_ms(0.5),
+            p99_ms: quantile_ms(0.99),
+            worst_ms: quantile_ms(1.0),
         }
     }
 }
 
-/// Part that a router has in control.
+/// Role of a router in the control plane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RoleName {
-    /// Leads its region's group.
+    /// Leader of its region's group.
     Leader,
-    /// Another member of a group.
+    /// Other member of a group.
     Follower,
-    /// Not a member, but others pull from it.
+    /// Not a member, but other routers pull records from it.
     Parent,
-    /// Nobody pulls from it.
+    /// No router pulls records from it.
     Leaf,
 }
 
-/// What control cost the routers of one role, each.
+/// Mean cost of the control plane for a router of one role.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RoleCost {
-    /// Routers that had the role.
+    /// Number of routers with the role.
     pub routers: usize,
-    /// Messages a second, sent and received.
+    /// Messages per second, sent and received.
     pub messages_per_second: f64,
-    /// Bytes a second, sent and received, without the machine list.
+    /// Bytes per second, sent and received, without the machine list.
     pub bytes_per_second: f64,
-    /// The same for the router that had most.
+    /// Bytes per second of the router with the highest value.
     pub most_bytes_per_second: f64,
-    /// Bytes a second by kind of message.
+    /// Bytes per second by kind of message.
     pub bytes_by_kind: BTreeMap<String, f64>,
-    /// Processor time of the core for each second, in percent of a processor
-    /// core; `None` without a stopwatch.
+    /// Processor time of the control core, in percent of one processor core; 0
+    /// without a stopwatch.
     pub core_percent: f64,
-    /// The same for the router that had most.
+    /// Processor time of the router with the highest value.
     pub most_core_percent: f64,
-    /// Longest step of a core, in milliseconds.
+    /// Longest step of a control core, in milliseconds.
     pub longest_step_ms: f64,
 }
 
-/// What one failure did.
+/// Results of one failure.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PhaseReport {
-    /// The failure.
+    /// Kind of failure.
     pub failure: Failure,
-    /// Milliseconds that the failure lasted.
+    /// Duration of the failure in milliseconds.
     pub duration_ms: u64,
-    /// Outages of probed keys, one for each key and time.
+    /// Outages of probed keys; a key counts once for each of its outages.
     pub unavailable: DurationSummary,
-    /// Outages that had not ended when the failure was healed.
+    /// Outages that had not ended when the failure was repaired.
     pub unavailable_at_end: usize,
-    /// Share of keys that moved, summed over services, until the heal.
+    /// Share of keys that moved before the repair, summed over services.
     pub moved: f64,
     /// Share of keys that had to move.
     pub moved_at_least: f64,
-    /// Time from an operator's edit until every ready router had it.
+    /// Time from an operator's edit until it was in force on every ready
+    /// router.
     pub configuration_in_force: DurationSummary,
     /// Edits that were not in force everywhere when the world had settled.
     pub configuration_open: usize,
-    /// Costs by role, until the heal.
+    /// Costs by role, up to the repair.
     pub roles: BTreeMap<RoleName, RoleCost>,
-    /// The world settled again after the heal.
+    /// True if the world settled again after the repair.
     pub settled: bool,
-    /// Breaches of the guarantees, the heal included.
+    /// Number of invariant violations, including those during the repair.
     pub violations: u64,
 }
 
 impl PhaseReport {
-    pub(super) fn of(world: &World, failure: Failure, duration: Duration) -> Self {
-        let measures = world.measures();
+    pub(super) fn before_repair(world: &World, failure: Failure, duration: Duration) -> Self {
+        let metrics = world.metrics();
         PhaseReport {
             failure,
             duration_ms: super::millis(duration),
             unavailable: DurationSummary::default(),
-            unavailable_at_end: measures.failing(),
-            moved: measures.moved_shares(),
+            unavailable_at_end: metrics.failing_probes(),
+            moved: metrics.total_moved_share(),
             moved_at_least: 0.0,
             configuration_in_force: DurationSummary::default(),
             configuration_open: 0,
@@ -136,14 +137,15 @@
         }
     }
 
-    /// Adds what ended only when the world had settled.
+    /// Adds the results that are only known once the world has settled.
     pub(super) fn finish(&mut self, world: &World, violations_before: u64) {
-        let measures = world.measures();
-        let outages = measures.outages().iter();
-        self.unavailable = DurationSummary::of(outages.map(|outage| outage.length(world.now())));
+        let metrics = world.metrics();
+        let outages = metrics.outages().iter();
+        self.unavailable =
+            DurationSummary::from_durations(outages.map(|outage| outage.duration(world.now())));
         self.configuration_in_force =
-            DurationSummary::of(measures.times_in_force().iter().copied());
-        self.configuration_open = world.open_edits();
+            DurationSummary::from_durations(metrics.times_in_force().iter().copied());
+        self.configuration_open = world.pending_edits();
         self.violations = world.invariants().count() - violations_before;
     }
 }
@@ -154,18 +156,18 @@
     for number in 0..world.router_count() {
         let index = RouterIndex(number);
         let cost = world.cost(index);
-        let Some(role) = role_of(world, index, cost) else {
+        let Some(role) = router_role(world, index, cost) else {
             continue;
         };
-        roles.entry(role).or_default().add(cost, seconds);
+        roles.entry(role).or_default().add_router(cost, seconds);
     }
     for cost in roles.values_mut() {
-        cost.divide();
+        cost.turn_sums_into_means();
     }
     roles
 }
 
-fn role_of(world: &World, index: RouterIndex, cost: &RouterCost) -> Option<RoleName> {
+fn router_role(world: &World, index: RouterIndex, cost: &RouterCost) -> Option<RoleName> {
     let node = world.router(index)?;
     Some(match node.role() {
         Role::Leader => RoleName::Leader,
@@ -176,7 +178,7 @@
 }
 
 impl RoleCost {
-    fn add(&mut self, cost: &RouterCost, seconds: f64) {
+    fn add_router(&mut self, cost: &RouterCost, seconds: f64) {
         let machines = cost.bytes_of(MessageKind::Machines);
         let bytes = (cost.bytes() - machines) as f64 / seconds;
         let core = cost.busy_nanos as f64 / seconds / NANOS_PER_SECOND * 100.0;
@@ -194,8 +196,8 @@
         }
     }
 
-    /// Turns sums into means.
-    fn divide(&mut self) {
+    /// Divides the sums by the number of routers.
+    fn turn_sums_into_means(&mut self) {
         let routers = self.routers.max(1) as f64;
         self.messages_per_second /= routers;
         self.bytes_per_second /= routers;
--- a/crates/simulator/src/event.rs
+++ b/crates/simulator/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens in a world, in order of time.
+//! Events of a simulated world, ordered by time.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -9,97 +9,97 @@
 
 use crate::world::{BackEndIndex, RouterIndex};
 
-/// One thing that happens.
+/// An event in a simulated world.
 #[derive(Debug)]
 pub enum Event {
-    /// A router's regular tick.
+    /// Periodic tick of a router.
     RouterTick(RouterIndex),
-    /// A message of one router reaches another.
+    /// A message from one router arrives at another.
     Peer {
-        /// The receiver's machine.
+        /// Machine of the receiver.
         to: RouterIndex,
-        /// The process meant, when known.
+        /// Process to which the message is addressed, if known.
         to_id: Option<RouterId>,
-        /// The sender.
+        /// Sender.
         from: RouterIdentity,
         /// The message.
         message: Box<PeerMessage>,
     },
-    /// Anything else that a router is told.
+    /// Any other input of a router.
     RouterInput {
-        /// The machine.
+        /// Machine of the router.
         to: RouterIndex,
-        /// Only this process takes it.
+        /// Process that accepts the input; another one ignores it.
         process: RouterId,
-        /// What it is told.
+        /// The input.
         input: Box<Input>,
     },
-    /// A lease request reaches a back end.
-    Lease {
-        /// The machine it was sent to.
+    /// A lease request arrives at a back end.
+    LeaseRequest {
+        /// The back end to which it was sent.
         to: BackEndIndex,
-        /// The router that sent it.
+        /// Machine of the router that sent it.
         from: RouterIndex,
-        /// Its process.
+        /// Process of that router.
         process: RouterId,
         /// Number of the exchange.
         exchange: u64,
         /// The request.
         request: Box<LeaseRequest>,
     },
-    /// The answer to a lease request reaches its router.
-    LeaseAnswer {
-        /// The router.
+    /// The response to a lease request arrives at its router.
+    LeaseResponse {
+        /// Machine of the router.
         to: RouterIndex,
-        /// Its process.
+        /// Process that sent the request.
         process: RouterId,
         /// Number of the exchange.
         exchange: u64,
-        /// The answer.
+        /// The response.
         response: Box<LeaseResponse>,
     },
-    /// A router gives an exchange up.
+    /// A lease exchange times out at its router.
     LeaseTimeout {
-        /// The router.
+        /// Machine of the router.
         to: RouterIndex,
-        /// Its process.
+        /// Process that sent the request.
         process: RouterId,
         /// Number of the exchange.
         exchange: u64,
     },
-    /// A back end has made itself ready for a slice.
+    /// A back end has finished the preparation of a slice.
     Prepared {
         /// The back end.
         back_end: BackEndIndex,
-        /// Life of its process.
+        /// Incarnation of the process that prepared the slice.
         incarnation: u64,
-        /// What it was asked to prepare.
+        /// Grant of the prepared slice.
         grant: Grant,
     },
-    /// Routers read the machine list.
+    /// A router reads the machine list.
     ReadMachines(RouterIndex),
-    /// The leader's watch reaches the store.
+    /// The watch of a leader reaches the store.
     WatchStore {
-        /// The router that watches.
+        /// Machine of the router that watches.
         router: RouterIndex,
-        /// Its process.
+        /// Process that watches.
         process: RouterId,
     },
-    /// The probes look at whether keys can be served.
+    /// The probes check whether keys can be served.
     Probe,
 }
 
-/// An event with its time. The number keeps the order of events of one time.
+/// An event with its time. The sequence number orders events of the same time.
 #[derive(Debug)]
 struct Scheduled {
     at: Timestamp,
-    number: u64,
+    sequence: u64,
     event: Event,
 }
 
 impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
-        self.number == other.number
+        self.sequence == other.sequence
     }
 }
 
@@ -112,28 +112,33 @@
 }
 
 impl Ord for Scheduled {
-    /// Earlier events are greater, because the heap gives the greatest first.
+    /// Earlier events compare as greater, because the heap returns its greatest
+    /// element first.
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.number).cmp(&(self.at, self.number))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// Events to come.
+/// Queue of future events.
 #[derive(Debug, Default)]
 pub struct EventQueue {
     heap: BinaryHeap<Scheduled>,
-    next_number: u64,
+    next_sequence: u64,
 }
 
 impl EventQueue {
     /// Schedules an event.
     pub fn schedule(&mut self, at: Timestamp, event: Event) {
-        let number = self.next_number;
-        self.next_number += 1;
-        self.heap.push(Scheduled { at, number, event });
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        self.heap.push(Scheduled {
+            at,
+            sequence,
+            event,
+        });
     }
 
-    /// The next event, if it is due by `until`.
+    /// Removes and returns the next event, if it is due by `until`.
     pub fn pop_until(&mut self, until: Timestamp) -> Option<(Timestamp, Event)> {
         if self.heap.peek()?.at > until {
             return None;
--- a/crates/simulator/src/invariants.rs
+++ b/crates/simulator/src/invariants.rs
@@ -1,57 +1,57 @@
-//! The guarantees that a run checks while it goes.
+//! Invariants that are checked while a world runs.
 
 use std::fmt;
 
 use threadledge_types::session::Grant;
 use threadledge_types::{BackEndId, Epoch, Point, Revision, RouterId, ServiceId, Timestamp};
 
-/// Violations kept; more are only counted.
-const KEPT_VIOLATIONS: usize = 32;
+/// Number of violations that are recorded; further ones are only counted.
+const MAX_RECORDED_VIOLATIONS: usize = 32;
 
-/// A guarantee that did not hold.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Violation {
-    /// Two servers could both act on a key.
+    /// Two back ends could both act on a key.
     TwoOwners {
-        /// When.
+        /// Time of the violation.
         at: Timestamp,
-        /// One server and what it holds.
+        /// One back end and its grant.
         one: (BackEndId, Grant),
-        /// The other.
+        /// The other back end and its grant.
         other: (BackEndId, Grant),
     },
-    /// A router went back to a lower revision.
+    /// A router's copy of the records returned to a lower revision.
     RevisionWentBack {
-        /// When.
+        /// Time of the violation.
         at: Timestamp,
-        /// Which router.
+        /// The router.
         router: RouterId,
-        /// Revision before.
+        /// Earlier revision.
         from: Revision,
-        /// Revision after.
+        /// Later revision.
         to: Revision,
     },
     /// A key was served under a lower epoch than before.
     EpochWentBack {
-        /// When.
+        /// Time of the violation.
         at: Timestamp,
         /// Service of the key.
         service: ServiceId,
         /// Point of the key.
         point: Point,
-        /// Epoch before.
+        /// Earlier epoch.
         from: Epoch,
-        /// Epoch after.
+        /// Later epoch.
         to: Epoch,
     },
-    /// A router that took requests lacked a configuration that had been
+    /// A router that accepts requests lacked a configuration that had been
     /// accepted longer ago than the bound.
     ConfigurationMissing {
-        /// When.
+        /// Time of the violation.
         at: Timestamp,
-        /// Which router.
+        /// The router.
         router: RouterId,
-        /// Which object.
+        /// Description of the missing object.
         object: String,
     },
 }
@@ -62,35 +62,43 @@
     }
 }
 
-/// Checks and their verdicts.
+/// Checks the invariants and records violations.
 #[derive(Debug, Default)]
 pub struct Invariants {
-    kept: Vec<Violation>,
+    recorded: Vec<Violation>,
     count: u64,
+    /// Highest epoch at each probe, by number of the probe.
     epochs: Vec<Epoch>,
 }
 
 impl Invariants {
-    /// Violations found, at most the first few.
+    /// Returns the first recorded violations.
     pub fn violations(&self) -> &[Violation] {
-        &self.kept
+        &self.recorded
     }
 
-    /// Number of violations found.
+    /// Returns the number of violations found.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// Notes a violation.
+    /// Records a violation.
     pub fn report(&mut self, violation: Violation) {
         self.count += 1;
-        if self.kept.len() < KEPT_VIOLATIONS {
-            self.kept.push(violation);
+        if self.recorded.len() < MAX_RECORDED_VIOLATIONS {
+            self.recorded.push(violation);
         }
     }
 
-    /// A router's copy went from one revision to another.
-    pub fn saw_revision(&mut self, at: Timestamp, router: RouterId, from: Revision, to: Revision) {
+    /// Checks that a router's copy of the records does not return to a lower
+    /// revision.
+    pub fn check_revision(
+        &mut self,
+        at: Timestamp,
+        router: RouterId,
+        from: Revision,
+        to: Revision,
+    ) {
         if to < from {
             self.report(Violation::RevisionWentBack {
                 at,
@@ -101,8 +109,9 @@
         }
     }
 
-    /// The numbered probe's key could be served under an epoch.
-    pub fn saw_epoch(
+    /// Checks that the key of a numbered probe is not served under a lower
+    /// epoch than before.
+    pub fn check_epoch(
         &mut self,
         at: Timestamp,
         (probe, service, point): (usize, &ServiceId, Point),
@@ -124,8 +133,8 @@
         self.epochs[probe] = from.max(to);
     }
 
-    /// One server took grants: none of them may overlap what another server
-    /// may act on at the same instant.
+    /// Checks that newly taken grants of one back end do not overlap grants
+    /// that others may act on at the same time.
     pub fn check_single_owner<'a>(
         &mut self,
         at: Timestamp,
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,11 +1,12 @@
-//! The production control cores in virtual time.
+//! Simulation of the production control cores in virtual time.
 //!
 //! A [`World`] holds routers (each a [`threadledge_control::ControlNode`], the
-//! binary minus its shell), back ends (each a [`threadledge_ownership::Holder`]
-//! with a model of a server around it), a model of the platform's store and
-//! machine list, and a network that delays, drops, duplicates and cuts. Every
-//! choice is drawn from one seed, so that a run can be repeated exactly. The
-//! guarantees are checked while it runs.
+//! program without its I/O shell), back ends (each a
+//! [`threadledge_ownership::Holder`] with a model of a server around it), a
+//! model of the platform's store and machine list, and a network that delays,
+//! drops, duplicates and partitions. Every random choice is drawn from one
+//! seed, so that a run can be repeated exactly. The invariants are checked
+//! during the run.
 
 mod back_end;
 mod clock;
@@ -13,7 +14,7 @@
 pub mod day;
 mod event;
 mod invariants;
-mod measures;
+mod metrics;
 mod network;
 mod router;
 mod scenario;
@@ -23,7 +24,7 @@
 pub use back_end::BackEndModel;
 pub use costs::RouterCost;
 pub use invariants::{Invariants, Violation};
-pub use measures::{Measures, MessageKind, Outage, Traffic};
+pub use metrics::{MessageKind, Metrics, Outage, Traffic};
 pub use network::{NetworkSettings, Place};
 pub use scenario::{Scenario, ServicePlan};
 pub use store::StoreModel;
--- a/crates/simulator/src/measures.rs
+++ b/crates/simulator/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a run measures: outages of probed keys, moved keys, messages.
+//! Metrics of a run: outages of probed keys, moved keys and messages.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,30 +6,30 @@
 use threadledge_types::records::{RecordChange, RecordDelta, SliceKey};
 use threadledge_types::{BackEndId, GroupId, Point, Revision, ServiceId, Timestamp};
 
-/// A stretch of time in which a probed key could not be served.
+/// A period in which a probed key could not be served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outage {
     /// Service of the key.
     pub service: ServiceId,
     /// Point of the key.
     pub point: Point,
-    /// When the first probe failed.
+    /// Time of the first failed probe.
     pub from: Timestamp,
-    /// When a probe succeeded again, if one did.
+    /// Time of the next successful probe, if there was one.
     pub until: Option<Timestamp>,
 }
 
 impl Outage {
-    /// How long it lasted, up to `now` if it goes on.
-    pub fn length(&self, now: Timestamp) -> Duration {
+    /// Returns the duration of the outage, up to `now` if it has not ended.
+    pub fn duration(&self, now: Timestamp) -> Duration {
         self.until.unwrap_or(now).since(self.from)
     }
 }
 
-/// Messages and bytes of one kind.
+/// Number of messages and bytes of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Messages.
+    /// Number of messages.
     pub messages: u64,
     /// Bytes as JSON over HTTP/1.1.
     pub bytes: u64,
@@ -43,18 +43,18 @@
     }
 }
 
-/// Kinds of messages that are counted apart.
+/// Kinds of messages that are counted separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MessageKind {
     /// Replication of the log.
     Consensus,
     /// Failure detection.
     Membership,
-    /// Copies of records.
+    /// Distribution of records.
     Spread,
     /// Leases of back ends.
     Lease,
-    /// Readings of the machine list.
+    /// Reads of the machine list.
     Machines,
 }
 
@@ -81,77 +81,80 @@
     }
 }
 
-/// Figures of one run.
+/// Metrics of one run.
 #[derive(Debug, Default)]
-pub struct Measures {
+pub struct Metrics {
     outages: Vec<Outage>,
-    failing: BTreeMap<usize, usize>,
+    /// Outages that have not ended: index in `outages`, by number of the probe.
+    open_outages: BTreeMap<usize, usize>,
     probes: u64,
     failed_probes: u64,
     last_owner: BTreeMap<SliceKey, LastOwner>,
-    seen: BTreeMap<GroupId, Revision>,
+    /// Latest revision of each group that was evaluated.
+    seen_revisions: BTreeMap<GroupId, Revision>,
     moved_share: BTreeMap<ServiceId, f64>,
     sent: BTreeMap<MessageKind, Traffic>,
-    in_force: Vec<Duration>,
+    times_in_force: Vec<Duration>,
 }
 
-/// The server that owned a slice last.
+/// The back end that last owned a slice.
 #[derive(Debug)]
 struct LastOwner {
     back_end: BackEndId,
-    /// Share of the service's keys.
+    /// Share of the service's keys that the slice holds.
     share: f64,
 }
 
-impl Measures {
+impl Metrics {
     /// All outages of probed keys.
     pub fn outages(&self) -> &[Outage] {
         &self.outages
     }
 
-    /// Longest outage so far.
+    /// Duration of the longest outage so far.
     pub fn longest_outage(&self, now: Timestamp) -> Duration {
-        let lengths = self.outages.iter().map(|outage| outage.length(now));
-        lengths.max().unwrap_or_default()
+        let durations = self.outages.iter().map(|outage| outage.duration(now));
+        durations.max().unwrap_or_default()
     }
 
-    /// Probed keys that cannot be served at the moment.
-    pub fn failing(&self) -> usize {
-        self.failing.len()
+    /// Number of probed keys that cannot be served at the moment.
+    pub fn failing_probes(&self) -> usize {
+        self.open_outages.len()
     }
 
-    /// Sum over all services of the share of keys that changed owner.
-    pub fn moved_shares(&self) -> f64 {
+    /// Share of keys that changed owner, summed over all services.
+    pub fn total_moved_share(&self) -> f64 {
         self.moved_share.values().sum()
     }
 
-    /// Sum over all services of the share of keys that a back end had last.
-    pub fn share_of(&self, back_end: &BackEndId) -> f64 {
+    /// Share of keys that a back end owned last, summed over all services.
+    pub fn share_owned_by(&self, back_end: &BackEndId) -> f64 {
         let owned = self.last_owner.values();
         let owned = owned.filter(|owner| owner.back_end == *back_end);
         owned.map(|owner| owner.share).sum()
     }
 
-    /// Probes made and probes failed.
+    /// Number of probes made and number of probes that failed.
     pub fn probes(&self) -> (u64, u64) {
         (self.probes, self.failed_probes)
     }
 
-    /// Share of a service's keys that changed owner; above 1 when keys moved
-    /// more than once.
+    /// Share of a service's keys that changed owner; above 1 if keys moved more
+    /// than once.
     pub fn moved_share(&self, service: &ServiceId) -> f64 {
         self.moved_share.get(service).copied().unwrap_or(0.0)
     }
 
-    /// For each edit that came in force, how long it took from the operator's
-    /// write until every router that takes requests had it.
+    /// Returns, for each edit that came into force, the time from the
+    /// operator's write until it was in force on every router that accepts
+    /// requests.
     pub fn times_in_force(&self) -> &[Duration] {
-        &self.in_force
+        &self.times_in_force
     }
 
-    /// An edit came in force everywhere after this time.
-    pub(crate) fn in_force(&mut self, after: Duration) {
-        self.in_force.push(after);
+    /// Records the time until an edit was in force everywhere.
+    pub(crate) fn record_time_in_force(&mut self, after: Duration) {
+        self.times_in_force.push(after);
     }
 
     /// Messages sent, by kind.
@@ -159,23 +162,23 @@
         &self.sent
     }
 
-    /// Forgets outages, moves and messages so far, but not who owns what.
+    /// Resets outages, moves and message counts, but keeps the last owners.
     pub fn reset(&mut self) {
         let last_owner = std::mem::take(&mut self.last_owner);
-        *self = Measures {
+        *self = Metrics {
             last_owner,
-            seen: std::mem::take(&mut self.seen),
+            seen_revisions: std::mem::take(&mut self.seen_revisions),
             ..Default::default()
         };
     }
 
     /// Counts one message.
-    pub fn count(&mut self, kind: MessageKind, bytes: u64) {
+    pub fn count_message(&mut self, kind: MessageKind, bytes: u64) {
         self.sent.entry(kind).or_default().add(bytes);
     }
 
-    /// One probe's finding.
-    pub fn probe(
+    /// Records the result of one probe.
+    pub fn record_probe(
         &mut self,
         now: Timestamp,
         (probe, service, point): (usize, &ServiceId, Point),
@@ -183,16 +186,16 @@
     ) {
         self.probes += 1;
         if served {
-            if !self.failing.is_empty()
-                && let Some(number) = self.failing.remove(&probe)
+            if !self.open_outages.is_empty()
+                && let Some(number) = self.open_outages.remove(&probe)
             {
                 self.outages[number].until = Some(now);
             }
             return;
         }
         self.failed_probes += 1;
-        if !self.failing.contains_key(&probe) {
-            self.failing.insert(probe, self.outages.len());
+        if !self.open_outages.contains_key(&probe) {
+            self.open_outages.insert(probe, self.outages.len());
             self.outages.push(Outage {
                 service: service.clone(),
                 point,
@@ -202,10 +205,10 @@
         }
     }
 
-    /// Follows owners by the records that routers receive. Every revision is
-    /// looked at once, whichever router receives it first.
-    pub fn follow(&mut self, delta: &RecordDelta) {
-        let seen = self.seen.entry(delta.group).or_default();
+    /// Tracks owners from the records that routers receive. Each revision is
+    /// evaluated once, at the first router that receives it.
+    pub fn record_owners(&mut self, delta: &RecordDelta) {
+        let seen = self.seen_revisions.entry(delta.group).or_default();
         if delta.to <= *seen {
             return;
         }
@@ -214,7 +217,7 @@
             match change {
                 RecordChange::Slice(record) => {
                     let owner = record.owner.as_ref().map(|session| &session.back_end);
-                    self.follow_owner(record.key(), owner, record.slice.share());
+                    self.record_owner(record.key(), owner, record.slice.share());
                 }
                 RecordChange::SliceRemoved(key) => {
                     self.last_owner.remove(key);
@@ -224,7 +227,7 @@
         }
     }
 
-    fn follow_owner(&mut self, key: SliceKey, owner: Option<&BackEndId>, share: f64) {
+    fn record_owner(&mut self, key: SliceKey, owner: Option<&BackEndId>, share: f64) {
         let Some(owner) = owner else { return };
         let now = LastOwner {
             back_end: owner.clone(),
@@ -232,15 +235,16 @@
         };
         let last = match self.last_owner.insert(key.clone(), now) {
             Some(last) => Some(last.back_end),
-            // A slice that was split off had the owner of the one it was in.
-            None => self.owner_before(&key),
+            // A slice that was split off had the owner of the slice that
+            // contained it.
+            None => self.preceding_owner(&key),
         };
         if last.is_some_and(|last| last != *owner) {
             *self.moved_share.entry(key.service).or_default() += share;
         }
     }
 
-    fn owner_before(&self, key: &SliceKey) -> Option<BackEndId> {
+    fn preceding_owner(&self, key: &SliceKey) -> Option<BackEndId> {
         let (neighbour, owner) = self.last_owner.range(..key).next_back()?;
         (neighbour.service == key.service).then(|| owner.back_end.clone())
     }
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -1,4 +1,4 @@
-//! A network that delays, drops, duplicates, reorders and cuts.
+//! A network that delays, drops, duplicates, reorders and partitions.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,38 +6,38 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Where a machine stands.
+/// Region and zone of a machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
-    /// Region, by number.
+    /// Number of the region.
     pub region: usize,
-    /// Zone within the region, by number.
+    /// Number of the zone within the region.
     pub zone: usize,
 }
 
-/// How messages travel.
+/// Delays and error rates of the network.
 #[derive(Clone, Debug)]
 pub struct NetworkSettings {
     /// One-way delay within a zone.
-    pub zone_delay: Duration,
+    pub same_zone_delay: Duration,
     /// One-way delay between zones of a region.
-    pub region_delay: Duration,
+    pub inter_zone_delay: Duration,
     /// One-way delay between regions.
-    pub world_delay: Duration,
+    pub inter_region_delay: Duration,
     /// Largest random addition to a delay; reorders messages.
     pub jitter: Duration,
-    /// Part of messages that are lost, from 0 to 1.
+    /// Fraction of messages that are lost, from 0 to 1.
     pub loss: f64,
-    /// Part of messages that arrive twice, from 0 to 1.
+    /// Fraction of messages that arrive twice, from 0 to 1.
     pub duplication: f64,
 }
 
 impl Default for NetworkSettings {
     fn default() -> Self {
         NetworkSettings {
-            zone_delay: Duration::from_micros(200),
-            region_delay: Duration::from_millis(1),
-            world_delay: Duration::from_millis(40),
+            same_zone_delay: Duration::from_micros(200),
+            inter_zone_delay: Duration::from_millis(1),
+            inter_region_delay: Duration::from_millis(40),
             jitter: Duration::from_micros(500),
             loss: 0.0,
             duplication: 0.0,
@@ -54,7 +54,7 @@
 }
 
 impl Network {
-    /// A network without cuts.
+    /// Creates a network without partitions.
     pub fn new(settings: NetworkSettings) -> Self {
         Network {
             settings,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Changes how messages travel from now on.
+    /// Changes the settings for messages sent from now on.
     pub fn set_settings(&mut self, settings: NetworkSettings) {
         self.settings = settings;
     }
@@ -73,8 +73,8 @@
         &self.settings
     }
 
-    /// Cuts or heals the way between two zones, both directions.
-    pub fn set_cut(&mut self, one: &Place, other: &Place, cut: bool) {
+    /// Cuts or restores the connection between two zones in both directions.
+    pub fn set_zones_cut(&mut self, one: &Place, other: &Place, cut: bool) {
         for pair in [(one.clone(), other.clone()), (other.clone(), one.clone())] {
             if cut {
                 self.cut_zones.insert(pair);
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Cuts one machine off from everything, or heals it. Machines are
+    /// Cuts one machine off from everything, or restores it. Machines are
     /// numbered by the world.
     pub fn set_isolated(&mut self, machine: usize, isolated: bool) {
         if isolated {
@@ -94,12 +94,13 @@
         }
     }
 
-    /// Whether a machine is cut off from everything.
+    /// Returns whether a machine is cut off from everything.
     pub fn is_isolated(&self, machine: usize) -> bool {
         self.isolated.contains(&machine)
     }
 
-    /// Delays of the copies of one message that arrive: none, one or two.
+    /// Returns the delays of the copies of one message that arrive: none, one
+    /// or two.
     pub fn deliveries(
         &self,
         random: &mut ChaCha8Rng,
@@ -116,7 +117,7 @@
         delays
     }
 
-    /// Whether messages pass between two machines.
+    /// Returns whether messages pass from one machine to the other.
     pub fn connected(&self, from: (usize, &Place), to: (usize, &Place)) -> bool {
         let cut = || {
             let pair = (from.1.clone(), to.1.clone());
@@ -127,11 +128,11 @@
 
     fn delay(&self, random: &mut ChaCha8Rng, from: &Place, to: &Place) -> Duration {
         let base = if from.region != to.region {
-            self.settings.world_delay
+            self.settings.inter_region_delay
         } else if from.zone != to.zone {
-            self.settings.region_delay
+            self.settings.inter_zone_delay
         } else {
-            self.settings.zone_delay
+            self.settings.same_zone_delay
         };
         let jitter = self.settings.jitter.as_micros() as u64;
         base + Duration::from_micros(random.random_range(0..=jitter))
--- a/crates/simulator/src/router.rs
+++ b/crates/simulator/src/router.rs
@@ -1,4 +1,4 @@
-//! A simulated routing machine.
+//! Model of a router and its process.
 
 use std::net::SocketAddr;
 
@@ -9,47 +9,47 @@
 use crate::event::Event;
 use crate::network::Place;
 
-/// One routing machine.
+/// A machine that runs a router.
 pub struct RouterModel {
-    /// Its name in the machine list.
+    /// Name of the machine in the machine list.
     pub machine: MachineName,
-    /// Where it stands.
+    /// Region and zone of the machine.
     pub place: Place,
-    /// Where other routers reach it.
+    /// Address at which other routers reach it.
     pub address: SocketAddr,
-    /// Its process, if it runs.
+    /// Its process, if one runs.
     pub process: Option<RouterProcess>,
-    /// Lives so far; numbers the incarnations.
-    pub lives: u64,
+    /// Number of processes started so far; numbers the incarnations.
+    pub incarnations: u64,
 }
 
-/// One life of a router.
+/// One incarnation of a router.
 pub struct RouterProcess {
     /// The control core.
     pub node: ControlNode,
     /// The process's clock.
     pub clock: ModelClock,
-    /// Paused: neither sees nor does anything.
+    /// A paused process neither receives nor does anything.
     pub paused: bool,
-    /// Events that came in while it was paused.
-    pub held_back: Vec<Event>,
-    /// It watches the store.
+    /// Events that arrived while the process was paused.
+    pub deferred_events: Vec<Event>,
+    /// True while the process watches the store.
     pub watching: bool,
-    /// Highest revision its copy of the records was seen at.
+    /// Revision of its copy of the records after the last step.
     pub revision: Revision,
-    /// Version of the machine list it was given last.
+    /// Version of the machine list that the core received last.
     pub machines_version: Option<u64>,
-    /// Bytes of the batch around its messages.
+    /// Bytes of the JSON batch around its messages.
     pub envelope_bytes: u64,
 }
 
 impl RouterModel {
-    /// The running process, unless it is paused.
-    pub fn awake(&mut self) -> Option<&mut RouterProcess> {
+    /// Returns the process, unless it is paused.
+    pub fn running_process(&mut self) -> Option<&mut RouterProcess> {
         self.process.as_mut().filter(|process| !process.paused)
     }
 
-    /// Id of the process.
+    /// Id of the process, if one runs.
     pub fn id(&self) -> Option<RouterId> {
         let process = self.process.as_ref()?;
         Some(process.node.identity().id)
@@ -57,7 +57,7 @@
 }
 
 impl RouterProcess {
-    /// Steps the core at the simulator's `now`.
+    /// Steps the core at the simulation time `now`.
     pub fn step(&mut self, now: Timestamp, input: Input) -> Vec<Output> {
         self.node.step(self.clock.read(now), input)
     }
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -1,4 +1,4 @@
-//! How a world is laid out.
+//! Layout and settings of a simulated world.
 
 use k8s_openapi::apimachinery::pkg::apis::meta::v1::LabelSelector;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -13,28 +13,28 @@
 
 /// Namespace of every simulated service.
 pub const NAMESPACE: &str = "partner-a";
-/// Label that ties back ends to a service.
+/// Label that assigns back ends to a service.
 const SERVICE_LABEL: &str = "service";
-/// First port of the back ends' control addresses.
+/// Port of the back ends' control addresses.
 const CONTROL_PORT: u16 = 20_000;
 
-/// One service and its back ends.
+/// A service and its back ends.
 #[derive(Clone, Debug)]
 pub struct ServicePlan {
     /// Name of the service.
     pub name: String,
-    /// Region of the service and its back ends, by number.
+    /// Number of the region of the service and its back ends.
     pub region: usize,
     /// Number of back ends.
     pub back_ends: usize,
-    /// Requests a second, spread evenly over the keys.
+    /// Requests per second, spread evenly over the keys.
     pub rate: f64,
-    /// Exchange between imbalance and churn.
+    /// Trade-off between imbalance and churn.
     pub policy: PlacementPolicy,
 }
 
 impl ServicePlan {
-    /// A service with default policy.
+    /// Creates a service with the default policy in the first region.
     pub fn new(name: &str, back_ends: usize) -> Self {
         ServicePlan {
             name: name.to_owned(),
@@ -45,65 +45,68 @@
         }
     }
 
-    /// The same service in another region.
+    /// Moves the service to another region.
     pub fn in_region(mut self, region: usize) -> Self {
         self.region = region;
         self
     }
 }
 
-/// Everything that a world is made from.
+/// Layout and settings of a world.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// Seed of every random choice.
     pub seed: u64,
-    /// Regions whose routers run.
+    /// Number of regions whose routers run.
     pub regions: usize,
-    /// Further regions, as large, that are only on the machine list. Regions
-    /// decide on their own, so a large world runs one at a time.
+    /// Number of further regions of the same size that are only in the machine
+    /// list. Regions decide independently, so a large world is simulated one
+    /// region at a time.
     pub listed_regions: usize,
-    /// Zones of each region.
+    /// Zones in each region.
     pub zones: usize,
-    /// Routers of each region, spread evenly over its zones.
+    /// Routers in each region, spread evenly over its zones.
     pub routers: usize,
-    /// Services.
+    /// Services and their back ends.
     pub services: Vec<ServicePlan>,
-    /// Voters of the group.
+    /// Number of voters of a group.
     pub group_size: usize,
-    /// Durations.
+    /// Protocol timing.
     pub timing: Timing,
-    /// Network.
+    /// Network delays and error rates.
     pub network: NetworkSettings,
-    /// Largest drift of a clock, in parts per million, either way.
+    /// Largest clock drift in either direction, in parts per million.
     pub drift_ppm: i64,
-    /// Keys that are probed for each service.
+    /// Number of keys that are probed for each service.
     pub probes_per_service: usize,
-    /// Whether message sizes are counted, which costs time.
+    /// True if message sizes are counted, which costs time.
     pub count_bytes: bool,
     /// Milliseconds between the ticks of a router.
     pub tick_ms: u64,
-    /// Milliseconds between a router's readings of the machine list.
+    /// Milliseconds between a router's reads of the machine list.
     pub machines_ms: u64,
-    /// Routers of each region that keep a routing table, through which keys
-    /// are probed; `None` for all. Fewer save time and memory.
+    /// Number of routers in each region that keep a routing table, through
+    /// which keys are probed; `None` for all. Fewer tables save time and
+    /// memory.
     pub tables: Option<usize>,
 }
 
 impl Scenario {
-    /// Where the numbered router stands.
+    /// Returns the region and zone of a router.
     pub fn router_place(&self, number: usize) -> Place {
         let (region, number) = (number / self.routers.max(1), number % self.routers.max(1));
         let zone = number % self.zones;
         Place { region, zone }
     }
 
-    /// Whether the numbered router keeps a routing table.
+    /// Returns whether a router keeps a routing table.
     pub fn keeps_table(&self, number: usize) -> bool {
         let routers = self.routers.max(1);
         let Some(tables) = self.tables.filter(|tables| *tables < routers) else {
             return true;
         };
-        // Evenly spread: the count of tables rises at this router.
+        // Spreads the tables evenly: a router keeps one where the running count
+        // of tables increases.
         let number = number % routers;
         (number + 1) * tables / routers > number * tables / routers
     }
@@ -136,7 +139,7 @@
     RegionName(format!("region-{number}"))
 }
 
-/// Name of a zone; no two regions share one.
+/// Name of a zone; unique across regions.
 pub fn zone_name(place: &Place) -> ZoneName {
     match place.region {
         0 => ZoneName(format!("zone-{}", place.zone)),
@@ -144,7 +147,7 @@
     }
 }
 
-/// Name of a routing machine.
+/// Name of a router machine.
 pub fn machine_name(number: usize) -> MachineName {
     MachineName(format!("router-{number}"))
 }
@@ -159,7 +162,8 @@
     address(2, number, CONTROL_PORT)
 }
 
-/// Addresses only name machines here; nothing is ever sent to them.
+/// Creates an address that only identifies a machine; nothing is ever sent to
+/// it.
 fn address(net: u8, number: usize, port: u16) -> SocketAddr {
     let [.., high, middle, low] = (number as u32).to_be_bytes();
     let host = Ipv4Addr::new(127, net.wrapping_mul(64).wrapping_add(high), middle, low);
@@ -171,7 +175,7 @@
     format!("{service}-{number}")
 }
 
-/// The object of a back end.
+/// Creates the object of a back end.
 pub fn back_end_object(
     service: &str,
     number: usize,
@@ -197,7 +201,7 @@
     }
 }
 
-/// The object of a service.
+/// Creates the object of a service.
 pub fn service_object(plan: &ServicePlan) -> KeyedServiceObject {
     object::Object {
         types: Some(types(KEYED_SERVICE_KIND)),
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -1,9 +1,9 @@
-//! A model of the platform's object API, as the shell presents it to the
-//! control core, and of its machine list.
+//! Model of the platform's object API, as the shell presents it to the control
+//! core, and of its machine list.
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::costs::json_bytes;
+use crate::costs::json_length;
 use threadledge_control::{
     AcceptanceResult, ConfigurationEvent, GroupObjectState, GroupObjectVersion, GroupWriteResult,
     Listing, ObjectRef, ObservedObject, StatusWrite,
@@ -20,31 +20,31 @@
     version: u64,
 }
 
-/// An accepted object, as its status shows.
+/// The acceptance of an object, as shown in its status.
 #[derive(Clone, Debug)]
 pub struct Acceptance {
-    /// `metadata.generation` that was accepted.
+    /// The accepted `metadata.generation`.
     pub generation: i64,
     /// Revision at which it is in force.
     pub revision: Revision,
-    /// When the status was written.
+    /// Time at which the status was written.
     pub at: Timestamp,
     /// Region whose group accepted it.
     pub region: usize,
 }
 
-/// Objects with versions, conditional writes and an outage switch.
+/// Objects with versions, conditional writes and simulated outages.
 #[derive(Clone, Debug, Default)]
 pub struct StoreModel {
     version: u64,
     down: bool,
-    /// Group writes that take effect without an answer from now on.
-    lost_answers: u32,
+    /// Number of following group writes that take effect without a response.
+    responses_to_lose: u32,
     groups: BTreeMap<RegionName, GroupObject>,
     back_ends: BTreeMap<String, BackEndObject>,
     services: BTreeMap<String, KeyedServiceObject>,
-    accepted: BTreeMap<ObjectRef, Acceptance>,
-    /// Acceptances that nobody has taken note of yet, in order of time.
+    acceptances: BTreeMap<ObjectRef, Acceptance>,
+    /// Acceptances that have not been processed yet, ordered by time.
     new_acceptances: VecDeque<(ObjectRef, Acceptance)>,
     machines: MachineList,
     machines_bytes: u64,
@@ -52,27 +52,27 @@
 }
 
 impl StoreModel {
-    /// Takes the store down or brings it back.
+    /// Starts or ends an outage of the store.
     pub fn set_down(&mut self, down: bool) {
         self.down = down;
     }
 
-    /// Whether the store does not answer.
+    /// Returns whether the store is unavailable.
     pub fn is_down(&self) -> bool {
         self.down
     }
 
-    /// Lets the next `count` group writes take effect without an answer.
-    pub fn lose_answers(&mut self, count: u32) {
-        self.lost_answers = count;
+    /// Lets the next `count` group writes take effect without a response.
+    pub fn lose_responses(&mut self, count: u32) {
+        self.responses_to_lose = count;
     }
 
-    /// Takes the machine list down or brings it back.
+    /// Starts or ends an outage of the machine list.
     pub fn set_machines_down(&mut self, down: bool) {
         self.machines_down = down;
     }
 
-    /// The machine list, if it answers.
+    /// Returns the machine list, unless it is unavailable.
     pub fn machines(&self) -> Option<MachineList> {
         (!self.machines_down).then(|| self.machines.clone())
     }
@@ -86,10 +86,10 @@
     pub fn set_machines(&mut self, machines: Vec<Machine>) {
         self.machines.version += 1;
         self.machines.machines = machines;
-        self.machines_bytes = json_bytes(&self.machines);
+        self.machines_bytes = json_length(&self.machines);
     }
 
-    /// Writes a back end as its operator would.
+    /// Writes a back end, as its operator does.
     pub fn put_back_end(&mut self, mut object: BackEndObject) -> ConfigurationEvent {
         self.version += 1;
         let name = object.metadata.name.clone().unwrap_or_default();
@@ -101,7 +101,7 @@
         ConfigurationEvent::BackEndChanged(observed_back_end(object))
     }
 
-    /// Writes a service as its operator would.
+    /// Writes a service, as its operator does.
     pub fn put_service(&mut self, mut object: KeyedServiceObject) -> ConfigurationEvent {
         self.version += 1;
         let name = object.metadata.name.clone().unwrap_or_default();
@@ -123,17 +123,17 @@
         })
     }
 
-    /// The back end as it stands.
+    /// Returns the current object of a back end.
     pub fn back_end(&self, name: &str) -> Option<&BackEndObject> {
         self.back_ends.get(name)
     }
 
-    /// The service as it stands.
+    /// Returns the current object of a service.
     pub fn service(&self, name: &str) -> Option<&KeyedServiceObject> {
         self.services.get(name)
     }
 
-    /// Everything, as a watcher sees it first.
+    /// Returns the initial listings of a watch.
     pub fn listings(&self) -> [ConfigurationEvent; 2] {
         let back_ends = self.back_ends.values().cloned().map(observed_back_end);
         let services = self.services.values().cloned().map(observed_service);
@@ -151,7 +151,7 @@
         ]
     }
 
-    /// Takes a status from a region's group, unless the store is down.
+    /// Writes a status from a region's group, unless the store is unavailable.
     pub fn write_status(&mut self, now: Timestamp, region: usize, write: StatusWrite) {
         if self.down {
             return;
@@ -166,21 +166,21 @@
             let object = write.object;
             self.new_acceptances
                 .push_back((object.clone(), acceptance.clone()));
-            self.accepted.insert(object, acceptance);
+            self.acceptances.insert(object, acceptance);
         }
     }
 
     /// Latest acceptance of an object.
     pub fn acceptance(&self, object: &ObjectRef) -> Option<&Acceptance> {
-        self.accepted.get(object)
+        self.acceptances.get(object)
     }
 
-    /// Acceptances since the last call, in order of time.
+    /// Returns the acceptances since the last call, ordered by time.
     pub(crate) fn take_acceptances(&mut self) -> VecDeque<(ObjectRef, Acceptance)> {
         std::mem::take(&mut self.new_acceptances)
     }
 
-    /// Version of the machine list, if it answers.
+    /// Returns the version of the machine list, unless it is unavailable.
     pub fn machines_version(&self) -> Option<u64> {
         (!self.machines_down).then_some(self.machines.version)
     }
@@ -222,8 +222,8 @@
             version: self.version,
         };
         self.groups.insert(region.clone(), object);
-        if self.lost_answers > 0 {
-            self.lost_answers -= 1;
+        if self.responses_to_lose > 0 {
+            self.responses_to_lose -= 1;
             return GroupWriteResult::Unavailable;
         }
         GroupWriteResult::Written
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -1,4 +1,4 @@
-//! A world of routers, back ends, store and network, run in virtual time.
+//! A world of routers, back ends, a store and a network, run in virtual time.
 
 mod configuration;
 mod deliver;
@@ -19,12 +19,12 @@
     BackEndId, GroupId, Incarnation, Revision, RouterId, RouterIdentity, ServiceId, Timestamp,
 };
 
-use crate::back_end::{BackEndModel, Traffic};
+use crate::back_end::{BackEndModel, RequestRates};
 use crate::clock::ModelClock;
-use crate::costs::{RouterCost, json_bytes};
+use crate::costs::{RouterCost, json_length};
 use crate::event::{Event, EventQueue};
 use crate::invariants::Invariants;
-use crate::measures::Measures;
+use crate::metrics::Metrics;
 use crate::network::{Network, Place};
 use crate::router::{RouterModel, RouterProcess};
 use crate::scenario::{self, NAMESPACE, Scenario};
@@ -35,22 +35,22 @@
 /// Time between two rounds of probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Number of a routing machine.
+/// Index of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouterIndex(pub usize);
 
-/// Number of a back end.
+/// Index of a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackEndIndex(pub usize);
 
-/// A key that is looked at regularly, by the table of one router.
+/// A key that is probed regularly through the routing table of a router.
 struct Probe {
     region: usize,
     service: ServiceId,
     point: threadledge_types::Point,
 }
 
-/// A simulated world of one region or several.
+/// A simulated world of one or more regions.
 pub struct World {
     scenario: Scenario,
     now: Timestamp,
@@ -63,26 +63,31 @@
     back_end_addresses: BTreeMap<SocketAddr, BackEndIndex>,
     back_end_ids: BTreeMap<BackEndId, BackEndIndex>,
     store: StoreModel,
-    configuration: configuration::ConfigurationWatch,
+    configuration: configuration::ConfigurationTracker,
     /// Back ends that were ever granted a slice of a service.
     grantees: BTreeMap<ServiceId, BTreeSet<BackEndIndex>>,
-    traffic: Traffic,
-    exchanges: BTreeMap<u64, threadledge_types::session::LeaseSequence>,
-    lease_back_end: BTreeMap<u64, BackEndId>,
+    request_rates: RequestRates,
+    /// Sequence numbers of the open lease exchanges, by number of the exchange.
+    lease_sequences: BTreeMap<u64, threadledge_types::session::LeaseSequence>,
+    /// Back ends of the open lease exchanges, by number of the exchange.
+    lease_back_ends: BTreeMap<u64, BackEndId>,
     next_exchange: u64,
-    tables: BTreeMap<RouterIndex, RoutingTable>,
+    routing_tables: BTreeMap<RouterIndex, RoutingTable>,
     probes: Vec<Probe>,
+    /// Number of probe rounds so far.
     probe_round: usize,
     invariants: Invariants,
-    measures: Measures,
+    metrics: Metrics,
+    /// Cost of each router, by index.
     costs: Vec<RouterCost>,
-    /// Receivers that messages of the current step already go to.
-    batched: Vec<Option<RouterIndex>>,
+    /// Receivers to which the current step has already sent messages.
+    batched_receivers: Vec<Option<RouterIndex>>,
+    /// Returns nanoseconds since any origin.
     stopwatch: Option<fn() -> u64>,
 }
 
 impl World {
-    /// Lays out and starts everything a scenario names.
+    /// Creates and starts everything in a scenario.
     pub fn new(scenario: Scenario) -> Self {
         let mut world = World {
             now: Timestamp::ZERO,
@@ -95,40 +100,40 @@
             back_end_addresses: BTreeMap::new(),
             back_end_ids: BTreeMap::new(),
             store: StoreModel::default(),
-            configuration: configuration::ConfigurationWatch::default(),
+            configuration: configuration::ConfigurationTracker::default(),
             grantees: BTreeMap::new(),
-            traffic: Traffic::default(),
-            exchanges: BTreeMap::new(),
-            lease_back_end: BTreeMap::new(),
+            request_rates: RequestRates::default(),
+            lease_sequences: BTreeMap::new(),
+            lease_back_ends: BTreeMap::new(),
             next_exchange: 0,
-            tables: BTreeMap::new(),
+            routing_tables: BTreeMap::new(),
             probes: Vec::new(),
             probe_round: 0,
             invariants: Invariants::default(),
-            measures: Measures::default(),
+            metrics: Metrics::default(),
             costs: Vec::new(),
-            batched: Vec::new(),
+            batched_receivers: Vec::new(),
             stopwatch: None,
             scenario,
         };
-        world.lay_out_services();
-        world.lay_out_routers();
+        world.create_services();
+        world.create_routers();
         world.queue.schedule(Timestamp::ZERO, Event::Probe);
         world
     }
 
-    /// Measures the time that cores take with `stopwatch`, which returns
+    /// Measures the processor time of the cores with `stopwatch`, which returns
     /// nanoseconds since any origin.
     pub fn set_stopwatch(&mut self, stopwatch: fn() -> u64) {
         self.stopwatch = Some(stopwatch);
     }
 
-    /// Virtual time.
+    /// Current virtual time.
     pub fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// Runs for a stretch of virtual time.
+    /// Runs for a period of virtual time.
     pub fn run_for(&mut self, duration: Duration) {
         let until = self.now + duration;
         while let Some((at, event)) = self.queue.pop_until(until) {
@@ -138,33 +143,33 @@
         self.now = until;
     }
 
-    /// Verdicts so far.
+    /// Invariant checks and the violations found so far.
     pub fn invariants(&self) -> &Invariants {
         &self.invariants
     }
 
-    /// Figures so far.
-    pub fn measures(&self) -> &Measures {
-        &self.measures
+    /// Metrics collected so far.
+    pub fn metrics(&self) -> &Metrics {
+        &self.metrics
     }
 
-    /// Starts the figures anew.
-    pub fn reset_measures(&mut self) {
-        self.measures.reset();
+    /// Resets the metrics and the costs of the routers.
+    pub fn reset_metrics(&mut self) {
+        self.metrics.reset();
         self.costs.fill(RouterCost::default());
     }
 
-    /// What control cost a router since the figures were started anew.
+    /// Cost of the control plane for a router since the last reset.
     pub fn cost(&self, index: RouterIndex) -> &RouterCost {
         &self.costs[index.0]
     }
 
-    /// How the world was laid out.
+    /// The scenario from which the world was created.
     pub fn scenario(&self) -> &Scenario {
         &self.scenario
     }
 
-    /// The platform.
+    /// The platform's store.
     pub fn store(&mut self) -> &mut StoreModel {
         &mut self.store
     }
@@ -179,46 +184,46 @@
         self.store.machines_bytes()
     }
 
-    /// Rates of requests that servers report.
-    pub fn traffic(&mut self) -> &mut Traffic {
-        &mut self.traffic
+    /// Request rates that back ends report.
+    pub fn request_rates(&mut self) -> &mut RequestRates {
+        &mut self.request_rates
     }
 
-    /// Routers of the world.
+    /// Number of routers.
     pub fn router_count(&self) -> usize {
         self.routers.len()
     }
 
-    /// The control core of a running router.
+    /// The control core of a router, if its process runs.
     pub fn router(&self, index: RouterIndex) -> Option<&ControlNode> {
         let process = self.routers[index.0].process.as_ref()?;
         Some(&process.node)
     }
 
-    /// A server.
+    /// A back end.
     pub fn back_end(&self, index: BackEndIndex) -> &BackEndModel {
         &self.back_ends[index.0]
     }
 
-    /// Servers of the world.
+    /// Number of back ends.
     pub fn back_end_count(&self) -> usize {
         self.back_ends.len()
     }
 
-    /// Where a router stands.
+    /// Region and zone of a router.
     pub fn router_place(&self, index: RouterIndex) -> &Place {
         &self.routers[index.0].place
     }
 
-    /// The router that leads with a valid leader lease, if any; of several
-    /// regions' leaders the first.
+    /// Returns the leader with a valid leader lease, if any; with several
+    /// regions, that of the first region that has one.
     pub fn leader(&self) -> Option<RouterIndex> {
         (0..self.scenario.regions).find_map(|region| self.region_leader(region))
     }
 
-    /// The router that leads a region with a valid leader lease, if any.
+    /// Returns the leader of a region with a valid leader lease, if any.
     pub fn region_leader(&self, region: usize) -> Option<RouterIndex> {
-        self.routers_of(region).find(|index| {
+        self.region_routers(region).find(|index| {
             let process = self.routers[index.0].process.as_ref();
             process.is_some_and(|process| {
                 !process.paused && process.node.is_leader(process.clock.read(self.now))
@@ -227,33 +232,34 @@
     }
 
     /// Routers of a region.
-    pub fn routers_of(&self, region: usize) -> impl Iterator<Item = RouterIndex> + use<> {
+    pub fn region_routers(&self, region: usize) -> impl Iterator<Item = RouterIndex> + use<> {
         let each = self.scenario.routers;
         (region * each..(region + 1) * each).map(RouterIndex)
     }
 
-    /// Whether every probed key can be served.
+    /// Returns whether every probed key can be served.
     pub fn all_served(&self) -> bool {
-        let (probes, _) = self.measures.probes();
-        probes > 0 && self.measures.failing() == 0
+        let (probes, _) = self.metrics.probes();
+        probes > 0 && self.metrics.failing_probes() == 0
     }
 
-    /// Whether every router runs and takes requests.
+    /// Returns whether every router runs and accepts requests.
     pub fn all_ready(&self) -> bool {
         self.ready_routers().len() == self.routers.len()
     }
 
-    /// Whether keys are served, routers ready and edits in force everywhere.
+    /// Returns whether all keys are served, all routers are ready and all edits
+    /// are in force.
     pub fn is_settled(&self) -> bool {
-        self.all_served() && self.all_ready() && self.open_edits() == 0
+        self.all_served() && self.all_ready() && self.pending_edits() == 0
     }
 
-    /// Service identifier of a planned service.
+    /// Id of a simulated service.
     pub fn service_id(&self, name: &str) -> ServiceId {
         ServiceId::new(NAMESPACE, name)
     }
 
-    fn lay_out_services(&mut self) {
+    fn create_services(&mut self) {
         for plan in self.scenario.services.clone() {
             for number in 0..plan.back_ends {
                 let machine = self.back_ends.len();
@@ -267,7 +273,7 @@
             }
             self.store.put_service(scenario::service_object(&plan));
             let service = self.service_id(&plan.name);
-            self.traffic.base.push((service.clone(), plan.rate));
+            self.request_rates.base.push((service.clone(), plan.rate));
             for _ in 0..self.scenario.probes_per_service {
                 let point = threadledge_types::Point(self.random.random());
                 let service = service.clone();
@@ -291,7 +297,7 @@
         self.start_back_end(index);
     }
 
-    fn lay_out_routers(&mut self) {
+    fn create_routers(&mut self) {
         let routers = self.scenario.regions * self.scenario.routers;
         self.costs = vec![RouterCost::default(); routers];
         for number in 0..routers {
@@ -302,7 +308,7 @@
                 place: self.scenario.router_place(number),
                 address,
                 process: None,
-                lives: 0,
+                incarnations: 0,
             });
         }
         self.publish_machines();
@@ -311,7 +317,7 @@
         }
     }
 
-    /// Brings the platform's machine list up to date with the machines.
+    /// Updates the platform's machine list from the scenario's machines.
     pub fn publish_machines(&mut self) {
         let regions = self.scenario.regions + self.scenario.listed_regions;
         let numbers = 0..regions * self.scenario.routers;
@@ -340,11 +346,11 @@
         let clock = self.new_clock();
         let id: u64 = self.random.random();
         let router = &mut self.routers[index.0];
-        router.lives += 1;
+        router.incarnations += 1;
         let identity = RouterIdentity {
             id: RouterId(id),
             machine: router.machine.clone(),
-            incarnation: Incarnation(router.lives),
+            incarnation: Incarnation(router.incarnations),
             region: scenario::region_name(router.place.region),
             zone: scenario::zone_name(&router.place),
             peer_address: router.address,
@@ -363,11 +369,11 @@
             messages: Vec::new(),
         };
         RouterProcess {
-            envelope_bytes: json_bytes(&envelope),
+            envelope_bytes: json_length(&envelope),
             node: ControlNode::new(settings, identity, clock.read(self.now)),
             clock,
             paused: false,
-            held_back: Vec::new(),
+            deferred_events: Vec::new(),
             watching: false,
             revision: Revision::NONE,
             machines_version: None,
--- a/crates/simulator/src/world/configuration.rs
+++ b/crates/simulator/src/world/configuration.rs
@@ -1,4 +1,4 @@
-//! Operators' edits, and how long accepted configuration takes to be in force.
+//! Operators' edits, and the time until accepted configuration is in force.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -12,35 +12,35 @@
 use crate::scenario;
 use crate::store::Acceptance;
 
-/// Accepted configuration must be in force within this time.
+/// Time within which accepted configuration must be in force.
 const CONFIGURATION_BOUND: Duration = Duration::from_secs(5);
-/// Deadlines between which edits of a service alternate, in milliseconds.
+/// Deadlines between which the edits of a service alternate, in milliseconds.
 const DEADLINES_MS: [u64; 2] = [2_000, 2_001];
 
-/// What is known of configuration on its way.
+/// Edits and acceptances that are not in force everywhere yet.
 #[derive(Debug, Default)]
-pub(super) struct ConfigurationWatch {
-    edits: Vec<Edit>,
-    /// Acceptances younger than the bound, in order of time.
-    recent: VecDeque<(ObjectRef, Acceptance)>,
-    /// For each region, the latest revision that must be in force by now, with
-    /// the object that it brought.
+pub(super) struct ConfigurationTracker {
+    edits: Vec<PendingEdit>,
+    /// Acceptances younger than the bound, ordered by time.
+    recent_acceptances: VecDeque<(ObjectRef, Acceptance)>,
+    /// For each region, the latest revision that must be in force by now and
+    /// the object that it contains.
     due: BTreeMap<usize, (Revision, ObjectRef)>,
 }
 
 /// An operator's edit that is not in force everywhere yet.
 #[derive(Debug)]
-struct Edit {
+struct PendingEdit {
     object: ObjectRef,
     generation: i64,
     region: usize,
     at: Timestamp,
-    /// Where it is in force, once it is accepted.
+    /// Revision at which it is in force, once it is accepted.
     revision: Option<Revision>,
 }
 
 impl World {
-    /// An operator changes a service. Returns whether it exists.
+    /// Edits a service as an operator does. Returns whether the service exists.
     pub fn edit_service(&mut self, name: &str) -> bool {
         let Some(mut object) = self.store.service(name).cloned() else {
             return false;
@@ -55,7 +55,7 @@
             let region = (0..self.scenario.regions)
                 .find(|number| scenario::region_name(*number) == region)
                 .unwrap_or_default();
-            self.configuration.edits.push(Edit {
+            self.configuration.edits.push(PendingEdit {
                 object: observed.object.clone(),
                 generation: observed.generation,
                 region,
@@ -63,20 +63,21 @@
                 revision: None,
             });
         }
-        self.announce(&event);
+        self.notify_watchers(&event);
         true
     }
 
-    /// Edits that are not in force on every router that takes requests.
-    pub fn open_edits(&self) -> usize {
+    /// Number of edits that are not in force on every router that accepts
+    /// requests.
+    pub fn pending_edits(&self) -> usize {
         self.configuration.edits.len()
     }
 
-    /// Kept everywhere: *accepted configuration is in force on every router
-    /// that takes requests within the bound, and never reverts*.
+    /// Checks the invariant that accepted configuration is in force on every
+    /// router that accepts requests within the bound, and never reverts.
     pub(super) fn check_configuration(&mut self, ready: &[ReadyRouters]) {
-        self.note_acceptances();
-        self.note_edits_in_force(ready);
+        self.record_acceptances();
+        self.complete_edits(ready);
         let mut missing = Vec::new();
         for (region, (revision, object)) in &self.configuration.due {
             for index in &ready[*region].all {
@@ -97,10 +98,10 @@
         }
     }
 
-    fn note_acceptances(&mut self) {
-        let watch = &mut self.configuration;
+    fn record_acceptances(&mut self) {
+        let tracker = &mut self.configuration;
         for (object, acceptance) in self.store.take_acceptances() {
-            let edits = watch.edits.iter_mut().filter(|edit| {
+            let edits = tracker.edits.iter_mut().filter(|edit| {
                 edit.object == object
                     && edit.region == acceptance.region
                     && edit.generation <= acceptance.generation
@@ -108,13 +109,13 @@
             for edit in edits {
                 edit.revision.get_or_insert(acceptance.revision);
             }
-            watch.recent.push_back((object, acceptance));
+            tracker.recent_acceptances.push_back((object, acceptance));
         }
         let now = self.now;
         let is_due =
             |(_, one): &mut (ObjectRef, Acceptance)| now.since(one.at) >= CONFIGURATION_BOUND;
-        while let Some((object, acceptance)) = watch.recent.pop_front_if(is_due) {
-            let due = watch.due.entry(acceptance.region);
+        while let Some((object, acceptance)) = tracker.recent_acceptances.pop_front_if(is_due) {
+            let due = tracker.due.entry(acceptance.region);
             let due = due.or_insert_with(|| (acceptance.revision, object.clone()));
             if due.0 < acceptance.revision {
                 *due = (acceptance.revision, object);
@@ -122,7 +123,7 @@
         }
     }
 
-    fn note_edits_in_force(&mut self, ready: &[ReadyRouters]) {
+    fn complete_edits(&mut self, ready: &[ReadyRouters]) {
         if self.configuration.edits.is_empty() {
             return;
         }
@@ -130,11 +131,11 @@
             .iter()
             .map(|region| self.lowest_revision(&region.all))
             .collect();
-        let (now, measures) = (self.now, &mut self.measures);
+        let (now, metrics) = (self.now, &mut self.metrics);
         self.configuration.edits.retain(|edit| {
             let in_force = edit.revision.is_some() && edit.revision <= lowest[edit.region];
             if in_force {
-                measures.in_force(now.since(edit.at));
+                metrics.record_time_in_force(now.since(edit.at));
             }
             !in_force
         });
--- a/crates/simulator/src/world/deliver.rs
+++ b/crates/simulator/src/world/deliver.rs
@@ -1,4 +1,4 @@
-//! What happens when an event is due.
+//! Delivery of events that are due.
 
 use std::collections::BTreeSet;
 
@@ -8,20 +8,20 @@
 use threadledge_types::{RouterId, ServiceId, Timestamp};
 
 use super::{BackEndIndex, PROBE_INTERVAL, RouterIndex, World};
-use crate::back_end::PREPARATION;
-use crate::costs::HEAD_BYTES;
+use crate::back_end::PREPARATION_TIME;
+use crate::costs::HTTP_HEAD_BYTES;
 use crate::event::Event;
-use crate::measures::MessageKind;
+use crate::metrics::MessageKind;
 
-/// Events kept for a process that does not run on; more are lost, as a
-/// socket's buffer would be full.
-const HELD_BACK: usize = 4_096;
+/// Number of events kept for a process that is paused or frozen; further ones
+/// are lost, as when a socket buffer is full.
+const MAX_DEFERRED_EVENTS: usize = 4_096;
 
 impl World {
     pub(super) fn deliver(&mut self, event: Event) {
         match event {
             Event::RouterTick(index) => self.tick_router(index),
-            Event::ReadMachines(index) => self.read_machines(index),
+            Event::ReadMachines(index) => self.read_machine_list(index),
             Event::Probe => {
                 self.run_probes();
                 self.queue.schedule(self.now + PROBE_INTERVAL, Event::Probe);
@@ -30,9 +30,9 @@
                 back_end,
                 incarnation,
                 grant,
-            } => self.prepared(back_end, incarnation, &grant),
+            } => self.finish_preparation(back_end, incarnation, &grant),
             Event::WatchStore { router, process } => self.watch_store(router, process),
-            event @ Event::Lease { .. } => self.deliver_lease(event),
+            event @ Event::LeaseRequest { .. } => self.deliver_lease(event),
             event => self.deliver_to_router(event),
         }
     }
@@ -44,31 +44,31 @@
         if process.paused {
             return;
         }
-        self.input_router(index, Input::Tick);
+        self.step_router(index, Input::Tick);
         self.reschedule_tick(index);
     }
 
-    fn read_machines(&mut self, index: RouterIndex) {
+    fn read_machine_list(&mut self, index: RouterIndex) {
         if self.routers[index.0].process.is_none() {
             return;
         }
         if let Some(list) = self.machine_list_for(index) {
-            self.input_router(index, Input::Machines(list));
+            self.step_router(index, Input::Machines(list));
         }
-        self.schedule_machines(index);
+        self.schedule_machine_list_read(index);
     }
 
-    /// The machine list as the router reads it. Of a version that it has
-    /// already, only the version counts to the core, so the machines are not
-    /// copied once more; the bytes are counted.
+    /// Returns the machine list as the router reads it. If the router already
+    /// has this version, the core only looks at the version, so the machines
+    /// are not copied again; the bytes are still counted.
     fn machine_list_for(&mut self, index: RouterIndex) -> Option<MachineList> {
         let version = self.store.machines_version()?;
         let bytes = match self.scenario.count_bytes {
-            true => HEAD_BYTES + self.store.machines_bytes(),
+            true => HTTP_HEAD_BYTES + self.store.machines_bytes(),
             false => 0,
         };
-        self.costs[index.0].receive(MessageKind::Machines, bytes);
-        let process = self.routers[index.0].awake()?;
+        self.costs[index.0].record_received(MessageKind::Machines, bytes);
+        let process = self.routers[index.0].running_process()?;
         if process.machines_version.replace(version) == Some(version) {
             return Some(MachineList {
                 version,
@@ -99,7 +99,7 @@
         }
         if is_leader {
             for listing in self.store.listings() {
-                self.input_router(index, Input::Configuration(Box::new(listing)));
+                self.step_router(index, Input::Configuration(Box::new(listing)));
             }
         }
     }
@@ -108,7 +108,7 @@
         let index = match &event {
             Event::Peer { to, .. }
             | Event::RouterInput { to, .. }
-            | Event::LeaseAnswer { to, .. }
+            | Event::LeaseResponse { to, .. }
             | Event::LeaseTimeout { to, .. } => *to,
             _ => return,
         };
@@ -116,8 +116,8 @@
             return;
         };
         if process.paused {
-            if process.held_back.len() < HELD_BACK {
-                process.held_back.push(event);
+            if process.deferred_events.len() < MAX_DEFERRED_EVENTS {
+                process.deferred_events.push(event);
             }
             return;
         }
@@ -134,43 +134,48 @@
                     to: to_id,
                     messages: vec![*message],
                 };
-                self.input_router(index, Input::Peer(batch));
+                self.step_router(index, Input::Peer(batch));
             }
             Event::RouterInput { process, input, .. } if process == own => {
-                self.input_router(index, *input);
+                self.step_router(index, *input);
             }
-            Event::LeaseAnswer {
+            Event::LeaseResponse {
                 process,
                 exchange,
                 response,
                 ..
-            } if process == own => self.lease_answered(index, exchange, response),
+            } if process == own => self.on_lease_response(index, exchange, response),
             Event::LeaseTimeout {
                 process, exchange, ..
-            } if process == own => self.lease_timed_out(index, exchange),
+            } if process == own => self.on_lease_timeout(index, exchange),
             _ => {}
         }
     }
 
-    fn lease_answered(&mut self, index: RouterIndex, exchange: u64, response: Box<LeaseResponse>) {
-        let Some(back_end) = self.lease_back_end.remove(&exchange) else {
+    fn on_lease_response(
+        &mut self,
+        index: RouterIndex,
+        exchange: u64,
+        response: Box<LeaseResponse>,
+    ) {
+        let Some(back_end) = self.lease_back_ends.remove(&exchange) else {
             return;
         };
-        self.exchanges.remove(&exchange);
-        self.input_router(index, Input::LeaseAnswered { back_end, response });
+        self.lease_sequences.remove(&exchange);
+        self.step_router(index, Input::LeaseAnswered { back_end, response });
     }
 
-    fn lease_timed_out(&mut self, index: RouterIndex, exchange: u64) {
-        let Some(order) = self.exchanges.remove(&exchange) else {
+    fn on_lease_timeout(&mut self, index: RouterIndex, exchange: u64) {
+        let Some(order) = self.lease_sequences.remove(&exchange) else {
             return;
         };
-        if let Some(back_end) = self.lease_back_end.remove(&exchange) {
-            self.input_router(index, Input::LeaseFailed { back_end, order });
+        if let Some(back_end) = self.lease_back_ends.remove(&exchange) {
+            self.step_router(index, Input::LeaseFailed { back_end, order });
         }
     }
 
     fn deliver_lease(&mut self, event: Event) {
-        let Event::Lease { to, .. } = &event else {
+        let Event::LeaseRequest { to, .. } = &event else {
             return;
         };
         let index = *to;
@@ -178,12 +183,12 @@
             return;
         };
         if process.frozen {
-            if process.held_back.len() < HELD_BACK {
-                process.held_back.push(event);
+            if process.deferred_events.len() < MAX_DEFERRED_EVENTS {
+                process.deferred_events.push(event);
             }
             return;
         }
-        let Event::Lease {
+        let Event::LeaseRequest {
             from,
             process,
             exchange,
@@ -195,9 +200,9 @@
         };
         let response = self.handle_lease(index, *request);
         let bytes = self.bytes_of(&response);
-        self.measures.count(MessageKind::Lease, bytes);
-        self.costs[from.0].receive(MessageKind::Lease, bytes);
-        self.send_lease_answer(index, from, process, exchange, response);
+        self.metrics.count_message(MessageKind::Lease, bytes);
+        self.costs[from.0].record_received(MessageKind::Lease, bytes);
+        self.send_lease_response(index, from, process, exchange, response);
     }
 
     fn handle_lease(&mut self, index: BackEndIndex, request: LeaseRequest) -> LeaseResponse {
@@ -205,7 +210,7 @@
         let back_end = &mut self.back_ends[index.0];
         let process = back_end.process.as_mut().expect("checked by the caller");
         let before = process.valid_grants(now);
-        let response = process.handle(now, request, &self.traffic);
+        let response = process.handle(now, request, &self.request_rates);
         let incarnation = response.incarnation.0;
         let preparing: Vec<Grant> = process.holder.slices_to_prepare().cloned().collect();
         for grant in preparing {
@@ -214,13 +219,13 @@
                 incarnation,
                 grant,
             };
-            self.queue.schedule(now + PREPARATION, event);
+            self.queue.schedule(now + PREPARATION_TIME, event);
         }
         self.check_owner(index, Some(before));
         response
     }
 
-    fn send_lease_answer(
+    fn send_lease_response(
         &mut self,
         index: BackEndIndex,
         to: RouterIndex,
@@ -234,7 +239,7 @@
             .network
             .deliveries(&mut self.random, (machine, one), (to.0, other));
         for delay in deliveries {
-            let event = Event::LeaseAnswer {
+            let event = Event::LeaseResponse {
                 to,
                 process,
                 exchange,
@@ -244,7 +249,7 @@
         }
     }
 
-    fn prepared(&mut self, index: BackEndIndex, incarnation: u64, grant: &Grant) {
+    fn finish_preparation(&mut self, index: BackEndIndex, incarnation: u64, grant: &Grant) {
         let process = self.back_ends[index.0].process.as_mut();
         if let Some(process) = process.filter(|process| !process.frozen)
             && process.holder.incarnation().0 == incarnation
@@ -253,8 +258,9 @@
         }
     }
 
-    /// Checks what a server may act on against all others. `before` is what
-    /// it could act on until now; what it could already do was checked then.
+    /// Checks the grants that a back end may act on against those of all
+    /// others. `before` contains the grants that it could already act on, which
+    /// were checked earlier.
     pub(super) fn check_owner(&mut self, index: BackEndIndex, before: Option<Vec<Grant>>) {
         let now: Timestamp = self.now;
         let back_end = &self.back_ends[index.0];
@@ -271,7 +277,8 @@
             let grantees = self.grantees.entry(grant.service.clone()).or_default();
             grantees.insert(index);
         }
-        // Whoever was never granted a slice of these services holds none.
+        // A back end that was never granted a slice of these services holds
+        // none.
         let services: BTreeSet<&ServiceId> = taken.iter().map(|grant| &grant.service).collect();
         let grantees = services
             .iter()
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! What can be done to a world: starts, losses, pauses, cuts, edits.
+//! Faults and operator actions: starts, kills, pauses, partitions and edits.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 use crate::scenario;
 
 impl World {
-    /// Starts a router process in place of any other on the machine. It is
-    /// another router than the one before.
+    /// Starts a router process, replacing any earlier one on the machine. It
+    /// has a new identity.
     pub fn start_router(&mut self, index: RouterIndex) {
         let process = self.new_process(index);
         self.routers[index.0].process = Some(process);
         if self.scenario.keeps_table(index.0) {
-            self.tables.insert(index, RoutingTable::new());
+            self.routing_tables.insert(index, RoutingTable::new());
         }
         let stagger = self.random.random_range(0..self.scenario.tick_ms * 1_000);
         let first = self.now + Duration::from_micros(stagger);
@@ -25,74 +25,76 @@
         self.queue.schedule(first, Event::ReadMachines(index));
     }
 
-    /// Ends a router without warning.
+    /// Kills a router without warning.
     pub fn kill_router(&mut self, index: RouterIndex) {
         self.routers[index.0].process = None;
     }
 
-    /// Asks a router for a planned stop.
-    pub fn leave_router(&mut self, index: RouterIndex) {
-        self.input_router(index, Input::Leave);
+    /// Asks a router to stop in a planned way.
+    pub fn request_router_stop(&mut self, index: RouterIndex) {
+        self.step_router(index, Input::Leave);
     }
 
-    /// Stops a router's process without ending it.
+    /// Pauses a router's process without ending it.
     pub fn pause_router(&mut self, index: RouterIndex) {
         if let Some(process) = &mut self.routers[index.0].process {
             process.paused = true;
         }
     }
 
-    /// Lets a paused router go on; it first sees what came in meanwhile.
+    /// Resumes a paused router; it first receives the events that arrived
+    /// meanwhile.
     pub fn resume_router(&mut self, index: RouterIndex) {
         let Some(process) = &mut self.routers[index.0].process else {
             return;
         };
         process.paused = false;
-        for event in std::mem::take(&mut process.held_back) {
+        for event in std::mem::take(&mut process.deferred_events) {
             self.queue.schedule(self.now, event);
         }
         self.queue.schedule(self.now, Event::RouterTick(index));
     }
 
-    /// Starts a server process in place of any other.
+    /// Starts a back-end process, replacing any earlier one.
     pub fn start_back_end(&mut self, index: BackEndIndex) {
         let clock = self.new_clock();
         self.back_ends[index.0].start(clock);
     }
 
-    /// Ends a server without warning.
+    /// Kills a back end without warning.
     pub fn kill_back_end(&mut self, index: BackEndIndex) {
         self.back_ends[index.0].process = None;
     }
 
-    /// Freezes a server: it keeps what it believes and does nothing.
+    /// Freezes a back end: it keeps its state and does nothing.
     pub fn freeze_back_end(&mut self, index: BackEndIndex) {
         if let Some(process) = &mut self.back_ends[index.0].process {
             process.frozen = true;
         }
     }
 
-    /// Lets a frozen server go on; it first sees what came in meanwhile.
-    pub fn thaw_back_end(&mut self, index: BackEndIndex) {
+    /// Unfreezes a back end; it first receives the events that arrived
+    /// meanwhile.
+    pub fn unfreeze_back_end(&mut self, index: BackEndIndex) {
         let Some(process) = &mut self.back_ends[index.0].process else {
             return;
         };
         process.frozen = false;
-        for event in std::mem::take(&mut process.held_back) {
+        for event in std::mem::take(&mut process.deferred_events) {
             self.queue.schedule(self.now, event);
         }
         self.check_owner(index, None);
     }
 
-    /// A server announces that it is leaving.
+    /// Makes a back end announce that it is leaving.
     pub fn drain_back_end(&mut self, index: BackEndIndex) {
         if let Some(process) = &mut self.back_ends[index.0].process {
             process.holder.begin_drain();
         }
     }
 
-    /// An operator labels one more server into a service.
-    pub fn join_back_end(&mut self, service: &str) -> BackEndIndex {
+    /// Adds a back end to a service, as an operator does.
+    pub fn add_back_end_to_service(&mut self, service: &str) -> BackEndIndex {
         let index = BackEndIndex(self.back_ends.len());
         let plans = &self.scenario.services;
         let plan = plans.iter().find(|plan| plan.name == service);
@@ -103,19 +105,19 @@
         let object = scenario::back_end_object(service, index.0, index.0, &place);
         self.add_back_end(&scenario::back_end_name(service, index.0), place);
         let event = self.store.put_back_end(object);
-        self.announce(&event);
+        self.notify_watchers(&event);
         index
     }
 
-    /// An operator deletes a server's object.
+    /// Deletes the object of a back end, as an operator does.
     pub fn delete_back_end(&mut self, index: BackEndIndex) {
         let name = self.back_ends[index.0].id.name.clone();
         if let Some(event) = self.store.delete_back_end(&name) {
-            self.announce(&event);
+            self.notify_watchers(&event);
         }
     }
 
-    /// Cuts two regions off from each other, or heals the cut.
+    /// Cuts or restores the network between two regions.
     pub fn cut_regions(&mut self, one: usize, other: usize, cut: bool) {
         for (from, to) in self.zone_pairs() {
             let one = crate::network::Place {
@@ -126,7 +128,7 @@
                 region: other,
                 zone: to,
             };
-            self.network.set_cut(&one, &other, cut);
+            self.network.set_zones_cut(&one, &other, cut);
         }
     }
 
@@ -136,20 +138,20 @@
         pairs.collect()
     }
 
-    /// Cuts two zones of the first region off from each other, or heals the
-    /// cut.
+    /// Cuts or restores the network between two zones of the first region.
     pub fn cut_zones(&mut self, one: usize, other: usize, cut: bool) {
         let place = |zone| crate::network::Place { region: 0, zone };
-        self.network.set_cut(&place(one), &place(other), cut);
+        self.network.set_zones_cut(&place(one), &place(other), cut);
     }
 
-    /// Cuts one router off from everything, or heals the cut.
+    /// Cuts a router off from everything, or restores it.
     pub fn isolate_router(&mut self, index: RouterIndex, isolated: bool) {
         self.network.set_isolated(index.0, isolated);
     }
 
-    /// Tells every watching router of a change, if the store answers.
-    pub fn announce(&mut self, event: &ConfigurationEvent) {
+    /// Notifies every watching router of a change, unless the store is
+    /// unavailable.
+    pub fn notify_watchers(&mut self, event: &ConfigurationEvent) {
         if self.store.is_down() {
             return;
         }
@@ -172,13 +174,13 @@
         }
     }
 
-    /// Cuts one server off from everything, or heals the cut.
+    /// Cuts a back end off from everything, or restores it.
     pub fn isolate_back_end(&mut self, index: BackEndIndex, isolated: bool) {
         let machine = self.routers.len() + index.0;
         self.network.set_isolated(machine, isolated);
     }
 
-    pub(super) fn schedule_machines(&mut self, index: RouterIndex) {
+    pub(super) fn schedule_machine_list_read(&mut self, index: RouterIndex) {
         let next = self.now + Duration::from_millis(self.scenario.machines_ms);
         self.queue.schedule(next, Event::ReadMachines(index));
     }
--- a/crates/simulator/src/world/outputs.rs
+++ b/crates/simulator/src/world/outputs.rs
@@ -1,4 +1,4 @@
-//! Carrying out what routers ask for.
+//! Execution of the outputs of routers.
 
 use std::time::Duration;
 
@@ -6,23 +6,23 @@
 use threadledge_types::{RouterId, Timestamp};
 
 use super::{RouterIndex, World};
-use crate::costs::{HEAD_BYTES, answers_pull, json_bytes, kind_of};
+use crate::costs::{HTTP_HEAD_BYTES, is_pull_answer, json_length, message_kind};
 use crate::event::Event;
-use crate::measures::MessageKind;
+use crate::metrics::MessageKind;
 
-/// Time from a request to the store to its answer.
+/// Time from a request to the store until its response.
 pub const STORE_DELAY: Duration = Duration::from_millis(10);
-/// Time after which a request to a store that is down is given up.
+/// Time after which a request to an unavailable store fails.
 const STORE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after which a lease exchange is given up.
+/// Timeout of a lease exchange.
 const LEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl World {
-    /// Steps a router that is awake and carries out what it asks for.
-    pub(super) fn input_router(&mut self, index: RouterIndex, input: Input) {
+    /// Steps a router that is not paused and applies the outputs.
+    pub(super) fn step_router(&mut self, index: RouterIndex, input: Input) {
         let now = self.now;
         let started = self.stopwatch.map(|stopwatch| stopwatch());
-        let Some(process) = self.routers[index.0].awake() else {
+        let Some(process) = self.routers[index.0].running_process() else {
             return;
         };
         let id = process.node.identity().id;
@@ -30,33 +30,33 @@
         let revision = process.node.replica().revision();
         let before = std::mem::replace(&mut process.revision, revision);
         if let (Some(stopwatch), Some(started)) = (self.stopwatch, started) {
-            self.costs[index.0].step(stopwatch() - started);
+            self.costs[index.0].record_step(stopwatch() - started);
         }
-        self.invariants.saw_revision(now, id, before, revision);
-        self.batched.clear();
+        self.invariants.check_revision(now, id, before, revision);
+        self.batched_receivers.clear();
         for output in outputs {
-            self.carry_out(index, id, output);
+            self.apply_output(index, id, output);
         }
     }
 
-    fn carry_out(&mut self, from: RouterIndex, process: RouterId, output: Output) {
+    fn apply_output(&mut self, from: RouterIndex, process: RouterId, output: Output) {
         match output {
             Output::SendPeer { to, to_id, message } => {
                 self.send_peer(from, to, to_id, message);
             }
             Output::SendLease { to, request } => self.send_lease(from, process, to, request),
             Output::Records(delta) => {
-                self.measures.follow(&delta);
-                if let Some(table) = self.tables.get_mut(&from) {
-                    // A table that lost its place is brought up by the next
-                    // full copy; probes then show the gap.
+                self.metrics.record_owners(&delta);
+                if let Some(table) = self.routing_tables.get_mut(&from) {
+                    // A table that missed a delta is repaired by the next full
+                    // copy; until then the probes show the gap.
                     let _ = table.apply(&delta);
                 }
             }
             Output::ReadGroupObject => {
                 let state = self.store.read_group(&self.region_of(from));
                 let delay = self.store_delay();
-                self.answer(from, process, delay, Input::GroupObject(state));
+                self.schedule_input(from, process, delay, Input::GroupObject(state));
             }
             Output::WriteGroupObject {
                 generation,
@@ -67,7 +67,7 @@
                     self.store
                         .found_group(&region, process, generation, expected.as_ref());
                 let delay = self.store_delay();
-                self.answer(
+                self.schedule_input(
                     from,
                     process,
                     delay,
@@ -97,7 +97,13 @@
         }
     }
 
-    fn answer(&mut self, to: RouterIndex, process: RouterId, delay: Duration, input: Input) {
+    fn schedule_input(
+        &mut self,
+        to: RouterIndex,
+        process: RouterId,
+        delay: Duration,
+        input: Input,
+    ) {
         let event = Event::RouterInput {
             to,
             process,
@@ -133,7 +139,7 @@
             return;
         };
         let mut deliveries = self.router_deliveries(from, receiver);
-        // Messages are large: only a duplicate is copied.
+        // Messages are large, so only duplicates are copied.
         let Some(last) = deliveries.pop() else {
             return;
         };
@@ -163,13 +169,13 @@
         to: std::net::SocketAddr,
         request: Box<threadledge_types::session::LeaseRequest>,
     ) {
-        let bytes = HEAD_BYTES + self.bytes_of(&*request);
-        self.measures.count(MessageKind::Lease, bytes);
-        self.costs[from.0].send(MessageKind::Lease, bytes);
+        let bytes = HTTP_HEAD_BYTES + self.bytes_of(&*request);
+        self.metrics.count_message(MessageKind::Lease, bytes);
+        self.costs[from.0].record_sent(MessageKind::Lease, bytes);
         let exchange = self.next_exchange;
         self.next_exchange += 1;
-        self.exchanges.insert(exchange, request.order);
-        self.lease_back_end
+        self.lease_sequences.insert(exchange, request.order);
+        self.lease_back_ends
             .insert(exchange, request.back_end.clone());
         let timeout = Event::LeaseTimeout {
             to: from,
@@ -189,7 +195,7 @@
             .network
             .deliveries(&mut self.random, (from.0, one), (machine, other));
         for delay in deliveries {
-            let event = Event::Lease {
+            let event = Event::LeaseRequest {
                 to: receiver,
                 from,
                 process,
@@ -200,32 +206,32 @@
         }
     }
 
-    /// Counts a message between routers as the shell sends it: messages of one
-    /// step to one receiver share a request, and the heads and the sender's
-    /// identity around it.
+    /// Counts a message between routers as the shell sends it: the messages of
+    /// one step to one receiver share a request, its HTTP heads and the
+    /// sender's identity.
     fn count_peer(&mut self, from: RouterIndex, to: Option<RouterIndex>, message: &PeerMessage) {
-        let kind = kind_of(message);
+        let kind = message_kind(message);
         let mut bytes = self.bytes_of(message);
-        if self.scenario.count_bytes && !self.batched.contains(&to) {
-            self.batched.push(to);
+        if self.scenario.count_bytes && !self.batched_receivers.contains(&to) {
+            self.batched_receivers.push(to);
             let process = self.routers[from.0].process.as_ref();
             let envelope = process.map_or(0, |process| process.envelope_bytes);
-            // The answer to the request is a batch without messages.
-            bytes += HEAD_BYTES + 2 * envelope;
+            // The response to the request is a batch without messages.
+            bytes += HTTP_HEAD_BYTES + 2 * envelope;
         }
-        self.measures.count(kind, bytes);
+        self.metrics.count_message(kind, bytes);
         let cost = &mut self.costs[from.0];
-        cost.send(kind, bytes);
-        cost.pulls_answered += u64::from(answers_pull(message));
+        cost.record_sent(kind, bytes);
+        cost.pulls_answered += u64::from(is_pull_answer(message));
         if let Some(to) = to {
-            self.costs[to.0].receive(kind, bytes);
+            self.costs[to.0].record_received(kind, bytes);
         }
     }
 
-    /// Length as JSON, where the scenario counts bytes.
+    /// Returns the length as JSON, or 0 if the scenario does not count bytes.
     pub(super) fn bytes_of<T: serde::Serialize>(&self, message: &T) -> u64 {
         match self.scenario.count_bytes {
-            true => json_bytes(message),
+            true => json_length(message),
             false => 0,
         }
     }
--- a/crates/simulator/src/world/probes.rs
+++ b/crates/simulator/src/world/probes.rs
@@ -1,11 +1,11 @@
-//! Looking regularly at whether keys can be served.
+//! Regular probes that check whether keys can be served.
 
 use threadledge_types::Epoch;
 
 use super::{RouterIndex, World};
 
 impl World {
-    /// Looks at every probed key, each by the table of another router of its
+    /// Probes every key, each through the table of a different router of its
     /// region.
     pub(super) fn run_probes(&mut self) {
         self.probe_round += 1;
@@ -15,18 +15,18 @@
             let tables = &ready[probe.region].with_table;
             let served = match tables.len() {
                 0 => None,
-                count => self.look_up(tables[(self.probe_round + number) % count], number),
+                count => self.served_epoch(tables[(self.probe_round + number) % count], number),
             };
             let key = (number, &probe.service, probe.point);
-            self.measures.probe(self.now, key, served.is_some());
+            self.metrics.record_probe(self.now, key, served.is_some());
             if let Some(epoch) = served {
-                self.invariants.saw_epoch(self.now, key, epoch);
+                self.invariants.check_epoch(self.now, key, epoch);
             }
         }
         self.check_configuration(&ready);
     }
 
-    /// Routers that take requests and that callers can reach.
+    /// Returns the routers that accept requests and that callers can reach.
     pub fn ready_routers(&self) -> Vec<RouterIndex> {
         let all = (0..self.routers.len()).map(RouterIndex);
         all.filter(|index| self.is_ready(*index)).collect()
@@ -51,17 +51,18 @@
         for index in self.ready_routers() {
             let region = &mut regions[self.routers[index.0].place.region];
             region.all.push(index);
-            if self.tables.contains_key(&index) {
+            if self.routing_tables.contains_key(&index) {
                 region.with_table.push(index);
             }
         }
         regions
     }
 
-    /// Epoch under which the key could be served through the router now.
-    fn look_up(&self, router: RouterIndex, probe: usize) -> Option<Epoch> {
+    /// Returns the epoch under which the key could be served through the router
+    /// now.
+    fn served_epoch(&self, router: RouterIndex, probe: usize) -> Option<Epoch> {
         let probe = &self.probes[probe];
-        let table = self.tables.get(&router)?;
+        let table = self.routing_tables.get(&router)?;
         let owner = table.owner(&probe.service, probe.point)?;
         let index = self.back_end_ids.get(&*owner.back_end)?;
         let place = &self.routers[router.0].place;
@@ -79,7 +80,7 @@
     }
 }
 
-/// Routers of one region that take requests.
+/// Routers of one region that accept requests.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReadyRouters {
     pub all: Vec<RouterIndex>,
--- a/crates/simulator/tests/regions.rs
+++ b/crates/simulator/tests/regions.rs
@@ -1,4 +1,5 @@
-//! Several regions in one world: each decides on its own, all read one store.
+//! Tests of several regions in one world: each decides independently, and all
+//! read one store.
 
 use std::time::Duration;
 
@@ -6,8 +7,8 @@
 
 const REGIONS: usize = 3;
 const BACK_ENDS: usize = 4;
-const SETTLE: Duration = Duration::from_secs(5);
-const AFTER: Duration = Duration::from_secs(8);
+const SETTLE_TIME: Duration = Duration::from_secs(5);
+const TIME_AFTER_FAULT: Duration = Duration::from_secs(8);
 
 fn service(region: usize) -> String {
     format!("gallery-{region}")
@@ -24,18 +25,21 @@
         services: plans.collect(),
         ..Default::default()
     });
-    world.run_for(SETTLE);
-    assert!(world.all_served(), "keys without owner after {SETTLE:?}");
-    world.reset_measures();
+    world.run_for(SETTLE_TIME);
+    assert!(
+        world.all_served(),
+        "keys without owner after {SETTLE_TIME:?}"
+    );
+    world.reset_metrics();
     world
 }
 
 fn assert_undisturbed(world: &World) {
     let violations = world.invariants().violations();
     assert!(violations.is_empty(), "{violations:?}");
-    let longest = world.measures().longest_outage(world.now());
+    let longest = world.metrics().longest_outage(world.now());
     assert_eq!(longest, Duration::ZERO);
-    assert_eq!(world.measures().moved_shares(), 0.0);
+    assert_eq!(world.metrics().total_moved_share(), 0.0);
 }
 
 #[test]
@@ -48,28 +52,28 @@
 }
 
 #[test]
-fn regions_that_lose_each_other_serve_on() {
+fn partitioned_regions_keep_serving() {
     let mut world = settled_regions(2);
     for other in 1..REGIONS {
         world.cut_regions(0, other, true);
     }
-    world.run_for(AFTER);
+    world.run_for(TIME_AFTER_FAULT);
     for other in 1..REGIONS {
         world.cut_regions(0, other, false);
     }
-    world.run_for(AFTER);
+    world.run_for(TIME_AFTER_FAULT);
     assert_undisturbed(&world);
 }
 
 #[test]
-fn lost_leader_of_one_region_disturbs_no_other() {
+fn lost_leader_of_one_region_affects_no_other() {
     let mut world = settled_regions(3);
     let others: Vec<RouterIndex> = (1..REGIONS)
         .filter_map(|r| world.region_leader(r))
         .collect();
     let leader = world.region_leader(0).expect("a leader");
     world.kill_router(leader);
-    world.run_for(AFTER);
+    world.run_for(TIME_AFTER_FAULT);
     assert_undisturbed(&world);
     let after: Vec<RouterIndex> = (1..REGIONS)
         .filter_map(|r| world.region_leader(r))
@@ -78,7 +82,7 @@
 }
 
 #[test]
-fn restarted_back_ends_are_taken_up_by_their_own_region() {
+fn restarted_back_ends_regain_their_keys_in_their_own_region() {
     let mut world = settled_regions(4);
     for number in 0..REGIONS * BACK_ENDS {
         world.kill_back_end(BackEndIndex(number));
@@ -86,11 +90,15 @@
         world.start_back_end(BackEndIndex(number));
         world.run_for(Duration::from_millis(700));
     }
-    world.run_for(AFTER);
+    world.run_for(TIME_AFTER_FAULT);
     let violations = world.invariants().violations();
     assert!(violations.is_empty(), "{violations:?}");
-    assert_eq!(world.measures().failing(), 0, "keys are without owner");
-    let longest = world.measures().longest_outage(world.now());
+    assert_eq!(
+        world.metrics().failing_probes(),
+        0,
+        "keys are without owner"
+    );
+    let longest = world.metrics().longest_outage(world.now());
     assert!(longest <= Duration::from_millis(1_000), "{longest:?}");
 }
 
@@ -100,9 +108,9 @@
     for region in 0..REGIONS {
         assert!(world.edit_service(&service(region)));
     }
-    world.run_for(AFTER);
-    assert_eq!(world.open_edits(), 0);
-    let times = world.measures().times_in_force();
+    world.run_for(TIME_AFTER_FAULT);
+    assert_eq!(world.pending_edits(), 0);
+    let times = world.metrics().times_in_force();
     assert_eq!(times.len(), REGIONS);
     assert!(times.iter().all(|time| *time <= Duration::from_secs(2)));
 }
