--- a/crates/lab/src/report/page.rs
+++ b/crates/lab/src/report/page.rs
@@ -1,21 +1,22 @@
-//! A report as one self-contained HTML page.
+//! Formats a report as a self-contained HTML page.
 
-use super::form::{Report, ReportError};
-use super::pictures;
+use super::charts;
+use super::schema::{Report, ReportError};
 use super::table::table;
 
-/// The page: the table and the pictures, with nothing loaded from elsewhere.
+/// Returns a page with the table and the charts that loads no external
+/// resources.
 ///
 /// # Errors
 ///
-/// A picture cannot be drawn.
+/// Fails if a chart cannot be drawn.
 pub fn page(report: &Report) -> Result<String, ReportError> {
-    let draw = |picture: Result<String, String>| picture.map_err(ReportError::Picture);
-    let pictures = [
-        draw(pictures::latency(report))?,
-        draw(pictures::requests(report))?,
-        draw(pictures::load(report))?,
-        draw(pictures::ownership(report))?,
+    let draw = |chart: Result<String, String>| chart.map_err(ReportError::Chart);
+    let charts = [
+        draw(charts::latency(report))?,
+        draw(charts::requests(report))?,
+        draw(charts::load(report))?,
+        draw(charts::ownership(report))?,
     ];
     let title = escape(&report.experiment);
     Ok(format!(
@@ -23,7 +24,7 @@
          <title>{title}</title></head>\n\
          <body style=\"font-family: sans-serif; max-width: 1000px; margin: auto\">\n\
          <h1>{title}</h1>\n{}\n<pre>{}</pre>\n</body></html>\n",
-        pictures.join("\n"),
+        charts.join("\n"),
         escape(&table(report))
     ))
 }
--- a/crates/lab/src/report/form.rs
+++ b/crates/lab/src/report/schema.rs
@@ -1,4 +1,4 @@
-//! The JSON form of a report.
+//! The JSON schema of a report.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -8,17 +8,17 @@
 use crate::baseline::BaselineReport;
 use crate::checks::Violation;
 use crate::measures::{
-    Churn, Goodput, Imbalance, Latencies, Outcomes, OwnershipStretch, TimelinePoint, Unavailable,
+    Churn, Goodput, Imbalance, Latencies, Outcomes, OwnershipInterval, TimelinePoint, Unavailable,
 };
 
-/// Version of the form. It grows when a field changes its meaning or goes;
-/// fields may be added without.
+/// Version of the schema. It is incremented when a field changes its meaning or
+/// is removed, but not when fields are added.
 pub const REPORT_VERSION: u32 = 1;
 
-/// Everything measured in one run.
+/// The results of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// [`REPORT_VERSION`] of the writer.
+    /// [`REPORT_VERSION`] of the program that wrote the report.
     pub version: u32,
     /// Name of the experiment.
     pub experiment: String,
@@ -26,51 +26,53 @@
     pub deployments: Vec<String>,
     /// Seed of the run.
     pub seed: u64,
-    /// Time under load, in milliseconds.
+    /// Duration of the load, in milliseconds.
     pub duration_ms: u64,
-    /// Number of breaches of the guarantees.
+    /// Number of violations of the guarantees.
     pub violations: usize,
-    /// The first of these breaches.
+    /// The first of these violations.
     pub violation_details: Vec<Violation>,
-    /// Bounds of the experiment that did not hold.
+    /// Bounds of the experiment that were exceeded.
     pub breached_bounds: Vec<BoundBreach>,
     /// Requests by outcome.
     pub outcomes: Outcomes,
-    /// Latency of answered requests from their intended time.
+    /// Latency of answered requests from their intended send time.
     pub latency_ms: Latencies,
-    /// Worst imbalance by load of any service: busiest over mean.
+    /// Worst load imbalance of any service: maximum over back ends divided by
+    /// the mean.
     pub imbalance: f64,
     /// Imbalance of each service.
     pub imbalance_by_service: BTreeMap<String, Imbalance>,
     /// Share of keys that changed owner, summed over changes and services.
     pub churn: f64,
-    /// Churn in detail.
+    /// Details of the churn.
     pub churn_details: Churn,
-    /// Longest time that a key or its requests had no server.
+    /// Longest time that a key had no owner or a request no server, in
+    /// milliseconds.
     pub unavailable_ms: f64,
-    /// Unavailable time in detail.
+    /// Details of the unavailable time.
     pub unavailable_details: Unavailable,
-    /// Longest time from acceptance to force on every router; null when
-    /// nothing was accepted under load.
+    /// Longest time from the acceptance of configuration until a router had it,
+    /// in milliseconds; null if nothing was accepted under load.
     pub configuration_in_force_ms: Option<f64>,
-    /// Faults caused.
+    /// Injected faults.
     pub faults: Vec<FaultMark>,
-    /// Answered, failed and latency over time.
+    /// Requests and latency over time.
     #[serde(default)]
     pub timeline: Vec<TimelinePoint>,
-    /// Requests that each back end carried out, by `namespace/name`.
+    /// Number of executions at each back end, by `namespace/name`.
     #[serde(default)]
     pub back_end_requests: BTreeMap<String, u64>,
-    /// Share of all points that each back end owned over time, for the
-    /// services together.
+    /// Share of each service's points that each back end owned over time.
     #[serde(default)]
-    pub ownership: Vec<OwnershipStretch>,
-    /// Slowest time until all routers served after their start.
+    pub ownership: Vec<OwnershipInterval>,
+    /// Time from the start of the routers until all of them were ready, in
+    /// milliseconds.
     pub ready_ms: u64,
-    /// Requests offered and answered in each stretch of constant load.
+    /// Goodput in each interval of constant load.
     #[serde(default)]
     pub goodput: Vec<Goodput>,
-    /// The same measures for the baselines that ran beside the product.
+    /// Comparison with the baselines that ran in parallel with the product.
     #[serde(default)]
     pub baselines: Option<BaselineReport>,
 }
@@ -80,18 +82,18 @@
 pub struct FaultMark {
     /// Time since the load began, in milliseconds.
     pub at_ms: u64,
-    /// What was done.
+    /// Description of the fault.
     pub what: String,
 }
 
-/// A bound that did not hold.
+/// A bound that was exceeded.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BoundBreach {
     /// Name of the bound.
     pub bound: String,
-    /// What was allowed.
+    /// The allowed value.
     pub allowed: f64,
-    /// What was measured; null when the run gave no figure.
+    /// The measured value; null if the run has none.
     pub measured: Option<f64>,
 }
 
@@ -103,21 +105,21 @@
     File {
         /// The file.
         path: PathBuf,
-        /// What failed.
+        /// The I/O error.
         cause: std::io::Error,
     },
-    /// The file is no report.
+    /// The content is not a report.
     #[error("{path} is not a report ({cause}); write one with --report")]
-    Form {
+    Parse {
         /// The file.
         path: PathBuf,
-        /// What failed.
+        /// The JSON error.
         cause: serde_json::Error,
     },
-    /// A picture cannot be drawn.
-    #[error("a picture cannot be drawn ({0}); leave --page out for the table alone")]
-    Picture(String),
-    /// The file was written by another version.
+    /// A chart cannot be drawn.
+    #[error("a chart cannot be drawn ({0}); omit --page to print only the table")]
+    Chart(String),
+    /// The file has another schema version.
     #[error("{path} has report version {found}, not {REPORT_VERSION}; run the experiment again")]
     Version {
         /// The file.
@@ -128,7 +130,7 @@
 }
 
 impl Report {
-    /// Whether every guarantee and every bound held.
+    /// Returns whether no guarantee was violated and no bound exceeded.
     pub fn passed(&self) -> bool {
         self.violations == 0 && self.breached_bounds.is_empty()
     }
@@ -137,9 +139,9 @@
     ///
     /// # Errors
     ///
-    /// The file cannot be written.
+    /// Fails if the file cannot be written.
     pub fn write(&self, path: &Path) -> Result<(), ReportError> {
-        let text = serde_json::to_vec_pretty(self).map_err(|cause| ReportError::Form {
+        let text = serde_json::to_vec_pretty(self).map_err(|cause| ReportError::Parse {
             path: path.to_owned(),
             cause,
         })?;
@@ -153,13 +155,14 @@
     ///
     /// # Errors
     ///
-    /// The file cannot be read, is no report, or has another version.
+    /// Fails if the file cannot be read, is not a report, or has another
+    /// version.
     pub fn read(path: &Path) -> Result<Report, ReportError> {
         let text = std::fs::read(path).map_err(|cause| ReportError::File {
             path: path.to_owned(),
             cause,
         })?;
-        let report: Report = serde_json::from_slice(&text).map_err(|cause| ReportError::Form {
+        let report: Report = serde_json::from_slice(&text).map_err(|cause| ReportError::Parse {
             path: path.to_owned(),
             cause,
         })?;
--- a/crates/lab/src/report/table.rs
+++ b/crates/lab/src/report/table.rs
@@ -1,15 +1,15 @@
-//! The closing table of a run.
+//! Formats a report as a text table.
 
 use std::fmt::Write;
 
-use super::form::Report;
+use super::schema::Report;
 use crate::baseline::baseline_table;
 use crate::measures::Goodput;
 
-/// Violations that are written out.
-const SHOWN_VIOLATIONS: usize = 8;
+/// Maximum number of violations in the table.
+const MAX_VIOLATIONS: usize = 8;
 
-/// The report as text for people.
+/// Formats the report as a text table.
 pub fn table(report: &Report) -> String {
     let mut text = String::new();
     let mut line = |name: &str, value: String| {
@@ -82,7 +82,7 @@
         line("fault", format!("at {} ms: {}", fault.at_ms, fault.what));
     }
     line("violations", report.violations.to_string());
-    for violation in report.violation_details.iter().take(SHOWN_VIOLATIONS) {
+    for violation in report.violation_details.iter().take(MAX_VIOLATIONS) {
         line("", violation.to_string());
     }
     for breach in &report.breached_bounds {
@@ -106,14 +106,14 @@
     text
 }
 
-fn goodput_lines(stretches: &[Goodput]) -> String {
+fn goodput_lines(intervals: &[Goodput]) -> String {
     let mut text = String::new();
-    for stretch in stretches {
-        let name = format!("load times {}", stretch.factor);
+    for interval in intervals {
+        let name = format!("load times {}", interval.factor);
         let _ = writeln!(
             text,
             "{name:<26} {:.0} requests a second offered, {:.0} answered, p99 {:.1} ms",
-            stretch.offered_per_second, stretch.answered_per_second, stretch.latency_p99_ms
+            interval.offered_per_second, interval.answered_per_second, interval.latency_p99_ms
         );
     }
     text
--- a/crates/lab/src/rig/baseline_processes.rs
+++ b/crates/lab/src/rig/baseline_processes.rs
@@ -1,5 +1,5 @@
-//! The processes of one baseline: its own routers, back ends and callers,
-//! beside the product's.
+//! The processes of one baseline: its own routers, back ends and callers, which
+//! run in parallel with those of the product.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -13,25 +13,25 @@
 use threadledge_types::{BackEndId, ZoneName};
 
 use super::child::ChildProcess;
-use super::hosts::{HostKind, Hosts, stand_in};
-use super::operator;
+use super::control;
+use super::hosts::{HostKind, Hosts, start_stand_in};
 use super::plan::{HostPlan, Plan};
 use super::ports::free_addresses;
-use super::processes::{END_LIMIT, wait_until_ready};
+use super::processes::{END_TIMEOUT, wait_until_ready};
 use super::run::RunError;
 use crate::baseline::{
     BaselineBackEnd, BaselineKind, BaselineRoute, BaselineRouterSettings, BaselineService,
-    CpuMeter, RouterEnd, release_views,
+    CpuMeter, RouterEnd, release_grants_of_ended_routers,
 };
 use crate::clock;
 use crate::experiment::{Experiment, FaultAction};
 use crate::history::Event;
 use crate::load::CallerSettings;
-use crate::stand_in::back_end::Sickness;
+use crate::stand_in::back_end::Degradation;
 
-const ADDRESSES_OF_A_BACK_END: usize = 2;
+const ADDRESSES_PER_BACK_END: usize = 2;
 
-/// One baseline's processes.
+/// The processes of one baseline.
 pub(super) struct BaselineProcesses {
     pub kind: BaselineKind,
     directory: PathBuf,
@@ -47,8 +47,8 @@
 }
 
 impl BaselineProcesses {
-    /// Starts back ends and routers like those of `plan`, and waits until
-    /// they serve.
+    /// Starts back ends and routers like those of `plan`, and waits until they
+    /// are ready.
     pub fn start(
         kind: BaselineKind,
         experiment: &Experiment,
@@ -57,14 +57,14 @@
     ) -> Result<BaselineProcesses, RunError> {
         let directory = directory.join(kind.as_str());
         fs::create_dir_all(&directory)?;
-        let hosts = hosts_like(plan)?;
+        let hosts = copy_hosts(plan)?;
         let routers = free_addresses(plan.routers.len())?;
         let settings = router_settings(kind, experiment, plan, &hosts, &routers);
         let mut baseline = BaselineProcesses {
             kind,
             settings,
             zones: plan.routers.iter().map(|one| one.zone.clone()).collect(),
-            hosts: Hosts::start(HostKind::Ungranted, &hosts, &directory)?,
+            hosts: Hosts::start(HostKind::Unchecked, &hosts, &directory)?,
             routers: Vec::new(),
             callers: Vec::new(),
             ended: Vec::new(),
@@ -84,52 +84,56 @@
         Ok(baseline)
     }
 
-    /// Starts callers like those of the product.
+    /// Starts callers with the settings of the product's callers.
     pub fn start_callers(&mut self, name: &str, product: &CallerSettings) -> io::Result<()> {
         let settings = CallerSettings {
             routers: self.settings.iter().map(|one| one.address).collect(),
             direct: None,
             ..product.clone()
         };
-        let child = stand_in(&self.directory, name, "callers", &settings)?;
+        let child = start_stand_in(&self.directory, name, "callers", &settings)?;
         self.callers.push(child);
         Ok(())
     }
 
-    /// Whether all callers are done.
-    pub fn is_done(&mut self) -> bool {
+    /// Returns whether all callers have ended.
+    pub fn callers_ended(&mut self) -> bool {
         self.callers.iter_mut().all(ChildProcess::has_ended)
     }
 
-    /// Reads the processor time of the routers, and notes those that ended.
+    /// Reads the processor time of the routers, and records those that ended.
     pub fn observe(&mut self) {
         self.cpu.read(self.routers.iter().map(ChildProcess::id));
-        self.note_router_ends();
+        self.record_router_ends();
     }
 
-    /// Causes what the product suffers too. `router` is the number of the
-    /// router that was chosen there. What concerns the platform has no
-    /// counterpart here.
-    pub fn cause(&mut self, action: &FaultAction, router: Option<usize>) -> http_types::Result<()> {
+    /// Applies a fault that was also applied to the product. `router` is the
+    /// number of the router chosen there. Faults of the platform services are
+    /// ignored, because baselines do not use them.
+    pub fn apply_fault(
+        &mut self,
+        action: &FaultAction,
+        router: Option<usize>,
+    ) -> http_types::Result<()> {
         match action {
             FaultAction::KillBackEnd { back_end } => {
-                if let Some(number) = self.hosts.number_of(back_end) {
+                if let Some(number) = self.hosts.process_number(back_end) {
                     self.hosts.kill(number);
                 }
             }
             FaultAction::StartBackEnd { back_end } => {
-                if let Some(number) = self.hosts.number_of(back_end) {
+                if let Some(number) = self.hosts.process_number(back_end) {
                     self.hosts.restart(number)?;
                 }
             }
             FaultAction::FreezeBackEnd { back_end, .. } => {
-                if let Some(number) = self.hosts.number_of(back_end) {
+                if let Some(number) = self.hosts.process_number(back_end) {
                     self.hosts.signal(number, Signal::STOP)?;
                 }
             }
             FaultAction::DrainBackEnd { back_end } => {
                 if let Some(one) = self.hosts.back_end(back_end) {
-                    task::block_on(operator::drain(one.control_address))?;
+                    task::block_on(control::drain(one.control_address))?;
                 }
             }
             FaultAction::SickenBackEnd {
@@ -138,11 +142,11 @@
                 error_share,
                 ..
             } => {
-                let sickness = Sickness {
+                let degradation = Degradation {
                     slow_factor: *slow_factor,
                     error_share: *error_share,
                 };
-                self.set_sickness(back_end, sickness)?;
+                self.set_degradation(back_end, degradation)?;
             }
             FaultAction::KillZone { zone } => self.kill_zone(*zone),
             FaultAction::KillRouter { .. }
@@ -150,7 +154,7 @@
             | FaultAction::FreezeRouter { .. }
             | FaultAction::ReplaceRouter { .. } => {
                 if let Some(number) = router {
-                    self.cause_at_router(action, number)?;
+                    self.apply_router_fault(action, number)?;
                 }
             }
             FaultAction::HostileCallers { .. }
@@ -161,59 +165,63 @@
         Ok(())
     }
 
-    /// Addresses on which callers come.
+    /// Returns the addresses that callers send requests to.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.settings.iter().map(|one| one.address).collect()
     }
 
-    /// Makes a back end sick or well.
-    pub fn set_sickness(&self, back_end: &BackEndId, sickness: Sickness) -> http_types::Result<()> {
+    /// Sets or clears the degradation of a back end.
+    pub fn set_degradation(
+        &self,
+        back_end: &BackEndId,
+        degradation: Degradation,
+    ) -> http_types::Result<()> {
         match self.hosts.back_end(back_end) {
-            Some(one) => task::block_on(operator::sicken(one.control_address, sickness)),
+            Some(one) => task::block_on(control::degrade(one.control_address, degradation)),
             None => Ok(()),
         }
     }
 
-    /// Lets a frozen process with back ends go on.
+    /// Resumes a frozen back end process.
     pub fn resume_host(&mut self, number: usize) -> io::Result<()> {
         self.hosts.signal(number, Signal::CONT)
     }
 
-    /// Lets a frozen router go on.
+    /// Resumes a frozen router.
     pub fn resume_router(&mut self, number: usize) -> io::Result<()> {
         self.routers[number].signal(Signal::CONT)
     }
 
-    /// Ends everything; gives back what was recorded and the processor time of
-    /// the routers in seconds.
+    /// Ends all processes and returns the recorded events and the processor
+    /// time of the routers in seconds.
     pub fn finish(self) -> (BaselineKind, Vec<Event>, f64) {
         let mut events = self.events.into_inner();
-        let (hosts, of_hosts) = self.hosts.into_parts();
-        events.extend(of_hosts);
+        let (hosts, host_events) = self.hosts.into_parts();
+        events.extend(host_events);
         let all = self.callers.into_iter().chain(self.routers);
         for child in all.chain(hosts).chain(self.ended) {
-            events.extend(child.finish(END_LIMIT));
+            events.extend(child.finish(END_TIMEOUT));
         }
-        release_views(&mut events, &self.router_ends);
+        release_grants_of_ended_routers(&mut events, &self.router_ends);
         (self.kind, events, self.cpu.seconds())
     }
 
-    fn note_router_ends(&mut self) {
+    fn record_router_ends(&mut self) {
         for (number, router) in self.routers.iter_mut().enumerate() {
             let epoch = self.settings[number].epoch();
-            let noted = self.router_ends.iter().any(|end| end.epoch == epoch);
-            if router.has_ended() && !noted {
+            let recorded = self.router_ends.iter().any(|end| end.epoch == epoch);
+            if router.has_ended() && !recorded {
                 let at = clock::now();
                 self.router_ends.push(RouterEnd { epoch, at });
             }
         }
     }
 
-    fn cause_at_router(&mut self, action: &FaultAction, number: usize) -> io::Result<()> {
+    fn apply_router_fault(&mut self, action: &FaultAction, number: usize) -> io::Result<()> {
         match action {
             FaultAction::KillRouter { .. } => {
                 self.routers[number].kill();
-                self.note_router_ends();
+                self.record_router_ends();
             }
             FaultAction::FreezeRouter { .. } => self.routers[number].signal(Signal::STOP)?,
             FaultAction::StopRouter { .. } => {
@@ -224,12 +232,12 @@
                 self.routers[number].signal(Signal::TERM)?;
             }
             FaultAction::ReplaceRouter { .. } => {
-                self.routers[number].wait(END_LIMIT);
-                self.note_router_ends();
+                self.routers[number].wait(END_TIMEOUT);
+                self.record_router_ends();
                 self.settings[number].life += 1;
                 let child = self.start_router(number)?;
-                let former = std::mem::replace(&mut self.routers[number], child);
-                self.ended.push(former);
+                let previous = std::mem::replace(&mut self.routers[number], child);
+                self.ended.push(previous);
             }
             _ => {}
         }
@@ -241,8 +249,8 @@
             return;
         };
         self.routers[zone].kill();
-        self.note_router_ends();
-        for number in self.hosts.of_zone(&name) {
+        self.record_router_ends();
+        for number in self.hosts.numbers_in_zone(&name) {
             self.hosts.kill(number);
         }
     }
@@ -250,16 +258,16 @@
     fn start_router(&self, number: usize) -> io::Result<ChildProcess> {
         let settings = &self.settings[number];
         let name = format!("router-{}-{}", number + 1, settings.life);
-        stand_in(&self.directory, &name, "baseline-router", settings)
+        start_stand_in(&self.directory, &name, "baseline-router", settings)
     }
 }
 
-/// The product's back ends, direct ones left out, on other addresses.
-fn hosts_like(plan: &Plan) -> io::Result<Vec<HostPlan>> {
+/// Copies the product's back ends, except direct ones, to other addresses.
+fn copy_hosts(plan: &Plan) -> io::Result<Vec<HostPlan>> {
     let mut hosts = plan.hosts.clone();
     hosts.retain(|host| host.zone.is_some());
     let back_ends = hosts.iter().map(|host| host.back_ends.len()).sum::<usize>();
-    let mut addresses = free_addresses(back_ends * ADDRESSES_OF_A_BACK_END)?.into_iter();
+    let mut addresses = free_addresses(back_ends * ADDRESSES_PER_BACK_END)?.into_iter();
     let mut next = || addresses.next().ok_or(io::ErrorKind::AddrNotAvailable);
     for back_end in hosts.iter_mut().flat_map(|host| &mut host.back_ends) {
         back_end.address = next()?;
--- a/crates/lab/src/rig/callers.rs
+++ b/crates/lab/src/rig/callers.rs
@@ -1,4 +1,4 @@
-//! Settings of the callers' processes.
+//! Creates the settings of the caller processes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,12 +9,12 @@
 use crate::experiment::Experiment;
 use crate::load::{CallerSettings, DirectSettings};
 
-/// Distance between the first request numbers of two callers' processes.
-const REQUESTS_OF_A_CALLER: u64 = 1_000_000_000;
-/// Distance between the seeds of two callers' processes.
+/// Distance between the first request ids of two caller processes.
+const REQUEST_IDS_PER_CALLER: u64 = 1_000_000_000;
+/// Distance between the seeds of two caller processes.
 const SEED_STRIDE: u64 = 1 << 32;
 
-/// Settings of one process for each load of the experiment.
+/// Returns the settings of one caller process for each load of the experiment.
 pub(super) fn caller_settings(
     experiment: &Experiment,
     plan: &Plan,
@@ -39,13 +39,13 @@
             end: begin + experiment.duration,
             seed: seed.wrapping_add(number as u64 * SEED_STRIDE),
             surges: experiment.surges.clone(),
-            first_request: (number as u64 + 1) * REQUESTS_OF_A_CALLER,
+            first_request: (number as u64 + 1) * REQUEST_IDS_PER_CALLER,
         })
         .collect()
 }
 
-/// Which service each direct service imitates.
-pub(super) fn imitated(plan: &Plan) -> BTreeMap<ServiceId, ServiceId> {
+/// Maps each direct service to the service that it imitates.
+pub(super) fn imitated_services(plan: &Plan) -> BTreeMap<ServiceId, ServiceId> {
     let directs = plan.directs.values();
     directs
         .map(|direct| (direct.service.clone(), direct.imitates.clone()))
--- a/crates/lab/src/rig/child.rs
+++ b/crates/lab/src/rig/child.rs
@@ -1,4 +1,4 @@
-//! One child process of the rig.
+//! Starts, signals and ends one child process of the rig.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, Write};
@@ -14,28 +14,29 @@
 
 use crate::history::{ChildLine, Event};
 
-/// Interval at which the end of a child is looked for.
-const POLL: Duration = Duration::from_millis(10);
-/// Threads of a child's async runtime: many children share the machine.
+/// Interval for polling whether a child has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Threads of a child's async runtime; few, because many children share the
+/// machine.
 const RUNTIME_THREADS: &str = "2";
 
-/// How to start a child.
+/// Parameters for starting a child.
 pub(super) struct ChildPlan<'a> {
-    /// Name in the run and of its log.
+    /// Name in the run, also used for its log file.
     pub name: &'a str,
     /// Arguments after the program's name.
     pub arguments: Vec<String>,
     /// One line of JSON for its standard input.
     pub settings: Option<String>,
-    /// Where its log goes.
+    /// Directory of its log file.
     pub log_directory: &'a Path,
 }
 
-/// A process that this rig started. Dropping it ends it.
+/// A process that this rig started. Dropping it kills the process.
 pub(super) struct ChildProcess {
     name: String,
     child: Child,
-    /// Held open for as long as the child shall live.
+    /// Standard input of the child, which exits when it is closed.
     input: Option<ChildStdin>,
     reader: Option<JoinHandle<()>>,
     ready: Arc<AtomicBool>,
@@ -45,7 +46,7 @@
 }
 
 impl ChildProcess {
-    /// Starts this very program again with other arguments.
+    /// Starts this program's executable with other arguments.
     pub fn start(plan: ChildPlan<'_>) -> io::Result<ChildProcess> {
         let log = plan.log_directory.join(format!("{}.log", plan.name));
         let mut child = Command::new(std::env::current_exe()?)
@@ -78,37 +79,37 @@
         })
     }
 
-    /// Name in the run.
+    /// Returns its name in the run.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Number of the process.
+    /// Returns its process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Where its log went.
+    /// Returns the path of its log file.
     pub fn log(&self) -> &Path {
         &self.log
     }
 
-    /// Whether it said that it serves.
+    /// Returns whether it reported that it is ready.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::SeqCst)
     }
 
-    /// Number of events so far.
+    /// Returns the number of events received so far.
     pub fn event_count(&self) -> usize {
         self.events.lock().len()
     }
 
-    /// Looks at the events so far.
-    pub fn with_events<T>(&self, look: impl FnOnce(&[Event]) -> T) -> T {
-        look(&self.events.lock())
+    /// Calls `inspect` with the events received so far.
+    pub fn with_events<T>(&self, inspect: impl FnOnce(&[Event]) -> T) -> T {
+        inspect(&self.events.lock())
     }
 
-    /// Whether it has ended by now.
+    /// Returns whether it has ended.
     pub fn has_ended(&mut self) -> bool {
         if !self.ended {
             self.ended = !matches!(self.child.try_wait(), Ok(None));
@@ -116,7 +117,7 @@
         self.ended
     }
 
-    /// Sends a signal to exactly this child, unless it has ended.
+    /// Sends a signal to this child, unless it has ended.
     pub fn signal(&mut self, signal: Signal) -> io::Result<()> {
         if self.has_ended() {
             return Ok(());
@@ -126,32 +127,32 @@
         Ok(kill_process(pid, signal)?)
     }
 
-    /// Ends it at once.
+    /// Kills it.
     pub fn kill(&mut self) {
         if !self.has_ended() {
-            // The child may end by itself in between, which is as good.
+            // An error means that the child ended by itself in the meantime.
             let _ = self.child.kill();
             let _ = self.child.wait();
             self.ended = true;
         }
     }
 
-    /// Waits until it ends by itself; false when `limit` passed first.
+    /// Waits until it ends by itself. Returns false if `limit` passes first.
     pub fn wait(&mut self, limit: Duration) -> bool {
         let until = Instant::now() + limit;
         while !self.has_ended() {
             if Instant::now() >= until {
                 return false;
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
         true
     }
 
-    /// Closes its standard input, which tells it to end, and takes its
-    /// events once it has.
+    /// Closes its standard input, which makes it exit, kills it if it has not
+    /// ended within `limit`, and returns its events.
     pub fn finish(mut self, limit: Duration) -> Vec<Event> {
-        // A paused process could not notice.
+        // A stopped process would not notice the closed input.
         let _ = self.signal(Signal::CONT);
         self.input = None;
         if !self.wait(limit) {
@@ -178,7 +179,7 @@
         match serde_json::from_str(&line) {
             Ok(ChildLine::Ready) => ready.store(true, Ordering::SeqCst),
             Ok(ChildLine::Event(event)) => events.lock().push(event),
-            // The last line of a killed child may be cut short.
+            // The last line of a killed child may be truncated.
             Err(error) => tracing::debug!(%error, "unreadable line"),
         }
     }
--- a/crates/lab/src/rig/operator.rs
+++ b/crates/lab/src/rig/control.rs
@@ -1,5 +1,5 @@
-//! What operators do during a run: they change objects, tell back ends to
-//! leave, and take the object API down.
+//! Commands that the rig sends during a run: it changes objects as operators
+//! do, drains and degrades back ends, and injects faults of the platform.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,32 +14,32 @@
 
 use crate::clock;
 use crate::history::{Event, ObjectRef};
-use crate::stand_in::back_end::{DRAIN_PATH, SICKNESS_PATH, Sickness};
+use crate::stand_in::back_end::{DEGRADE_PATH, DRAIN_PATH, Degradation};
 use crate::stand_in::machine_list::{MACHINE_COMMANDS_PATH, MachineCommand};
 use crate::stand_in::object_api::{FAULTS_PATH, FaultCommand};
 
-/// Longest wait for one answer.
-const ANSWER_LIMIT: Duration = Duration::from_secs(2);
-/// Longest wait for the acceptance of a change.
-const ACCEPTANCE_LIMIT: Duration = Duration::from_secs(20);
-/// Interval at which acceptance is looked for.
-const POLL: Duration = Duration::from_millis(20);
-/// Writes of an operator who loses a race before it gives up.
-const MOST_WRITES: u32 = 10;
+/// Timeout of one exchange.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum time to wait for the acceptance of a change.
+const ACCEPTANCE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval for polling the acceptance.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of attempts of a write that conflicts with others.
+const MAX_WRITES: u32 = 10;
 
-/// Tells a back end to leave.
+/// Tells a back end to drain.
 pub(super) async fn drain(control_address: SocketAddr) -> http_types::Result<()> {
     send(control_address, Method::Post, DRAIN_PATH, None).await?;
     Ok(())
 }
 
-/// Makes a back end sick or well.
-pub(super) async fn sicken(
+/// Sets or clears the degradation of a back end.
+pub(super) async fn degrade(
     control_address: SocketAddr,
-    sickness: Sickness,
+    degradation: Degradation,
 ) -> http_types::Result<()> {
-    let body = serde_json::to_value(sickness)?;
-    send(control_address, Method::Post, SICKNESS_PATH, Some(body)).await?;
+    let body = serde_json::to_value(degradation)?;
+    send(control_address, Method::Post, DEGRADE_PATH, Some(body)).await?;
     Ok(())
 }
 
@@ -54,15 +54,15 @@
     Ok(())
 }
 
-/// Causes a fault of the object API.
+/// Injects or clears a fault of the object API.
 pub(super) async fn fault(api: SocketAddr, command: &FaultCommand) -> http_types::Result<()> {
     let body = serde_json::to_value(command)?;
     send(api, Method::Post, FAULTS_PATH, Some(body)).await?;
     Ok(())
 }
 
-/// Changes the churn budget of a service a little, and waits until the change
-/// shows as accepted.
+/// Slightly increases the churn budget of a service, and waits until the object
+/// API shows the change as accepted.
 pub(super) async fn change_service(
     api: SocketAddr,
     service: &ServiceId,
@@ -72,7 +72,7 @@
         service.namespace, service.name
     );
     let generation = write_change(api, &path).await?;
-    let until = clock::now() + ACCEPTANCE_LIMIT;
+    let until = clock::now() + ACCEPTANCE_TIMEOUT;
     while clock::now() < until {
         let object = send(api, Method::Get, &path, None).await?;
         if let Some(revision) = accepted_revision(&object, generation) {
@@ -82,17 +82,17 @@
                 revision,
             });
         }
-        task::sleep(POLL).await;
+        task::sleep(POLL_INTERVAL).await;
     }
     Err(http_types::format_err!(
         "{service} was not accepted in time"
     ))
 }
 
-/// Reads, changes and writes back, again when another write came between.
-/// Returns the generation of the change.
+/// Reads, changes and writes the object, and retries if the write fails, for
+/// example on a conflicting write. Returns the generation of the change.
 async fn write_change(api: SocketAddr, path: &str) -> http_types::Result<i64> {
-    for _ in 0..MOST_WRITES {
+    for _ in 0..MAX_WRITES {
         let mut object = send(api, Method::Get, path, None).await?;
         let budget = &mut object["spec"]["placement"]["churnBudgetPerMinute"];
         *budget = json!(budget.as_f64().unwrap_or(0.02) + 0.000_1);
@@ -101,7 +101,7 @@
         }
     }
     Err(http_types::format_err!(
-        "{path} kept changing; no write won"
+        "{path}: all {MAX_WRITES} write attempts failed"
     ))
 }
 
@@ -137,5 +137,5 @@
         }
         Ok(serde_json::from_slice(&bytes)?)
     };
-    timeout(ANSWER_LIMIT, exchange).await?
+    timeout(EXCHANGE_TIMEOUT, exchange).await?
 }
--- a/crates/lab/src/rig/deployment.rs
+++ b/crates/lab/src/rig/deployment.rs
@@ -1,4 +1,4 @@
-//! Deployments: directories with the objects that operators wrote.
+//! Reads deployments: directories of the objects that operators write.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -20,17 +20,17 @@
     pub names: Vec<String>,
     /// Region of the routers and of every service.
     pub region: RegionName,
-    /// Where routers stand, one in each zone.
-    pub routers: Vec<RouterPlace>,
+    /// Locations of the routers, one in each zone.
+    pub routers: Vec<RouterLocation>,
     /// Services with their selectors.
     pub services: BTreeMap<ServiceId, KeyedServiceObject>,
     /// Back ends with their labels.
     pub back_ends: BTreeMap<BackEndId, BackEndObject>,
 }
 
-/// Where one router stands.
+/// Location of one router.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RouterPlace {
+pub struct RouterLocation {
     /// Zone of its machine.
     pub zone: ZoneName,
 }
@@ -41,49 +41,49 @@
     /// Its files cannot be read.
     #[error(transparent)]
     Seed(#[from] SeedError),
-    /// An object has another form.
+    /// An object does not match its schema.
     #[error("{path}: {cause}; 'threadledge check' tells more")]
     Object {
         /// The file.
         path: PathBuf,
-        /// What is wrong.
+        /// The parse error.
         cause: serde_json::Error,
     },
-    /// Something is missing that a run needs.
+    /// A kind of object that a run needs is missing.
     #[error("{path}: no {what}; add one")]
     Missing {
         /// The directory.
         path: PathBuf,
-        /// What is missing.
+        /// The missing kind.
         what: &'static str,
     },
 }
 
 impl Deployment {
-    /// Reads directories of JSON objects. With several, the region and the
-    /// zones of the first one stand for those of the others, in the order of
-    /// their names: the partners then share its routers.
+    /// Reads directories of JSON objects. With several, the region and zones of
+    /// the others are mapped to those of the first, zones in the order of their
+    /// names, so that the partners share its routers.
     ///
     /// # Errors
     ///
-    /// A directory that cannot be read, or holds no service or no back end.
+    /// Fails if a directory cannot be read, or holds no service or no back end.
     pub fn read(directories: &[PathBuf]) -> Result<Deployment, DeploymentError> {
-        let mut whole = Deployment::default();
+        let mut combined = Deployment::default();
         for directory in directories {
-            let mut part = read_one(directory)?;
-            if whole.routers.is_empty() {
-                whole.region = part.region.clone();
-                whole.routers = part.routers.clone();
+            let mut deployment = read_one(directory)?;
+            if combined.routers.is_empty() {
+                combined.region = deployment.region.clone();
+                combined.routers = deployment.routers.clone();
             }
-            part.move_to(&whole.region, &whole.routers);
-            whole.names.extend(part.names);
-            whole.services.extend(part.services);
-            whole.back_ends.extend(part.back_ends);
+            deployment.map_to_region(&combined.region, &combined.routers);
+            combined.names.extend(deployment.names);
+            combined.services.extend(deployment.services);
+            combined.back_ends.extend(deployment.back_ends);
         }
-        Ok(whole)
+        Ok(combined)
     }
 
-    /// Service that may be served by a back end, by its selector.
+    /// Returns the service whose selector matches a back end.
     pub fn service_of(&self, back_end: &BackEndObject) -> Option<&ServiceId> {
         let namespace = back_end.metadata.namespace.as_deref()?;
         let labels = back_end.metadata.labels.clone().unwrap_or_default();
@@ -97,7 +97,7 @@
             .map(|(id, _)| id)
     }
 
-    /// Number of back ends that may serve each service.
+    /// Returns the number of back ends of each service.
     pub fn member_counts(&self) -> BTreeMap<ServiceId, usize> {
         let mut counts = BTreeMap::new();
         for back_end in self.back_ends.values() {
@@ -108,14 +108,14 @@
         counts
     }
 
-    fn move_to(&mut self, region: &RegionName, routers: &[RouterPlace]) {
+    fn map_to_region(&mut self, region: &RegionName, routers: &[RouterLocation]) {
         for service in self.services.values_mut() {
             service.spec.region = region.clone();
         }
         let own: Vec<ZoneName> = self
             .routers
             .iter()
-            .map(|place| place.zone.clone())
+            .map(|location| location.zone.clone())
             .collect();
         for back_end in self.back_ends.values_mut() {
             let number = own.iter().position(|zone| *zone == back_end.spec.zone);
@@ -130,7 +130,8 @@
     let name = directory.file_name().unwrap_or(directory.as_os_str());
     deployment.names.push(name.to_string_lossy().into_owned());
     for (path, value) in read_objects(directory)? {
-        take(&mut deployment, value).map_err(|cause| DeploymentError::Object { path, cause })?;
+        add_object(&mut deployment, value)
+            .map_err(|cause| DeploymentError::Object { path, cause })?;
     }
     let missing = |what| DeploymentError::Missing {
         path: directory.to_owned(),
@@ -147,32 +148,35 @@
     if zones.is_empty() {
         return Err(missing(BACK_END_KIND));
     }
-    deployment.routers = zones.into_iter().map(|zone| RouterPlace { zone }).collect();
+    deployment.routers = zones
+        .into_iter()
+        .map(|zone| RouterLocation { zone })
+        .collect();
     Ok(deployment)
 }
 
-fn take(deployment: &mut Deployment, value: Value) -> Result<(), serde_json::Error> {
+fn add_object(deployment: &mut Deployment, value: Value) -> Result<(), serde_json::Error> {
     let kind = value["kind"].as_str().unwrap_or_default().to_owned();
     match kind.as_str() {
         BACK_END_KIND => {
             let object: BackEndObject = serde_json::from_value(value)?;
-            let (namespace, name) = name_of(&object.metadata);
+            let (namespace, name) = namespace_and_name(&object.metadata);
             let id = BackEndId::new(namespace, name);
             deployment.back_ends.insert(id, object);
         }
         KEYED_SERVICE_KIND => {
             let object: KeyedServiceObject = serde_json::from_value(value)?;
-            let (namespace, name) = name_of(&object.metadata);
+            let (namespace, name) = namespace_and_name(&object.metadata);
             let id = ServiceId::new(namespace, name);
             deployment.services.insert(id, object);
         }
-        // Other objects are the routers' own and are founded by them.
+        // Other kinds of objects are created by the routers themselves.
         _ => {}
     }
     Ok(())
 }
 
-fn name_of(
+fn namespace_and_name(
     metadata: &k8s_openapi::apimachinery::pkg::apis::meta::v1::ObjectMeta,
 ) -> (String, String) {
     let namespace = metadata.namespace.clone().unwrap_or_default();
--- a/crates/lab/src/rig/faults.rs
+++ b/crates/lab/src/rig/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! Carries out the faults of an experiment at their times.
+//! Applies the faults of an experiment at their scheduled times.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,67 +9,67 @@
 use rustix::process::Signal;
 use threadledge_types::{BackEndId, ServiceId, Timestamp};
 
-use super::operator;
+use super::control;
 use super::plan::Plan;
+use super::poller::RouterPoller;
 use super::processes::Processes;
-use super::sides::Sides;
-use super::targets::{chosen_router, control_address, host_of, kill_zone, live_machine};
-use super::watch::Watch;
+use super::systems::Systems;
+use super::targets::{control_address, kill_zone, live_machine, process_number_of, select_router};
 use crate::clock;
 use crate::experiment::{Fault, FaultAction};
 use crate::history::Event;
 use crate::load::send_hostile_callers;
-use crate::stand_in::back_end::Sickness;
+use crate::stand_in::back_end::Degradation;
 use crate::stand_in::machine_list::MachineCommand;
 use crate::stand_in::object_api::FaultCommand;
 
-/// What is still to be done.
+/// A scheduled step.
 #[derive(Clone, Debug)]
 enum Step {
-    Cause(FaultAction),
+    Apply(FaultAction),
     ResumeHost(usize),
     ResumeRouter(usize),
     Recover(BackEndId),
     StoreUp,
 }
 
-/// The steps of a run in the order of their times.
-pub(super) struct Timeline {
+/// The remaining steps of a run, ordered by time.
+pub(super) struct FaultSchedule {
     steps: BTreeMap<(Timestamp, usize), Step>,
     added: usize,
     object_api: SocketAddr,
     machine_list: SocketAddr,
-    /// Events of actions that end later than they begin.
-    later: Arc<Mutex<Vec<Event>>>,
+    /// Events of actions that complete in the background.
+    background_events: Arc<Mutex<Vec<Event>>>,
 }
 
-impl Timeline {
-    /// Times count from `begin`.
-    pub fn new(faults: &[Fault], begin: Timestamp, plan: &Plan) -> Timeline {
-        let mut timeline = Timeline {
+impl FaultSchedule {
+    /// Schedules `faults`, with times relative to `begin`.
+    pub fn new(faults: &[Fault], begin: Timestamp, plan: &Plan) -> FaultSchedule {
+        let mut schedule = FaultSchedule {
             steps: BTreeMap::new(),
             added: 0,
             object_api: plan.object_api,
             machine_list: plan.machine_list,
-            later: Arc::default(),
+            background_events: Arc::default(),
         };
         for fault in faults {
             let at = begin + std::time::Duration::from_millis(fault.at_ms);
-            timeline.add(at, Step::Cause(fault.action.clone()));
+            schedule.add(at, Step::Apply(fault.action.clone()));
         }
-        timeline
+        schedule
     }
 
-    /// Carries out every step that is due, on all sides.
-    pub fn advance(&mut self, sides: &mut Sides, watch: &Watch) {
+    /// Executes every step that is due, on all systems.
+    pub fn advance(&mut self, systems: &mut Systems, poller: &RouterPoller) {
         while let Some(entry) = self.steps.first_entry() {
             if entry.key().0 > clock::now() {
                 return;
             }
             let step = entry.remove();
-            if let Err(error) = self.carry_out(step, sides, watch) {
-                let what = format!("not carried out: {error}");
-                sides.product.record(Event::Fault {
+            if let Err(error) = self.execute(step, systems, poller) {
+                let what = format!("fault could not be applied: {error}");
+                systems.product.record(Event::Fault {
                     at: clock::now(),
                     what,
                 });
@@ -77,9 +77,9 @@
         }
     }
 
-    /// Events of actions that ended since they were caused.
+    /// Returns the events of actions that completed in the background.
     pub fn finish(self) -> Vec<Event> {
-        std::mem::take(&mut self.later.lock())
+        std::mem::take(&mut self.background_events.lock())
     }
 
     fn add(&mut self, at: Timestamp, step: Step) {
@@ -92,55 +92,57 @@
         self.add(at, step);
     }
 
-    fn carry_out(
+    fn execute(
         &mut self,
         step: Step,
-        sides: &mut Sides,
-        watch: &Watch,
+        systems: &mut Systems,
+        poller: &RouterPoller,
     ) -> http_types::Result<()> {
         match step {
-            Step::Cause(action) => {
-                sides.product.record(Event::Fault {
+            Step::Apply(action) => {
+                systems.product.record(Event::Fault {
                     at: clock::now(),
                     what: action.to_string(),
                 });
-                let router = chosen_router(&action, &mut sides.product, watch)?;
-                self.cause(&action, router, &mut sides.product)?;
-                self.cause_later(&action, router, &sides.product);
-                for baseline in &mut sides.baselines {
-                    baseline.cause(&action, router)?;
+                let router = select_router(&action, &mut systems.product, poller)?;
+                self.apply_fault(&action, router, &mut systems.product)?;
+                self.schedule_end(&action, router, &systems.product);
+                for baseline in &mut systems.baselines {
+                    baseline.apply_fault(&action, router)?;
                 }
                 if let FaultAction::HostileCallers {
                     connections,
                     for_ms,
                 } = action
                 {
-                    self.send_hostile_callers(sides, connections, for_ms);
+                    self.send_hostile_callers(systems, connections, for_ms);
                 }
             }
             Step::ResumeHost(number) => {
-                sides.product.hosts.signal(number, Signal::CONT)?;
-                for baseline in &mut sides.baselines {
+                systems.product.hosts.signal(number, Signal::CONT)?;
+                for baseline in &mut systems.baselines {
                     baseline.resume_host(number)?;
                 }
             }
             Step::ResumeRouter(number) => {
-                sides.product.routers[number].child.signal(Signal::CONT)?;
-                for baseline in &mut sides.baselines {
+                systems.product.routers[number].child.signal(Signal::CONT)?;
+                for baseline in &mut systems.baselines {
                     baseline.resume_router(number)?;
                 }
             }
-            Step::Recover(back_end) => sides.set_sickness(&back_end, Sickness::default())?,
+            Step::Recover(back_end) => {
+                systems.set_degradation(&back_end, Degradation::default())?
+            }
             Step::StoreUp => {
                 let up = FaultCommand::Down(false);
-                task::block_on(operator::fault(self.object_api, &up))?;
+                task::block_on(control::fault(self.object_api, &up))?;
             }
         }
         Ok(())
     }
 
-    /// Causes an action on the product's side.
-    fn cause(
+    /// Applies an action to the product.
+    fn apply_fault(
         &mut self,
         action: &FaultAction,
         router: Option<usize>,
@@ -148,17 +150,21 @@
     ) -> http_types::Result<()> {
         match action {
             FaultAction::KillBackEnd { back_end } => {
-                processes.hosts.kill(host_of(processes, back_end)?);
+                processes
+                    .hosts
+                    .kill(process_number_of(processes, back_end)?);
             }
             FaultAction::StartBackEnd { back_end } => {
-                processes.hosts.restart(host_of(processes, back_end)?)?;
+                processes
+                    .hosts
+                    .restart(process_number_of(processes, back_end)?)?;
             }
             FaultAction::FreezeBackEnd { back_end, .. } => {
-                let number = host_of(processes, back_end)?;
+                let number = process_number_of(processes, back_end)?;
                 processes.hosts.signal(number, Signal::STOP)?;
             }
             FaultAction::DrainBackEnd { back_end } => {
-                task::block_on(operator::drain(control_address(processes, back_end)?))?;
+                task::block_on(control::drain(control_address(processes, back_end)?))?;
             }
             FaultAction::SickenBackEnd {
                 back_end,
@@ -166,37 +172,37 @@
                 error_share,
                 ..
             } => {
-                let sickness = Sickness {
+                let degradation = Degradation {
                     slow_factor: *slow_factor,
                     error_share: *error_share,
                 };
                 let address = control_address(processes, back_end)?;
-                task::block_on(operator::sicken(address, sickness))?;
+                task::block_on(control::degrade(address, degradation))?;
             }
             FaultAction::KillZone { zone } => kill_zone(processes, *zone)?,
             FaultAction::StoreDown { .. } => {
                 let down = FaultCommand::Down(true);
-                task::block_on(operator::fault(self.object_api, &down))?;
+                task::block_on(control::fault(self.object_api, &down))?;
             }
             FaultAction::StoreDropsAnswers { writes } => {
                 let drop_answers = FaultCommand::DropAnswers(*writes);
-                task::block_on(operator::fault(self.object_api, &drop_answers))?;
+                task::block_on(control::fault(self.object_api, &drop_answers))?;
             }
             FaultAction::ChangeService { service } => self.change_service(service.clone()),
-            // Sent to all sides at once, by the caller of this.
+            // The caller of this function sends them to all systems at once.
             FaultAction::HostileCallers { .. } => {}
             FaultAction::KillRouter { .. }
             | FaultAction::StopRouter { .. }
             | FaultAction::FreezeRouter { .. }
             | FaultAction::ReplaceRouter {} => {
                 let number = router.ok_or_else(|| http_types::format_err!("no router"))?;
-                self.cause_at_router(action, number, processes)?;
+                self.apply_router_fault(action, number, processes)?;
             }
         }
         Ok(())
     }
 
-    fn cause_at_router(
+    fn apply_router_fault(
         &self,
         action: &FaultAction,
         number: usize,
@@ -215,13 +221,13 @@
                 processes.routers[number].child.signal(Signal::STOP)?;
             }
             FaultAction::ReplaceRouter {} => {
-                let (former, settings) = processes.replace_router(number)?;
+                let (previous, settings) = processes.replace_router(number)?;
                 let commands = [
-                    MachineCommand::Remove(former),
+                    MachineCommand::Remove(previous),
                     MachineCommand::Set(Box::new(live_machine(&settings))),
                 ];
                 for command in &commands {
-                    let change = operator::change_machines(self.machine_list, command);
+                    let change = control::change_machines(self.machine_list, command);
                     task::block_on(change)?;
                 }
             }
@@ -230,11 +236,11 @@
         Ok(())
     }
 
-    /// Plans the end of an action that has one.
-    fn cause_later(&mut self, action: &FaultAction, router: Option<usize>, product: &Processes) {
+    /// Schedules the end of an action that has a duration.
+    fn schedule_end(&mut self, action: &FaultAction, router: Option<usize>, product: &Processes) {
         match (action, router) {
             (FaultAction::FreezeBackEnd { back_end, for_ms }, _) => {
-                if let Some(number) = product.hosts.number_of(back_end) {
+                if let Some(number) = product.hosts.process_number(back_end) {
                     self.add_after(*for_ms, Step::ResumeHost(number));
                 }
             }
@@ -254,33 +260,34 @@
         }
     }
 
-    fn send_hostile_callers(&self, sides: &Sides, connections: u32, for_ms: u64) {
+    fn send_hostile_callers(&self, systems: &Systems, connections: u32, for_ms: u64) {
         let lasts = std::time::Duration::from_millis(for_ms);
-        for (side, addresses) in sides.caller_addresses() {
-            let later = self.later.clone();
+        for (system, addresses) in systems.caller_addresses() {
+            let background_events = self.background_events.clone();
             task::spawn(async move {
                 let counts = send_hostile_callers(&addresses, connections, lasts).await;
-                later.lock().push(Event::Fault {
+                background_events.lock().push(Event::Fault {
                     at: clock::now(),
-                    what: format!("hostile callers of {side} ended: {counts}"),
+                    what: format!("hostile callers of {system} ended: {counts}"),
                 });
             });
         }
     }
 
-    /// Acceptance takes a while and must not hold up the other faults.
+    /// Changes a service in the background, because acceptance takes a while and
+    /// must not delay the other faults.
     fn change_service(&self, service: ServiceId) {
-        let later = self.later.clone();
+        let background_events = self.background_events.clone();
         let object_api = self.object_api;
         task::spawn(async move {
-            let event = match operator::change_service(object_api, &service).await {
+            let event = match control::change_service(object_api, &service).await {
                 Ok(event) => event,
                 Err(error) => Event::Fault {
                     at: clock::now(),
-                    what: format!("change not accepted: {error}"),
+                    what: format!("change of {service} was not accepted: {error}"),
                 },
             };
-            later.lock().push(event);
+            background_events.lock().push(event);
         });
     }
 }
--- a/crates/lab/src/rig/hosts.rs
+++ b/crates/lab/src/rig/hosts.rs
@@ -1,5 +1,4 @@
-//! Processes with back ends of one side of a run: the product's or a
-//! baseline's.
+//! The back end processes of one system under test: the product or a baseline.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -16,30 +15,30 @@
 use crate::history::Event;
 use crate::stand_in::back_end::BackEndSettings;
 
-/// What a process with back ends reads.
+/// Settings that a back end process reads from standard input.
 #[derive(Clone, Debug, Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct BackEndHost {
-    /// Life of all its back ends.
+    /// Incarnation of all its back ends.
     pub incarnation: Incarnation,
-    /// Its back ends.
+    /// Settings of its back ends.
     pub back_ends: Vec<BackEndSettings>,
 }
 
-/// Kinds of processes with back ends.
+/// Kinds of back end processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HostKind {
-    /// They serve what they were granted.
-    Granted,
-    /// They serve whatever comes.
-    Ungranted,
+    /// The back ends execute requests only under a grant.
+    GrantRequired,
+    /// The back ends execute every request.
+    Unchecked,
 }
 
 impl HostKind {
     const fn argument(self) -> &'static str {
         match self {
-            HostKind::Granted => "back-ends",
-            HostKind::Ungranted => "ungranted-back-ends",
+            HostKind::GrantRequired => "back-ends",
+            HostKind::Unchecked => "ungranted-back-ends",
         }
     }
 }
@@ -50,7 +49,7 @@
     child: Option<ChildProcess>,
 }
 
-/// Processes with back ends, by number.
+/// The back end processes, identified by number.
 pub(super) struct Hosts {
     directory: PathBuf,
     kind: HostKind,
@@ -60,7 +59,7 @@
 }
 
 impl Hosts {
-    /// Starts one process for each plan; logs go to `directory`.
+    /// Starts one process for each plan, with logs in `directory`.
     pub fn start(kind: HostKind, plans: &[HostPlan], directory: &Path) -> io::Result<Hosts> {
         let mut hosts = Hosts {
             directory: directory.to_owned(),
@@ -81,14 +80,14 @@
         Ok(hosts)
     }
 
-    /// Number of the process that hosts `back_end`.
-    pub fn number_of(&self, back_end: &BackEndId) -> Option<usize> {
+    /// Returns the number of the process that hosts `back_end`.
+    pub fn process_number(&self, back_end: &BackEndId) -> Option<usize> {
         let hosts = |host: &Host| host.plan.back_ends.iter().any(|one| one.id == *back_end);
         self.hosts.iter().position(hosts)
     }
 
-    /// Numbers of the processes whose back ends stand in `zone`.
-    pub fn of_zone(&self, zone: &ZoneName) -> Vec<usize> {
+    /// Returns the numbers of the processes whose back ends are in `zone`.
+    pub fn numbers_in_zone(&self, zone: &ZoneName) -> Vec<usize> {
         let hosts = self.hosts.iter().enumerate();
         hosts
             .filter(|(_, host)| host.plan.zone.as_ref() == Some(zone))
@@ -96,18 +95,18 @@
             .collect()
     }
 
-    /// Settings of one back end.
+    /// Returns the settings of one back end.
     pub fn back_end(&self, id: &BackEndId) -> Option<&BackEndSettings> {
         let mut all = self.hosts.iter().flat_map(|host| &host.plan.back_ends);
         all.find(|one| one.id == *id)
     }
 
-    /// Processes that run.
+    /// Returns the running processes.
     pub fn children(&mut self) -> impl Iterator<Item = &mut ChildProcess> {
         self.hosts.iter_mut().filter_map(|host| host.child.as_mut())
     }
 
-    /// Sends a signal to one process, if it runs.
+    /// Sends a signal to one process, unless it was killed.
     pub fn signal(&mut self, number: usize, signal: Signal) -> io::Result<()> {
         match &mut self.hosts[number].child {
             Some(child) => child.signal(signal),
@@ -115,7 +114,7 @@
         }
     }
 
-    /// Ends a process at once.
+    /// Kills a process and records its end.
     pub fn kill(&mut self, number: usize) {
         let host = &mut self.hosts[number];
         let Some(mut child) = host.child.take() else {
@@ -135,7 +134,7 @@
         self.ended.push(child);
     }
 
-    /// Starts a killed process again, as a new life.
+    /// Restarts a killed process with a new incarnation.
     pub fn restart(&mut self, number: usize) -> io::Result<()> {
         if self.hosts[number].child.is_some() {
             return Ok(());
@@ -147,8 +146,8 @@
         Ok(())
     }
 
-    /// All processes, also those that ended, and what was recorded about
-    /// them.
+    /// Returns all processes, including those that ended, and the events
+    /// recorded about them.
     pub fn into_parts(self) -> (Vec<ChildProcess>, Vec<Event>) {
         let mut children: Vec<ChildProcess> = self
             .hosts
@@ -164,14 +163,14 @@
             incarnation,
             back_ends: plan.back_ends.clone(),
         };
-        // A later life writes a log of its own.
+        // Each incarnation writes a log of its own.
         let name = format!("{}-{}", plan.name, incarnation.0);
-        stand_in(&self.directory, &name, self.kind.argument(), &host)
+        start_stand_in(&self.directory, &name, self.kind.argument(), &host)
     }
 }
 
-/// Starts a stand-in of this very program.
-pub(super) fn stand_in(
+/// Starts a stand-in process from this program's executable.
+pub(super) fn start_stand_in(
     directory: &Path,
     name: &str,
     kind: &str,
@@ -185,7 +184,8 @@
     })
 }
 
-/// Milliseconds of wall time, as every process of the system draws it.
+/// Returns a new incarnation: the wall-clock time in milliseconds, as in all
+/// processes of the system.
 fn new_incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = since.unwrap_or_default().as_millis();
--- a/crates/lab/src/rig/mod.rs
+++ b/crates/lab/src/rig/mod.rs
@@ -1,26 +1,25 @@
-//! The rig: the one process that starts, watches, disturbs and ends the
-//! processes of a run.
+//! The rig: the process that starts, monitors and ends the processes of a run
+//! and injects the faults.
 
 mod baseline_processes;
 mod callers;
 mod child;
+mod child_input;
+mod control;
 mod deployment;
-mod faults;
-mod hosting;
+mod fault_schedule;
 mod hosts;
-
-mod operator;
 mod plan;
+mod poller;
 mod ports;
 mod processes;
 mod progress;
 mod run;
-mod sides;
 mod summary;
+mod systems;
 mod targets;
-mod watch;
 
-pub use deployment::{Deployment, DeploymentError, RouterPlace};
-pub use hosting::{PlatformSettings, end_with_parent, read_settings};
+pub use child_input::{PlatformSettings, exit_with_parent, read_settings};
+pub use deployment::{Deployment, DeploymentError, RouterLocation};
 pub use hosts::BackEndHost;
 pub use run::{RunError, RunOptions, run};
--- a/crates/lab/src/rig/plan.rs
+++ b/crates/lab/src/rig/plan.rs
@@ -1,4 +1,4 @@
-//! Who runs where: addresses, and the settings of every child.
+//! Plans a run: the addresses and settings of every child process.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -15,69 +15,69 @@
 use crate::measures::LAB_NAMESPACE;
 use crate::stand_in::back_end::BackEndSettings;
 
-const ADDRESSES_OF_A_BACK_END: usize = 2;
-const ADDRESSES_OF_A_ROUTER: usize = 3;
-const ADDRESSES_OF_THE_PLATFORM: usize = 2;
-/// Connections of a direct back end, which nothing shares.
+const ADDRESSES_PER_BACK_END: usize = 2;
+const ADDRESSES_PER_ROUTER: usize = 3;
+const PLATFORM_ADDRESSES: usize = 2;
+/// Connections of a direct back end, which has only one client.
 const DIRECT_CONNECTIONS: u32 = 256;
-/// Slots of a direct back end: its calls never wait.
+/// Slots of a direct back end, enough that its calls never wait.
 const DIRECT_SLOTS: u32 = 64;
 
-/// One process with back ends.
+/// Plan of one back end process.
 #[derive(Clone, Debug)]
 pub(super) struct HostPlan {
     /// Name in the run.
     pub name: String,
-    /// Zone, if all its back ends stand in one.
+    /// Zone of its back ends; `None` for direct back ends.
     pub zone: Option<ZoneName>,
-    /// Its back ends.
+    /// Settings of its back ends.
     pub back_ends: Vec<BackEndSettings>,
 }
 
-/// A back end that is called without a router.
+/// Plan of a back end that is called without a router.
 #[derive(Clone, Debug)]
 pub(super) struct DirectPlan {
-    /// Name under which its calls are recorded.
+    /// Service under which its calls are recorded.
     pub service: ServiceId,
-    /// Service that it is like.
+    /// Service whose back ends it imitates.
     pub imitates: ServiceId,
-    /// Requests a second.
+    /// Requests per second.
     pub per_second: f64,
-    /// The back end.
+    /// Settings of the back end.
     pub back_end: BackEndSettings,
 }
 
-/// Everything that a run starts.
+/// Plan of everything that a run starts.
 #[derive(Clone, Debug)]
 pub(super) struct Plan {
     pub object_api: SocketAddr,
     pub machine_list: SocketAddr,
-    /// Objects with the addresses of this run.
+    /// The deployment, with the addresses of this run.
     pub deployment: Deployment,
     pub routers: Vec<Settings>,
     pub hosts: Vec<HostPlan>,
-    /// One entry for each load that has a baseline, by its number.
+    /// Direct back ends, by the number of their load.
     pub directs: BTreeMap<usize, DirectPlan>,
 }
 
 impl Plan {
-    /// Lays a run out on free loopback addresses.
+    /// Plans a run on free loopback addresses.
     pub fn new(experiment: &Experiment, deployment: Deployment, seed: u64) -> io::Result<Plan> {
         let loads = experiment.loads.iter();
         let direct_count = loads.filter(|load| load.direct.is_some()).count();
-        let count = ADDRESSES_OF_THE_PLATFORM
-            + deployment.routers.len() * ADDRESSES_OF_A_ROUTER
-            + (deployment.back_ends.len() + direct_count) * ADDRESSES_OF_A_BACK_END;
+        let count = PLATFORM_ADDRESSES
+            + deployment.routers.len() * ADDRESSES_PER_ROUTER
+            + (deployment.back_ends.len() + direct_count) * ADDRESSES_PER_BACK_END;
         let mut addresses = free_addresses(count)?.into_iter();
         let mut next = || addresses.next().ok_or(io::ErrorKind::AddrNotAvailable);
         let object_api = next()?;
         let machine_list = next()?;
         let mut routers = Vec::new();
-        for (number, place) in deployment.routers.iter().enumerate() {
+        for (number, location) in deployment.routers.iter().enumerate() {
             let own = [next()?, next()?, next()?];
             let platform = [object_api, machine_list];
             let machine = format!("machine-{}", number + 1);
-            routers.push(router(&deployment, &place.zone, machine, own, platform));
+            routers.push(router(&deployment, &location.zone, machine, own, platform));
         }
         let mut plan = Plan {
             object_api,
@@ -91,12 +91,12 @@
             object.spec.address = next()?;
             object.spec.control_address = next()?;
         }
-        plan.directs = directs(experiment, &mut next, seed)?;
-        plan.hosts = plan.hosts_for(experiment, seed);
+        plan.directs = direct_plans(experiment, &mut next, seed)?;
+        plan.hosts = plan.assign_hosts(experiment, seed);
         Ok(plan)
     }
 
-    /// First objects of the platform.
+    /// Returns the initial objects of the object API.
     pub fn objects(&self) -> Result<Vec<Value>, serde_json::Error> {
         let back_ends = self.deployment.back_ends.values();
         let services = self.deployment.services.values();
@@ -106,7 +106,7 @@
             .collect()
     }
 
-    /// First machines of the platform.
+    /// Returns the initial machines of the machine list.
     pub fn machines(&self) -> Vec<Machine> {
         let routers = self.routers.iter();
         routers
@@ -120,13 +120,14 @@
             .collect()
     }
 
-    /// Back ends that a fault kills or freezes have a process of their own;
-    /// the others share one for each zone, and direct ones share another.
-    fn hosts_for(&self, experiment: &Experiment, seed: u64) -> Vec<HostPlan> {
+    /// Distributes back ends over processes. Back ends that a fault kills,
+    /// starts or freezes get a process of their own; the others share one per
+    /// zone, and direct ones share another.
+    fn assign_hosts(&self, experiment: &Experiment, seed: u64) -> Vec<HostPlan> {
         let alone: BTreeSet<&BackEndId> = experiment
             .faults
             .iter()
-            .filter_map(|fault| fault.action.lone_back_end())
+            .filter_map(|fault| fault.action.back_end_to_isolate())
             .collect();
         let mut hosts: BTreeMap<String, HostPlan> = BTreeMap::new();
         for (number, (id, object)) in self.deployment.back_ends.iter().enumerate() {
@@ -135,7 +136,7 @@
                 true => format!("back-end-{}-{}", id.namespace, id.name),
                 false => format!("back-ends-{zone}"),
             };
-            let Some(load) = self.load_of(experiment, id) else {
+            let Some(load) = self.back_end_load(experiment, id) else {
                 continue;
             };
             let host = hosts.entry(name.clone()).or_insert(HostPlan {
@@ -165,19 +166,19 @@
         hosts
     }
 
-    fn load_of<'a>(
+    fn back_end_load<'a>(
         &self,
         experiment: &'a Experiment,
         back_end: &BackEndId,
     ) -> Option<&'a ServiceLoad> {
         let object = self.deployment.back_ends.get(back_end)?;
         let service = self.deployment.service_of(object)?;
-        service_load(experiment, service)
+        service_settings(experiment, service)
     }
 }
 
-/// Behaviour of the back ends of a service, from any of the loads.
-pub(super) fn service_load<'a>(
+/// Returns the settings of the back ends of a service, from any of the loads.
+pub(super) fn service_settings<'a>(
     experiment: &'a Experiment,
     service: &ServiceId,
 ) -> Option<&'a ServiceLoad> {
@@ -187,7 +188,7 @@
         .find(|load| load.service == *service)
 }
 
-fn directs(
+fn direct_plans(
     experiment: &Experiment,
     next: &mut impl FnMut() -> Result<SocketAddr, io::ErrorKind>,
     seed: u64,
@@ -197,7 +198,7 @@
         let Some(direct) = &load.direct else {
             continue;
         };
-        let Some(behaviour) = service_load(experiment, &direct.imitates) else {
+        let Some(behaviour) = service_settings(experiment, &direct.imitates) else {
             continue;
         };
         let name = format!("direct-{}", direct.imitates.name);
--- a/crates/lab/src/rig/watch.rs
+++ b/crates/lab/src/rig/poller.rs
@@ -1,4 +1,4 @@
-//! Asks every router for its state throughout a run.
+//! Polls the state of every router throughout a run.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,15 +18,15 @@
 use crate::history::{ConfigurationSeen, Event, SliceSeen};
 use crate::load::{KeyPopularity, TrafficSettings};
 
-/// Interval between two rounds.
-const INTERVAL: Duration = Duration::from_millis(200);
-/// Longest wait for one answer.
-const ANSWER_LIMIT: Duration = Duration::from_millis(500);
-/// Keys of each kind of request whose owner is asked for.
-const KEYS_ASKED: u32 = 3;
+/// Pause between two polling rounds.
+const POLL_PAUSE: Duration = Duration::from_millis(200);
+/// Timeout of one query.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
+/// Number of keys of each kind of request whose owner is queried.
+const KEYS_QUERIED: u32 = 3;
 
-/// A thread that asks in rounds.
-pub(super) struct Watch {
+/// A thread that polls the routers in rounds.
+pub(super) struct RouterPoller {
     shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
 }
@@ -35,55 +35,57 @@
     stop: AtomicBool,
     states: Mutex<Vec<Option<StatusReport>>>,
     events: Mutex<Vec<Event>>,
-    questions: Vec<ExplainRequest>,
+    queries: Vec<ExplainRequest>,
     routers: Vec<(String, SocketAddr)>,
 }
 
-impl Watch {
-    /// Begins to ask `routers`, also for the owners of a few keys of `traffic`.
-    pub fn start(routers: &[Router], traffic: &[TrafficSettings]) -> Watch {
+impl RouterPoller {
+    /// Starts polling `routers` for their state and for the owners of a few
+    /// keys of `traffic`.
+    pub fn start(routers: &[Router], traffic: &[TrafficSettings]) -> RouterPoller {
         let shared = Arc::new(Shared {
             stop: AtomicBool::new(false),
             states: Mutex::new(Vec::new()),
             events: Mutex::new(Vec::new()),
-            questions: traffic.iter().flat_map(questions).collect(),
+            queries: traffic.iter().flat_map(queries).collect(),
             routers: routers
                 .iter()
                 .map(|router| (router.name.clone(), router.settings.operator_address))
                 .collect(),
         });
-        let asked = shared.clone();
+        let poller_state = shared.clone();
         let thread = std::thread::spawn(move || {
-            while !asked.stop.load(Ordering::SeqCst) {
-                task::block_on(asked.round());
-                std::thread::sleep(INTERVAL);
+            while !poller_state.stop.load(Ordering::SeqCst) {
+                task::block_on(poller_state.poll_all());
+                std::thread::sleep(POLL_PAUSE);
             }
         });
-        Watch {
+        RouterPoller {
             shared,
             thread: Some(thread),
         }
     }
 
-    /// Latest states, in the order of the routers; `None` for one that did not
-    /// answer.
+    /// Returns the latest states in the order of the routers; `None` for one
+    /// that did not respond.
     fn states(&self) -> Vec<Option<StatusReport>> {
         self.shared.states.lock().clone()
     }
 
-    /// Whether every router serves: it takes new work, and each of `services`
-    /// has an owner everywhere.
+    /// Returns whether every router is ready and every slice of `services` has
+    /// an owner in its view.
     pub fn all_serve(&self, services: &[ServiceId]) -> bool {
         let states = self.states();
         states.len() == self.shared.routers.len()
             && states.iter().all(|state| serves(state, services))
     }
 
-    /// Number of the router that leads the group, as most recently told.
+    /// Returns the number of the router that leads the group, according to the
+    /// report with the highest generation and term.
     pub fn leader(&self) -> Option<usize> {
         let states = self.states();
-        let told = states.iter().flatten();
-        let leader: RouterId = told
+        let reports = states.iter().flatten();
+        let leader: RouterId = reports
             .flat_map(|report| &report.groups)
             .max_by_key(|group| (group.generation, group.term))
             .and_then(|group| group.leader)?;
@@ -93,7 +95,7 @@
             .position(|state| state.as_ref().is_some_and(is_leader))
     }
 
-    /// Stops asking and gives back what was told.
+    /// Stops polling and returns the recorded events.
     pub fn finish(mut self) -> Vec<Event> {
         self.shared.stop.store(true, Ordering::SeqCst);
         if let Some(thread) = self.thread.take() {
@@ -104,52 +106,55 @@
 }
 
 impl Shared {
-    async fn round(&self) {
-        let asked = self.routers.iter();
-        let states = join_all(asked.map(|(name, address)| self.ask(name, *address))).await;
+    async fn poll_all(&self) {
+        let routers = self.routers.iter();
+        let states =
+            join_all(routers.map(|(name, address)| self.query_state(name, *address))).await;
         *self.states.lock() = states;
     }
 
-    async fn ask(&self, name: &str, address: SocketAddr) -> Option<StatusReport> {
+    async fn query_state(&self, name: &str, address: SocketAddr) -> Option<StatusReport> {
         let client = OperatorClient::new(address);
-        let report = timeout(ANSWER_LIMIT, client.status()).await;
+        let report = timeout(QUERY_TIMEOUT, client.status()).await;
         let report = report.ok().and_then(Result::ok);
         if let Some(report) = &report {
             self.events
                 .lock()
                 .push(Event::ConfigurationSeen(ConfigurationSeen {
                     at: clock::now(),
-                    router: life_of(name, report),
+                    router: incarnation_name(name, report),
                     revision: report.revision,
                     ready: report.readiness.is_ready(),
                 }));
-            self.ask_owners(&life_of(name, report), &client).await;
+            self.query_owners(&incarnation_name(name, report), &client)
+                .await;
         }
         report
     }
 
-    async fn ask_owners(&self, name: &str, client: &OperatorClient) {
-        for question in &self.questions {
+    async fn query_owners(&self, name: &str, client: &OperatorClient) {
+        for query in &self.queries {
             let begin = clock::now();
-            let Ok(Ok(told)) = timeout(ANSWER_LIMIT, client.explain(question)).await else {
+            let Ok(Ok(explanation)) = timeout(QUERY_TIMEOUT, client.explain(query)).await else {
                 continue;
             };
             self.events.lock().push(Event::SliceSeen(SliceSeen {
                 begin,
                 end: clock::now(),
                 router: name.to_owned(),
-                service: told.service,
-                slice: told.slice,
-                owner: told.owner.map(|owner| owner.session),
-                epoch: told.epoch,
+                service: explanation.service,
+                slice: explanation.slice,
+                owner: explanation.owner.map(|owner| owner.session),
+                epoch: explanation.epoch,
             }));
         }
     }
 }
 
-/// A machine that took the place of another knows nothing at first, so it must
-/// not be taken for the one that was there before.
-fn life_of(name: &str, report: &StatusReport) -> String {
+/// Returns a name that tells a replaced machine from its predecessor. A new
+/// machine starts without state, so its reports must not be compared with
+/// those of the previous one.
+fn incarnation_name(name: &str, report: &StatusReport) -> String {
     format!("{name} ({})", report.router.machine)
 }
 
@@ -157,16 +162,16 @@
     let Some(report) = state else {
         return false;
     };
-    let owned = |service: &ServiceId| {
-        let mut told = report.services.iter();
-        told.any(|one| one.service == *service && one.slices > 0 && one.unowned == 0)
+    let fully_owned = |service: &ServiceId| {
+        let mut statuses = report.services.iter();
+        statuses.any(|one| one.service == *service && one.slices > 0 && one.unowned == 0)
     };
-    report.readiness.is_ready() && services.iter().all(owned)
+    report.readiness.is_ready() && services.iter().all(fully_owned)
 }
 
-fn questions(traffic: &TrafficSettings) -> Vec<ExplainRequest> {
+fn queries(traffic: &TrafficSettings) -> Vec<ExplainRequest> {
     let popularity = KeyPopularity::new(traffic.popularity.clone(), 0);
-    let keys = 0..KEYS_ASKED.min(traffic.popularity.keys);
+    let keys = 0..KEYS_QUERIED.min(traffic.popularity.keys);
     keys.map(|rank| {
         let key = popularity.key_at(rank, threadledge_types::Timestamp::ZERO);
         let header = traffic.key_header.iter();
--- a/crates/lab/src/rig/processes.rs
+++ b/crates/lab/src/rig/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of a run, by what they are.
+//! The processes of the product in a run.
 
 use std::fs;
 use std::io;
@@ -10,8 +10,8 @@
 use threadledge_types::MachineName;
 
 use super::child::{ChildPlan, ChildProcess};
-use super::hosting::PlatformSettings;
-use super::hosts::{HostKind, Hosts, stand_in};
+use super::child_input::PlatformSettings;
+use super::hosts::{HostKind, Hosts, start_stand_in};
 use super::plan::Plan;
 use super::run::RunError;
 use crate::baseline::CpuMeter;
@@ -19,22 +19,22 @@
 use crate::history::Event;
 use crate::load::CallerSettings;
 
-/// Longest time that a child may take to serve.
-const START_LIMIT: Duration = Duration::from_secs(10);
-/// Longest time that a child may take to end once asked.
-pub(super) const END_LIMIT: Duration = Duration::from_secs(3);
-const POLL: Duration = Duration::from_millis(10);
+/// Maximum time for a child to become ready.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum time for a child to end when asked.
+pub(super) const END_TIMEOUT: Duration = Duration::from_secs(3);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// One router's process.
+/// A router process.
 pub(super) struct Router {
     pub name: String,
     pub settings: Settings,
     pub child: ChildProcess,
-    /// Machines that were here before.
+    /// Number of times that the machine was replaced.
     replaced: u32,
 }
 
-/// All processes of the product's side of a run.
+/// All processes of the product in a run.
 pub(super) struct Processes {
     directory: PathBuf,
     pub object_api: ChildProcess,
@@ -48,7 +48,7 @@
 }
 
 impl Processes {
-    /// Starts everything but the callers.
+    /// Starts all processes but the callers.
     pub fn start(plan: &Plan, directory: &Path) -> Result<Processes, RunError> {
         let objects = plan.objects().map_err(io::Error::other)?;
         let object_api = PlatformSettings::ObjectApi {
@@ -61,16 +61,16 @@
         };
         let mut processes = Processes {
             directory: directory.to_owned(),
-            object_api: stand_in(directory, "object-api", "platform", &object_api)?,
-            machine_list: stand_in(directory, "machine-list", "platform", &machine_list)?,
-            hosts: Hosts::start(HostKind::Granted, &plan.hosts, directory)?,
+            object_api: start_stand_in(directory, "object-api", "platform", &object_api)?,
+            machine_list: start_stand_in(directory, "machine-list", "platform", &machine_list)?,
+            hosts: Hosts::start(HostKind::GrantRequired, &plan.hosts, directory)?,
             routers: Vec::new(),
             callers: Vec::new(),
             cpu: CpuMeter::default(),
             ended: Vec::new(),
             events: Mutex::new(Vec::new()),
         };
-        processes.wait_until_served()?;
+        processes.wait_until_stand_ins_ready()?;
         for (number, settings) in plan.routers.iter().enumerate() {
             let name = format!("router-{}", number + 1);
             let child = start_router(directory, &name, settings)?;
@@ -86,31 +86,31 @@
 
     /// Starts the callers of one partner.
     pub fn start_callers(&mut self, name: &str, settings: &CallerSettings) -> io::Result<()> {
-        let child = stand_in(&self.directory, name, "callers", settings)?;
+        let child = start_stand_in(&self.directory, name, "callers", settings)?;
         self.callers.push(child);
         Ok(())
     }
 
-    /// Records something that the rig did.
+    /// Records an action of the rig.
     pub fn record(&self, event: Event) {
         self.events.lock().push(event);
     }
 
-    /// Starts a router that ended again, on a new machine at the same
-    /// addresses. Returns the names of the old machine and the new.
+    /// Restarts an ended router as a new machine with the same addresses.
+    /// Returns the name of the old machine and the new settings.
     pub fn replace_router(&mut self, number: usize) -> io::Result<(MachineName, Settings)> {
         let router = &mut self.routers[number];
-        if !router.child.wait(END_LIMIT) {
+        if !router.child.wait(END_TIMEOUT) {
             return Err(io::Error::other(format!("{} still runs", router.name)));
         }
         router.replaced += 1;
-        let former = router.settings.machine.clone();
+        let previous = router.settings.machine.clone();
         let name = format!("machine-{}-{}", number + 1, router.replaced + 1);
         router.settings.machine = MachineName(name);
         let log = format!("{}-{}", router.name, router.replaced + 1);
         let child = start_router(&self.directory, &log, &router.settings)?;
         self.ended.push(std::mem::replace(&mut router.child, child));
-        Ok((former, router.settings.clone()))
+        Ok((previous, router.settings.clone()))
     }
 
     /// Reads the processor time of the routers.
@@ -119,22 +119,23 @@
         self.cpu.read(routers.map(|router| router.child.id()));
     }
 
-    /// Ends everything and gives back what it recorded.
+    /// Ends all processes and returns their events.
     pub fn finish(self) -> Vec<Event> {
         let mut events = self.events.into_inner();
         let routers = self.routers.into_iter().map(|router| router.child);
         let platform = [self.object_api, self.machine_list];
-        let (hosts, of_hosts) = self.hosts.into_parts();
-        events.extend(of_hosts);
-        // Callers first: what is left of them waits for nobody.
+        let (hosts, host_events) = self.hosts.into_parts();
+        events.extend(host_events);
+        // Callers end first, because nothing waits for their remaining
+        // requests.
         let all = self.callers.into_iter().chain(routers).chain(hosts);
         for child in all.chain(platform).chain(self.ended) {
-            events.extend(child.finish(END_LIMIT));
+            events.extend(child.finish(END_TIMEOUT));
         }
         events
     }
 
-    fn wait_until_served(&mut self) -> Result<(), RunError> {
+    fn wait_until_stand_ins_ready(&mut self) -> Result<(), RunError> {
         let platform = [&mut self.object_api, &mut self.machine_list];
         for child in self.hosts.children().chain(platform) {
             wait_until_ready(child)?;
@@ -143,9 +144,9 @@
     }
 }
 
-/// Waits until a child serves.
+/// Waits until a child reports that it is ready.
 pub(super) fn wait_until_ready(child: &mut ChildProcess) -> Result<(), RunError> {
-    let until = clock::now() + START_LIMIT;
+    let until = clock::now() + START_TIMEOUT;
     while !child.is_ready() {
         if child.has_ended() || clock::now() >= until {
             return Err(RunError::Child {
@@ -153,7 +154,7 @@
                 log: child.log().to_owned(),
             });
         }
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
--- a/crates/lab/src/rig/progress.rs
+++ b/crates/lab/src/rig/progress.rs
@@ -1,4 +1,4 @@
-//! The live progress line.
+//! Prints the progress of a run.
 
 use std::io::{IsTerminal, Write};
 use std::time::Duration;
@@ -9,17 +9,17 @@
 use crate::clock;
 use crate::history::{AttemptOutcome, Event};
 
-/// Interval between two lines on a terminal.
-const INTERVAL: Duration = Duration::from_millis(500);
-/// Interval between two lines elsewhere.
-const INTERVAL_IN_FILES: Duration = Duration::from_secs(5);
+/// Interval between two updates on a terminal.
+const TERMINAL_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between two lines if standard error is not a terminal.
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Counts what the callers recorded and tells it in one line.
+/// Counts the outcomes that callers recorded and prints them in one line.
 pub(super) struct Progress {
     begin: Timestamp,
     total: Duration,
-    shown: Timestamp,
-    seen: Vec<usize>,
+    last_printed: Timestamp,
+    counted_events: Vec<usize>,
     answered: u64,
     not_run: u64,
     unknown: u64,
@@ -27,13 +27,13 @@
 }
 
 impl Progress {
-    /// Progress of a load of `total` that begins at `begin`.
+    /// Creates the progress of a load that starts at `begin` and lasts `total`.
     pub fn new(begin: Timestamp, total: Duration) -> Self {
         Progress {
             begin,
             total,
-            shown: Timestamp::ZERO,
-            seen: Vec::new(),
+            last_printed: Timestamp::ZERO,
+            counted_events: Vec::new(),
             answered: 0,
             not_run: 0,
             unknown: 0,
@@ -41,17 +41,17 @@
         }
     }
 
-    /// Tells the progress if it is time again.
-    pub fn tell(&mut self, callers: &[ChildProcess]) {
+    /// Prints the progress if the interval has passed.
+    pub fn print_if_due(&mut self, callers: &[ChildProcess]) {
         let now = clock::now();
         let interval = match self.terminal {
-            true => INTERVAL,
-            false => INTERVAL_IN_FILES,
+            true => TERMINAL_INTERVAL,
+            false => LOG_INTERVAL,
         };
-        if now.since(self.shown) < interval {
+        if now.since(self.last_printed) < interval {
             return;
         }
-        self.shown = now;
+        self.last_printed = now;
         self.count(callers);
         let end = if self.terminal { '\r' } else { '\n' };
         eprint!(
@@ -62,11 +62,11 @@
             self.not_run,
             self.unknown
         );
-        // A progress line that cannot be shown is no reason to stop.
+        // Failing to print the progress does not stop the run.
         let _ = std::io::stderr().flush();
     }
 
-    /// Ends the line.
+    /// Terminates the progress line.
     pub fn end(&self) {
         if self.terminal {
             eprintln!();
@@ -74,16 +74,16 @@
     }
 
     fn count(&mut self, callers: &[ChildProcess]) {
-        self.seen.resize(callers.len(), 0);
+        self.counted_events.resize(callers.len(), 0);
         for (number, caller) in callers.iter().enumerate() {
-            let from = self.seen[number];
+            let from = self.counted_events[number];
             let outcomes: Vec<AttemptOutcome> =
                 caller.with_events(|events| events[from..].iter().filter_map(outcome).collect());
-            self.seen[number] = caller.event_count().max(from);
+            self.counted_events[number] = caller.event_count().max(from);
             for outcome in outcomes {
                 match outcome {
                     AttemptOutcome::Answered => self.answered += 1,
-                    outcome if outcome.promises_not_run() => self.not_run += 1,
+                    outcome if outcome.guarantees_not_run() => self.not_run += 1,
                     _ => self.unknown += 1,
                 }
             }
--- a/crates/lab/src/rig/run.rs
+++ b/crates/lab/src/rig/run.rs
@@ -1,4 +1,4 @@
-//! One run of one experiment, from its start to its report.
+//! Runs an experiment, from the start of its processes to the report.
 
 use std::fs;
 use std::io::{self, Write};
@@ -7,15 +7,15 @@
 
 use threadledge_types::{ServiceId, Timestamp};
 
-use super::callers::{caller_settings, imitated};
+use super::callers::{caller_settings, imitated_services};
 use super::deployment::{Deployment, DeploymentError};
-use super::faults::Timeline;
-use super::plan::{Plan, service_load};
+use super::fault_schedule::FaultSchedule;
+use super::plan::{Plan, service_settings};
+use super::poller::RouterPoller;
 use super::processes::Processes;
 use super::progress::Progress;
-use super::sides::Sides;
-use super::summary::{RunFacts, summarise};
-use super::watch::Watch;
+use super::summary::{RunData, summarise};
+use super::systems::Systems;
 use crate::baseline::BaselineKind;
 use crate::clock;
 use crate::experiment::Experiment;
@@ -23,57 +23,58 @@
 use crate::load::TrafficSettings;
 use crate::report::Report;
 
-/// Longest time until every router serves.
-const READY_LIMIT: Duration = Duration::from_secs(30);
+/// Maximum time until every router is ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time between the start of the callers and their first request.
-const CALLER_START: Duration = Duration::from_millis(700);
-/// Longest time that callers may need after the last request, on top of
-/// their patience.
+const CALLER_START_DELAY: Duration = Duration::from_millis(700);
+/// Maximum time for callers to end after the last request, in addition to
+/// their timeout.
 const CALLER_END_MARGIN: Duration = Duration::from_secs(5);
-/// Name of the file with all events, kept together with the logs.
+/// Name of the file with all events, written beside the logs.
 const HISTORY_FILE: &str = "history.jsonl";
 /// Interval between two readings of the routers' processor time.
 const CPU_INTERVAL: Duration = Duration::from_millis(100);
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Choices of one run.
+/// Options of one run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunOptions {
     /// Seed of arrivals, keys and service times.
     pub seed: u64,
-    /// Keep the logs of all processes even when the run passes.
+    /// Whether to keep the logs of all processes even if the run passes.
     pub keep_logs: bool,
-    /// Baselines that run beside the product.
+    /// Baselines to run in parallel with the product.
     pub baselines: Vec<BaselineKind>,
 }
 
-/// A run did not come to its report.
+/// A run failed before it produced a report.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// The deployment cannot be used.
     #[error(transparent)]
     Deployment(#[from] DeploymentError),
-    /// Something of the machine failed.
+    /// An I/O operation or a process start failed.
     #[error("the run could not be carried out ({0}); check free memory, processes and ports")]
     Machine(#[from] io::Error),
-    /// A child ended or never served.
-    #[error("{name} did not begin to serve; its log is {log}")]
+    /// A child ended early or did not become ready.
+    #[error("{name} did not become ready; its log is {log}")]
     Child {
-        /// The child.
+        /// Name of the child.
         name: String,
-        /// Its log.
+        /// Path of its log.
         log: PathBuf,
     },
-    /// The experiment names something that the deployment lacks.
+    /// The experiment refers to an object that the deployment or the load
+    /// files lack.
     #[error("{what} is not in the deployment; correct the experiment or the load file")]
     Unknown {
-        /// What is missing.
+        /// The missing object.
         what: String,
     },
-    /// The routers never served.
+    /// Not all routers became ready in time.
     #[error(
-        "not every router served within {} s; their logs are in {logs}",
-        READY_LIMIT.as_secs()
+        "not every router became ready within {} s; their logs are in {logs}",
+        READY_TIMEOUT.as_secs()
     )]
     NotReady {
         /// Directory of the logs.
@@ -81,52 +82,58 @@
     },
 }
 
-/// Runs an experiment.
+/// Runs an experiment and returns its report.
 ///
 /// # Errors
 ///
-/// The run could not be carried out; a run that breaches a guarantee or a
-/// bound is no error but says so in its report.
+/// Fails if the run cannot be carried out. A violated guarantee or an exceeded
+/// bound is not an error but part of the report.
 pub fn run(experiment: &Experiment, options: &RunOptions) -> Result<Report, RunError> {
     let deployment = Deployment::read(&experiment.deployments)?;
     check_names(experiment, &deployment)?;
     let plan = Plan::new(experiment, deployment, options.seed)?;
     let directory = log_directory(&experiment.name)?;
-    let mut sides = Sides::start(experiment, &plan, &options.baselines, &directory)?;
+    let mut systems = Systems::start(experiment, &plan, &options.baselines, &directory)?;
     let traffic: Vec<TrafficSettings> = experiment
         .loads
         .iter()
         .flat_map(|load| load.traffic.clone())
         .collect();
     let started = clock::now();
-    let watch = Watch::start(&sides.product.routers, &traffic);
+    let poller = RouterPoller::start(&systems.product.routers, &traffic);
     let services: Vec<ServiceId> = plan.deployment.services.keys().cloned().collect();
-    wait_until_ready(&mut sides.product, &watch, &services, started, &directory)?;
+    wait_until_ready(
+        &mut systems.product,
+        &poller,
+        &services,
+        started,
+        &directory,
+    )?;
     let ready_ms = clock::now().since(started).as_millis() as u64;
-    eprintln!("every router serves after {ready_ms} ms");
+    eprintln!("all routers are ready after {ready_ms} ms");
 
-    let begin = clock::now() + CALLER_START;
+    let begin = clock::now() + CALLER_START_DELAY;
     let settings = caller_settings(experiment, &plan, options.seed, begin);
-    sides.start_callers(&settings)?;
-    let mut events = under_load(experiment, &plan, &mut sides, &watch, begin);
-    events.extend(watch.finish());
-    let (product, baselines) = sides.finish();
+    systems.start_callers(&settings)?;
+    let mut events = run_load(experiment, &plan, &mut systems, &poller, begin);
+    events.extend(poller.finish());
+    let (product, baselines) = systems.finish();
     events.extend(product.events);
     if options.keep_logs {
         write_history(&directory, &events)?;
     }
-    let facts = RunFacts {
+    let run_data = RunData {
         deployments: plan.deployment.names.clone(),
         seed: options.seed,
         begin,
         ready_ms,
         members: plan.deployment.member_counts(),
-        imitated: imitated(&plan),
+        imitated: imitated_services(&plan),
         cpu_seconds: product.cpu_seconds,
     };
-    let report = summarise(experiment, facts, events, baselines);
+    let report = summarise(experiment, run_data, events, baselines);
     if report.passed() && !options.keep_logs {
-        // Logs of a run that passed are of no more use.
+        // The logs of a passed run are not needed.
         let _ = fs::remove_dir_all(&directory);
     } else {
         eprintln!("logs are in {}", directory.display());
@@ -134,15 +141,15 @@
     Ok(report)
 }
 
-/// Carries out the faults until the callers are done.
-fn under_load(
+/// Applies the faults until the callers have ended.
+fn run_load(
     experiment: &Experiment,
     plan: &Plan,
-    sides: &mut Sides,
-    watch: &Watch,
+    systems: &mut Systems,
+    poller: &RouterPoller,
     begin: Timestamp,
 ) -> Vec<Event> {
-    let mut timeline = Timeline::new(&experiment.faults, begin, plan);
+    let mut schedule = FaultSchedule::new(&experiment.faults, begin, plan);
     let mut cpu_read = Timestamp::ZERO;
     let mut progress = Progress::new(begin, experiment.duration);
     let loads = experiment.loads.iter();
@@ -155,27 +162,27 @@
     while clock::now() < limit {
         if clock::now().since(cpu_read) >= CPU_INTERVAL {
             cpu_read = clock::now();
-            sides.observe();
+            systems.observe();
         }
-        timeline.advance(sides, watch);
-        progress.tell(&sides.product.callers);
-        if sides.are_done() {
+        schedule.advance(systems, poller);
+        progress.print_if_due(&systems.product.callers);
+        if systems.callers_ended() {
             break;
         }
-        std::thread::sleep(TICK);
+        std::thread::sleep(TICK_INTERVAL);
     }
     progress.end();
-    timeline.finish()
+    schedule.finish()
 }
 
 fn wait_until_ready(
     processes: &mut Processes,
-    watch: &Watch,
+    poller: &RouterPoller,
     services: &[ServiceId],
     started: Timestamp,
     logs: &std::path::Path,
 ) -> Result<(), RunError> {
-    while !watch.all_serve(services) {
+    while !poller.all_serve(services) {
         for router in &mut processes.routers {
             if router.child.has_ended() {
                 return Err(RunError::Child {
@@ -184,12 +191,12 @@
                 });
             }
         }
-        if clock::now().since(started) > READY_LIMIT {
+        if clock::now().since(started) > READY_TIMEOUT {
             return Err(RunError::NotReady {
                 logs: logs.to_owned(),
             });
         }
-        std::thread::sleep(TICK);
+        std::thread::sleep(TICK_INTERVAL);
     }
     Ok(())
 }
@@ -197,7 +204,7 @@
 fn check_names(experiment: &Experiment, deployment: &Deployment) -> Result<(), RunError> {
     let unknown = |what: String| RunError::Unknown { what };
     for fault in &experiment.faults {
-        let named = fault.action.named_back_end();
+        let named = fault.action.affected_back_end();
         if let Some(back_end) = named.filter(|id| !deployment.back_ends.contains_key(id)) {
             return Err(unknown(format!("back end {back_end}")));
         }
@@ -208,7 +215,7 @@
         }
     }
     for service in deployment.services.keys() {
-        if service_load(experiment, service).is_none() {
+        if service_settings(experiment, service).is_none() {
             return Err(unknown(format!(
                 "a [[service]] of a load file for {service}"
             )));
@@ -217,7 +224,7 @@
     Ok(())
 }
 
-/// One event a line, for those who want to look a breach up.
+/// Writes all events as JSON lines, for the analysis of violations.
 fn write_history(directory: &std::path::Path, events: &[Event]) -> io::Result<()> {
     let file = fs::File::create(directory.join(HISTORY_FILE))?;
     let mut writer = io::BufWriter::new(file);
--- a/crates/lab/src/rig/summary.rs
+++ b/crates/lab/src/rig/summary.rs
@@ -1,22 +1,22 @@
-//! From the events of a run to its report.
+//! Builds the report of a run from its events.
 
 use std::collections::BTreeMap;
 
 use threadledge_types::{ServiceId, Timestamp};
 
-use super::sides::Remains;
-use crate::baseline::{BaselineKind, BaselineReport, MeasuredSide, MeasuredSpan};
+use super::systems::SystemData;
+use crate::baseline::{BaselineKind, BaselineReport, MeasuredSpan, SystemMeasures};
 use crate::checks::check_all;
 use crate::experiment::Experiment;
 use crate::history::{Event, History};
 use crate::measures;
 use crate::report::{FaultMark, REPORT_VERSION, Report};
 
-/// Violations that are written out; all are counted.
-const WRITTEN_VIOLATIONS: usize = 50;
+/// Maximum number of violations in the report; all of them are counted.
+const MAX_VIOLATION_DETAILS: usize = 50;
 
-/// What the report needs besides the events.
-pub(super) struct RunFacts {
+/// Data of a run that the report needs besides the events.
+pub(super) struct RunData {
     pub deployments: Vec<String>,
     pub seed: u64,
     pub begin: Timestamp,
@@ -27,36 +27,36 @@
     pub cpu_seconds: f64,
 }
 
-/// Checks and measures a run.
+/// Runs the checks and measures and returns the report.
 pub(super) fn summarise(
     experiment: &Experiment,
-    facts: RunFacts,
+    run_data: RunData,
     events: Vec<Event>,
-    baselines: BTreeMap<BaselineKind, Remains>,
+    baselines: BTreeMap<BaselineKind, SystemData>,
 ) -> Report {
     let history = History::assemble(events);
-    let end = facts.begin + experiment.duration;
+    let end = run_data.begin + experiment.duration;
     let violations = check_all(&history);
     let span = MeasuredSpan {
-        begin: facts.begin,
+        begin: run_data.begin,
         end,
         surges: &experiment.surges,
     };
-    let baselines = measure_baselines(&history, span, &facts, baselines);
-    let imbalance = measures::imbalance(&history, &facts.members);
-    let churn = measures::churn(&history, facts.begin);
-    let unavailable = measures::unavailable(&history, facts.begin, end);
+    let baselines = measure_baselines(&history, span, &run_data, baselines);
+    let imbalance = measures::imbalance(&history, &run_data.members);
+    let churn = measures::churn(&history, run_data.begin);
+    let unavailable = measures::unavailable(&history, run_data.begin, end);
     let mut report = Report {
         version: REPORT_VERSION,
         experiment: experiment.name.clone(),
-        deployments: facts.deployments,
-        seed: facts.seed,
+        deployments: run_data.deployments,
+        seed: run_data.seed,
         duration_ms: u64::try_from(experiment.duration.as_millis()).unwrap_or(u64::MAX),
         violations: violations.len(),
-        violation_details: violations.into_iter().take(WRITTEN_VIOLATIONS).collect(),
+        violation_details: violations.into_iter().take(MAX_VIOLATION_DETAILS).collect(),
         breached_bounds: Vec::new(),
         outcomes: measures::outcomes(&history),
-        latency_ms: measures::latencies(&history, &facts.imitated),
+        latency_ms: measures::latencies(&history, &run_data.imitated),
         imbalance: imbalance.values().map(|one| one.load).fold(1.0, f64::max),
         imbalance_by_service: imbalance,
         churn: churn.key_share,
@@ -64,14 +64,14 @@
         unavailable_ms: unavailable.longest_ms(),
         unavailable_details: unavailable,
         configuration_in_force_ms: measures::configuration_in_force_ms(&history),
-        faults: faults(&history, facts.begin),
-        timeline: measures::timeline(&history, facts.begin),
+        faults: faults(&history, run_data.begin),
+        timeline: measures::timeline(&history, run_data.begin),
         back_end_requests: measures::back_end_requests(&history),
-        ownership: measures::ownership(&history, facts.begin, end),
-        ready_ms: facts.ready_ms,
+        ownership: measures::ownership(&history, run_data.begin, end),
+        ready_ms: run_data.ready_ms,
         goodput: measures::goodput(
             &history,
-            facts.begin,
+            run_data.begin,
             experiment.duration,
             &experiment.surges,
         ),
@@ -84,21 +84,21 @@
 fn measure_baselines(
     product: &History,
     span: MeasuredSpan<'_>,
-    facts: &RunFacts,
-    baselines: BTreeMap<BaselineKind, Remains>,
+    run_data: &RunData,
+    baselines: BTreeMap<BaselineKind, SystemData>,
 ) -> Option<BaselineReport> {
     if baselines.is_empty() {
         return None;
     }
     let measure = |history: &History, cpu_seconds| {
-        MeasuredSide::new(history, span, &facts.members, Some(cpu_seconds))
+        SystemMeasures::new(history, span, &run_data.members, Some(cpu_seconds))
     };
-    let measured = baselines.into_iter().map(|(kind, remains)| {
-        let history = History::assemble(remains.events);
-        (kind, measure(&history, remains.cpu_seconds))
+    let measured = baselines.into_iter().map(|(kind, data)| {
+        let history = History::assemble(data.events);
+        (kind, measure(&history, data.cpu_seconds))
     });
     let measured = measured.collect();
-    let product = measure(product, facts.cpu_seconds);
+    let product = measure(product, run_data.cpu_seconds);
     Some(BaselineReport::new(product, measured))
 }
 
--- a/crates/lab/src/rig/sides.rs
+++ b/crates/lab/src/rig/systems.rs
@@ -1,4 +1,4 @@
-//! The sides of a run: the product, and the baselines beside it.
+//! The systems under test in a run: the product and the baselines.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use threadledge_types::BackEndId;
 
 use super::baseline_processes::BaselineProcesses;
-use super::operator;
+use super::control;
 use super::plan::Plan;
 use super::processes::Processes;
 use super::run::RunError;
@@ -16,43 +16,43 @@
 use crate::experiment::Experiment;
 use crate::history::Event;
 use crate::load::CallerSettings;
-use crate::stand_in::back_end::Sickness;
+use crate::stand_in::back_end::Degradation;
 
-/// All processes of a run.
-pub(super) struct Sides {
-    /// The product's.
+/// The processes of all systems under test.
+pub(super) struct Systems {
+    /// Processes of the product.
     pub product: Processes,
-    /// Those of each baseline.
+    /// Processes of each baseline.
     pub baselines: Vec<BaselineProcesses>,
 }
 
-/// What one side left behind.
-pub(super) struct Remains {
-    /// Everything recorded.
+/// Recorded data of one system after its run.
+pub(super) struct SystemData {
+    /// Recorded events.
     pub events: Vec<Event>,
     /// Processor time of the routers under load, in seconds.
     pub cpu_seconds: f64,
 }
 
-impl Sides {
-    /// Starts everything but the callers.
+impl Systems {
+    /// Starts all processes but the callers.
     pub fn start(
         experiment: &Experiment,
         plan: &Plan,
         baselines: &[BaselineKind],
         directory: &Path,
-    ) -> Result<Sides, RunError> {
+    ) -> Result<Systems, RunError> {
         let product = Processes::start(plan, directory)?;
         let baselines = baselines.iter();
         let baselines =
             baselines.map(|kind| BaselineProcesses::start(*kind, experiment, plan, directory));
-        Ok(Sides {
+        Ok(Systems {
             baselines: baselines.collect::<Result<_, _>>()?,
             product,
         })
     }
 
-    /// Starts callers on all sides.
+    /// Starts the callers of all systems.
     pub fn start_callers(&mut self, settings: &[CallerSettings]) -> std::io::Result<()> {
         for (number, settings) in settings.iter().enumerate() {
             let name = format!("callers-{}", number + 1);
@@ -64,14 +64,18 @@
         Ok(())
     }
 
-    /// Whether the callers of all sides are done.
-    pub fn are_done(&mut self) -> bool {
+    /// Returns whether the callers of all systems have ended.
+    pub fn callers_ended(&mut self) -> bool {
         let mut callers = self.product.callers.iter_mut();
         callers.all(|caller| caller.has_ended())
-            && self.baselines.iter_mut().all(BaselineProcesses::is_done)
+            && self
+                .baselines
+                .iter_mut()
+                .all(BaselineProcesses::callers_ended)
     }
 
-    /// Reads the processor time of all routers.
+    /// Reads the processor time of all routers, and records the baseline
+    /// routers that ended.
     pub fn observe(&mut self) {
         self.product.read_cpu();
         for baseline in &mut self.baselines {
@@ -79,7 +83,7 @@
         }
     }
 
-    /// Where callers come, by the name of the side.
+    /// Returns the addresses that callers send requests to, by system name.
     pub fn caller_addresses(&self) -> Vec<(&'static str, Vec<SocketAddr>)> {
         let routers = self.product.routers.iter();
         let product = routers.map(|router| router.settings.caller_address);
@@ -89,29 +93,34 @@
         all
     }
 
-    /// Makes a back end sick or well on all sides.
-    pub fn set_sickness(&self, back_end: &BackEndId, sickness: Sickness) -> http_types::Result<()> {
+    /// Sets or clears the degradation of a back end in all systems.
+    pub fn set_degradation(
+        &self,
+        back_end: &BackEndId,
+        degradation: Degradation,
+    ) -> http_types::Result<()> {
         if let Some(one) = self.product.hosts.back_end(back_end) {
-            task::block_on(operator::sicken(one.control_address, sickness))?;
+            task::block_on(control::degrade(one.control_address, degradation))?;
         }
         self.baselines
             .iter()
-            .try_for_each(|baseline| baseline.set_sickness(back_end, sickness))
+            .try_for_each(|baseline| baseline.set_degradation(back_end, degradation))
     }
 
-    /// Ends everything.
-    pub fn finish(self) -> (Remains, BTreeMap<BaselineKind, Remains>) {
-        let product = Remains {
+    /// Ends all processes and returns the data of the product and of each
+    /// baseline.
+    pub fn finish(self) -> (SystemData, BTreeMap<BaselineKind, SystemData>) {
+        let product = SystemData {
             cpu_seconds: self.product.cpu.seconds(),
             events: self.product.finish(),
         };
         let baselines = self.baselines.into_iter().map(BaselineProcesses::finish);
         let baselines = baselines.map(|(kind, events, cpu_seconds)| {
-            let remains = Remains {
+            let data = SystemData {
                 events,
                 cpu_seconds,
             };
-            (kind, remains)
+            (kind, data)
         });
         (product, baselines.collect())
     }
--- a/crates/lab/src/rig/targets.rs
+++ b/crates/lab/src/rig/targets.rs
@@ -1,4 +1,4 @@
-//! What a fault is aimed at on the product's side.
+//! Finds the processes of the product that a fault applies to.
 
 use std::net::SocketAddr;
 
@@ -6,12 +6,15 @@
 use threadledge_membership::{Machine, MachineState};
 use threadledge_types::{BackEndId, ZoneName};
 
+use super::poller::RouterPoller;
 use super::processes::Processes;
-use super::watch::Watch;
 use crate::experiment::{FaultAction, RouterTarget};
 
-pub(super) fn host_of(processes: &Processes, back_end: &BackEndId) -> http_types::Result<usize> {
-    let number = processes.hosts.number_of(back_end);
+pub(super) fn process_number_of(
+    processes: &Processes,
+    back_end: &BackEndId,
+) -> http_types::Result<usize> {
+    let number = processes.hosts.process_number(back_end);
     number.ok_or_else(|| http_types::format_err!("no back end {back_end}"))
 }
 
@@ -35,11 +38,12 @@
     }
 }
 
-/// Number of the router that an action is about, if it is about one.
-pub(super) fn chosen_router(
+/// Returns the number of the router that an action applies to, or `None` if it
+/// applies to no router.
+pub(super) fn select_router(
     action: &FaultAction,
     processes: &mut Processes,
-    watch: &Watch,
+    poller: &RouterPoller,
 ) -> http_types::Result<Option<usize>> {
     let target = match action {
         FaultAction::KillRouter { router }
@@ -55,7 +59,7 @@
         }
         _ => return Ok(None),
     };
-    let leader = watch.leader();
+    let leader = poller.leader();
     let mut candidates = processes
         .routers
         .iter_mut()
@@ -71,7 +75,7 @@
     let chosen = candidates.next();
     match chosen {
         Some(number) => Ok(Some(number)),
-        None => Err(http_types::format_err!("no {target} among the routers")),
+        None => Err(http_types::format_err!("no running router is the {target}")),
     }
 }
 
@@ -82,7 +86,7 @@
         .ok_or_else(|| http_types::format_err!("no zone {zone}"))?;
     let name: ZoneName = router.settings.zone.clone();
     router.child.kill();
-    for number in processes.hosts.of_zone(&name) {
+    for number in processes.hosts.numbers_in_zone(&name) {
         processes.hosts.kill(number);
     }
     Ok(())
--- a/crates/lab/src/stand_in/back_end/control.rs
+++ b/crates/lab/src/stand_in/back_end/control.rs
@@ -1,4 +1,5 @@
-//! The control address: leases, health, load and the rig's drain notice.
+//! Serves the control address: leases, health, load, and the drain and
+//! degradation commands of the rig.
 
 use std::sync::Arc;
 
@@ -7,9 +8,9 @@
 use threadledge_types::session::{HEALTH_PATH, LEASE_PATH, LOAD_PATH, LeaseRequest};
 
 use super::state::{Admission, BackEnd};
-use super::{DRAIN_PATH, SICKNESS_PATH};
+use super::{DEGRADE_PATH, DRAIN_PATH};
 
-/// Answers one control request.
+/// Handles one control request.
 pub(super) async fn control(
     back_end: &Arc<BackEnd>,
     mut request: Request,
@@ -19,7 +20,7 @@
         (Method::Post, LEASE_PATH) => {
             let lease: LeaseRequest = request.body_json().await?;
             let response = back_end.lease(lease);
-            make_ready(back_end);
+            prepare_slices(back_end);
             json(&response)
         }
         (Method::Get, HEALTH_PATH) => {
@@ -34,17 +35,18 @@
             back_end.drain();
             Ok(Response::new(StatusCode::NoContent))
         }
-        (Method::Post, SICKNESS_PATH) => {
-            back_end.set_sickness(request.body_json().await?);
+        (Method::Post, DEGRADE_PATH) => {
+            back_end.set_degradation(request.body_json().await?);
             Ok(Response::new(StatusCode::NoContent))
         }
         _ => Ok(Response::new(StatusCode::NotFound)),
     }
 }
 
-/// Makes ready for the slices that the leader asked for.
-fn make_ready(back_end: &Arc<BackEnd>) {
-    let grants = back_end.preparing();
+/// Marks the slices that the leader asked to prepare as ready after the
+/// configured preparation time.
+fn prepare_slices(back_end: &Arc<BackEnd>) {
+    let grants = back_end.grants_to_prepare();
     if grants.is_empty() {
         return;
     }
@@ -57,11 +59,12 @@
     });
 }
 
-/// A leaving back end reports itself healthy: the endpoint knows nothing of
-/// leases or drains, as health endpoints are wont. Baselines have no other
-/// way to learn of a drain, so for them it tells.
+/// Answers a health probe. A draining back end reports itself healthy: like
+/// most health endpoints, this one does not know about leases or drains.
+/// Baselines have no other way to learn of a drain, so for them a draining back
+/// end responds with 503.
 fn health(back_end: &BackEnd) -> Response {
-    if back_end.admission() == Admission::Anything && back_end.draining() {
+    if back_end.admission() == Admission::Unchecked && back_end.draining() {
         return Response::new(StatusCode::ServiceUnavailable);
     }
     let mut response = Response::new(StatusCode::Ok);
--- a/crates/lab/src/stand_in/back_end/exchange.rs
+++ b/crates/lab/src/stand_in/back_end/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its answer.
+//! Handles one request, from its headers to its response.
 
 use std::future::Future;
 use std::time::Duration;
@@ -12,21 +12,21 @@
 };
 use threadledge_types::{Epoch, Point, ServiceId, Timestamp};
 
-use super::hang_up::hang_up;
-use super::slots::SlotRefusal;
-use super::state::{BackEnd, Begun, Work};
+use super::disconnect::until_disconnect;
+use super::slots::SlotError;
+use super::state::{BackEnd, StartedWork, Work};
 use crate::clock;
 use crate::history::RequestId;
 
-/// Header in which callers of the lab name their requests, end to end.
+/// Header that carries the caller's request id end to end.
 pub const LAB_REQUEST_HEADER: &str = "lab-request";
-/// Header with the checksum of an answer's body.
+/// Header that carries the checksum of a response body.
 pub const ANSWER_CHECKSUM_HEADER: &str = "lab-checksum";
 
-/// Length that every answer's body is padded to.
+/// Length that every response body is padded to, in bytes.
 const ANSWER_BYTES: usize = 512;
 
-/// The body that answers `request`.
+/// Returns the response body for `request`.
 pub fn answer_body(request: RequestId) -> String {
     let mut body = format!("request {request}\n");
     while body.len() < ANSWER_BYTES {
@@ -35,12 +35,12 @@
     body
 }
 
-/// Checksum of a body, as the header carries it.
+/// Returns the checksum of a body in the format of the header.
 pub fn answer_checksum(body: &[u8]) -> String {
     format!("{:016x}", xxhash_rust::xxh3::xxh3_64(body))
 }
 
-struct Ask {
+struct RequestInfo {
     request: RequestId,
     service: ServiceId,
     point: Point,
@@ -48,104 +48,105 @@
     deadline: Option<Timestamp>,
 }
 
-/// How a request ended.
-enum End {
+/// Outcome of a request.
+enum Outcome {
     Done,
     Refused(Refusal),
-    HungUp,
+    Disconnected,
     Dropped,
 }
 
-/// Serves one request that came on `stream`.
+/// Handles one request received on `stream`.
 pub(super) async fn exchange(
     back_end: &BackEnd,
     stream: &TcpStream,
     mut request: Request,
 ) -> http_types::Result<Response> {
     let arrived = clock::now();
-    // Read whole first: from then on, bytes or an end on the connection tell
-    // about the caller and not about the body.
+    // The body is read completely first. After that, data or end of stream on
+    // the connection concerns the caller and not the body.
     request.body_bytes().await?;
-    let Some(ask) = read_headers(&request, arrived) else {
+    let Some(info) = read_headers(&request, arrived) else {
         return Ok(refusal_response(Refusal::Malformed));
     };
-    match carry_out(back_end, stream, &ask).await {
-        End::Done => Ok(answer(ask.request)),
-        End::Refused(refusal) => Ok(refusal_response(refusal)),
+    match execute(back_end, stream, &info).await {
+        Outcome::Done => Ok(answer(info.request)),
+        Outcome::Refused(refusal) => Ok(refusal_response(refusal)),
         // An error closes the connection.
-        End::HungUp => Err(http_types::Error::from_str(
+        Outcome::Disconnected => Err(http_types::Error::from_str(
             StatusCode::RequestTimeout,
             "the caller hung up",
         )),
-        End::Dropped => Err(http_types::Error::from_str(
+        Outcome::Dropped => Err(http_types::Error::from_str(
             StatusCode::InternalServerError,
-            "dropped by sickness",
+            "dropped by a degraded back end",
         )),
     }
 }
 
-async fn carry_out(back_end: &BackEnd, stream: &TcpStream, ask: &Ask) -> End {
-    let work = match back_end.admit(ask.request, &ask.service, ask.point, ask.epoch) {
+async fn execute(back_end: &BackEnd, stream: &TcpStream, info: &RequestInfo) -> Outcome {
+    let work = match back_end.admit(info.request, &info.service, info.point, info.epoch) {
         Ok(work) => work,
-        Err(refusal) => return End::Refused(refusal),
+        Err(refusal) => return Outcome::Refused(refusal),
     };
-    let _slot = match bounded(stream, ask.deadline, back_end.slots.acquire()).await {
+    let _slot = match bounded(stream, info.deadline, back_end.slots.acquire()).await {
         Bounded::Finished(Ok(slot)) => slot,
-        Bounded::Finished(Err(SlotRefusal::QueueFull)) => {
-            back_end.give_up(work);
-            return End::Refused(Refusal::Overloaded);
+        Bounded::Finished(Err(SlotError::QueueFull)) => {
+            back_end.cancel(work);
+            return Outcome::Refused(Refusal::Overloaded);
         }
         Bounded::DeadlinePassed => {
-            back_end.give_up(work);
-            return End::Refused(Refusal::DeadlinePassed);
+            back_end.cancel(work);
+            return Outcome::Refused(Refusal::DeadlinePassed);
         }
-        Bounded::HungUp => {
-            back_end.give_up(work);
-            return End::HungUp;
+        Bounded::Disconnected => {
+            back_end.cancel(work);
+            return Outcome::Disconnected;
         }
     };
-    run(back_end, stream, ask, work).await
+    run(back_end, stream, info, work).await
 }
 
-async fn run(back_end: &BackEnd, stream: &TcpStream, ask: &Ask, work: Work) -> End {
-    let Begun {
+async fn run(back_end: &BackEnd, stream: &TcpStream, info: &RequestInfo, work: Work) -> Outcome {
+    let StartedWork {
         work,
-        takes,
-        is_dropped,
+        service_time,
+        will_be_dropped,
     } = match back_end.begin(work) {
-        Ok(begun) => begun,
-        Err(refusal) => return End::Refused(refusal),
+        Ok(started) => started,
+        Err(refusal) => return Outcome::Refused(refusal),
     };
-    match bounded(stream, ask.deadline, task::sleep(takes)).await {
+    match bounded(stream, info.deadline, task::sleep(service_time)).await {
         Bounded::Finished(()) => {}
         Bounded::DeadlinePassed => {
             back_end.abandon(work);
-            return End::Refused(Refusal::DeadlinePassed);
+            return Outcome::Refused(Refusal::DeadlinePassed);
         }
-        Bounded::HungUp => {
+        Bounded::Disconnected => {
             back_end.abandon(work);
-            return End::HungUp;
+            return Outcome::Disconnected;
         }
     }
-    if is_dropped {
+    if will_be_dropped {
         back_end.abandon(work);
-        return End::Dropped;
+        return Outcome::Dropped;
     }
-    // A process that was paused comes back here with its timers long due, so
-    // ownership is asked for once more at the moment of the effect.
-    match back_end.take_effect(work) {
-        Ok(()) => End::Done,
-        Err(refusal) => End::Refused(refusal),
+    // A paused process resumes here long after its timers were due, so
+    // ownership is checked once more when the work takes effect.
+    match back_end.commit(work) {
+        Ok(()) => Outcome::Done,
+        Err(refusal) => Outcome::Refused(refusal),
     }
 }
 
 enum Bounded<T> {
     Finished(T),
     DeadlinePassed,
-    HungUp,
+    Disconnected,
 }
 
-/// Runs `step` until it ends, the deadline passes or the caller hangs up.
+/// Runs `step` until it completes, the deadline passes or the caller
+/// disconnects.
 async fn bounded<T>(
     stream: &TcpStream,
     deadline: Option<Timestamp>,
@@ -161,17 +162,17 @@
     futures::select_biased! {
         value = std::pin::pin!(step.fuse()) => Bounded::Finished(value),
         () = std::pin::pin!(expiry.fuse()) => Bounded::DeadlinePassed,
-        () = std::pin::pin!(hang_up(stream).fuse()) => Bounded::HungUp,
+        () = std::pin::pin!(until_disconnect(stream).fuse()) => Bounded::Disconnected,
     }
 }
 
-fn read_headers(request: &Request, arrived: Timestamp) -> Option<Ask> {
+fn read_headers(request: &Request, arrived: Timestamp) -> Option<RequestInfo> {
     let text = |name: &str| request.header(name).map(|values| values.as_str());
     let deadline = match text(DEADLINE_HEADER) {
         Some(millis) => Some(arrived + Duration::from_millis(millis.parse().ok()?)),
         None => None,
     };
-    Some(Ask {
+    Some(RequestInfo {
         request: RequestId(text(LAB_REQUEST_HEADER)?.parse().ok()?),
         service: ServiceId::try_from(text(SERVICE_HEADER)?.to_owned()).ok()?,
         point: Point::try_from(text(POINT_HEADER)?.to_owned()).ok()?,
--- a/crates/lab/src/stand_in/back_end/load_meter.rs
+++ b/crates/lab/src/stand_in/back_end/load_meter.rs
@@ -1,4 +1,4 @@
-//! Counts requests by point, for the load report.
+//! Counts requests by point for the load report.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -6,14 +6,15 @@
 use threadledge_types::session::{Grant, HotPoint, SliceRate};
 use threadledge_types::{Point, ServiceId, Timestamp};
 
-/// Seconds over which rates are averaged.
+/// Window over which rates are averaged, in seconds.
 const WINDOW_SECONDS: u64 = 4;
-/// Share of a slice's requests from which its busiest key stands out.
+/// Minimum share of a slice's requests for its busiest point to be reported as
+/// hot.
 const HOT_SHARE: f64 = 0.2;
 
 type Counts = BTreeMap<(ServiceId, Point), u32>;
 
-/// Request counts of the last seconds.
+/// Request counts of the last few seconds, by service and point.
 #[derive(Debug, Default)]
 pub struct LoadMeter {
     seconds: VecDeque<(u64, Counts)>,
@@ -23,7 +24,7 @@
     /// Counts one request.
     pub fn count(&mut self, now: Timestamp, service: &ServiceId, point: Point) {
         let second = now.as_millis() / 1_000;
-        self.forget(second);
+        self.drop_expired(second);
         if self.seconds.back().is_none_or(|(last, _)| *last != second) {
             self.seconds.push_back((second, Counts::new()));
         }
@@ -32,9 +33,9 @@
         }
     }
 
-    /// Rates of the held slices that had any request.
+    /// Returns the request rates of the held slices that had any requests.
     pub fn rates(&mut self, now: Timestamp, held: &[Grant]) -> Vec<SliceRate> {
-        self.forget(now.as_millis() / 1_000);
+        self.drop_expired(now.as_millis() / 1_000);
         let mut totals = Counts::new();
         for (_, counts) in &self.seconds {
             for (key, count) in counts {
@@ -42,11 +43,11 @@
             }
         }
         held.iter()
-            .filter_map(|grant| rate_of(grant, &totals))
+            .filter_map(|grant| slice_rate(grant, &totals))
             .collect()
     }
 
-    fn forget(&mut self, second: u64) {
+    fn drop_expired(&mut self, second: u64) {
         while let Some((oldest, _)) = self.seconds.front() {
             if oldest + WINDOW_SECONDS > second {
                 break;
@@ -56,7 +57,7 @@
     }
 }
 
-fn rate_of(grant: &Grant, totals: &Counts) -> Option<SliceRate> {
+fn slice_rate(grant: &Grant, totals: &Counts) -> Option<SliceRate> {
     let first = (grant.service.clone(), grant.slice.first);
     let last = (grant.service.clone(), grant.slice.last);
     let window = Duration::from_secs(WINDOW_SECONDS).as_secs_f64();
--- a/crates/lab/src/stand_in/back_end/process.rs
+++ b/crates/lab/src/stand_in/back_end/process.rs
@@ -1,4 +1,4 @@
-//! The process that hosts back ends.
+//! The process that hosts back ends and accepts their connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 ///
-/// An address that cannot be bound.
+/// Fails if an address cannot be bound.
 pub async fn run_process(
     settings: Vec<BackEndSettings>,
     incarnation: Incarnation,
@@ -29,7 +29,7 @@
 ) -> io::Result<()> {
     let mut tasks = Vec::with_capacity(settings.len());
     for one in settings {
-        let back_end = BackEnd::new(one, incarnation, recorder.clone()).admitting(admission);
+        let back_end = BackEnd::new(one, incarnation, recorder.clone()).with_admission(admission);
         tasks.push(serve(Arc::new(back_end)).await?.requests);
     }
     recorder.ready();
@@ -37,13 +37,13 @@
     Ok(())
 }
 
-/// A back end that serves.
-pub struct Serving {
-    /// Where requests come.
+/// A running back end.
+pub struct RunningBackEnd {
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Where leases, health and load are exchanged.
+    /// Address for leases, health and load.
     pub control_address: SocketAddr,
-    /// Ends when the request address can no longer be listened on.
+    /// Task that accepts requests; it ends when accepting fails.
     pub requests: task::JoinHandle<io::Result<()>>,
 }
 
@@ -51,14 +51,14 @@
 ///
 /// # Errors
 ///
-/// An address that cannot be bound.
-pub async fn serve(back_end: Arc<BackEnd>) -> io::Result<Serving> {
+/// Fails if an address cannot be bound.
+pub async fn serve(back_end: Arc<BackEnd>) -> io::Result<RunningBackEnd> {
     let requests = TcpListener::bind(back_end.settings.address).await?;
     let leases = TcpListener::bind(back_end.settings.control_address).await?;
     let address = requests.local_addr()?;
     let control_address = leases.local_addr()?;
     task::spawn(accept_control(back_end.clone(), leases));
-    Ok(Serving {
+    Ok(RunningBackEnd {
         address,
         control_address,
         requests: task::spawn(accept_requests(back_end, requests)),
@@ -71,14 +71,14 @@
         let (stream, _) = listener.accept().await?;
         let guard = OpenConnection::new(&open);
         if guard.number > back_end.settings.connections {
-            // Closed at once: nothing of a request was read.
+            // The connection is closed before any of a request is read.
             continue;
         }
         let back_end = back_end.clone();
         task::spawn(async move {
             let _guard = guard;
             task::sleep(back_end.settings.connect()).await;
-            send_at_once(&stream);
+            set_nodelay(&stream);
             serve_requests(&back_end, stream).await;
         });
     }
@@ -100,7 +100,7 @@
 async fn accept_control(back_end: Arc<BackEnd>, listener: TcpListener) -> io::Result<()> {
     loop {
         let (stream, _) = listener.accept().await?;
-        send_at_once(&stream);
+        set_nodelay(&stream);
         let back_end = back_end.clone();
         task::spawn(async move {
             let served = async_h1::accept(stream, |request| {
@@ -115,15 +115,16 @@
     }
 }
 
-/// Head and body are written apart; waiting for the acknowledgement of the
-/// head would hold the body back by tens of milliseconds.
-fn send_at_once(stream: &TcpStream) {
+/// Disables Nagle's algorithm. Head and body are written separately, and
+/// waiting for the acknowledgement of the head would delay the body by tens of
+/// milliseconds.
+fn set_nodelay(stream: &TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
         tracing::debug!(%error, "connection without TCP_NODELAY");
     }
 }
 
-/// Counts one open connection for as long as it lives.
+/// Counts an open connection until it is dropped.
 struct OpenConnection {
     open: Arc<AtomicU32>,
     number: u32,
--- a/crates/lab/src/stand_in/back_end/service_time.rs
+++ b/crates/lab/src/stand_in/back_end/service_time.rs
@@ -1,4 +1,4 @@
-//! How long the work of each request takes.
+//! Draws the service time of each request.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 
 use super::settings::{ColdStart, ServiceTimeSettings};
 
-/// Longest service time, as a multiple of the median.
-const LARGEST_MULTIPLE: f64 = 20.0;
+/// Maximum service time, as a multiple of the median.
+const MAX_MULTIPLE: f64 = 20.0;
 
-/// Draws service times from a seed.
+/// Generates log-normal service times from a seed.
 #[derive(Debug)]
 pub struct ServiceTimes {
     settings: ServiceTimeSettings,
@@ -19,7 +19,7 @@
 }
 
 impl ServiceTimes {
-    /// A sequence that depends on the settings and the seed only.
+    /// Creates a sequence that depends only on the settings and the seed.
     pub fn new(settings: ServiceTimeSettings, cold_start: ColdStart, seed: u64) -> Self {
         ServiceTimes {
             settings,
@@ -28,15 +28,15 @@
         }
     }
 
-    /// The next service time of a process that is `age` old.
+    /// Returns the next service time of a process of the given age.
     pub fn next(&mut self, age: Duration) -> Duration {
         let normal = standard_normal(&mut self.random);
-        let multiple = (normal * self.settings.spread).exp().min(LARGEST_MULTIPLE);
+        let multiple = (normal * self.settings.spread).exp().min(MAX_MULTIPLE);
         let millis = self.settings.median_ms * multiple * self.cold_factor(age);
         Duration::from_secs_f64(millis.max(0.0) / 1_000.0)
     }
 
-    /// Falls in a straight line from the factor to 1.
+    /// Returns the cold start factor, which falls linearly to 1.
     fn cold_factor(&self, age: Duration) -> f64 {
         let lasts = self.cold_start.for_ms as f64;
         let passed = age.as_secs_f64() * 1_000.0;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Box-Muller transform.
+/// Draws from the standard normal distribution by the Box-Muller transform.
 fn standard_normal(random: &mut ChaCha8Rng) -> f64 {
     let first: f64 = 1.0 - random.random::<f64>();
     let second: f64 = random.random();
--- a/crates/lab/src/stand_in/back_end/settings.rs
+++ b/crates/lab/src/stand_in/back_end/settings.rs
@@ -6,75 +6,76 @@
 use serde::{Deserialize, Serialize};
 use threadledge_types::BackEndId;
 
-/// One back end.
+/// Settings of one back end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct BackEndSettings {
-    /// Which back end.
+    /// Id of the back end.
     pub id: BackEndId,
-    /// Where requests come.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Where leases, health and load are exchanged.
+    /// Address for leases, health and load.
     pub control_address: SocketAddr,
-    /// Requests it carries out at once.
+    /// Maximum number of requests executed concurrently.
     pub slots: u32,
-    /// Connections it accepts.
+    /// Maximum number of open connections.
     pub connections: u32,
-    /// Requests that may wait for a slot; more are refused.
+    /// Maximum number of requests waiting for a slot; more are refused.
     pub queue: u32,
-    /// How long requests take.
+    /// Distribution of service times.
     pub service_time: ServiceTimeSettings,
-    /// Slowness after the start.
+    /// Slowdown after the start of the process.
     pub cold_start: ColdStart,
-    /// Time it takes for a new connection, in milliseconds.
+    /// Delay of a new connection, in milliseconds.
     pub connect_ms: u64,
-    /// Time it takes to answer a health or load probe, in milliseconds.
+    /// Delay of the response to a health or load probe, in milliseconds.
     pub probe_ms: u64,
-    /// Age that reported health and load may have, in milliseconds.
+    /// Maximum age of the reported load, in milliseconds.
     pub report_lag_ms: u64,
-    /// Time it takes to make ready for a slice, in milliseconds.
+    /// Time to prepare for a slice, in milliseconds.
     pub prepare_ms: u64,
     /// Seed of the service times.
     pub seed: u64,
 }
 
-/// A log-normal service time.
+/// A log-normal distribution of service times.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct ServiceTimeSettings {
     /// Median, in milliseconds.
     pub median_ms: f64,
-    /// Standard deviation of the logarithm; 0 makes every time the median.
+    /// Standard deviation of the logarithm; with 0, every service time equals
+    /// the median.
     pub spread: f64,
 }
 
-/// Slowness after the start of a process.
+/// Slowdown after the start of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct ColdStart {
-    /// How long it lasts, in milliseconds.
+    /// Duration, in milliseconds.
     pub for_ms: u64,
-    /// Service times are this many times longer at first, falling to 1.
+    /// Initial multiple of the service times, which falls to 1.
     pub factor: f64,
 }
 
 impl BackEndSettings {
-    /// Time for a new connection.
+    /// Returns the delay of a new connection.
     pub fn connect(&self) -> Duration {
         Duration::from_millis(self.connect_ms)
     }
 
-    /// Time for a probe.
+    /// Returns the delay of a probe.
     pub fn probe(&self) -> Duration {
         Duration::from_millis(self.probe_ms)
     }
 
-    /// Age of reports.
+    /// Returns the maximum age of load reports.
     pub fn report_lag(&self) -> Duration {
         Duration::from_millis(self.report_lag_ms)
     }
 
-    /// Time to make ready for a slice.
+    /// Returns the time to prepare for a slice.
     pub fn prepare(&self) -> Duration {
         Duration::from_millis(self.prepare_ms)
     }
--- a/crates/lab/src/stand_in/back_end/slots.rs
+++ b/crates/lab/src/stand_in/back_end/slots.rs
@@ -1,11 +1,11 @@
-//! Slots and the bounded queue before them.
+//! Execution slots with a bounded wait queue.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use async_channel::{Receiver, Sender};
 
-/// Slots of one back end. Clones share them.
+/// Execution slots of one back end. Clones share them.
 #[derive(Clone, Debug)]
 pub struct Slots {
     free: Receiver<()>,
@@ -15,21 +15,21 @@
     waiting: Arc<AtomicU32>,
 }
 
-/// One slot in use; dropping it frees the slot.
+/// A slot in use, freed on drop.
 #[derive(Debug)]
 pub struct SlotGuard {
     returned: Sender<()>,
 }
 
-/// No slot was given.
+/// Reason why no slot was acquired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum SlotRefusal {
+pub enum SlotError {
     /// All slots are taken and the queue is full.
     #[error("all slots and the queue are taken; send the request again later")]
     QueueFull,
 }
 
-/// Counts one waiter for as long as it lives, however its wait ends.
+/// Counts a waiter until it is dropped, however its wait ends.
 struct Waiter<'a>(&'a AtomicU32);
 
 impl Drop for Waiter<'_> {
@@ -40,13 +40,13 @@
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
-        // The channel holds as many as there are slots, so there is room.
+        // The channel has capacity for every slot, so sending cannot fail.
         let _ = self.returned.try_send(());
     }
 }
 
 impl Slots {
-    /// `total` slots with room for `queue` waiters.
+    /// Creates `total` slots with room for `queue` waiters.
     pub fn new(total: u32, queue: u32) -> Self {
         let total = total.max(1);
         let (returned, free) = async_channel::bounded(total as usize);
@@ -62,30 +62,30 @@
         }
     }
 
-    /// Waits for a slot. Dropping the future leaves the queue.
+    /// Waits for a free slot. Dropping the future leaves the queue.
     ///
     /// # Errors
     ///
-    /// [`SlotRefusal::QueueFull`] at once when the queue is full.
-    pub async fn acquire(&self) -> Result<SlotGuard, SlotRefusal> {
+    /// Fails at once with [`SlotError::QueueFull`] if the queue is full.
+    pub async fn acquire(&self) -> Result<SlotGuard, SlotError> {
         if self.free.try_recv().is_ok() {
             return Ok(self.guard());
         }
         let before = self.waiting.fetch_add(1, Ordering::SeqCst);
         let _waiter = Waiter(&self.waiting);
         if before >= self.queue {
-            return Err(SlotRefusal::QueueFull);
+            return Err(SlotError::QueueFull);
         }
-        self.free.recv().await.map_err(|_| SlotRefusal::QueueFull)?;
+        self.free.recv().await.map_err(|_| SlotError::QueueFull)?;
         Ok(self.guard())
     }
 
-    /// Slots in use.
+    /// Returns the number of slots in use.
     pub fn running(&self) -> u32 {
         self.total - u32::try_from(self.free.len()).unwrap_or(self.total)
     }
 
-    /// Requests waiting.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> u32 {
         self.waiting.load(Ordering::SeqCst)
     }
--- a/crates/lab/src/stand_in/back_end/state.rs
+++ b/crates/lab/src/stand_in/back_end/state.rs
@@ -1,4 +1,4 @@
-//! What one back end knows, and the rules by which it admits, carries out and
+//! State of one back end, and the rules by which it admits, executes and
 //! abandons work. Every step is recorded under the lock that decides it.
 
 use std::collections::BTreeSet;
@@ -9,19 +9,19 @@
 use threadledge_types::session::{Grant, LeaseRequest, LeaseResponse, LoadReport, Refusal};
 use threadledge_types::{Epoch, Incarnation, Point, ServiceId, SessionId, Timestamp};
 
+use super::degradation::{Degradation, DegradationState};
 use super::load_meter::LoadMeter;
 use super::service_time::ServiceTimes;
 use super::settings::BackEndSettings;
-use super::sickness::{Ailing, Sickness};
 use super::slots::Slots;
 use crate::clock;
 use crate::history::{Event, Recorder, RequestId};
 
 /// One stand-in back end.
 pub struct BackEnd {
-    /// Its settings.
+    /// Settings.
     pub settings: BackEndSettings,
-    /// Its slots.
+    /// Execution slots.
     pub slots: Slots,
     session: SessionId,
     admission: Admission,
@@ -34,42 +34,42 @@
     holder: Holder,
     service_times: ServiceTimes,
     meter: LoadMeter,
-    ailing: Ailing,
-    believed: BTreeSet<Grant>,
+    degradation: DegradationState,
+    claimed_grants: BTreeSet<Grant>,
     lease_end: Option<Timestamp>,
     report: LoadReport,
     reported: Timestamp,
 }
 
-/// What a back end asks for before it carries out a request.
+/// Condition under which a back end executes a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Admission {
-    /// A grant with the request's epoch and a lease that holds.
+    /// Requires a grant with the request's epoch and a valid lease.
     #[default]
-    ByGrant,
-    /// Nothing: whatever comes is carried out, as baselines need it.
-    Anything,
+    GrantRequired,
+    /// Executes every request, as baselines require.
+    Unchecked,
 }
 
-/// One request whose work has begun.
+/// A request whose work has started.
 #[derive(Debug)]
-pub struct Begun {
+pub struct StartedWork {
     /// The work.
     pub work: Work,
-    /// How long it takes.
-    pub takes: Duration,
-    /// Whether it is dropped at its end, by sickness.
-    pub is_dropped: bool,
+    /// Service time of the work.
+    pub service_time: Duration,
+    /// Whether the degradation drops the request at the end of its work.
+    pub will_be_dropped: bool,
 }
 
-/// One admitted request.
+/// An admitted request.
 #[derive(Debug)]
 pub struct Work {
     request: RequestId,
     service: ServiceId,
     point: Point,
     epoch: Epoch,
-    /// `None` when nothing was asked for.
+    /// `None` if requests are admitted without a grant.
     permit: Option<Permit>,
 }
 
@@ -89,7 +89,7 @@
 }
 
 impl BackEnd {
-    /// A back end whose process just started.
+    /// Creates a back end whose process just started.
     pub fn new(settings: BackEndSettings, incarnation: Incarnation, recorder: Recorder) -> Self {
         let service_times =
             ServiceTimes::new(settings.service_time, settings.cold_start, settings.seed);
@@ -107,8 +107,8 @@
                 holder: Holder::new(settings.id.clone(), incarnation),
                 service_times,
                 meter: LoadMeter::default(),
-                ailing: Ailing::default(),
-                believed: BTreeSet::new(),
+                degradation: DegradationState::default(),
+                claimed_grants: BTreeSet::new(),
                 lease_end: None,
                 report: LoadReport::default(),
                 reported: now,
@@ -117,18 +117,18 @@
         }
     }
 
-    /// The same with another rule of admission.
-    pub fn admitting(self, admission: Admission) -> Self {
+    /// Sets the condition under which requests are executed.
+    pub fn with_admission(self, admission: Admission) -> Self {
         BackEnd { admission, ..self }
     }
 
-    /// This life of the back end.
+    /// Returns the session: the id and incarnation of the back end.
     pub fn session(&self) -> &SessionId {
         &self.session
     }
 
-    /// Takes a lease request and records what it changed in what the back end
-    /// believes to own.
+    /// Handles a lease request and records the changes to the grants that the
+    /// back end believes to hold.
     pub fn lease(&self, request: LeaseRequest) -> LeaseResponse {
         let mut inner = self.inner.lock();
         let now = clock::now();
@@ -136,12 +136,12 @@
         let report = inner.report.clone();
         inner.holder.set_load(report);
         let response = inner.holder.handle(now, request);
-        self.record_belief(&mut inner, now, &response.releasing);
+        self.record_claims(&mut inner, now, &response.releasing);
         response
     }
 
-    /// Slices to make ready for.
-    pub fn preparing(&self) -> Vec<Grant> {
+    /// Returns the grants of the slices to prepare for.
+    pub fn grants_to_prepare(&self) -> Vec<Grant> {
         self.inner
             .lock()
             .holder
@@ -150,12 +150,12 @@
             .collect()
     }
 
-    /// Tells the leader, by the next answer, that a slice is ready.
+    /// Marks a slice as ready, which the next lease response reports.
     pub fn mark_ready(&self, grant: &Grant) {
         self.inner.lock().holder.mark_ready(grant);
     }
 
-    /// Begins to leave.
+    /// Starts to drain.
     pub fn drain(&self) {
         let mut inner = self.inner.lock();
         inner.holder.begin_drain();
@@ -165,22 +165,23 @@
         });
     }
 
-    /// What it asks for before it carries out a request.
+    /// Returns the condition under which requests are executed.
     pub fn admission(&self) -> Admission {
         self.admission
     }
 
-    /// Falls sick, or recovers.
-    pub fn set_sickness(&self, sickness: Sickness) {
-        self.inner.lock().ailing.set(sickness);
+    /// Sets or clears a degradation.
+    pub fn set_degradation(&self, degradation: Degradation) {
+        self.inner.lock().degradation.set(degradation);
     }
 
-    /// Whether it is leaving.
+    /// Returns whether it is draining.
     pub fn draining(&self) -> bool {
         self.inner.lock().holder.is_draining()
     }
 
-    /// Load as the load endpoint tells it: as old as the settings allow.
+    /// Returns the load report of the load endpoint, which may be as old as
+    /// the settings allow.
     pub fn load(&self) -> LoadReport {
         let mut inner = self.inner.lock();
         let now = clock::now();
@@ -188,11 +189,11 @@
         inner.report.clone()
     }
 
-    /// Admits a request, before it waits for a slot.
+    /// Admits a request before it waits for a slot.
     ///
     /// # Errors
     ///
-    /// The refusal to send; nothing ran.
+    /// Returns the refusal to send; nothing was executed.
     pub fn admit(
         &self,
         request: RequestId,
@@ -204,8 +205,8 @@
         let now = clock::now();
         inner.meter.count(now, service, point);
         let permit = match self.admission {
-            Admission::ByGrant => Some(inner.holder.admit(now, service, point, epoch)?),
-            Admission::Anything => None,
+            Admission::GrantRequired => Some(inner.holder.admit(now, service, point, epoch)?),
+            Admission::Unchecked => None,
         };
         Ok(Work {
             request,
@@ -216,13 +217,13 @@
         })
     }
 
-    /// Begins the work of an admitted request that has a slot, and draws how
-    /// long it takes. On refusal the work is over.
+    /// Starts the work of an admitted request that has a slot, and draws its
+    /// service time. On refusal the work is finished.
     ///
     /// # Errors
     ///
-    /// The refusal to send; nothing ran.
-    pub fn begin(&self, work: Work) -> Result<Begun, Refusal> {
+    /// Returns the refusal to send; nothing was executed.
+    pub fn begin(&self, work: Work) -> Result<StartedWork, Refusal> {
         let mut inner = self.inner.lock();
         let now = clock::now();
         if let Err(refusal) = inner.may_commit(now, &work) {
@@ -237,20 +238,20 @@
             point: work.point,
             epoch: work.epoch,
         });
-        let takes = inner.service_times.next(now.since(self.started));
-        Ok(Begun {
+        let service_time = inner.service_times.next(now.since(self.started));
+        Ok(StartedWork {
             work,
-            takes: inner.ailing.slowed(takes),
-            is_dropped: inner.ailing.next_is_dropped(),
+            service_time: inner.degradation.slow_down(service_time),
+            will_be_dropped: inner.degradation.drop_next(),
         })
     }
 
-    /// Lets the work take effect, if the back end still owns the key.
+    /// Commits the work if the back end still owns the key.
     ///
     /// # Errors
     ///
-    /// The refusal to send; the work had no effect.
-    pub fn take_effect(&self, work: Work) -> Result<(), Refusal> {
+    /// Returns the refusal to send; the work had no effect.
+    pub fn commit(&self, work: Work) -> Result<(), Refusal> {
         let mut inner = self.inner.lock();
         let now = clock::now();
         let allowed = inner.may_commit(now, &work);
@@ -259,15 +260,15 @@
         allowed
     }
 
-    /// Abandons work that had begun, without effect.
+    /// Abandons started work without effect.
     pub fn abandon(&self, work: Work) {
         let mut inner = self.inner.lock();
         self.record_end(clock::now(), work.request, false);
         inner.finish(work);
     }
 
-    /// Gives up a request that was admitted and never began.
-    pub fn give_up(&self, work: Work) {
+    /// Cancels an admitted request whose work never started.
+    pub fn cancel(&self, work: Work) {
         self.inner.lock().finish(work);
     }
 
@@ -280,11 +281,12 @@
         });
     }
 
-    /// Grants that were taken away count as believed while the leader was
-    /// told that they still have requests running.
-    fn record_belief(&self, inner: &mut Inner, now: Timestamp, releasing: &[Grant]) {
-        let mut believed: BTreeSet<Grant> = inner.holder.held_grants().into_iter().collect();
-        believed.extend(releasing.iter().cloned());
+    /// Records the changes of the lease and of the believed grants. Revoked
+    /// grants count as believed while the lease response reports that requests
+    /// under them are still in flight.
+    fn record_claims(&self, inner: &mut Inner, now: Timestamp, releasing: &[Grant]) {
+        let mut claimed_grants: BTreeSet<Grant> = inner.holder.held_grants().into_iter().collect();
+        claimed_grants.extend(releasing.iter().cloned());
         let lease_end = inner.holder.lease_end();
         if let Some(until) = lease_end.filter(|_| lease_end != inner.lease_end) {
             self.recorder.record(Event::LeaseExtended {
@@ -293,21 +295,21 @@
                 until,
             });
         }
-        for grant in inner.believed.difference(&believed) {
+        for grant in inner.claimed_grants.difference(&claimed_grants) {
             self.recorder.record(Event::GrantReleased {
                 at: now,
                 session: self.session.clone(),
                 grant: grant.clone(),
             });
         }
-        for grant in believed.difference(&inner.believed) {
+        for grant in claimed_grants.difference(&inner.claimed_grants) {
             self.recorder.record(Event::GrantTaken {
                 at: now,
                 session: self.session.clone(),
                 grant: grant.clone(),
             });
         }
-        inner.believed = believed;
+        inner.claimed_grants = claimed_grants;
         inner.lease_end = lease_end;
     }
 
--- a/crates/lab/src/stand_in/machine_list.rs
+++ b/crates/lab/src/stand_in/machine_list.rs
@@ -1,7 +1,7 @@
 //! Stand-in for the platform's list of machines.
 //!
-//! The list lags behind what was set by a configurable time; it can be down,
-//! or stuck at an older version.
+//! Commands change the list over HTTP. Faults make it lag by a set time, stay
+//! at an older version, or close connections without a response.
 
 use std::collections::VecDeque;
 use std::io;
@@ -21,45 +21,46 @@
 
 use crate::clock;
 
-/// Path of the list.
+/// Path that serves the list.
 pub const MACHINES_PATH: &str = "/machines";
-/// Path that takes a [`MachineCommand`].
+/// Path that accepts a [`MachineCommand`] by POST.
 pub const MACHINE_COMMANDS_PATH: &str = "/lab/machines";
-/// Path that takes a [`MachineListFault`].
+/// Path that accepts a [`MachineListFault`] by POST.
 pub const MACHINE_FAULTS_PATH: &str = "/lab/faults";
 
-/// Largest command, in bytes.
+/// Maximum size of a command, in bytes.
 const MAX_BODY_BYTES: u64 = 4 << 20;
-/// Versions that are kept for the lag and for a stale list.
+/// Number of versions kept to serve a lagging or stale list.
 const MAX_VERSIONS: usize = 10_000;
 
-/// Changes the machines there are.
+/// A change to the set of machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MachineCommand {
-    /// Exactly these machines.
+    /// Replaces the whole list.
     Replace(Vec<Machine>),
-    /// One machine more, or in another form.
+    /// Adds a machine, or replaces the one of the same name.
     Set(Box<Machine>),
-    /// A machine is about to go.
+    /// Marks a machine as leaving.
     Leaving(MachineName),
-    /// A machine is gone.
+    /// Removes a machine.
     Remove(MachineName),
 }
 
-/// Ways in which the list fails.
+/// A fault of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MachineListFault {
-    /// While true, connections are closed without an answer.
+    /// While true, connections are closed without a response.
     Down(bool),
-    /// Changes show only after this many milliseconds.
+    /// Changes become visible only after this many milliseconds.
     Lag(u64),
-    /// The list stays at this many versions before the last; 0 ends it.
+    /// Freezes the list at this many versions before the latest; 0 ends the
+    /// fault.
     Stale(u64),
 }
 
-/// The versions of the list and what is shown of them.
+/// The versions of the list and the faults that decide which one is served.
 #[derive(Clone, Debug, Default)]
 pub struct MachineListState {
     versions: VecDeque<(Timestamp, MachineList)>,
@@ -69,7 +70,7 @@
 }
 
 impl MachineListState {
-    /// Begins with version 1, shown at once.
+    /// Creates a list at version 1, which is visible at once.
     pub fn new(machines: Vec<Machine>) -> Self {
         let first = MachineList {
             version: 1,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Carries a change out at a time.
+    /// Applies a change at time `now`.
     pub fn change(&mut self, now: Timestamp, command: MachineCommand) {
         let mut next = self.latest();
         next.version += 1;
@@ -108,7 +109,7 @@
     }
 
     /// Sets a fault.
-    pub fn fault(&mut self, fault: MachineListFault) {
+    pub fn set_fault(&mut self, fault: MachineListFault) {
         match fault {
             MachineListFault::Down(down) => self.down = down,
             MachineListFault::Lag(milliseconds) => self.lag = Duration::from_millis(milliseconds),
@@ -119,8 +120,9 @@
         }
     }
 
-    /// The list as it shows at a time; nothing while it is down.
-    pub fn shown(&self, now: Timestamp) -> Option<MachineList> {
+    /// Returns the version that is visible at time `now`, or `None` while the
+    /// list is down.
+    pub fn visible_at(&self, now: Timestamp) -> Option<MachineList> {
         if self.down {
             return None;
         }
@@ -139,24 +141,24 @@
     }
 }
 
-/// A running stand-in.
+/// A running machine list server.
 pub struct MachineListServer {
     address: SocketAddr,
     state: Arc<Mutex<MachineListState>>,
     accepting: JoinHandle<()>,
 }
 
-/// The connection closes without an answer.
+/// Makes the server close the connection without a response.
 #[derive(Debug, thiserror::Error)]
-#[error("closed without an answer on command")]
-struct NoAnswer;
+#[error("connection closed without a response, as a fault requires")]
+struct NoResponse;
 
 impl MachineListServer {
-    /// Serves on a bound listener.
+    /// Starts serving `machines` on a bound listener.
     ///
     /// # Errors
     ///
-    /// The listener has no address.
+    /// Fails if the listener's local address cannot be read.
     pub fn serve(listener: TcpListener, machines: Vec<Machine>) -> io::Result<Self> {
         let address = listener.local_addr()?;
         let state = Arc::new(Mutex::new(MachineListState::new(machines)));
@@ -168,19 +170,19 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes the machines there are.
+    /// Applies a change to the list.
     pub fn change(&self, command: MachineCommand) {
         self.state.lock().change(clock::now(), command);
     }
 
     /// Sets a fault.
-    pub fn fault(&self, fault: MachineListFault) {
-        self.state.lock().fault(fault);
+    pub fn set_fault(&self, fault: MachineListFault) {
+        self.state.lock().set_fault(fault);
     }
 
     /// Serves until the process ends.
@@ -188,7 +190,7 @@
         self.accepting.await;
     }
 
-    /// Stops accepting.
+    /// Stops accepting connections.
     pub async fn stop(self) {
         self.accepting.cancel().await;
     }
@@ -220,7 +222,7 @@
     let path = request.url().path().to_owned();
     match (request.method(), path.as_str()) {
         (Method::Get, MACHINES_PATH) => {
-            let list = state.lock().shown(clock::now()).ok_or(NoAnswer)?;
+            let list = state.lock().visible_at(clock::now()).ok_or(NoResponse)?;
             let mut response = Response::new(StatusCode::Ok);
             response.set_body(serde_json::to_vec(&list)?);
             response.insert_header("content-type", "application/json");
@@ -233,15 +235,15 @@
         }
         (Method::Post, MACHINE_FAULTS_PATH) => {
             let fault = read_json(&mut request).await?;
-            state.lock().fault(fault);
+            state.lock().set_fault(fault);
             Ok(Response::new(StatusCode::NoContent))
         }
         _ => Ok(Response::new(StatusCode::NotFound)),
     }
 }
 
-/// A command that cannot be read closes the connection: only the rig sends
-/// them.
+/// Reads a JSON body. An error closes the connection: only the rig sends
+/// commands, so no error response is needed.
 async fn read_json<T: DeserializeOwned>(request: &mut Request) -> http_types::Result<T> {
     let mut body = Vec::new();
     request.take(MAX_BODY_BYTES).read_to_end(&mut body).await?;
--- a/crates/lab/src/stand_in/object_api/auth.rs
+++ b/crates/lab/src/stand_in/object_api/auth.rs
@@ -1,8 +1,8 @@
-//! Who may read and write what.
+//! Authorization by bearer token.
 //!
-//! Keeps the partners apart: a partner's credentials reach its own namespaces
-//! only. Routers read everything, write statuses, and write the objects of
-//! the system namespace.
+//! A partner's credentials give access to its own namespaces only. Routers
+//! read everything, write statuses, and write the objects of the system
+//! namespace.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,26 +14,27 @@
 
 const BEARER: &str = "Bearer ";
 
-/// What a principal may do.
+/// Permissions of a principal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Everything within these namespaces, nothing outside.
+    /// Everything but status writes within these namespaces; nothing outside.
     Partner(BTreeSet<String>),
-    /// Read everything, write statuses and the system namespace.
+    /// Reads everything, writes statuses and the system namespace.
     Router,
 }
 
-/// Somebody with credentials.
+/// An authenticated client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Principal {
     /// Name in the history.
     pub name: String,
-    /// What it may do.
+    /// Its permissions.
     pub role: Role,
 }
 
-/// Known tokens. Without any, everybody may do everything.
+/// The known tokens and their principals. With no tokens, every request is
+/// allowed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Authorization {
@@ -41,17 +42,18 @@
 }
 
 impl Authorization {
-    /// Lets the bearer of a token be a principal.
+    /// Maps a bearer token to a principal.
     pub fn allow(&mut self, token: &str, principal: Principal) {
         self.principals.insert(token.to_owned(), principal);
     }
 
-    /// Checks a request with the `Authorization` header it came with. Gives
-    /// the principal's name, if principals are known.
+    /// Checks a request by its `Authorization` header. Returns the
+    /// principal's name, or `None` if no tokens are configured.
     ///
     /// # Errors
     ///
-    /// 401 without a known token, 403 outside the principal's role.
+    /// 401 without a known token, 403 if the principal's role does not allow
+    /// the request.
     pub fn check(
         &self,
         header: Option<&str>,
--- a/crates/lab/src/stand_in/object_api/faults.rs
+++ b/crates/lab/src/stand_in/object_api/faults.rs
@@ -1,4 +1,4 @@
-//! Ways in which the stand-in fails on command.
+//! Faults that can be injected into the object API.
 
 use std::time::Duration;
 
@@ -6,83 +6,85 @@
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-/// A command that sets, counts or causes a fault. As JSON it is what
-/// `POST /lab/faults` takes, for example `{"down": true}`.
+/// A command that injects or clears a fault. `POST /lab/faults` accepts it as
+/// JSON, for example `{"down": true}`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultCommand {
-    /// While true, every connection is closed without an answer and no watch
-    /// lives.
+    /// While true, every connection is closed without a response and every
+    /// watch ends.
     Down(bool),
-    /// Every request waits this many milliseconds first; 0 ends it.
+    /// Delays every request by this many milliseconds; 0 ends the fault.
     Slow(u64),
-    /// This many of the next writes take effect without their answer being
-    /// sent.
+    /// The next writes, this many, take effect but get no response.
     DropAnswers(u32),
-    /// Writes take effect without answer with a probability, by a seed.
+    /// Each write takes effect but gets no response with a given
+    /// probability.
     DropAnswersAtRandom {
-        /// From 0 to 1.
+        /// Probability from 0 to 1.
         probability: f64,
-        /// Equal seeds give equal choices.
+        /// Seed of the random choices.
         seed: u64,
     },
-    /// This many of the next writes are lost before they take effect.
+    /// The next writes, this many, are lost before they take effect.
     LoseWrites(u32),
-    /// The connections of this many of the next writes are closed at once,
-    /// and the writes take effect only after `milliseconds`.
+    /// The connections of the next `count` writes are closed at once, and the
+    /// writes take effect only after `milliseconds`.
     DelayWrites {
-        /// Writes.
+        /// Number of writes.
         count: u32,
-        /// Delay of each.
+        /// Delay of each write.
         milliseconds: u64,
     },
-    /// Every running watch ends; abruptly, or as if its time were over.
+    /// Ends every running watch, either abruptly or as if its timeout had
+    /// passed.
     CutWatches {
-        /// Within the answer's body rather than at its end.
+        /// True resets the connection within the body; false ends the body
+        /// regularly.
         abruptly: bool,
     },
-    /// Changes up to now are forgotten: watches from earlier get 410.
+    /// Compacts all changes up to now: watches from earlier versions get 410.
     Compact,
-    /// The store goes back to an earlier version; see
+    /// Restores an earlier version of the store; see
     /// [`super::store::ObjectStore::restore`].
     Restore {
-        /// Version to go back to.
+        /// Version to restore.
         version: u64,
-        /// Distance to the highest version there was, from which versions go
-        /// on; without it they are used a second time.
+        /// Gap above the highest version so far at which numbering continues;
+        /// without it, version numbers are reused.
         #[serde(default)]
         bump: Option<u64>,
     },
-    /// Watches above this number get 429; `null` ends it.
+    /// Watches above this number get 429; `null` removes the limit.
     LimitWatches(Option<u32>),
-    /// This many of the next reads get 429.
+    /// The next reads, this many, get 429.
     RefuseReads(u32),
-    /// Ends every fault that lasts.
+    /// Clears every fault in force.
     Clear,
 }
 
-/// What becomes of one write.
+/// How the stand-in treats one write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WriteFate {
-    /// It takes effect and is answered.
+pub enum WriteOutcome {
+    /// The write takes effect and gets a response.
     Answered,
-    /// It takes effect and is not answered.
-    AnswerDropped,
-    /// It neither takes effect nor is answered.
+    /// The write takes effect but gets no response.
+    ResponseDropped,
+    /// The write takes no effect and gets no response.
     Lost,
-    /// It takes effect later and is not answered.
+    /// The write takes effect after this delay and gets no response.
     Delayed(Duration),
 }
 
 /// The faults in force.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Nothing is answered.
+    /// True while no request gets a response.
     pub down: bool,
-    /// Wait before each request.
+    /// Delay before each request.
     pub slow: Duration,
-    /// Most watches at once.
-    pub most_watches: Option<u32>,
+    /// Maximum number of concurrent watches, if limited.
+    pub max_watches: Option<u32>,
     refuse_reads: u32,
     drop_answers: u32,
     lose_writes: u32,
@@ -98,9 +100,9 @@
 }
 
 impl Faults {
-    /// Takes the part of a command that lasts. Those that happen at once
-    /// (cut, compact, restore) are the server's.
-    pub fn set(&mut self, command: &FaultCommand) {
+    /// Applies a command that stays in force. The commands that act at once
+    /// (cut, compact, restore) are carried out by the server.
+    pub fn apply(&mut self, command: &FaultCommand) {
         match command {
             FaultCommand::Down(down) => self.down = *down,
             FaultCommand::Slow(milliseconds) => self.slow = Duration::from_millis(*milliseconds),
@@ -119,7 +121,7 @@
                 self.delay_writes = *count;
                 self.delay = Duration::from_millis(*milliseconds);
             }
-            FaultCommand::LimitWatches(most) => self.most_watches = *most,
+            FaultCommand::LimitWatches(most) => self.max_watches = *most,
             FaultCommand::RefuseReads(count) => self.refuse_reads = *count,
             FaultCommand::Clear => *self = Faults::default(),
             FaultCommand::CutWatches { .. }
@@ -128,21 +130,21 @@
         }
     }
 
-    /// Decides the fate of the next write.
-    pub fn write_fate(&mut self) -> WriteFate {
+    /// Decides how the next write is treated, and counts it.
+    pub fn next_write_outcome(&mut self) -> WriteOutcome {
         if take_one(&mut self.lose_writes) {
-            WriteFate::Lost
+            WriteOutcome::Lost
         } else if take_one(&mut self.delay_writes) {
-            WriteFate::Delayed(self.delay)
+            WriteOutcome::Delayed(self.delay)
         } else if take_one(&mut self.drop_answers) || self.drops_at_random() {
-            WriteFate::AnswerDropped
+            WriteOutcome::ResponseDropped
         } else {
-            WriteFate::Answered
+            WriteOutcome::Answered
         }
     }
 
-    /// Whether the next read is refused.
-    pub fn refuses_read(&mut self) -> bool {
+    /// Returns whether the next read gets 429, and counts it.
+    pub fn next_read_rejected(&mut self) -> bool {
         take_one(&mut self.refuse_reads)
     }
 
--- a/crates/lab/src/stand_in/object_api/history.rs
+++ b/crates/lab/src/stand_in/object_api/history.rs
@@ -1,9 +1,9 @@
-//! What the stand-in did, for the history checks.
+//! The log of writes and faults that the tests check.
 
 use serde::{Deserialize, Serialize};
 use threadledge_types::Timestamp;
 
-/// What was done.
+/// Kind of a recorded operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HistoryOperation {
@@ -15,23 +15,23 @@
     ReplaceStatus,
     /// An object was deleted.
     Delete,
-    /// The store went back to an earlier version.
+    /// An earlier version of the store was restored.
     Restore,
-    /// Earlier versions were forgotten.
+    /// Earlier versions were compacted.
     Compact,
 }
 
-/// One line of the history.
+/// One entry of the history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryEntry {
-    /// When it took effect, or was refused.
+    /// Time at which it took effect or was rejected.
     pub at: Timestamp,
-    /// What was done.
+    /// Kind of operation.
     pub operation: HistoryOperation,
-    /// Which object, as `kind namespace/name`.
+    /// The object, as `kind namespace/name`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub object: Option<String>,
-    /// Who asked, if principals are known.
+    /// Name of the requesting principal, if tokens are configured.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub principal: Option<String>,
     /// Version that the writer expected.
@@ -41,8 +41,8 @@
     pub version_before: u64,
     /// Version of the store afterwards; the same if nothing changed.
     pub version_after: u64,
-    /// HTTP status of the answer.
+    /// HTTP status of the response.
     pub status: u16,
-    /// Whether the answer was sent.
+    /// Whether the response was sent.
     pub answered: bool,
 }
--- a/crates/lab/src/stand_in/object_api/merge.rs
+++ b/crates/lab/src/stand_in/object_api/merge.rs
@@ -1,4 +1,4 @@
-//! How a write changes an object.
+//! Computes the new version of an object from its current version and a write.
 
 use serde_json::{Value, json};
 
@@ -6,9 +6,9 @@
 use super::operation::metadata_text;
 use super::path::ObjectPath;
 
-/// The object with a new specification and metadata, and its status as it is.
-/// Only a change of the specification makes a new generation.
-pub(super) fn replaced_spec(current: &Value, wanted: &Value) -> Value {
+/// Returns `wanted` with the status and the server-managed metadata of
+/// `current`. The generation grows only if the spec changes.
+pub(super) fn with_new_spec(current: &Value, wanted: &Value) -> Value {
     let mut next = wanted.clone();
     let fields = ["uid", "generation", "creationTimestamp", "resourceVersion"];
     for field in fields {
@@ -27,8 +27,8 @@
     next
 }
 
-/// The object with a new status and all else as it is.
-pub(super) fn replaced_status(current: &Value, wanted: &Value) -> Value {
+/// Returns `current` with the status of `wanted`.
+pub(super) fn with_new_status(current: &Value, wanted: &Value) -> Value {
     let mut next = current.clone();
     match wanted.get("status") {
         Some(status) => next["status"] = status.clone(),
@@ -40,7 +40,8 @@
     next
 }
 
-/// A version or an identity that the writer names has to be the current one.
+/// Checks that the `resourceVersion` and the `format_uid` in the write, if given,
+/// match the current object.
 pub(super) fn check_conditions(
     path: &ObjectPath,
     current: &Value,
@@ -55,7 +56,7 @@
     Ok(())
 }
 
-/// Identity of the object that was created as this number.
-pub(super) fn uid(number: u64) -> String {
+/// Returns the uid of the object with this creation number.
+pub(super) fn format_uid(number: u64) -> String {
     format!("00000000-0000-4000-8000-{number:012x}")
 }
--- a/crates/lab/src/stand_in/object_api/mod.rs
+++ b/crates/lab/src/stand_in/object_api/mod.rs
@@ -1,12 +1,14 @@
 //! Stand-in for the platform's object API.
 //!
-//! An HTTP server that keeps objects in memory by the conventions of the
-//! Kubernetes object API: list with pages, watch with bookmarks, conditional
-//! writes, a status subresource, uid, generation and resourceVersion. It can
-//! be told to fail in the ways the platform fails (see [`FaultCommand`]) and
-//! records every write it carried out (see [`HistoryEntry`]).
+//! An HTTP server that keeps objects in memory and follows the conventions of
+//! the Kubernetes object API: paginated lists, watches with bookmarks,
+//! conditional writes, a status subresource, uid, generation and
+//! resourceVersion. It injects faults of the platform on request (see
+//! [`FaultCommand`]) and records every write it applied (see
+//! [`HistoryEntry`]).
 //!
-//! [`store`] decides without input or output; the rest carries it to sockets.
+//! [`store`] holds the objects and does no I/O; the other modules serve it
+//! over HTTP.
 
 pub mod auth;
 pub mod error;
--- a/crates/lab/src/stand_in/object_api/operation.rs
+++ b/crates/lab/src/stand_in/object_api/operation.rs
@@ -1,4 +1,4 @@
-//! Writes, checked against the conventions before they reach the store.
+//! Writes, validated before they reach the store.
 
 use kube_core::ObjectMeta;
 use serde::Deserialize;
@@ -8,39 +8,39 @@
 use super::error::ApiError;
 use super::path::{Collection, ObjectPath};
 
-/// Which part of an object a write concerns.
+/// The part of an object that a write changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteTarget {
     /// A new object.
     Create,
-    /// Specification, labels and annotations.
+    /// Spec, labels and annotations.
     Spec,
-    /// Status.
+    /// The status subresource.
     Status,
-    /// The whole object goes.
+    /// The whole object, which is deleted.
     Delete,
 }
 
-/// One write.
+/// One validated write.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Write {
-    /// Which object.
+    /// Path of the object.
     pub path: ObjectPath,
-    /// Which part of it.
+    /// The part that changes.
     pub target: WriteTarget,
-    /// The object as wanted. For a deletion only the conditions in its
-    /// metadata count.
+    /// The desired object. For a deletion, only the preconditions in its
+    /// metadata are used.
     pub object: Value,
-    /// Wall time in the form of the object API.
+    /// Wall-clock time in the format of the object API.
     pub time: String,
 }
 
 impl Write {
-    /// A new object in a collection.
+    /// Creates an object in a collection.
     ///
     /// # Errors
     ///
-    /// The object breaks the conventions or belongs elsewhere.
+    /// Fails if the object is invalid or does not belong to the collection.
     pub fn create(
         collection: &Collection,
         mut object: Value,
@@ -66,11 +66,11 @@
         })
     }
 
-    /// A new form of an object, or of its status.
+    /// Replaces an object or its status.
     ///
     /// # Errors
     ///
-    /// The object breaks the conventions or has another name.
+    /// Fails if the object is invalid or does not match `path`.
     pub fn replace(
         path: ObjectPath,
         target: WriteTarget,
@@ -86,7 +86,7 @@
         })
     }
 
-    /// A deletion. `options` may carry `preconditions`.
+    /// Deletes an object. `options` may contain `preconditions`.
     pub fn delete(path: ObjectPath, options: &Value, time: String) -> Write {
         let conditions = options.get("preconditions").cloned().unwrap_or_default();
         Write {
@@ -97,20 +97,21 @@
         }
     }
 
-    /// Version that the write expects, if it names one.
+    /// Returns the version that the write expects, if it names one.
     pub fn expected_version(&self) -> Option<u64> {
         metadata_text(&self.object, "resourceVersion")?.parse().ok()
     }
 }
 
-/// A text of an object's metadata, if it is there and not empty.
+/// Returns a string field of an object's metadata, or `None` if it is missing
+/// or empty.
 pub fn metadata_text<'a>(object: &'a Value, field: &str) -> Option<&'a str> {
     let text = object.get("metadata")?.get(field)?.as_str()?;
     (!text.is_empty()).then_some(text)
 }
 
-/// Checks what the object API checks of every object. The specification is
-/// left to the routers, so that a bad one reaches them.
+/// Runs the checks that the object API makes on every object. The content of
+/// the spec is not checked, so that invalid specs reach the routers.
 fn check(path: &ObjectPath, object: &mut Value) -> Result<(), ApiError> {
     if let Err(error) = ObjectMeta::deserialize(&object["metadata"]) {
         return Err(ApiError::invalid(format!("metadata: {error}")));
--- a/crates/lab/src/stand_in/object_api/path.rs
+++ b/crates/lab/src/stand_in/object_api/path.rs
@@ -13,16 +13,16 @@
 const NAMESPACES: &str = "namespaces";
 const STATUS: &str = "status";
 
-/// A kind of object that is served.
+/// A resource type that is served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Resource {
-    /// Plural name in paths.
+    /// Plural name used in paths.
     pub plural: &'static str,
-    /// Kind in objects.
+    /// Kind used in objects.
     pub kind: &'static str,
 }
 
-/// Every kind that is served.
+/// All resource types that are served.
 pub const RESOURCES: [Resource; 3] = [
     Resource {
         plural: BACK_END_PLURAL,
@@ -39,26 +39,26 @@
 ];
 
 impl Resource {
-    /// The resource of a kind.
-    pub fn of_kind(kind: &str) -> Option<Resource> {
+    /// Returns the resource type of a kind, if it is served.
+    pub fn from_kind(kind: &str) -> Option<Resource> {
         RESOURCES.into_iter().find(|resource| resource.kind == kind)
     }
 
-    fn of_plural(plural: &str) -> Option<Resource> {
+    fn from_plural(plural: &str) -> Option<Resource> {
         RESOURCES
             .into_iter()
             .find(|resource| resource.plural == plural)
     }
 }
 
-/// Names one object.
+/// Identifies one object.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ObjectPath {
-    /// Its kind.
+    /// Resource type.
     pub resource: Resource,
-    /// Its namespace.
+    /// Namespace.
     pub namespace: String,
-    /// Its name.
+    /// Name.
     pub name: String,
 }
 
@@ -73,17 +73,17 @@
     }
 }
 
-/// A collection: one kind, in one namespace or in all.
+/// A collection: all objects of one resource type, in one namespace or in all.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Collection {
-    /// Kind of its objects.
+    /// Resource type of its objects.
     pub resource: Resource,
     /// Namespace; `None` for all.
     pub namespace: Option<String>,
 }
 
 impl Collection {
-    /// Whether an object belongs to the collection.
+    /// Returns whether an object belongs to the collection.
     pub fn contains(&self, path: &ObjectPath) -> bool {
         let namespace_fits = match &self.namespace {
             Some(namespace) => *namespace == path.namespace,
@@ -93,7 +93,7 @@
     }
 }
 
-/// What a path names.
+/// The target that a request path identifies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
     /// A collection.
@@ -105,11 +105,11 @@
 }
 
 impl Target {
-    /// Reads a path.
+    /// Parses a request path.
     ///
     /// # Errors
     ///
-    /// Nothing is served there.
+    /// Fails with 404 if nothing is served there.
     pub fn parse(path: &str) -> Result<Target, ApiError> {
         let unknown = || ApiError::not_found(format!("path {path}"));
         let prefix = format!("/apis/{API_VERSION}/");
@@ -122,7 +122,7 @@
         let [plural, rest @ ..] = segments else {
             return Err(unknown());
         };
-        let resource = Resource::of_plural(plural).ok_or_else(unknown)?;
+        let resource = Resource::from_plural(plural).ok_or_else(unknown)?;
         let object = |namespace: String, name: &str| ObjectPath {
             resource,
             namespace,
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Namespace of the target; `None` for all.
+    /// Returns the namespace of the target, or `None` for all namespaces.
     pub fn namespace(&self) -> Option<&str> {
         match self {
             Target::Collection(collection) => collection.namespace.as_deref(),
@@ -148,14 +148,14 @@
     }
 }
 
-/// Parameters of a list or a watch.
+/// Query parameters of a list or a watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Query {
     parameters: BTreeMap<String, String>,
 }
 
 impl Query {
-    /// Takes decoded pairs; the last of equal names wins.
+    /// Collects decoded pairs; the last of several equal names wins.
     pub fn new<'a, N, V>(pairs: impl IntoIterator<Item = (N, V)>) -> Self
     where
         N: Into<std::borrow::Cow<'a, str>>,
@@ -171,22 +171,22 @@
         }
     }
 
-    /// A parameter's text, if it is there and not empty.
+    /// Returns a parameter, or `None` if it is missing or empty.
     pub fn text(&self, name: &str) -> Option<&str> {
         let value = self.parameters.get(name)?;
         (!value.is_empty()).then_some(value)
     }
 
-    /// A parameter that is `true` or `1`.
+    /// Returns whether a parameter is `true` or `1`.
     pub fn flag(&self, name: &str) -> bool {
         matches!(self.text(name), Some("true" | "1"))
     }
 
-    /// A parameter that is a number.
+    /// Parses a parameter as a number; `None` if it is missing.
     ///
     /// # Errors
     ///
-    /// It is there and is no number.
+    /// Fails if the parameter is not a number.
     pub fn number(&self, name: &str) -> Result<Option<u64>, ApiError> {
         let Some(text) = self.text(name) else {
             return Ok(None);
--- a/crates/lab/src/stand_in/object_api/seed.rs
+++ b/crates/lab/src/stand_in/object_api/seed.rs
@@ -1,4 +1,4 @@
-//! First objects, from a directory of JSON files.
+//! Loads the initial objects from a directory of JSON files.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -10,31 +10,31 @@
 use super::path::{Collection, Resource};
 use super::store::ObjectStore;
 
-/// The objects of a directory cannot be taken.
+/// Loading the initial objects failed.
 #[derive(Debug, thiserror::Error)]
 pub enum SeedError {
     /// A file cannot be read.
     #[error("{path}: cannot be read ({source}); check the path and its permissions")]
     Io {
-        /// Which file or directory.
+        /// The file or directory.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// A file is not JSON.
+    /// A file is not valid JSON.
     #[error("{path}: is not JSON ({source}); correct the file")]
     Json {
-        /// Which file.
+        /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: serde_json::Error,
     },
-    /// An object breaks the conventions.
+    /// An object is invalid.
     #[error("{path}: {message}; correct the object")]
     Object {
-        /// Which file.
+        /// The file.
         path: PathBuf,
-        /// What is wrong.
+        /// Description of the problem.
         message: String,
     },
 }
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 ///
-/// A file cannot be read as JSON.
+/// Fails if a file cannot be read or is not valid JSON.
 pub fn read_objects(directory: &Path) -> Result<Vec<(PathBuf, Value)>, SeedError> {
     let mut objects = Vec::new();
     for path in json_files(directory)? {
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 ///
-/// An object breaks the conventions of the object API or stands twice.
+/// Fails if an object is invalid or already exists.
 pub fn create_objects(
     store: &mut ObjectStore,
     objects: impl IntoIterator<Item = (PathBuf, Value)>,
@@ -77,7 +77,7 @@
 
 fn create(store: &mut ObjectStore, object: Value, time: &str) -> Result<(), String> {
     let kind = object["kind"].as_str().unwrap_or_default();
-    let resource = Resource::of_kind(kind).ok_or_else(|| format!("kind '{kind}' is unknown"))?;
+    let resource = Resource::from_kind(kind).ok_or_else(|| format!("kind '{kind}' is unknown"))?;
     let collection = Collection {
         resource,
         namespace: metadata_text(&object, "namespace").map(str::to_owned),
--- a/crates/lab/src/stand_in/object_api/server.rs
+++ b/crates/lab/src/stand_in/object_api/server.rs
@@ -1,4 +1,4 @@
-//! The stand-in on its socket.
+//! The HTTP server of the object API.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,46 +16,46 @@
 use threadledge_types::objects::API_VERSION;
 
 use super::error::ApiError;
-use super::faults::{FaultCommand, WriteFate};
+use super::faults::{FaultCommand, WriteOutcome};
 use super::history::HistoryEntry;
 use super::operation::{Write, WriteTarget};
 use super::path::{Collection, Query, Target};
 use super::state::{ObjectApiSettings, Shared};
 use super::watch;
 
-/// Path that takes a [`FaultCommand`].
+/// Path that accepts a [`FaultCommand`] by POST.
 pub const FAULTS_PATH: &str = "/lab/faults";
-/// Path that gives the history as lines of JSON.
+/// Path that returns the history as JSON lines.
 pub const HISTORY_PATH: &str = "/lab/history";
 
-/// Largest body taken, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: u64 = 4 << 20;
-/// Most connections at once; further ones are closed.
+/// Maximum number of open connections; further ones are closed at once.
 const MAX_CONNECTIONS: usize = 1_024;
 const JSON: &str = "application/json";
 const RETRY_AFTER_SECONDS: &str = "1";
 
-/// A running stand-in.
+/// A running object API server.
 pub struct ObjectApi {
     address: SocketAddr,
     shared: Arc<Shared>,
     accepting: JoinHandle<()>,
 }
 
-/// The connection closes without an answer.
+/// Makes the server close the connection without a response.
 #[derive(Debug, thiserror::Error)]
-#[error("closed without an answer on command")]
-struct NoAnswer;
+#[error("connection closed without a response, as a fault requires")]
+struct NoResponse;
 
-/// What a request ends with: an answer, a refusal, or neither.
-type Answer = Result<Result<Response, ApiError>, NoAnswer>;
+/// Result of a request: a response, an API error, or a closed connection.
+type RequestResult = Result<Result<Response, ApiError>, NoResponse>;
 
 impl ObjectApi {
-    /// Serves on a bound listener.
+    /// Starts serving on a bound listener.
     ///
     /// # Errors
     ///
-    /// The listener has no address.
+    /// Fails if the listener's local address cannot be read.
     pub fn serve(listener: TcpListener, settings: ObjectApiSettings) -> io::Result<ObjectApi> {
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared::new(settings));
@@ -67,31 +67,31 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets or causes a fault.
+    /// Injects or clears a fault.
     ///
     /// # Errors
     ///
-    /// The store cannot go back to the version named.
-    pub fn fault(&self, command: &FaultCommand) -> Result<(), ApiError> {
-        self.shared.with(|inner| inner.apply(command))
+    /// Fails if the store cannot restore the given version.
+    pub fn inject_fault(&self, command: &FaultCommand) -> Result<(), ApiError> {
+        self.shared.with(|inner| inner.run_command(command))
     }
 
-    /// Version of the store.
+    /// Returns the current version of the store.
     pub fn version(&self) -> u64 {
         self.shared.with(|inner| inner.store.version())
     }
 
-    /// Number of running watches.
+    /// Returns the number of running watches.
     pub fn watch_count(&self) -> usize {
         self.shared.with(|inner| inner.watch_count())
     }
 
-    /// What was done so far.
+    /// Returns the operations recorded so far.
     pub fn history(&self) -> Vec<HistoryEntry> {
         self.shared.with(|inner| inner.history.clone())
     }
@@ -101,11 +101,11 @@
         self.accepting.await;
     }
 
-    /// Stops accepting and ends every watch.
+    /// Stops accepting connections and ends every watch.
     pub async fn stop(self) {
         self.shared.with(|inner| {
-            // Down cannot fail; it closes what is open.
-            let _ = inner.apply(&FaultCommand::Down(true));
+            // `Down` cannot fail; it ends the open watches.
+            let _ = inner.run_command(&FaultCommand::Down(true));
         });
         self.accepting.cancel().await;
     }
@@ -144,19 +144,19 @@
     }
 }
 
-async fn respond(shared: Arc<Shared>, mut request: Request) -> Result<Response, NoAnswer> {
+async fn respond(shared: Arc<Shared>, mut request: Request) -> Result<Response, NoResponse> {
     let path = request.url().path().to_owned();
     let answer = match (request.method(), path.as_str()) {
         (Method::Post, FAULTS_PATH) => Ok(set_fault(&shared, &mut request).await),
         (Method::Get, HISTORY_PATH) => Ok(Ok(history(&shared))),
         _ => serve(shared, &path, request).await,
     };
-    Ok(answer?.unwrap_or_else(|error| refusal(&error)))
+    Ok(answer?.unwrap_or_else(|error| error_response(&error)))
 }
 
 async fn set_fault(shared: &Shared, request: &mut Request) -> Result<Response, ApiError> {
     let command: FaultCommand = read_json(request).await?;
-    shared.with(|inner| inner.apply(&command))?;
+    shared.with(|inner| inner.run_command(&command))?;
     let version = shared.with(|inner| inner.store.version());
     Ok(json_response(200, &json!({ "resourceVersion": version })))
 }
@@ -172,14 +172,14 @@
     response
 }
 
-async fn serve(shared: Arc<Shared>, path: &str, mut request: Request) -> Answer {
+async fn serve(shared: Arc<Shared>, path: &str, mut request: Request) -> RequestResult {
     let slow = shared.with(|inner| inner.faults.slow);
     sleep(slow).await;
     if shared.with(|inner| inner.faults.down) {
-        return Err(NoAnswer);
+        return Err(NoResponse);
     }
     let writes = !matches!(request.method(), Method::Get | Method::Head);
-    let (target, principal) = match admit(&shared, path, &request, writes) {
+    let (target, principal) = match authorize(&shared, path, &request, writes) {
         Ok(admitted) => admitted,
         Err(error) => return Ok(Err(error)),
     };
@@ -187,12 +187,12 @@
         return Ok(read(shared, target, &request).await);
     }
     match read_write(target, &mut request).await {
-        Ok(write) => carry_out(shared, write, principal),
+        Ok(write) => apply_write(shared, write, principal),
         Err(error) => Ok(Err(error)),
     }
 }
 
-fn admit(
+fn authorize(
     shared: &Shared,
     path: &str,
     request: &Request,
@@ -203,7 +203,7 @@
     let header = header.map(|values| values.last().as_str());
     shared.with(|inner| {
         let principal = inner.authorization.check(header, &target, writes)?;
-        if !writes && inner.faults.refuses_read() {
+        if !writes && inner.faults.next_read_rejected() {
             return Err(ApiError::too_many_requests());
         }
         Ok((target, principal))
@@ -222,7 +222,7 @@
         }
         Target::Collection(collection) => {
             let query = Query::new(request.url().query_pairs());
-            refuse_selectors(&query)?;
+            reject_selectors(&query)?;
             if !query.flag("watch") {
                 return list(&shared, &collection, &query);
             }
@@ -235,9 +235,9 @@
     }
 }
 
-/// Routers read whole collections, so selectors are not served; ignoring them
-/// would answer another question.
-fn refuse_selectors(query: &Query) -> Result<(), ApiError> {
+/// Rejects selectors. Routers read whole collections, so selectors are not
+/// implemented, and ignoring them would return the wrong objects.
+fn reject_selectors(query: &Query) -> Result<(), ApiError> {
     for name in ["labelSelector", "fieldSelector"] {
         if query.text(name).is_some() {
             return Err(ApiError::bad_request(format!("{name} is not served")));
@@ -294,20 +294,20 @@
     }
 }
 
-fn carry_out(shared: Arc<Shared>, write: Write, principal: Option<String>) -> Answer {
-    let fate = shared.with(|inner| inner.faults.write_fate());
-    if let WriteFate::Delayed(delay) = fate {
+fn apply_write(shared: Arc<Shared>, write: Write, principal: Option<String>) -> RequestResult {
+    let outcome = shared.with(|inner| inner.faults.next_write_outcome());
+    if let WriteOutcome::Delayed(delay) = outcome {
         spawn(async move {
             sleep(delay).await;
-            // Nobody waits for this answer.
-            let _ = shared.with(|inner| inner.write(&write, principal, fate));
+            // The connection is already closed, so the result is unused.
+            let _ = shared.with(|inner| inner.write(&write, principal, outcome));
         });
-        return Err(NoAnswer);
+        return Err(NoResponse);
     }
     let created = write.target == WriteTarget::Create;
-    let result = shared.with(|inner| inner.write(&write, principal, fate));
-    if fate != WriteFate::Answered {
-        return Err(NoAnswer);
+    let result = shared.with(|inner| inner.write(&write, principal, outcome));
+    if outcome != WriteOutcome::Answered {
+        return Err(NoResponse);
     }
     let code = if created { 201 } else { 200 };
     Ok(result.map(|object| json_response(code, &object)))
@@ -321,7 +321,7 @@
     serde_json::from_slice(&body).map_err(|error| ApiError::bad_request(error.to_string()))
 }
 
-fn refusal(error: &ApiError) -> Response {
+fn error_response(error: &ApiError) -> Response {
     let mut response = json_response(error.code, &json!(error.status()));
     if error.code == 429 {
         response.insert_header("retry-after", RETRY_AFTER_SECONDS);
