--- a/crates/lab/src/stand_in/object_api/state.rs
+++ b/crates/lab/src/stand_in/object_api/state.rs
@@ -1,4 +1,4 @@
-//! What the connections of the stand-in share.
+//! State shared by all connections of the object API.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,20 +9,20 @@
 
 use super::auth::Authorization;
 use super::error::ApiError;
-use super::faults::{FaultCommand, Faults, WriteFate};
+use super::faults::{FaultCommand, Faults, WriteOutcome};
 use super::history::{HistoryEntry, HistoryOperation};
 use super::operation::{Write, WriteTarget};
 use super::store::ObjectStore;
 use crate::clock;
 
-/// How the stand-in begins.
+/// Initial settings of the object API.
 #[derive(Clone, Debug)]
 pub struct ObjectApiSettings {
-    /// First objects.
+    /// Initial objects.
     pub store: ObjectStore,
-    /// Who may do what.
+    /// Tokens and permissions.
     pub authorization: Authorization,
-    /// Interval between the bookmarks of a watch.
+    /// Interval between two bookmarks of an idle watch.
     pub bookmark_interval: Duration,
 }
 
@@ -36,39 +36,41 @@
     }
 }
 
-/// Shared between connections; every method holds the lock for one step.
+/// State shared between connections; every method holds the lock for one
+/// step.
 pub(super) struct Shared {
     pub(super) bookmark_interval: Duration,
     inner: Mutex<Inner>,
 }
 
-/// What the lock protects.
+/// State protected by the lock.
 pub(super) struct Inner {
     pub(super) store: ObjectStore,
     pub(super) faults: Faults,
     pub(super) authorization: Authorization,
     pub(super) history: Vec<HistoryEntry>,
-    pub(super) cuts: Cuts,
+    pub(super) cuts: WatchCuts,
     watchers: BTreeMap<u64, Sender<()>>,
     next_watcher: u64,
 }
 
-/// How often, and how the last time, all watches were cut.
+/// Number of times that all watches were ended by a fault, and the manner of
+/// the last time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Cuts {
+pub(super) struct WatchCuts {
     pub(super) count: u64,
     pub(super) abruptly: bool,
 }
 
-/// A place among the running watches, given up on drop.
-pub(super) struct WatchPlace<'a> {
+/// Registration of a running watch, removed on drop.
+pub(super) struct WatchRegistration<'a> {
     shared: &'a Shared,
     number: u64,
-    /// Gets a message after every change.
+    /// Receives a message after every change.
     pub(super) signal: Receiver<()>,
 }
 
-impl Drop for WatchPlace<'_> {
+impl Drop for WatchRegistration<'_> {
     fn drop(&mut self) {
         self.shared.inner.lock().watchers.remove(&self.number);
     }
@@ -83,7 +85,7 @@
                 faults: Faults::default(),
                 authorization: settings.authorization,
                 history: Vec::new(),
-                cuts: Cuts::default(),
+                cuts: WatchCuts::default(),
                 watchers: BTreeMap::new(),
                 next_watcher: 0,
             }),
@@ -95,24 +97,24 @@
         step(&mut self.inner.lock())
     }
 
-    /// Takes a place among the watches.
+    /// Registers a watch.
     ///
     /// # Errors
     ///
-    /// 429 if there are as many as allowed.
-    pub(super) fn begin_watch(&self) -> Result<WatchPlace<'_>, ApiError> {
+    /// 429 if the limit of concurrent watches is reached.
+    pub(super) fn register_watch(&self) -> Result<WatchRegistration<'_>, ApiError> {
         let mut inner = self.inner.lock();
         let running = inner.watchers.len();
-        let most = inner.faults.most_watches;
+        let most = inner.faults.max_watches;
         if most.is_some_and(|most| running >= most as usize) {
             return Err(ApiError::too_many_requests());
         }
-        // One message waiting is enough to make a watch look again.
+        // One pending message is enough to wake the watch.
         let (sender, signal) = async_channel::bounded(1);
         let number = inner.next_watcher;
         inner.next_watcher += 1;
         inner.watchers.insert(number, sender);
-        Ok(WatchPlace {
+        Ok(WatchRegistration {
             shared: self,
             number,
             signal,
@@ -121,21 +123,21 @@
 }
 
 impl Inner {
-    /// Number of running watches.
+    /// Returns the number of running watches.
     pub(super) fn watch_count(&self) -> usize {
         self.watchers.len()
     }
 
-    /// Carries a write out and records it.
+    /// Applies a write and records it.
     pub(super) fn write(
         &mut self,
         write: &Write,
         principal: Option<String>,
-        fate: WriteFate,
+        outcome: WriteOutcome,
     ) -> Result<Value, ApiError> {
         let version_before = self.store.version();
-        let result = match fate {
-            WriteFate::Lost => Err(ApiError::bad_request("lost")),
+        let result = match outcome {
+            WriteOutcome::Lost => Err(ApiError::bad_request("lost")),
             _ => self.store.write(write),
         };
         let status = match (&result, write.target) {
@@ -152,18 +154,18 @@
             version_before,
             version_after: self.store.version(),
             status,
-            answered: fate == WriteFate::Answered,
+            answered: outcome == WriteOutcome::Answered,
         });
         self.signal();
         result
     }
 
-    /// Sets or causes a fault.
+    /// Injects or clears a fault.
     ///
     /// # Errors
     ///
-    /// The store cannot go back to the version named.
-    pub(super) fn apply(&mut self, command: &FaultCommand) -> Result<(), ApiError> {
+    /// Fails if the store cannot restore the given version.
+    pub(super) fn run_command(&mut self, command: &FaultCommand) -> Result<(), ApiError> {
         let version_before = self.store.version();
         match command {
             FaultCommand::Down(true) => self.cut(true),
@@ -179,7 +181,7 @@
             }
             _ => {}
         }
-        self.faults.set(command);
+        self.faults.apply(command);
         self.signal();
         Ok(())
     }
@@ -205,7 +207,7 @@
 
     fn signal(&self) {
         for watcher in self.watchers.values() {
-            // A full channel already makes the watch look again.
+            // If the channel is full, a pending message already wakes the watch.
             let _ = watcher.try_send(());
         }
     }
--- a/crates/lab/src/stand_in/object_api/store.rs
+++ b/crates/lab/src/stand_in/object_api/store.rs
@@ -1,6 +1,6 @@
-//! The objects, their versions and the changes between them.
+//! The versioned object store.
 //!
-//! No input or output, no clock: times come with the writes, identities from
+//! It does no I/O and reads no clock: times come with the writes and uids from
 //! a counter, so that a run can be repeated exactly.
 
 use std::borrow::Cow;
@@ -10,14 +10,14 @@
 use serde_json::{Value, json};
 
 use super::error::ApiError;
-use super::merge::{check_conditions, replaced_spec, replaced_status, uid};
+use super::merge::{check_conditions, format_uid, with_new_spec, with_new_status};
 use super::operation::{Write, WriteTarget, metadata_text};
 use super::path::{Collection, ObjectPath};
 
-/// Changes that are kept before the older half is compacted by itself.
+/// Maximum number of changes kept; beyond it the older half is compacted.
 const MAX_CHANGES: usize = 50_000;
 
-/// Kind of a change, as a watch names it.
+/// Type of a change, as reported in watch events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
     /// The object was created.
@@ -29,7 +29,7 @@
 }
 
 impl ChangeKind {
-    /// Name in a watch event.
+    /// Returns the event type used in watch events.
     pub const fn as_str(self) -> &'static str {
         match self {
             ChangeKind::Added => "ADDED",
@@ -42,13 +42,13 @@
 /// One change of the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreChange {
-    /// Version that the change made.
+    /// Version that the change created.
     pub version: u64,
-    /// Which object.
+    /// Path of the object.
     pub path: ObjectPath,
-    /// What happened.
+    /// Type of the change.
     pub kind: ChangeKind,
-    /// The object after the change; before it for a deletion, with the
+    /// The object after the change; for a deletion, the last object with the
     /// version of the deletion.
     pub object: Value,
 }
@@ -56,32 +56,32 @@
 /// One page of a list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Page {
-    /// Objects in the order of namespace and name.
+    /// Objects ordered by namespace and name.
     pub items: Vec<Value>,
-    /// Version of the store that every page of this list shows.
+    /// Version of the store that all pages of this list are read from.
     pub version: u64,
-    /// Token of the next page, if there is one.
+    /// Continue token of the next page, if there is one.
     pub continue_token: Option<String>,
 }
 
 type Objects = BTreeMap<ObjectPath, Value>;
 
-/// Objects with versions, in memory.
+/// An in-memory store that keeps the current objects and recent changes.
 #[derive(Clone, Debug, Default)]
 pub struct ObjectStore {
     version: u64,
     objects: Objects,
     /// Objects as they were at `compacted`.
     base: Objects,
-    /// Version before which no change is known any more.
+    /// Highest compacted version; changes up to it are no longer kept.
     compacted: u64,
-    /// Changes above `compacted`, in the order of their versions.
+    /// Changes above `compacted`, ordered by version.
     changes: Vec<StoreChange>,
     next_uid: u64,
 }
 
 impl ObjectStore {
-    /// An empty store at version 1, as 0 means "any" in requests.
+    /// Creates an empty store at version 1, because 0 means "any" in requests.
     pub fn new() -> Self {
         ObjectStore {
             version: 1,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Version of the last change.
+    /// Returns the version of the last change.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     ///
-    /// There is none.
+    /// 404 if the object does not exist.
     pub fn get(&self, path: &ObjectPath) -> Result<&Value, ApiError> {
         self.objects
             .get(path)
@@ -140,11 +140,11 @@
         })
     }
 
-    /// Changes of a collection above a version.
+    /// Returns the changes of a collection above a version.
     ///
     /// # Errors
     ///
-    /// The version was compacted, or lies ahead of the store.
+    /// Fails if the version was compacted or is newer than the store.
     pub fn changes_after(
         &self,
         collection: &Collection,
@@ -163,16 +163,17 @@
         Ok(self.changes[start..].iter().filter(of_collection).collect())
     }
 
-    /// Carries a write out. Gives the object afterwards.
+    /// Applies a write and returns the resulting object.
     ///
     /// # Errors
     ///
-    /// A condition of the write does not hold; the store is as before.
+    /// Fails if a precondition of the write does not hold; the store is then
+    /// unchanged.
     pub fn write(&mut self, write: &Write) -> Result<Value, ApiError> {
         match &write.target {
             WriteTarget::Create => self.create(write),
-            WriteTarget::Spec => self.replace(write, replaced_spec),
-            WriteTarget::Status => self.replace(write, replaced_status),
+            WriteTarget::Spec => self.replace(write, with_new_spec),
+            WriteTarget::Status => self.replace(write, with_new_status),
             WriteTarget::Delete => self.delete(write),
         }
     }
@@ -187,11 +188,11 @@
         }
         let mut object = write.object.clone();
         if let Some(fields) = object.as_object_mut() {
-            // Status is written through its own path only.
+            // The status is only written through the status subresource.
             fields.remove("status");
         }
         self.next_uid += 1;
-        object["metadata"]["uid"] = json!(uid(self.next_uid));
+        object["metadata"]["uid"] = json!(format_uid(self.next_uid));
         object["metadata"]["generation"] = json!(1);
         object["metadata"]["creationTimestamp"] = json!(write.time);
         Ok(self.commit(write.path.clone(), ChangeKind::Added, object))
@@ -205,7 +206,7 @@
         let current = self.get(&write.path)?;
         check_conditions(&write.path, current, &write.object)?;
         let next = merge(current, &write.object);
-        // A write that changes nothing makes no version, as in the real API.
+        // A write that changes nothing creates no version, as in Kubernetes.
         if next == *current {
             return Ok(next);
         }
@@ -234,19 +235,19 @@
             kind,
             object: object.clone(),
         });
-        self.bound_changes();
+        self.limit_changes();
         object
     }
 
-    fn bound_changes(&mut self) {
+    fn limit_changes(&mut self) {
         if self.changes.len() > MAX_CHANGES {
             let middle = self.changes[MAX_CHANGES / 2].version;
             self.compact(middle);
         }
     }
 
-    /// Forgets the changes up to a version; watches from before it end with
-    /// 410.
+    /// Drops the changes up to a version; watches that start before it end
+    /// with 410.
     pub fn compact(&mut self, version: u64) {
         let version = version.min(self.version);
         if version <= self.compacted {
@@ -261,14 +262,14 @@
         self.compacted = version;
     }
 
-    /// Goes back to the state of an earlier version, as a store does that is
-    /// restored from a backup. With `bump` the versions go on that much above
-    /// the highest there was, and older watches end with 410; without it they
-    /// are used a second time.
+    /// Restores the state of an earlier version, like a restore from backup.
+    /// With `bump`, numbering continues that much above the highest version so
+    /// far and older watches end with 410; without it, version numbers are
+    /// reused.
     ///
     /// # Errors
     ///
-    /// The version was compacted or lies ahead.
+    /// Fails if the version was compacted or is newer than the store.
     pub fn restore(&mut self, version: u64, bump: Option<u64>) -> Result<(), ApiError> {
         let objects = self.objects_at(version)?.into_owned();
         let highest = self.version;
@@ -310,7 +311,8 @@
     };
 }
 
-/// Reads the version of a list and the last object of its page before.
+/// Parses a continue token into the version of the list and the last object
+/// of the previous page.
 fn parse_token(
     collection: &Collection,
     token: &str,
--- a/crates/lab/src/stand_in/object_api/watch.rs
+++ b/crates/lab/src/stand_in/object_api/watch.rs
@@ -1,5 +1,5 @@
-//! Watches: changes as lines of JSON, until the time is over or a fault ends
-//! them.
+//! Watches: changes streamed as JSON lines until the timeout passes or a fault
+//! ends them.
 
 use std::io;
 use std::pin::Pin;
@@ -16,39 +16,40 @@
 
 use super::error::ApiError;
 use super::path::{Collection, Query};
-use super::state::{Cuts, Inner, Shared};
+use super::state::{Inner, Shared, WatchCuts};
 use super::store::{ChangeKind, StoreChange};
 
-/// Longest watch, whatever the reader asks for.
+/// Maximum duration of a watch, whatever the client requests.
 const MAX_WATCH: Duration = Duration::from_secs(600);
-/// Pieces of the body that may wait for the connection.
-const PIECES: usize = 16;
+/// Chunks of the body that may be queued for the connection.
+const MAX_QUEUED_CHUNKS: usize = 16;
 
-type Piece = io::Result<Vec<u8>>;
+type Chunk = io::Result<Vec<u8>>;
 
 /// One running watch.
 struct Watch {
     collection: Collection,
-    /// Everything up to this version was sent.
+    /// Changes up to this version were sent.
     position: u64,
-    /// Cuts there had been when it began.
-    cuts: Cuts,
+    /// State of the watch cuts when this watch started.
+    cuts: WatchCuts,
     bookmarks: bool,
     end: Instant,
 }
 
-/// What a watch sends next.
+/// Next action of a watch.
 enum Next {
     Lines(Vec<u8>),
     Wait,
-    End(Option<Piece>),
+    End(Option<Chunk>),
 }
 
-/// Begins a watch and gives the body of its answer.
+/// Starts a watch and returns the body of its response.
 ///
 /// # Errors
 ///
-/// The version was compacted or lies ahead, or too many watches run.
+/// Fails if the version was compacted or is newer than the store, or if too
+/// many watches run.
 pub(super) async fn begin(
     shared: Arc<Shared>,
     collection: Collection,
@@ -69,26 +70,29 @@
         };
         Ok((watch, first))
     })?;
-    let (sender, pieces) = async_channel::bounded(PIECES);
+    let (sender, chunks) = async_channel::bounded(MAX_QUEUED_CHUNKS);
     let (started, start_result) = async_channel::bounded(1);
     async_std::task::spawn(async move {
-        let place = match shared.begin_watch() {
-            Ok(place) => place,
+        let registration = match shared.register_watch() {
+            Ok(registration) => registration,
             Err(error) => {
                 let _ = started.send(Some(error)).await;
                 return;
             }
         };
         let _ = started.send(None).await;
-        watch.feed(&shared, &place.signal, first, &sender).await;
+        watch
+            .feed(&shared, &registration.signal, first, &sender)
+            .await;
     });
     match start_result.recv().await {
         Ok(Some(error)) => Err(error),
-        _ => Ok(WatchBody::new(pieces)),
+        _ => Ok(WatchBody::new(chunks)),
     }
 }
 
-/// Where a watch begins. From "any" version it begins with all objects.
+/// Returns the start version of a watch and its first lines. A watch from
+/// "any" version starts with all current objects.
 fn start(
     inner: &Inner,
     collection: &Collection,
@@ -114,27 +118,27 @@
         shared: &Shared,
         signal: &Receiver<()>,
         first: Vec<u8>,
-        pieces: &Sender<Piece>,
+        chunks: &Sender<Chunk>,
     ) {
-        if !first.is_empty() && pieces.send(Ok(first)).await.is_err() {
+        if !first.is_empty() && chunks.send(Ok(first)).await.is_err() {
             return;
         }
         loop {
             let next = shared.with(|inner| self.next(inner));
             match next {
                 Next::Lines(lines) => {
-                    if pieces.send(Ok(lines)).await.is_err() {
+                    if chunks.send(Ok(lines)).await.is_err() {
                         return;
                     }
                 }
                 Next::Wait => {
-                    if !self.wait(shared, signal, pieces).await {
+                    if !self.wait(shared, signal, chunks).await {
                         return;
                     }
                 }
                 Next::End(last) => {
                     if let Some(last) = last {
-                        let _ = pieces.send(last).await;
+                        let _ = chunks.send(last).await;
                     }
                     return;
                 }
@@ -165,20 +169,20 @@
         }
     }
 
-    /// Waits for a change; sends a bookmark if none comes. Tells whether
-    /// somebody still listens.
-    async fn wait(&self, shared: &Shared, signal: &Receiver<()>, pieces: &Sender<Piece>) -> bool {
+    /// Waits for a change and sends a bookmark if none arrives in time.
+    /// Returns whether the client is still connected.
+    async fn wait(&self, shared: &Shared, signal: &Receiver<()>, chunks: &Sender<Chunk>) -> bool {
         let left = self.end.saturating_duration_since(Instant::now());
         let wait = shared.bookmark_interval.min(left);
         if timeout(wait, signal.recv()).await.is_ok() || !self.bookmarks {
-            return !pieces.is_closed();
+            return !chunks.is_closed();
         }
         let bookmark = json!({
             "apiVersion": API_VERSION,
             "kind": self.collection.resource.kind,
             "metadata": { "resourceVersion": self.position.to_string() },
         });
-        pieces.send(Ok(line("BOOKMARK", &bookmark))).await.is_ok()
+        chunks.send(Ok(line("BOOKMARK", &bookmark))).await.is_ok()
     }
 }
 
@@ -193,16 +197,16 @@
     line
 }
 
-/// Body of a watch's answer.
+/// Response body of a watch.
 pub(super) struct WatchBody {
-    pieces: Pin<Box<Receiver<Piece>>>,
+    chunks: Pin<Box<Receiver<Chunk>>>,
     current: Vec<u8>,
 }
 
 impl WatchBody {
-    fn new(pieces: Receiver<Piece>) -> Self {
+    fn new(chunks: Receiver<Chunk>) -> Self {
         WatchBody {
-            pieces: Box::pin(pieces),
+            chunks: Box::pin(chunks),
             current: Vec::new(),
         }
     }
@@ -215,8 +219,8 @@
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         while self.current.is_empty() {
-            match ready!(self.pieces.as_mut().poll_next(context)) {
-                Some(piece) => self.current = piece?,
+            match ready!(self.chunks.as_mut().poll_next(context)) {
+                Some(chunk) => self.current = chunk?,
                 None => return Poll::Ready(Ok(0)),
             }
         }
--- a/crates/lab/tests/back_end.rs
+++ b/crates/lab/tests/back_end.rs
@@ -13,7 +13,8 @@
 use threadledge_lab::clock;
 use threadledge_lab::history::{Event, Recorder};
 use threadledge_lab::stand_in::back_end::{
-    BackEnd, BackEndSettings, ColdStart, LAB_REQUEST_HEADER, ServiceTimeSettings, Serving, serve,
+    BackEnd, BackEndSettings, ColdStart, LAB_REQUEST_HEADER, RunningBackEnd, ServiceTimeSettings,
+    serve,
 };
 use threadledge_types::session::{
     DEADLINE_HEADER, EPOCH_HEADER, Grant, GrantsUpdate, GrantsVersion, LEASE_PATH, LeaseRequest,
@@ -52,7 +53,7 @@
 }
 
 struct Bench {
-    serving: Serving,
+    serving: RunningBackEnd,
     back_end: Arc<BackEnd>,
     lines: Lines,
 }
--- a/crates/lab/tests/baselines.rs
+++ b/crates/lab/tests/baselines.rs
@@ -8,8 +8,8 @@
 use support::*;
 use threadledge_lab::baseline::{
     Assignment, BaselineKind, BaselineReport, BaselineRoute, CpuMeter, HashRing, Health,
-    MeasuredSide, RequestParts, RouterEnd, StaticOwners, View, baseline_table, double_owner,
-    key_of, release_views,
+    RequestParts, RouterEnd, StaticOwners, SystemMeasures, View, baseline_table, double_owner,
+    match_route, release_grants_of_ended_routers,
 };
 use threadledge_lab::history::Event;
 use threadledge_lab::load::{Arrivals, Surge};
@@ -158,7 +158,7 @@
             path,
             header: &header,
         };
-        key_of(&routes, &parts).map(|(_, key)| key.to_owned())
+        match_route(&routes, &parts).map(|(_, key)| key.to_owned())
     };
     assert_eq!(find("a", "/v1/key-1/view").as_deref(), Some("key-1"));
     assert_eq!(find("a", "/v1/greetings").as_deref(), Some("key-2"));
@@ -214,13 +214,13 @@
 
 #[test]
 fn ratios_are_product_over_baseline_and_leave_out_nothing_over_nothing() {
-    let product = MeasuredSide {
+    let product = SystemMeasures {
         unavailable_ms: 500.0,
-        ..MeasuredSide::default()
+        ..SystemMeasures::default()
     };
-    let ring = MeasuredSide {
+    let ring = SystemMeasures {
         unavailable_ms: 2_000.0,
-        ..MeasuredSide::default()
+        ..SystemMeasures::default()
     };
     let report = BaselineReport::new(product, BTreeMap::from([(BaselineKind::HashRing, ring)]));
     let ratios = &report.ratios[&BaselineKind::HashRing];
@@ -317,6 +317,6 @@
         epoch: Epoch(revision(2)),
         at: millis(900),
     };
-    release_views(&mut events, &[end]);
+    release_grants_of_ended_routers(&mut events, &[end]);
     assert_eq!(double_owner(&assemble(vec![events])).overlaps, 0);
 }
--- a/crates/lab/tests/checks.rs
+++ b/crates/lab/tests/checks.rs
@@ -351,7 +351,7 @@
     }]);
     run.push(ownership("b", 2, 600, 900));
     let history = assemble(run);
-    assert_eq!(history.beliefs[0].end, millis(500));
+    assert_eq!(history.claims[0].end, millis(500));
     assert_eq!(checks::single_owner::check(&history), Vec::new());
 }
 
@@ -366,7 +366,7 @@
     });
     let history = assemble(vec![run]);
     let stretches: Vec<_> = history
-        .beliefs
+        .claims
         .iter()
         .map(|belief| (belief.begin.as_millis(), belief.end.as_millis()))
         .collect();
@@ -399,7 +399,7 @@
             let mut run = drawn_run(draw);
             assert_eq!(checks::check_all(&assemble(run.clone())), Vec::new());
             let last = assemble(run.clone())
-                .beliefs
+                .claims
                 .last()
                 .expect("an owner")
                 .clone();
--- a/crates/lab/tests/experiments.rs
+++ b/crates/lab/tests/experiments.rs
@@ -69,7 +69,7 @@
     let path =
         scratch.experiment("[[fault]]\nat-ms = 5000\naction = 'store-down'\nfor-ms = 1000\n");
     let mut experiment = experiment::read(&path).expect("an experiment");
-    experiment::shorten(&mut experiment, Duration::from_secs(2));
+    experiment::set_duration(&mut experiment, Duration::from_secs(2));
     assert_eq!(experiment.faults[0].at_ms, 1_000);
 }
 
@@ -78,7 +78,10 @@
     let scratch = Scratch::new("refused");
     let unknown = scratch.experiment("[bounds]\nviolations = 3\n");
     let refusal = experiment::read(&unknown).expect_err("no such bound");
-    assert!(matches!(refusal, ExperimentError::Form { .. }), "{refusal}");
+    assert!(
+        matches!(refusal, ExperimentError::Parse { .. }),
+        "{refusal}"
+    );
     let late = scratch.experiment("[[fault]]\nat-ms = 10000\naction = 'store-down'\nfor-ms = 1\n");
     let refusal = experiment::read(&late).expect_err("too late");
     assert!(
@@ -94,7 +97,7 @@
     for (path, experiment) in found {
         let deployment = Deployment::read(&experiment.deployments).expect("a deployment");
         for fault in &experiment.faults {
-            if let Some(back_end) = fault.action.named_back_end() {
+            if let Some(back_end) = fault.action.affected_back_end() {
                 let known = deployment.back_ends.contains_key(back_end);
                 assert!(known, "{}: {back_end}", path.display());
             }
--- a/crates/lab/tests/load.rs
+++ b/crates/lab/tests/load.rs
@@ -5,7 +5,7 @@
 
 use threadledge_lab::load::{Arrivals, KeyPopularity, PopularitySettings};
 use threadledge_lab::stand_in::back_end::{
-    ColdStart, LoadMeter, ServiceTimeSettings, ServiceTimes, SlotRefusal, Slots,
+    ColdStart, LoadMeter, ServiceTimeSettings, ServiceTimes, SlotError, Slots,
 };
 use threadledge_types::session::Grant;
 use threadledge_types::{Epoch, Point, ServiceId, Slice, Timestamp};
@@ -106,7 +106,7 @@
         let first = slots.acquire().await.expect("a free slot");
         let mut second = Box::pin(slots.acquire());
         assert!(futures::poll!(&mut second).is_pending());
-        assert_eq!(slots.acquire().await.map(drop), Err(SlotRefusal::QueueFull));
+        assert_eq!(slots.acquire().await.map(drop), Err(SlotError::QueueFull));
         assert_eq!((slots.running(), slots.waiting()), (1, 1));
         drop(first);
         let second = second.await.expect("the freed slot");
--- a/crates/lab/tests/platform/client.rs
+++ b/crates/lab/tests/platform/client.rs
@@ -157,7 +157,7 @@
 fn platform_that_is_down_loses_the_connection_until_it_is_up() {
     guarded(async {
         let (api, client) = empty().await;
-        api.fault(&FaultCommand::Down(true)).expect("set");
+        api.inject_fault(&FaultCommand::Down(true)).expect("set");
         let error = client
             .list::<BackEndObject>(&Scope::All)
             .await
@@ -175,7 +175,7 @@
             WriteEffect::Ambiguous,
             "the client cannot know"
         );
-        api.fault(&FaultCommand::Down(false)).expect("set");
+        api.inject_fault(&FaultCommand::Down(false)).expect("set");
         create(&client, "a", 1_000).await;
     });
 }
@@ -189,7 +189,7 @@
             ..TransportSettings::default()
         };
         let client = ObjectClient::new(api.address(), settings);
-        api.fault(&FaultCommand::Slow(60_000)).expect("set");
+        api.inject_fault(&FaultCommand::Slow(60_000)).expect("set");
         let error = client
             .create(&back_end("a", 1_000))
             .await
@@ -211,7 +211,8 @@
 fn limited_reader_is_told_when_to_come_back() {
     guarded(async {
         let (api, client) = empty().await;
-        api.fault(&FaultCommand::RefuseReads(1)).expect("set");
+        api.inject_fault(&FaultCommand::RefuseReads(1))
+            .expect("set");
         let error = client
             .list::<BackEndObject>(&Scope::All)
             .await
--- a/crates/lab/tests/platform/commands.rs
+++ b/crates/lab/tests/platform/commands.rs
@@ -55,10 +55,11 @@
     guarded(async {
         let (api, client) = empty().await;
         create(&client, "a", 1_000).await;
-        api.fault(&FaultCommand::DropAnswers(1)).expect("set");
+        api.inject_fault(&FaultCommand::DropAnswers(1))
+            .expect("set");
         let lost = client.create(&back_end("b", 2_000)).await;
         assert!(lost.expect_err("no answer").is_ambiguous());
-        api.fault(&FaultCommand::Compact).expect("done");
+        api.inject_fault(&FaultCommand::Compact).expect("done");
         let request = http::Request::get(HISTORY_PATH).body(Vec::new());
         let request = request.expect("a request");
         let answer = HttpClient::default()
--- a/crates/lab/tests/platform/machine_list.rs
+++ b/crates/lab/tests/platform/machine_list.rs
@@ -33,28 +33,28 @@
 #[test]
 fn changes_show_after_the_lag() {
     let mut state = MachineListState::new(vec![machine("a")]);
-    state.fault(MachineListFault::Lag(1_000));
+    state.set_fault(MachineListFault::Lag(1_000));
     state.change(at(5_000), MachineCommand::Set(Box::new(machine("b"))));
-    assert_eq!(names(state.shown(at(5_999))), ["a"]);
-    assert_eq!(names(state.shown(at(6_000))), ["a", "b"]);
+    assert_eq!(names(state.visible_at(at(5_999))), ["a"]);
+    assert_eq!(names(state.visible_at(at(6_000))), ["a", "b"]);
 }
 
 #[test]
 fn stale_list_stays_behind_until_the_fault_ends() {
     let mut state = MachineListState::new(vec![machine("a")]);
     state.change(at(1), MachineCommand::Set(Box::new(machine("b"))));
-    state.fault(MachineListFault::Stale(1));
+    state.set_fault(MachineListFault::Stale(1));
     state.change(at(2), MachineCommand::Remove(MachineName::from("a")));
-    assert_eq!(names(state.shown(at(9))), ["a"]);
-    state.fault(MachineListFault::Stale(0));
-    assert_eq!(names(state.shown(at(9))), ["b"]);
+    assert_eq!(names(state.visible_at(at(9))), ["a"]);
+    state.set_fault(MachineListFault::Stale(0));
+    assert_eq!(names(state.visible_at(at(9))), ["b"]);
 }
 
 #[test]
 fn leaving_machine_is_marked_and_versions_grow() {
     let mut state = MachineListState::new(vec![machine("a")]);
     state.change(at(1), MachineCommand::Leaving(MachineName::from("a")));
-    let list = state.shown(at(1)).expect("up");
+    let list = state.visible_at(at(1)).expect("up");
     assert_eq!(list.version, 2);
     assert_eq!(list.machines[0].state, MachineState::Leaving);
 }
@@ -67,13 +67,13 @@
         let client = MachineListClient::new(server.address(), TransportSettings::default());
         let list: MachineList = client.machines().await.expect("up");
         assert_eq!(names(Some(list)), ["a"]);
-        server.fault(MachineListFault::Down(true));
+        server.set_fault(MachineListFault::Down(true));
         let error = client.machines::<MachineList>().await.expect_err("down");
         assert!(
             matches!(error.kind, PlatformErrorKind::ConnectionLost(_)),
             "{error}"
         );
-        server.fault(MachineListFault::Down(false));
+        server.set_fault(MachineListFault::Down(false));
         server.change(MachineCommand::Replace(vec![machine("b")]));
         let list: MachineList = client.machines().await.expect("up");
         assert_eq!(names(Some(list)), ["b"]);
--- a/crates/lab/tests/platform/watch.rs
+++ b/crates/lab/tests/platform/watch.rs
@@ -71,7 +71,7 @@
 fn compacted_version_is_gone() {
     guarded(async {
         let (api, client, _) = one_object().await;
-        api.fault(&FaultCommand::Compact).expect("done");
+        api.inject_fault(&FaultCommand::Compact).expect("done");
         let error = client.watch::<BackEndObject>(&Scope::All, 1).await;
         let error = error.err().expect("compacted");
         assert_eq!(error.kind, PlatformErrorKind::Gone);
@@ -94,13 +94,13 @@
     guarded(async {
         let (api, client, _) = one_object().await;
         let mut stream = watch(&client, 2).await;
-        api.fault(&FaultCommand::CutWatches { abruptly: false })
+        api.inject_fault(&FaultCommand::CutWatches { abruptly: false })
             .expect("done");
         while let Some(event) = stream.next().await {
             assert!(matches!(event, Ok(Event::Bookmark(_))));
         }
         let mut stream = watch(&client, 2).await;
-        api.fault(&FaultCommand::CutWatches { abruptly: true })
+        api.inject_fault(&FaultCommand::CutWatches { abruptly: true })
             .expect("done");
         let error = loop {
             match stream.next().await.expect("an error comes before the end") {
@@ -119,7 +119,7 @@
 fn watches_above_the_limit_are_refused_until_one_ends() {
     guarded(async {
         let (api, client, _) = one_object().await;
-        api.fault(&FaultCommand::LimitWatches(Some(1)))
+        api.inject_fault(&FaultCommand::LimitWatches(Some(1)))
             .expect("set");
         let first = watch(&client, 2).await;
         assert_eq!(api.watch_count(), 1);
--- a/crates/lab/tests/platform/watcher.rs
+++ b/crates/lab/tests/platform/watcher.rs
@@ -125,7 +125,7 @@
         let mut follower = Follower::start(&client, ObjectTracker::new());
         for slots in 4..10 {
             let abruptly = slots % 2 == 0;
-            api.fault(&FaultCommand::CutWatches { abruptly })
+            api.inject_fault(&FaultCommand::CutWatches { abruptly })
                 .expect("done");
             set_slots(&client, "a", slots).await;
             follower.until_in_force(&[("a", slots)]).await;
@@ -143,9 +143,9 @@
         let mut follower = Follower::start(&client, ObjectTracker::new());
         follower.until_in_force(&[("a", 3), ("b", 3)]).await;
         // Nobody watches while the store moves on and forgets.
-        api.fault(&FaultCommand::LimitWatches(Some(0)))
+        api.inject_fault(&FaultCommand::LimitWatches(Some(0)))
             .expect("set");
-        api.fault(&FaultCommand::CutWatches { abruptly: false })
+        api.inject_fault(&FaultCommand::CutWatches { abruptly: false })
             .expect("done");
         follower.until(|follower| follower.interrupted > 0).await;
         set_slots(&client, "a", 8).await;
@@ -153,8 +153,9 @@
             .delete::<BackEndObject>(&key("b"))
             .await
             .expect("there");
-        api.fault(&FaultCommand::Compact).expect("done");
-        api.fault(&FaultCommand::LimitWatches(None)).expect("set");
+        api.inject_fault(&FaultCommand::Compact).expect("done");
+        api.inject_fault(&FaultCommand::LimitWatches(None))
+            .expect("set");
         follower.until_in_force(&[("a", 8)]).await;
         assert_eq!(follower.snapshots, 2);
     });
@@ -167,10 +168,10 @@
         create(&client, "a", 1_000).await;
         let mut follower = Follower::start(&client, ObjectTracker::new());
         follower.until_in_force(&[("a", 3)]).await;
-        api.fault(&FaultCommand::Down(true)).expect("set");
+        api.inject_fault(&FaultCommand::Down(true)).expect("set");
         follower.until(|follower| follower.interrupted >= 5).await;
         assert_eq!(follower.in_force.len(), 1, "what is in force stays");
-        api.fault(&FaultCommand::Down(false)).expect("set");
+        api.inject_fault(&FaultCommand::Down(false)).expect("set");
         set_slots(&client, "a", 6).await;
         follower.until_in_force(&[("a", 6)]).await;
     });
@@ -181,7 +182,8 @@
     guarded(async {
         let (api, client) = empty().await;
         create(&client, "a", 1_000).await;
-        api.fault(&FaultCommand::RefuseReads(1)).expect("set");
+        api.inject_fault(&FaultCommand::RefuseReads(1))
+            .expect("set");
         let mut follower = Follower::start(&client, ObjectTracker::new());
         follower.until_in_force(&[("a", 3)]).await;
         assert_eq!(follower.interrupted, 1);
@@ -202,7 +204,7 @@
             version: backup,
             bump: None,
         };
-        api.fault(&restore).expect("kept");
+        api.inject_fault(&restore).expect("kept");
         follower.until(|follower| follower.older >= 3).await;
         assert_eq!(follower.in_force["a"], 5);
         assert_eq!(follower.in_force["b"], 3);
@@ -223,7 +225,7 @@
             version: backup,
             bump: Some(1_000),
         };
-        api.fault(&restore).expect("kept");
+        api.inject_fault(&restore).expect("kept");
         follower
             .until(|follower| follower.withheld.len() == 2)
             .await;
--- a/crates/lab/tests/platform/writes.rs
+++ b/crates/lab/tests/platform/writes.rs
@@ -26,7 +26,8 @@
 fn write_that_took_effect_without_answer_is_found_applied() {
     guarded(async {
         let (api, client) = empty().await;
-        api.fault(&FaultCommand::DropAnswers(1)).expect("set");
+        api.inject_fault(&FaultCommand::DropAnswers(1))
+            .expect("set");
         let outcome = write(&client, Write::Create(back_end("a", 1_000))).await;
         assert!(matches!(outcome, WriteOutcome::Applied(_)));
         assert_eq!(effective(&api), 1);
@@ -44,7 +45,7 @@
     guarded(async {
         let (api, client) = empty().await;
         let created = create(&client, "a", 1_000).await;
-        api.fault(&FaultCommand::LoseWrites(2)).expect("set");
+        api.inject_fault(&FaultCommand::LoseWrites(2)).expect("set");
         let outcome = write(&client, Write::Replace(with_slots(created, 7))).await;
         assert!(matches!(outcome, WriteOutcome::Applied(_)));
         assert_eq!(read(&client, "a").await.spec.slots, 7);
@@ -61,7 +62,7 @@
             count: 1,
             milliseconds: 30,
         };
-        api.fault(&delayed).expect("set");
+        api.inject_fault(&delayed).expect("set");
         let outcome = write(&client, Write::Replace(with_slots(created, 7))).await;
         let WriteOutcome::Applied(applied) = outcome else {
             panic!("{outcome:?}");
@@ -85,7 +86,8 @@
             revision: Some("1.7".to_owned()),
             ..AcceptanceStatus::default()
         });
-        api.fault(&FaultCommand::DropAnswers(1)).expect("set");
+        api.inject_fault(&FaultCommand::DropAnswers(1))
+            .expect("set");
         let outcome = write(&client, Write::ReplaceStatus(object)).await;
         assert!(matches!(outcome, WriteOutcome::Applied(_)));
         assert_eq!(effective(&api), 2);
@@ -99,7 +101,8 @@
         let created = create(&client, "a", 1_000).await;
         let mut wanted = with_slots(back_end("a", 1_000), 7);
         wanted.metadata.resource_version = created.metadata.resource_version;
-        api.fault(&FaultCommand::DropAnswers(1)).expect("set");
+        api.inject_fault(&FaultCommand::DropAnswers(1))
+            .expect("set");
         let outcome = write(&client, Write::Replace(wanted)).await;
         assert!(matches!(outcome, WriteOutcome::Applied(_)), "{outcome:?}");
     });
@@ -123,7 +126,8 @@
     guarded(async {
         let (api, client) = empty().await;
         let created = create(&client, "a", 1_000).await;
-        api.fault(&FaultCommand::DropAnswers(1)).expect("set");
+        api.inject_fault(&FaultCommand::DropAnswers(1))
+            .expect("set");
         let lost = client.replace(&with_slots(created.clone(), 5)).await;
         assert_eq!(lost.expect_err("no answer").effect, WriteEffect::Ambiguous);
         let current = read(&client, "a").await;
@@ -132,7 +136,7 @@
             .await
             .expect("current");
         // As if the first writer's read came only now.
-        api.fault(&FaultCommand::LoseWrites(1)).expect("set");
+        api.inject_fault(&FaultCommand::LoseWrites(1)).expect("set");
         let outcome = write(&client, Write::Replace(with_slots(created, 5))).await;
         assert!(
             matches!(outcome, WriteOutcome::Superseded(_)),
@@ -146,7 +150,7 @@
 fn store_that_stays_down_leaves_the_write_ambiguous() {
     guarded(async {
         let (api, client) = empty().await;
-        api.fault(&FaultCommand::Down(true)).expect("set");
+        api.inject_fault(&FaultCommand::Down(true)).expect("set");
         let settings = ResolveSettings {
             max_attempts: 3,
             backoff: fast_backoff(),
@@ -167,7 +171,7 @@
             probability: 0.5,
             seed: 11,
         };
-        api.fault(&drops).expect("set");
+        api.inject_fault(&drops).expect("set");
         for slots in 4..24 {
             let outcome = write(&client, Write::Replace(with_slots(object, slots))).await;
             let WriteOutcome::Applied(applied) = outcome else {
