--- a/crates/lab/src/baseline/cpu_meter.rs
+++ b/crates/lab/src/baseline/cpu_meter.rs
@@ -22,7 +22,7 @@
 
 impl CpuMeter {
     /// Records a reading of one process: its processor time so far.
-    pub fn take(&mut self, process: u32, seconds: f64) {
+    pub fn record(&mut self, process: u32, seconds: f64) {
         let (_, last) = self.processes.entry(process).or_insert((seconds, seconds));
         *last = last.max(seconds);
     }
@@ -32,7 +32,7 @@
     pub fn read(&mut self, processes: impl IntoIterator<Item = u32>) {
         for process in processes {
             if let Some(seconds) = cpu_seconds_of(process) {
-                self.take(process, seconds);
+                self.record(process, seconds);
             }
         }
     }
--- a/crates/lab/src/baseline/health.rs
+++ b/crates/lab/src/baseline/health.rs
@@ -15,7 +15,7 @@
 
 impl Health {
     /// Records the result of one poll: the session that responded, or `None`.
-    pub fn take(&mut self, answer: Option<SessionId>) {
+    pub fn record(&mut self, answer: Option<SessionId>) {
         match answer {
             Some(session) => {
                 self.failures = 0;
--- a/crates/lab/src/baseline/router.rs
+++ b/crates/lab/src/baseline/router.rs
@@ -128,7 +128,7 @@
             if let Some(session) = answer.as_ref().filter(|one| health.session() != Some(one)) {
                 self.record_new_session(now, session);
             }
-            health.take(answer);
+            health.record(answer);
         }
         let State { health, views } = &mut *state;
         for view in views.values_mut() {
--- a/crates/lab/src/load/caller.rs
+++ b/crates/lab/src/load/caller.rs
@@ -96,7 +96,7 @@
             self.recorder.record(Event::Fault {
                 at: clock::now(),
                 what: format!(
-                    "the lab left out {skipped} requests to {service}: {MAX_OUTSTANDING} were under way"
+                    "the lab skipped {skipped} requests to {service}: {MAX_OUTSTANDING} were in flight"
                 ),
             });
         }
@@ -104,7 +104,7 @@
 
     async fn call(&self, traffic: &TrafficSettings, intended: Timestamp, key: &str) {
         let message = message(traffic, self.next_request(), key);
-        let patience_end = intended + Duration::from_millis(traffic.patience_ms);
+        let deadline = intended + Duration::from_millis(traffic.patience_ms);
         let mut attempts = Vec::new();
         let mut answer_matches = None;
         let first = message.request.0 as usize;
@@ -113,8 +113,8 @@
         for number in 0.. {
             let router = (first + number) % self.routers.len();
             let begin = clock::now();
-            let patience = patience_end.since(begin);
-            let reply = exchange(&self.routers[router], &message, patience).await;
+            let time_left = deadline.since(begin);
+            let reply = exchange(&self.routers[router], &message, time_left).await;
             answer_matches = reply.answer_matches;
             tried += 1;
             let mut retry =
@@ -131,7 +131,7 @@
                 reason: reply.reason,
                 status: reply.status,
             });
-            if !retry || clock::now() >= patience_end {
+            if !retry || clock::now() >= deadline {
                 break;
             }
         }
--- a/crates/lab/src/load/exchange.rs
+++ b/crates/lab/src/load/exchange.rs
@@ -48,21 +48,21 @@
     }
 }
 
-/// Sends `message` and waits at most `patience` to connect and at most
-/// `patience` for the complete response.
+/// Sends `message` and waits at most `time_limit` to connect and at most
+/// `time_limit` for the complete response.
 pub(super) async fn exchange(
     connections: &Connections,
     message: &Message,
-    patience: Duration,
+    time_limit: Duration,
 ) -> Reply {
-    let stream = match timeout(patience, connections.checkout()).await {
+    let stream = match timeout(time_limit, connections.checkout()).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) => return Reply::failed(AttemptOutcome::NotSent, error),
         Err(_) => {
             return Reply::failed(AttemptOutcome::NotSent, "no connection in time");
         }
     };
-    match timeout(patience, send(stream.clone(), message)).await {
+    match timeout(time_limit, send(stream.clone(), message)).await {
         Ok(Ok((reply, reusable))) => {
             if reusable {
                 connections.check_in(stream);
--- a/crates/lab/src/rig/run.rs
+++ b/crates/lab/src/rig/run.rs
@@ -157,8 +157,8 @@
         .flat_map(|load| &load.traffic)
         .map(|traffic| traffic.patience_ms)
         .max();
-    let patience = Duration::from_millis(patience_ms.unwrap_or(0));
-    let limit = begin + experiment.duration + patience + CALLER_END_MARGIN;
+    let caller_timeout = Duration::from_millis(patience_ms.unwrap_or(0));
+    let limit = begin + experiment.duration + caller_timeout + CALLER_END_MARGIN;
     while clock::now() < limit {
         if clock::now().since(cpu_read) >= CPU_INTERVAL {
             cpu_read = clock::now();
--- a/crates/lab/tests/back_end.rs
+++ b/crates/lab/tests/back_end.rs
@@ -1,4 +1,5 @@
-//! A stand-in back end enforces on real sockets what it was granted.
+//! Tests over real sockets that a stand-in back end enforces its grants, its
+//! lease, deadlines and the bound of its queue.
 
 mod support;
 
@@ -9,7 +10,7 @@
 use async_std::net::TcpStream;
 use async_std::task;
 use http_types::{Body, Method, Request, Response, Url};
-use support::Lines;
+use support::OutputLines;
 use threadledge_lab::clock;
 use threadledge_lab::history::{Event, Recorder};
 use threadledge_lab::stand_in::back_end::{
@@ -52,19 +53,19 @@
     }
 }
 
-struct Bench {
-    serving: RunningBackEnd,
+struct TestServer {
+    running: RunningBackEnd,
     back_end: Arc<BackEnd>,
-    lines: Lines,
+    lines: OutputLines,
 }
 
-async fn bench(settings: BackEndSettings) -> Bench {
-    let lines = Lines::default();
+async fn start_back_end(settings: BackEndSettings) -> TestServer {
+    let lines = OutputLines::default();
     let recorder = Recorder::new(Box::new(lines.clone()));
     let back_end = Arc::new(BackEnd::new(settings, INCARNATION, recorder));
-    let serving = serve(back_end.clone()).await.expect("two free ports");
-    Bench {
-        serving,
+    let running = serve(back_end.clone()).await.expect("two free ports");
+    TestServer {
+        running,
         back_end,
         lines,
     }
@@ -95,7 +96,7 @@
     }
 }
 
-fn everything(number: u64) -> GrantsUpdate {
+fn grant_all(number: u64) -> GrantsUpdate {
     let grant = Grant {
         service: service(),
         slice: Slice::ALL,
@@ -115,9 +116,9 @@
     }
 }
 
-impl Bench {
+impl TestServer {
     async fn lease(&self, request: &LeaseRequest) -> LeaseResponse {
-        let address = self.serving.control_address;
+        let address = self.running.control_address;
         let url = Url::parse(&format!("http://{address}{LEASE_PATH}")).expect("a URL");
         let mut message = Request::new(Method::Post, url);
         message.set_body(Body::from_json(request).expect("JSON"));
@@ -126,11 +127,11 @@
         response.body_json().await.expect("a lease response")
     }
 
-    async fn order(&self, number: u64, under: Epoch, deadline_ms: u64) -> Response {
-        let stream = TcpStream::connect(self.serving.address)
+    async fn send_request(&self, number: u64, under: Epoch, deadline_ms: u64) -> Response {
+        let stream = TcpStream::connect(self.running.address)
             .await
             .expect("a connection");
-        async_h1::connect(stream, order(number, under, deadline_ms))
+        async_h1::connect(stream, build_request(number, under, deadline_ms))
             .await
             .expect("an answer")
     }
@@ -152,7 +153,7 @@
     }
 }
 
-fn order(number: u64, under: Epoch, deadline_ms: u64) -> Request {
+fn build_request(number: u64, under: Epoch, deadline_ms: u64) -> Request {
     let url = Url::parse("http://orders.example/orders").expect("a URL");
     let mut request = Request::new(Method::Post, url);
     request.insert_header(LAB_REQUEST_HEADER, number.to_string());
@@ -171,28 +172,28 @@
 }
 
 #[test]
-fn nothing_runs_without_a_grant() {
+fn a_request_without_a_grant_is_not_executed() {
     task::block_on(async {
-        let bench = bench(settings(2, 4, 1.0)).await;
-        let response = bench.order(1, epoch(5), 1_000).await;
+        let server = start_back_end(settings(2, 4, 1.0)).await;
+        let response = server.send_request(1, epoch(5), 1_000).await;
         assert_eq!(u16::from(response.status()), 421);
         assert_eq!(refusal(&response), Some("wrong-owner"));
-        assert_eq!(bench.completed(), 0);
+        assert_eq!(server.completed(), 0);
     });
 }
 
 #[test]
-fn a_granted_request_is_answered_with_its_own_name_and_recorded() {
+fn a_granted_request_is_answered_with_its_own_id_and_recorded() {
     task::block_on(async {
-        let bench = bench(settings(2, 4, 1.0)).await;
-        bench
-            .lease(&lease_request(1, everything(1), LONG_LEASE_MS))
+        let server = start_back_end(settings(2, 4, 1.0)).await;
+        server
+            .lease(&lease_request(1, grant_all(1), LONG_LEASE_MS))
             .await;
-        let mut response = bench.order(42, epoch(5), 10_000).await;
+        let mut response = server.send_request(42, epoch(5), 10_000).await;
         let body = response.body_string().await.expect("a body");
         assert!(body.starts_with("request 42\n"));
-        assert_eq!(bench.completed(), 1);
-        let taken = bench.lines.events();
+        assert_eq!(server.completed(), 1);
+        let taken = server.lines.events();
         assert!(
             taken
                 .iter()
@@ -202,89 +203,89 @@
 }
 
 #[test]
-fn a_stale_epoch_and_a_lapsed_lease_are_refused() {
+fn a_stale_epoch_and_an_expired_lease_are_refused() {
     task::block_on(async {
-        let bench = bench(settings(2, 4, 1.0)).await;
-        bench
-            .lease(&lease_request(1, everything(1), LONG_LEASE_MS))
+        let server = start_back_end(settings(2, 4, 1.0)).await;
+        server
+            .lease(&lease_request(1, grant_all(1), LONG_LEASE_MS))
             .await;
         assert_eq!(
-            refusal(&bench.order(1, epoch(4), 1_000).await),
+            refusal(&server.send_request(1, epoch(4), 1_000).await),
             Some("wrong-owner")
         );
 
-        let other = back_end_with_lapsed_lease().await;
+        let other = back_end_with_expired_lease().await;
         assert_eq!(
-            refusal(&other.order(1, epoch(5), 1_000).await),
+            refusal(&other.send_request(1, epoch(5), 1_000).await),
             Some("lease-lapsed")
         );
-        assert_eq!(bench.completed() + other.completed(), 0);
+        assert_eq!(server.completed() + other.completed(), 0);
     });
 }
 
-/// A back end whose lease ended when it was granted.
-async fn back_end_with_lapsed_lease() -> Bench {
-    let bench = bench(settings(2, 4, 1.0)).await;
-    bench.lease(&lease_request(1, everything(1), 0)).await;
-    bench
+/// Starts a back end whose lease expired when it was granted.
+async fn back_end_with_expired_lease() -> TestServer {
+    let server = start_back_end(settings(2, 4, 1.0)).await;
+    server.lease(&lease_request(1, grant_all(1), 0)).await;
+    server
 }
 
 #[test]
 fn a_request_past_its_deadline_has_no_effect() {
     task::block_on(async {
-        let bench = bench(settings(1, 4, 60_000.0)).await;
-        bench
-            .lease(&lease_request(1, everything(1), LONG_LEASE_MS))
+        let server = start_back_end(settings(1, 4, 60_000.0)).await;
+        server
+            .lease(&lease_request(1, grant_all(1), LONG_LEASE_MS))
             .await;
-        let response = bench.order(1, epoch(5), 20).await;
+        let response = server.send_request(1, epoch(5), 20).await;
         assert_eq!(refusal(&response), Some("deadline-passed"));
-        assert_eq!(bench.completed(), 0);
-        assert_eq!(bench.back_end.slots.running(), 0);
+        assert_eq!(server.completed(), 0);
+        assert_eq!(server.back_end.slots.running(), 0);
     });
 }
 
 #[test]
-fn a_full_queue_sheds_load_and_a_hang_up_frees_the_slot() {
+fn a_full_queue_sheds_load_and_a_disconnect_frees_the_slot() {
     task::block_on(async {
-        let bench = bench(settings(1, 0, 60_000.0)).await;
-        bench
-            .lease(&lease_request(1, everything(1), LONG_LEASE_MS))
+        let server = start_back_end(settings(1, 0, 60_000.0)).await;
+        server
+            .lease(&lease_request(1, grant_all(1), LONG_LEASE_MS))
             .await;
-        let stream = TcpStream::connect(bench.serving.address)
+        let stream = TcpStream::connect(server.running.address)
             .await
             .expect("a connection");
-        let endless = async_h1::connect(stream.clone(), order(1, epoch(5), 60_000));
+        let endless = async_h1::connect(stream.clone(), build_request(1, epoch(5), 60_000));
         let endless = task::spawn(endless);
-        until(|| bench.back_end.slots.running() == 1).await;
-        let response = bench.order(2, epoch(5), 1_000).await;
+        wait_until(|| server.back_end.slots.running() == 1).await;
+        let response = server.send_request(2, epoch(5), 1_000).await;
         assert_eq!(refusal(&response), Some("overloaded"));
         stream
             .shutdown(std::net::Shutdown::Both)
             .expect("an open connection");
         drop(endless.await);
-        until(|| bench.back_end.slots.running() == 0).await;
-        assert_eq!(bench.completed(), 0);
+        wait_until(|| server.back_end.slots.running() == 0).await;
+        assert_eq!(server.completed(), 0);
     });
 }
 
 #[test]
-fn a_grant_taken_away_ends_the_belief() {
+fn a_revoked_grant_is_released() {
     task::block_on(async {
-        let bench = bench(settings(2, 4, 1.0)).await;
-        bench
-            .lease(&lease_request(1, everything(1), LONG_LEASE_MS))
+        let server = start_back_end(settings(2, 4, 1.0)).await;
+        server
+            .lease(&lease_request(1, grant_all(1), LONG_LEASE_MS))
             .await;
         let none = GrantsUpdate::Full {
             version: version(2),
             grants: Vec::new(),
         };
-        let response = bench.lease(&lease_request(2, none, LONG_LEASE_MS)).await;
+        let response = server.lease(&lease_request(2, none, LONG_LEASE_MS)).await;
         assert!(response.taken && response.releasing.is_empty());
         assert_eq!(
-            refusal(&bench.order(1, epoch(5), 1_000).await),
+            refusal(&server.send_request(1, epoch(5), 1_000).await),
             Some("wrong-owner")
         );
-        let released = bench.lines.events();
+        let released = server.lines.events();
         assert!(
             released
                 .iter()
@@ -293,8 +294,8 @@
     });
 }
 
-/// Waits for something that is bound to come, without asserting when.
-async fn until(condition: impl Fn() -> bool) {
+/// Polls until `condition` holds.
+async fn wait_until(condition: impl Fn() -> bool) {
     while !condition() {
         task::sleep(Duration::from_millis(1)).await;
     }
--- a/crates/lab/tests/baselines.rs
+++ b/crates/lab/tests/baselines.rs
@@ -1,4 +1,5 @@
-//! Baselines route, measure and compare as they say.
+//! Tests of the baselines: assignment, health, routing, measures and the
+//! comparison with the product.
 
 mod support;
 
@@ -24,11 +25,11 @@
         .collect()
 }
 
-fn all(members: &[BackEndId]) -> BTreeSet<BackEndId> {
+fn as_set(members: &[BackEndId]) -> BTreeSet<BackEndId> {
     members.iter().cloned().collect()
 }
 
-fn covers_the_line(slices: &[(Slice, BackEndId)]) -> bool {
+fn covers_all_points(slices: &[(Slice, BackEndId)]) -> bool {
     let begins = slices.first().is_some_and(|(slice, _)| slice.first.0 == 0);
     let ends = slices
         .last()
@@ -48,25 +49,25 @@
 }
 
 #[test]
-fn a_ring_covers_the_line_whoever_is_alive() {
+fn a_ring_covers_all_points_with_any_live_back_ends() {
     let members = members(5);
     let ring = HashRing::new(&members);
     for lost in 0..5 {
-        let mut alive = all(&members);
+        let mut alive = as_set(&members);
         alive.remove(&members[lost]);
         let slices = ring.slices(&alive);
-        assert!(covers_the_line(&slices));
+        assert!(covers_all_points(&slices));
         assert!(!shares(&slices).contains_key(&members[lost]));
     }
     assert!(ring.slices(&BTreeSet::new()).is_empty());
 }
 
 #[test]
-fn a_loss_moves_only_the_keys_of_the_lost_back_end() {
+fn losing_a_back_end_moves_only_its_own_keys() {
     let members = members(8);
     let ring = HashRing::new(&members);
-    let before = ring.slices(&all(&members));
-    let mut alive = all(&members);
+    let before = ring.slices(&as_set(&members));
+    let mut alive = as_set(&members);
     alive.remove(&members[3]);
     let after = ring.slices(&alive);
     let owner = |slices: &[(Slice, BackEndId)], point: Point| {
@@ -75,20 +76,20 @@
     };
     for number in 0..1_000 {
         let point = Point(number * (u64::MAX / 1_000));
-        let former = owner(&before, point);
-        if former != members[3] {
-            assert_eq!(owner(&after, point), former);
+        let previous = owner(&before, point);
+        if previous != members[3] {
+            assert_eq!(owner(&after, point), previous);
         }
     }
 }
 
 #[test]
-fn static_owners_divide_evenly_and_outlive_everyone() {
+fn static_owners_divide_evenly_and_ignore_health() {
     let members = members(6);
     let mut backwards = members.clone();
     backwards.reverse();
     let slices = StaticOwners::new(&backwards).slices();
-    assert!(covers_the_line(&slices));
+    assert!(covers_all_points(&slices));
     for share in shares(&slices).values() {
         assert!((share - 1.0 / 6.0).abs() < 1e-9);
     }
@@ -97,20 +98,20 @@
 }
 
 #[test]
-fn one_lost_poll_is_no_death_and_two_are() {
+fn two_failed_polls_in_a_row_mark_a_back_end_dead() {
     let mut health = Health::default();
     assert!(!health.is_alive());
-    health.take(Some(session("a")));
-    health.take(None);
+    health.record(Some(session("a")));
+    health.record(None);
     assert!(health.is_alive());
-    health.take(None);
+    health.record(None);
     assert!(!health.is_alive());
-    health.take(Some(session("a")));
+    health.record(Some(session("a")));
     assert!(health.is_alive());
 }
 
 #[test]
-fn a_view_tells_what_a_death_moved() {
+fn a_view_reports_the_slices_moved_from_a_dead_back_end() {
     let members = vec![
         BackEndId::new("kasamahan", "a"),
         BackEndId::new("kasamahan", "b"),
@@ -118,15 +119,15 @@
     let mut health: BTreeMap<BackEndId, Health> = BTreeMap::new();
     for member in &members {
         let one = health.entry(member.clone()).or_default();
-        one.take(Some(session(&member.name)));
+        one.record(Some(session(&member.name)));
     }
     let assignment = Assignment::new(BaselineKind::HashRing, &members);
     let mut view = View::new(service(), Epoch(revision(1)), assignment);
     assert!(view.update(&health).released.is_empty());
     assert_eq!(view.update(&health), Default::default());
     let dead = health.get_mut(&members[0]).expect("a member");
-    dead.take(None);
-    dead.take(None);
+    dead.record(None);
+    dead.record(None);
     let change = view.update(&health);
     let taken: f64 = change
         .taken
@@ -166,7 +167,8 @@
     assert_eq!(find("a", "/v2/key-1/view"), None);
 }
 
-/// Router 2 sees the move from `a` to `b` 300 ms later than router 1.
+/// Returns events in which router 2 sees the move from `a` to `b` 300 ms later
+/// than router 1.
 fn slow_second_router() -> Vec<Event> {
     let mut events = ownership("a", 1, 0, 1_000);
     events.extend(ownership("a", 2, 0, 1_300));
@@ -174,7 +176,7 @@
     events
         .into_iter()
         .map(|event| match event {
-            // No baseline has leases that end.
+            // Baselines have no leases that expire.
             Event::LeaseExtended { at, session, .. } => Event::LeaseExtended {
                 at,
                 session,
@@ -186,7 +188,7 @@
 }
 
 #[test]
-fn routers_that_disagree_count_as_two_owners() {
+fn routers_that_disagree_are_counted_as_double_ownership() {
     let mut events = slow_second_router();
     events.extend(execution("b", 1, 1, 1_100, 1_110));
     events.extend(execution("b", 1, 2, 2_000, 2_010));
@@ -196,24 +198,24 @@
 }
 
 #[test]
-fn a_sound_run_has_no_two_owners() {
-    let found = double_owner(&assemble(sound_run()));
+fn a_correct_run_has_no_double_ownership() {
+    let found = double_owner(&assemble(correct_run()));
     assert_eq!(found, Default::default());
 }
 
 #[test]
-fn processor_time_counts_from_the_first_reading_and_survives_a_death() {
+fn processor_time_counts_from_the_first_reading() {
     let mut meter = CpuMeter::default();
-    meter.take(1, 5.0);
-    meter.take(2, 0.5);
-    meter.take(1, 5.75);
+    meter.record(1, 5.0);
+    meter.record(2, 0.5);
+    meter.record(1, 5.75);
     assert_eq!(meter.seconds(), 0.75);
     let own = std::process::id();
     assert!(threadledge_lab::baseline::cpu_seconds_of(own).is_some());
 }
 
 #[test]
-fn ratios_are_product_over_baseline_and_leave_out_nothing_over_nothing() {
+fn ratios_are_product_over_baseline_and_omit_zero_over_zero() {
     let product = SystemMeasures {
         unavailable_ms: 500.0,
         ..SystemMeasures::default()
@@ -254,32 +256,32 @@
 }
 
 #[test]
-fn goodput_is_told_for_each_stretch_of_load() {
-    let history = assemble(sound_run());
+fn goodput_is_reported_for_each_interval_of_load() {
+    let history = assemble(correct_run());
     let surge = Surge {
         from_ms: 1_000,
         until_ms: 2_000,
         factor: 2.0,
     };
-    let stretches = threadledge_lab::measures::goodput(
+    let intervals = threadledge_lab::measures::goodput(
         &history,
         Timestamp::ZERO,
         Duration::from_secs(3),
         &[surge],
     );
-    let factors: Vec<f64> = stretches.iter().map(|one| one.factor).collect();
+    let factors: Vec<f64> = intervals.iter().map(|one| one.factor).collect();
     assert_eq!(factors, [1.0, 2.0, 1.0]);
-    let offered: f64 = stretches.iter().map(|one| one.offered_per_second).sum();
+    let offered: f64 = intervals.iter().map(|one| one.offered_per_second).sum();
     assert_eq!(offered, history.requests.len() as f64);
 }
 
-/// Grants of a view carry the router's own number as their epoch.
+/// The epoch of a view's grants identifies the router that recorded them.
 #[test]
 fn a_view_records_grants_under_its_own_epoch() {
     let members = vec![BackEndId::new("kasamahan", "a")];
     let mut health: BTreeMap<BackEndId, Health> = BTreeMap::new();
     let one = health.entry(members[0].clone()).or_default();
-    one.take(Some(session("a")));
+    one.record(Some(session("a")));
     let epoch = Epoch(revision(3));
     let assignment = Assignment::new(BaselineKind::StaticOwners, &members);
     let change = View::new(service(), epoch, assignment).update(&health);
@@ -292,23 +294,23 @@
 }
 
 #[test]
-fn the_last_stretch_is_held_against_what_it_could_answer() {
-    let stretch = |offered, answered| Goodput {
+fn goodput_share_compares_the_last_interval_with_its_maximum() {
+    let goodput = |offered, answered| Goodput {
         offered_per_second: offered,
         answered_per_second: answered,
         ..Goodput::default()
     };
-    let overloaded = [stretch(100.0, 90.0), stretch(300.0, 72.0)];
+    let overloaded = [goodput(100.0, 90.0), goodput(300.0, 72.0)];
     assert_eq!(goodput_share(&overloaded), Some(0.8));
-    let recovered = [stretch(200.0, 100.0), stretch(80.0, 80.0)];
+    let recovered = [goodput(200.0, 100.0), goodput(80.0, 80.0)];
     assert_eq!(goodput_share(&recovered), Some(1.0));
     assert_eq!(goodput_share(&recovered[..1]), None);
 }
 
 #[test]
-fn the_view_of_a_router_that_ended_ends_with_it() {
+fn grants_of_an_ended_router_are_released() {
     let mut events = slow_second_router();
-    // Router 2 never said that `a` lost its points.
+    // Router 2 never recorded that `a` lost its points.
     events.retain(
         |event| !matches!(event, Event::GrantReleased { grant, .. } if *grant == support::grant(2)),
     );
--- a/crates/lab/tests/callers.rs
+++ b/crates/lab/tests/callers.rs
@@ -1,5 +1,5 @@
-//! Callers on loopback: they check whose answer they got, and send again only
-//! when that is safe.
+//! Tests of callers on loopback: they verify that a response belongs to their
+//! request, and retry only when that is safe.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use async_std::net::TcpListener;
 use async_std::task;
 use http_types::{Request, Response, StatusCode};
-use support::Lines;
+use support::OutputLines;
 use threadledge_lab::clock;
 use threadledge_lab::history::{Attempt, AttemptOutcome, Event, Recorder, RequestId};
 use threadledge_lab::load::{CallerSettings, PopularitySettings, TrafficSettings, run_process};
@@ -30,8 +30,8 @@
     response
 }
 
-/// The whole, well-formed answer to another request.
-fn answers_another(request: RequestId) -> Response {
+/// Returns a complete, well-formed response to another request.
+fn answer_another_request(request: RequestId) -> Response {
     answers(RequestId(request.0 + 1))
 }
 
@@ -64,10 +64,11 @@
     address
 }
 
-/// Sends a second's load at once, as all of it is overdue, and gives back the
-/// attempts of each request and whether its answer matched.
+/// Sends one second of load, which is sent immediately because all of it is
+/// overdue. Returns the attempts of each request and whether its response
+/// matched.
 async fn call(routers: Vec<SocketAddr>, repeatable: bool) -> Vec<(Vec<Attempt>, Option<bool>)> {
-    let lines = Lines::default();
+    let lines = OutputLines::default();
     let now = clock::now();
     let traffic = TrafficSettings {
         service: ServiceId::new("kauri", "order-svc"),
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn a_router_that_is_not_ready_sends_the_caller_to_the_next() {
+fn a_caller_retries_at_the_next_router_if_one_is_not_ready() {
     task::block_on(async {
         let routers = vec![serve(not_ready).await, serve(answers).await];
         let requests = call(routers, false).await;
@@ -130,15 +131,15 @@
 }
 
 #[test]
-fn another_requests_answer_is_noticed() {
+fn a_response_to_another_request_is_detected() {
     task::block_on(async {
-        let requests = call(vec![serve(answers_another).await], false).await;
+        let requests = call(vec![serve(answer_another_request).await], false).await;
         assert!(requests.iter().all(|(_, matches)| *matches == Some(false)));
     });
 }
 
 #[test]
-fn what_may_have_run_is_not_sent_again() {
+fn a_request_that_may_have_run_is_not_retried() {
     task::block_on(async {
         let routers = vec![serve(unknown).await, serve(unknown).await];
         for (attempts, matches) in call(routers, false).await {
--- a/crates/lab/tests/checks.rs
+++ b/crates/lab/tests/checks.rs
@@ -1,4 +1,5 @@
-//! Every check passes a sound run and fails on the fault it is meant for.
+//! Tests that every check accepts a correct run and detects the fault that it
+//! is meant for.
 
 mod support;
 
@@ -8,10 +9,11 @@
 use threadledge_types::session::Grant;
 use threadledge_types::{Epoch, Point, Slice};
 
-/// Asserts that `check` finds exactly one breach, once `fault` is planted.
-fn finds(check: Check, guarantee: Guarantee, fault: Vec<Event>) {
-    let mut run = sound_run();
-    assert_eq!(check(&assemble(run.clone())), Vec::new(), "sound run");
+/// Asserts that `check` assert_detects no violation in a correct run, and exactly one
+/// after `fault` is added.
+fn assert_detects(check: Check, guarantee: Guarantee, fault: Vec<Event>) {
+    let mut run = correct_run();
+    assert_eq!(check(&assemble(run.clone())), Vec::new(), "correct run");
     run.push(fault);
     let found = check(&assemble(run));
     assert_eq!(found.len(), 1, "{found:?}");
@@ -19,13 +21,13 @@
 }
 
 #[test]
-fn a_sound_run_breaches_nothing() {
-    assert_eq!(checks::check_all(&assemble(sound_run())), Vec::new());
+fn a_correct_run_has_no_violations() {
+    assert_eq!(checks::check_all(&assemble(correct_run())), Vec::new());
 }
 
 #[test]
-fn two_believers_at_one_moment_breach_single_owner() {
-    finds(
+fn two_simultaneous_claims_violate_single_owner() {
+    assert_detects(
         checks::single_owner::check,
         Guarantee::SingleOwner,
         ownership("c", 3, 2_999, 3_500),
@@ -33,8 +35,8 @@
 }
 
 #[test]
-fn an_execution_after_the_lease_lapsed_breaches_single_owner() {
-    finds(
+fn an_execution_after_the_lease_expired_violates_single_owner() {
+    assert_detects(
         checks::single_owner::check,
         Guarantee::SingleOwner,
         execution("a", 1, 9, 995, 1_001),
@@ -42,8 +44,8 @@
 }
 
 #[test]
-fn an_execution_under_a_stale_epoch_breaches_single_owner() {
-    finds(
+fn an_execution_under_a_stale_epoch_violates_single_owner() {
+    assert_detects(
         checks::single_owner::check,
         Guarantee::SingleOwner,
         execution("b", 1, 9, 1_100, 1_110),
@@ -51,8 +53,8 @@
 }
 
 #[test]
-fn an_epoch_that_goes_down_breaches_durable_assignment() {
-    finds(
+fn a_decreasing_epoch_violates_durable_assignment() {
+    assert_detects(
         checks::durable::check,
         Guarantee::DurableAssignment,
         ownership("c", 1, 3_100, 3_500)
@@ -75,8 +77,8 @@
 }
 
 #[test]
-fn one_epoch_for_two_sessions_breaches_durable_assignment() {
-    finds(
+fn one_epoch_for_two_sessions_violates_durable_assignment() {
+    assert_detects(
         checks::durable::check,
         Guarantee::DurableAssignment,
         ownership("c", 2, 3_100, 3_500),
@@ -84,7 +86,7 @@
 }
 
 #[test]
-fn a_router_that_forgets_an_assignment_breaches_durable_assignment() {
+fn a_router_that_reverts_an_assignment_violates_durable_assignment() {
     let view = |at: u64, epoch: u64| {
         Event::SliceSeen(SliceSeen {
             begin: millis(at),
@@ -96,7 +98,7 @@
             epoch: Epoch(revision(epoch)),
         })
     };
-    finds(
+    assert_detects(
         checks::durable::check,
         Guarantee::DurableAssignment,
         vec![view(1_000, 2), view(2_000, 1), view(9_000, 1)],
@@ -104,32 +106,32 @@
 }
 
 #[test]
-fn another_requests_answer_breaches_own_answer() {
+fn a_response_to_another_request_violates_own_answer() {
     let mut wrong = request(1, vec![attempt(0, 95, 115, AttemptOutcome::Answered)]);
     if let Event::RequestEnded { answer_matches, .. } = &mut wrong {
         *answer_matches = Some(false);
     }
-    finds(checks::answers::check, Guarantee::OwnAnswer, vec![wrong]);
+    assert_detects(checks::answers::check, Guarantee::OwnAnswer, vec![wrong]);
 }
 
 #[test]
-fn an_answer_without_an_execution_breaches_own_answer() {
+fn a_response_without_an_execution_violates_own_answer() {
     let invented = request(9, vec![attempt(0, 95, 115, AttemptOutcome::Answered)]);
-    finds(checks::answers::check, Guarantee::OwnAnswer, vec![invented]);
+    assert_detects(checks::answers::check, Guarantee::OwnAnswer, vec![invented]);
 }
 
 #[test]
-fn an_execution_of_a_request_said_not_to_have_run_breaches_not_run() {
+fn an_execution_of_a_request_reported_as_not_run_violates_not_run() {
     let mut fault = execution("b", 2, 9, 1_100, 1_110);
     fault.push(request(
         9,
         vec![attempt(0, 1_090, 1_120, AttemptOutcome::NotRun)],
     ));
-    finds(checks::not_run::check, Guarantee::NotRun, fault);
+    assert_detects(checks::not_run::check, Guarantee::NotRun, fault);
 }
 
 #[test]
-fn an_execution_before_the_only_attempt_that_may_have_run_breaches_not_run() {
+fn an_execution_before_the_only_attempt_that_may_have_run_violates_not_run() {
     let mut fault = execution("b", 2, 9, 1_100, 1_110);
     fault.push(request(
         9,
@@ -138,12 +140,12 @@
             attempt(1, 1_125, 1_150, AttemptOutcome::Unknown),
         ],
     ));
-    finds(checks::not_run::check, Guarantee::NotRun, fault);
+    assert_detects(checks::not_run::check, Guarantee::NotRun, fault);
 }
 
 #[test]
-fn a_second_execution_breaches_at_most_once() {
-    finds(
+fn a_second_execution_violates_at_most_once() {
+    assert_detects(
         checks::at_most_once::check,
         Guarantee::AtMostOnce,
         execution("b", 2, 2, 1_100, 1_110),
@@ -151,30 +153,30 @@
 }
 
 #[test]
-fn new_work_long_after_the_drain_notice_breaches_draining() {
+fn new_work_long_after_the_drain_notice_violates_draining() {
     let mut fault = vec![Event::DrainBegan {
         at: millis(1_100),
         session: session("b"),
     }];
     fault.extend(execution("b", 2, 9, 4_200, 4_210));
-    finds(checks::draining::check, Guarantee::Draining, fault);
+    assert_detects(checks::draining::check, Guarantee::Draining, fault);
 }
 
 #[test]
-fn a_drain_notice_binds_only_the_life_that_got_it() {
-    let mut former = session("b");
-    former.incarnation.0 += 1;
-    let mut run = sound_run();
+fn a_drain_notice_applies_only_to_the_incarnation_that_received_it() {
+    let mut other_incarnation = session("b");
+    other_incarnation.incarnation.0 += 1;
+    let mut run = correct_run();
     run.push(vec![Event::DrainBegan {
         at: millis(1),
-        session: former,
+        session: other_incarnation,
     }]);
     run.push(execution("b", 2, 9, 4_200, 4_210));
     assert!(checks::draining::check(&assemble(run)).is_empty());
 }
 
 #[test]
-fn a_request_cut_after_the_stop_began_breaches_planned_stop() {
+fn a_request_interrupted_after_the_stop_began_violates_planned_stop() {
     let fault = vec![
         Event::PlannedStopBegan {
             at: millis(2_000),
@@ -182,7 +184,7 @@
         },
         request(9, vec![attempt(1, 1_990, 2_010, AttemptOutcome::Cut)]),
     ];
-    finds(checks::planned_stop::check, Guarantee::PlannedStop, fault);
+    assert_detects(checks::planned_stop::check, Guarantee::PlannedStop, fault);
 }
 
 fn configuration(at: u64, index: u64, ready: bool) -> Event {
@@ -195,8 +197,8 @@
 }
 
 #[test]
-fn a_revision_that_goes_down_breaches_configuration() {
-    finds(
+fn a_decreasing_revision_violates_configuration() {
+    assert_detects(
         checks::configuration::check,
         Guarantee::Configuration,
         vec![configuration(10, 7, true), configuration(20, 6, true)],
@@ -204,8 +206,8 @@
 }
 
 #[test]
-fn serving_by_an_old_revision_breaches_configuration() {
-    finds(
+fn serving_by_an_old_revision_violates_configuration() {
+    assert_detects(
         checks::configuration::check,
         Guarantee::Configuration,
         vec![
@@ -222,8 +224,8 @@
 }
 
 #[test]
-fn a_take_while_another_owns_is_not_linearizable() {
-    finds(
+fn acquiring_while_another_session_owns_is_not_linearizable() {
+    assert_detects(
         checks::linearizable::check,
         Guarantee::Linearizable,
         ownership("c", 3, 2_999, 3_500),
@@ -232,15 +234,15 @@
 
 #[test]
 fn a_request_outside_its_ownership_is_not_linearizable() {
-    finds(
+    assert_detects(
         checks::linearizable::check,
         Guarantee::Linearizable,
         execution("b", 2, 9, 1_002, 1_005),
     );
 }
 
-/// Owner `a` whose slice is split at 500 ms under the same epoch, while a
-/// request that began before still holds the whole.
+/// Returns a run in which the slice of `a` is split at 500 ms under the same
+/// epoch, while a request that started before still holds the whole slice.
 fn split_run() -> Vec<Vec<Event>> {
     let (low, high) = Slice::ALL.split_at(Point(1 << 63)).expect("two halves");
     let part = |slice| Grant { slice, ..grant(1) };
@@ -280,20 +282,20 @@
 }
 
 #[test]
-fn a_split_under_the_same_epoch_breaches_nothing() {
+fn a_split_under_the_same_epoch_has_no_violations() {
     assert_eq!(checks::check_all(&assemble(split_run())), Vec::new());
 }
 
-/// Owner `a` whose slice is cut down at 500 ms, and taken up again under the
-/// same epoch at `again`.
-fn cut_down_run(again: u64) -> Vec<Vec<Event>> {
+/// Returns a run in which `a` releases its slice at 500 ms and acquires half of
+/// it under the same epoch at `reacquired_at`, with a request in between.
+fn reduced_slice_run(reacquired_at: u64) -> Vec<Vec<Event>> {
     let (low, _) = Slice::ALL.split_at(Point(1 << 63)).expect("two halves");
     let mut owned = ownership("a", 1, 0, 1_000);
     if let Event::GrantReleased { at, .. } = &mut owned[2] {
         *at = millis(500);
     }
     owned.push(Event::GrantTaken {
-        at: millis(again),
+        at: millis(reacquired_at),
         session: session("a"),
         grant: Grant {
             slice: low,
@@ -306,8 +308,8 @@
 #[test]
 fn a_request_may_run_across_a_split_but_not_across_a_gap() {
     let check = checks::single_owner::check;
-    assert_eq!(check(&assemble(cut_down_run(500))), Vec::new());
-    assert_eq!(check(&assemble(cut_down_run(501))).len(), 1);
+    assert_eq!(check(&assemble(reduced_slice_run(500))), Vec::new());
+    assert_eq!(check(&assemble(reduced_slice_run(501))).len(), 1);
 }
 
 #[test]
@@ -319,7 +321,7 @@
 }
 
 #[test]
-fn a_request_between_a_lapse_and_the_renewal_is_not_linearizable() {
+fn a_request_between_lease_expiry_and_renewal_is_not_linearizable() {
     let mut owned = ownership("a", 1, 0, 1_000);
     owned.pop();
     owned.push(Event::LeaseExtended {
@@ -340,7 +342,7 @@
 }
 
 #[test]
-fn a_killed_process_believes_nothing_from_its_end_on() {
+fn claims_of_a_killed_process_end_with_it() {
     let mut run = vec![ownership("a", 1, 0, 9_000)];
     run[0].pop();
     run.push(vec![Event::ProcessEnded {
@@ -356,7 +358,7 @@
 }
 
 #[test]
-fn belief_pauses_between_a_lapse_and_the_next_renewal() {
+fn claims_pause_between_lease_expiry_and_renewal() {
     let mut run = ownership("a", 1, 0, 1_000);
     run.pop();
     run.push(Event::LeaseExtended {
@@ -365,17 +367,17 @@
         until: millis(2_000),
     });
     let history = assemble(vec![run]);
-    let stretches: Vec<_> = history
+    let intervals: Vec<_> = history
         .claims
         .iter()
-        .map(|belief| (belief.begin.as_millis(), belief.end.as_millis()))
+        .map(|claim| (claim.begin.as_millis(), claim.end.as_millis()))
         .collect();
-    assert_eq!(stretches, vec![(0, 1_000), (1_500, 2_000)]);
+    assert_eq!(intervals, vec![(0, 1_000), (1_500, 2_000)]);
 }
 
-/// Owners one after the other with gaps, drawn from `draw`, each serving one
-/// request in the middle of its time.
-fn drawn_run(draw: &mut arbtest::arbitrary::Unstructured<'_>) -> Vec<Vec<Event>> {
+/// Generates a run of consecutive owners with gaps, each of which executes one
+/// request while it owns the slice.
+fn random_run(draw: &mut arbtest::arbitrary::Unstructured<'_>) -> Vec<Vec<Event>> {
     let mut run = Vec::new();
     let mut at = 0_u64;
     let owners = draw.int_in_range(2..=6).unwrap_or(2);
@@ -393,10 +395,10 @@
 }
 
 #[test]
-fn drawn_runs_with_one_owner_at_a_time_breach_nothing_and_any_overlap_is_found() {
+fn random_runs_with_one_owner_at_a_time_pass_and_any_overlap_is_detected() {
     for seed in 0..200_u64 {
         arbtest::arbtest(|draw| {
-            let mut run = drawn_run(draw);
+            let mut run = random_run(draw);
             assert_eq!(checks::check_all(&assemble(run.clone())), Vec::new());
             let last = assemble(run.clone())
                 .claims
--- a/crates/lab/tests/experiments.rs
+++ b/crates/lab/tests/experiments.rs
@@ -1,4 +1,5 @@
-//! Experiment files are read strictly, and those of the repository are sound.
+//! Tests that experiment files are parsed strictly and that those of the
+//! repository are valid.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -13,15 +14,15 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// A directory that goes with the test.
-struct Scratch(PathBuf);
+/// A temporary directory that is removed on drop.
+struct TempDirectory(PathBuf);
 
-impl Scratch {
-    fn new(name: &str) -> Scratch {
+impl TempDirectory {
+    fn new(name: &str) -> TempDirectory {
         let name = format!("threadledge-lab-test-{}-{name}", std::process::id());
         let directory = std::env::temp_dir().join(name);
         fs::create_dir_all(&directory).expect("a scratch directory");
-        Scratch(directory)
+        TempDirectory(directory)
     }
 
     fn experiment(&self, rest: &str) -> PathBuf {
@@ -34,7 +35,7 @@
     }
 }
 
-impl Drop for Scratch {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
@@ -42,8 +43,8 @@
 
 #[test]
 fn faults_are_read_with_their_times_and_sorted() {
-    let scratch = Scratch::new("sorted");
-    let path = scratch.experiment(
+    let directory = TempDirectory::new("sorted");
+    let path = directory.experiment(
         "[[fault]]\nat-ms = 900\naction = 'freeze-back-end'\nback-end = 'kauri/a'\nfor-ms = 5\n\
          [[fault]]\nat-ms = 100\naction = 'kill-router'\nrouter = 'leader'\n",
     );
@@ -64,34 +65,29 @@
 }
 
 #[test]
-fn a_shorter_run_keeps_its_faults_at_their_share_of_the_time() {
-    let scratch = Scratch::new("shorter");
+fn a_shorter_run_scales_the_times_of_its_faults() {
+    let directory = TempDirectory::new("shorter");
     let path =
-        scratch.experiment("[[fault]]\nat-ms = 5000\naction = 'store-down'\nfor-ms = 1000\n");
+        directory.experiment("[[fault]]\nat-ms = 5000\naction = 'store-down'\nfor-ms = 1000\n");
     let mut experiment = experiment::read(&path).expect("an experiment");
     experiment::set_duration(&mut experiment, Duration::from_secs(2));
     assert_eq!(experiment.faults[0].at_ms, 1_000);
 }
 
 #[test]
-fn an_unknown_key_and_a_fault_after_the_load_are_refused() {
-    let scratch = Scratch::new("refused");
-    let unknown = scratch.experiment("[bounds]\nviolations = 3\n");
-    let refusal = experiment::read(&unknown).expect_err("no such bound");
-    assert!(
-        matches!(refusal, ExperimentError::Parse { .. }),
-        "{refusal}"
-    );
-    let late = scratch.experiment("[[fault]]\nat-ms = 10000\naction = 'store-down'\nfor-ms = 1\n");
-    let refusal = experiment::read(&late).expect_err("too late");
-    assert!(
-        matches!(refusal, ExperimentError::Value { .. }),
-        "{refusal}"
-    );
+fn an_unknown_key_and_a_fault_after_the_load_are_rejected() {
+    let directory = TempDirectory::new("refused");
+    let unknown = directory.experiment("[bounds]\nviolations = 3\n");
+    let error = experiment::read(&unknown).expect_err("no such bound");
+    assert!(matches!(error, ExperimentError::Parse { .. }), "{error}");
+    let late =
+        directory.experiment("[[fault]]\nat-ms = 10000\naction = 'store-down'\nfor-ms = 1\n");
+    let error = experiment::read(&late).expect_err("too late");
+    assert!(matches!(error, ExperimentError::Value { .. }), "{error}");
 }
 
 #[test]
-fn every_experiment_of_the_repository_names_what_its_deployment_has() {
+fn every_experiment_of_the_repository_refers_to_objects_of_its_deployment() {
     let found = experiment::list(&repository().join("experiments")).expect("experiments");
     assert!(found.len() >= 19, "{} experiments", found.len());
     for (path, experiment) in found {
--- a/crates/lab/tests/load.rs
+++ b/crates/lab/tests/load.rs
@@ -1,4 +1,5 @@
-//! Keys, arrivals and service times follow their seed and their law.
+//! Tests that keys, arrivals and service times follow their seed and their
+//! distribution, and tests of slots and the load meter.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn the_hottest_key_gets_the_share_that_the_law_gives_it() {
+fn the_hottest_key_gets_its_zipf_share() {
     let mut keys = popularity(0);
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for _ in 0..20_000 {
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn arrivals_come_at_the_rate_asked_for() {
+fn arrivals_have_the_configured_rate() {
     let end = Timestamp::from_millis(100_000);
     let arrivals = Arrivals::new(Timestamp::ZERO, 50.0, SEED);
     let count = arrivals.take_while(|at| *at < end).count();
@@ -73,12 +74,12 @@
 }
 
 #[test]
-fn no_rate_gives_no_arrivals() {
+fn a_rate_of_zero_gives_no_arrivals() {
     assert_eq!(Arrivals::new(Timestamp::ZERO, 0.0, SEED).next(), None);
 }
 
 #[test]
-fn a_cold_process_is_slower_until_it_is_warm() {
+fn service_times_decrease_during_the_cold_start() {
     let settings = ServiceTimeSettings {
         median_ms: 10.0,
         spread: 0.0,
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn slots_queue_and_then_refuse() {
+fn slots_queue_waiters_and_refuse_when_the_queue_is_full() {
     async_std::task::block_on(async {
         let slots = Slots::new(1, 1);
         let first = slots.acquire().await.expect("a free slot");
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn a_waiter_that_gives_up_leaves_the_queue() {
+fn a_cancelled_waiter_leaves_the_queue() {
     async_std::task::block_on(async {
         let slots = Slots::new(1, 1);
         let _held = slots.acquire().await.expect("a free slot");
@@ -129,7 +130,7 @@
 }
 
 #[test]
-fn the_meter_tells_rates_by_slice_and_the_key_that_stands_out() {
+fn the_meter_reports_rates_by_slice_and_the_hottest_point() {
     let service = ServiceId::new("kauri", "quote-svc");
     let mut meter = LoadMeter::default();
     let now = Timestamp::from_millis(10_000);
--- a/crates/lab/tests/measures.rs
+++ b/crates/lab/tests/measures.rs
@@ -1,4 +1,4 @@
-//! Measures tell what small histories hold.
+//! Tests of the measures on small histories, and of reports and bounds.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use threadledge_types::{Slice, Timestamp};
 
 fn report() -> Report {
-    let history = assemble(sound_run());
+    let history = assemble(correct_run());
     let churn = measures::churn(&history, Timestamp::ZERO);
     let unavailable = measures::unavailable(&history, Timestamp::ZERO, millis(3_000));
     Report {
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_move_of_the_whole_line_counts_as_all_keys_once() {
+fn a_move_of_all_points_counts_as_a_churn_of_one() {
     let report = report();
     assert_eq!((report.churn, report.churn_details.moves), (1.0, 1));
 }
@@ -54,7 +54,7 @@
     let (low, _) = Slice::ALL
         .split_at(threadledge_types::Point(1 << 63))
         .expect("two halves");
-    let mut run = sound_run();
+    let mut run = correct_run();
     let half = ownership("c", 3, 3_100, 3_500)
         .into_iter()
         .map(|event| match event {
@@ -88,14 +88,14 @@
 }
 
 #[test]
-fn keys_that_never_get_an_owner_again_count_until_the_end() {
+fn keys_that_stay_without_an_owner_count_until_the_end() {
     let history = assemble(vec![ownership("a", 1, 0, 1_000)]);
     let unavailable = measures::unavailable(&history, Timestamp::ZERO, millis(5_000));
     assert_eq!(unavailable.keys_ms, 4_000.0);
 }
 
 #[test]
-fn a_stretch_of_failures_ends_with_the_next_answer() {
+fn a_series_of_failures_ends_with_the_next_response() {
     let failing =
         |number, at| request(number, vec![attempt(0, at, at + 1, AttemptOutcome::NotRun)]);
     let answered = request(6, vec![attempt(0, 500, 501, AttemptOutcome::Answered)]);
@@ -122,7 +122,7 @@
 
 #[test]
 fn ownership_over_time_follows_the_move() {
-    let stretches: Vec<_> = report()
+    let intervals: Vec<_> = report()
         .ownership
         .into_iter()
         .map(|one| (one.back_end, one.from_ms, one.until_ms, one.share))
@@ -131,11 +131,11 @@
         ("kasamahan/a".to_owned(), 0, 1_000, 1.0),
         ("kasamahan/b".to_owned(), 1_010, 3_000, 1.0),
     ];
-    assert_eq!(stretches, expected);
+    assert_eq!(intervals, expected);
 }
 
 #[test]
-fn a_page_holds_every_picture_and_nothing_from_elsewhere() {
+fn a_page_contains_every_chart_and_no_external_resources() {
     let page = threadledge_lab::report::page(&report()).expect("a page");
     assert_eq!(page.matches("<svg").count(), 4);
     assert!(!page.contains("<script") && !page.contains("src="));
@@ -144,13 +144,13 @@
 #[test]
 fn idle_members_raise_the_imbalance() {
     let members = BTreeMap::from([(service(), 4)]);
-    let imbalance = measures::imbalance(&assemble(sound_run()), &members);
+    let imbalance = measures::imbalance(&assemble(correct_run()), &members);
     let of_service = imbalance[&service().to_string()];
     assert!((of_service.load - 2.0 * 4.0 / 3.0).abs() < 1e-9);
 }
 
 #[test]
-fn a_bound_without_a_figure_is_not_held() {
+fn a_bound_without_a_measured_value_is_exceeded() {
     let bounds = Bounds {
         configuration_in_force_ms: Some(5_000.0),
         unavailable_ms: Some(9.0),
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_report_is_read_as_it_was_written_and_another_version_is_refused() {
+fn a_report_round_trips_and_another_version_is_rejected() {
     let name = format!("threadledge-lab-report-{}.json", std::process::id());
     let path = std::env::temp_dir().join(name);
     let mut written = report();
@@ -177,7 +177,7 @@
     assert_eq!(Report::read(&path).expect("a report"), written);
     written.version += 1;
     written.write(&path).expect("a file");
-    let refusal = Report::read(&path).expect_err("another version");
-    assert!(matches!(refusal, ReportError::Version { .. }));
+    let error = Report::read(&path).expect_err("another version");
+    assert!(matches!(error, ReportError::Version { .. }));
     std::fs::remove_file(&path).expect("the file");
 }
--- a/crates/lab/tests/platform/authorization.rs
+++ b/crates/lab/tests/platform/authorization.rs
@@ -1,4 +1,5 @@
-//! One partner reaches nothing of the other's.
+//! Tests that a partner's credentials give no access to another partner's
+//! objects, and of the permissions of routers.
 
 use threadledge_lab::stand_in::object_api::{
     Authorization, ObjectApi, ObjectApiSettings, Principal, Role,
@@ -6,7 +7,7 @@
 use threadledge_object_api::{ObjectClient, PlatformErrorKind, Scope, TransportSettings};
 use threadledge_types::objects::{AcceptanceStatus, BackEndObject};
 
-use super::support::{back_end, content, guarded, key, stand_in};
+use super::support::{back_end, content, key, run_with_timeout, start_object_api};
 
 async fn guarded_api() -> ObjectApi {
     let mut authorization = Authorization::default();
@@ -26,7 +27,7 @@
         authorization,
         ..ObjectApiSettings::default()
     };
-    stand_in(settings).await
+    start_object_api(settings).await
 }
 
 fn client(api: &ObjectApi, token: Option<&str>) -> ObjectClient {
@@ -39,7 +40,7 @@
 
 #[test]
 fn partner_reaches_only_its_own_namespace() {
-    guarded(async {
+    run_with_timeout(async {
         let api = guarded_api().await;
         let own = client(&api, Some("kauri"));
         let other = client(&api, Some("kasamahan"));
@@ -61,7 +62,7 @@
 
 #[test]
 fn unknown_token_is_refused() {
-    guarded(async {
+    run_with_timeout(async {
         let api = guarded_api().await;
         for token in [None, Some("guess")] {
             let refused = client(&api, token).list::<BackEndObject>(&Scope::All).await;
@@ -74,8 +75,8 @@
 }
 
 #[test]
-fn routers_read_all_and_write_statuses_only() {
-    guarded(async {
+fn routers_read_everything_and_write_only_statuses() {
+    run_with_timeout(async {
         let api = guarded_api().await;
         let partner = client(&api, Some("kauri"));
         let router = client(&api, Some("router"));
--- a/crates/lab/tests/platform/client.rs
+++ b/crates/lab/tests/platform/client.rs
@@ -1,4 +1,4 @@
-//! Lists, reads and their typed errors.
+//! Tests of the client's lists, reads and typed errors.
 
 use std::time::Duration;
 
@@ -12,14 +12,14 @@
 use threadledge_types::objects::{AcceptanceStatus, BackEndObject, KeyedServiceObject};
 
 use super::support::{
-    back_end, back_end_json, content, create, empty, guarded, key, listener, read, stand_in,
-    with_slots,
+    back_end, back_end_json, content, create, key, listener, read, run_with_timeout, start_empty,
+    start_object_api, with_slots,
 };
 
 #[test]
-fn object_goes_through_its_whole_life() {
-    guarded(async {
-        let (_api, client) = empty().await;
+fn object_is_created_updated_read_and_deleted() {
+    run_with_timeout(async {
+        let (_api, client) = start_empty().await;
         let created = create(&client, "a", 1_000).await;
         let replaced = client
             .replace(&with_slots(created, 5))
@@ -49,9 +49,9 @@
 }
 
 #[test]
-fn conditions_that_fail_are_typed_and_without_effect() {
-    guarded(async {
-        let (_api, client) = empty().await;
+fn failed_preconditions_are_typed_errors_without_effect() {
+    run_with_timeout(async {
+        let (_api, client) = start_empty().await;
         let created = create(&client, "a", 1_000).await;
         let taken = client
             .create(&back_end("a", 1_000))
@@ -73,7 +73,8 @@
 
 const TIME: &str = "2026-01-01T00:00:00Z";
 
-/// More objects than a page, so that the client has to go on.
+/// Creates more objects than fit on a page, so that the client has to
+/// paginate.
 fn many_objects(count: usize) -> ObjectStore {
     let mut store = ObjectStore::new();
     let collection = Collection {
@@ -89,13 +90,13 @@
 }
 
 #[test]
-fn list_of_many_pages_is_whole() {
-    guarded(async {
+fn list_of_many_pages_is_complete() {
+    run_with_timeout(async {
         let settings = ObjectApiSettings {
             store: many_objects(1_203),
             ..ObjectApiSettings::default()
         };
-        let api = stand_in(settings).await;
+        let api = start_object_api(settings).await;
         let client = ObjectClient::new(api.address(), TransportSettings::default());
         let listed = client.list::<BackEndObject>(&Scope::All).await.expect("up");
         assert_eq!(listed.items.len(), 1_203);
@@ -111,7 +112,7 @@
 
 #[test]
 fn unreadable_object_hides_no_other() {
-    guarded(async {
+    run_with_timeout(async {
         let mut store = many_objects(1);
         let collection = Collection {
             resource: RESOURCES[0],
@@ -125,7 +126,7 @@
             store,
             ..ObjectApiSettings::default()
         };
-        let api = stand_in(settings).await;
+        let api = start_object_api(settings).await;
         let client = ObjectClient::new(api.address(), TransportSettings::default());
         let listed = client.list::<BackEndObject>(&Scope::All).await.expect("up");
         assert!(listed.items[0].content.is_ok());
@@ -135,8 +136,8 @@
 }
 
 #[test]
-fn platform_that_is_gone_is_unreachable_and_writes_have_no_effect() {
-    guarded(async {
+fn missing_platform_is_unreachable_and_writes_have_no_effect() {
+    run_with_timeout(async {
         let listener = listener().await;
         let address = listener.local_addr().expect("bound");
         drop(listener);
@@ -155,8 +156,8 @@
 
 #[test]
 fn platform_that_is_down_loses_the_connection_until_it_is_up() {
-    guarded(async {
-        let (api, client) = empty().await;
+    run_with_timeout(async {
+        let (api, client) = start_empty().await;
         api.inject_fault(&FaultCommand::Down(true)).expect("set");
         let error = client
             .list::<BackEndObject>(&Scope::All)
@@ -182,8 +183,8 @@
 
 #[test]
 fn platform_that_is_slow_times_out_with_unknown_effect() {
-    guarded(async {
-        let (api, _) = empty().await;
+    run_with_timeout(async {
+        let (api, _) = start_empty().await;
         let settings = TransportSettings {
             response_timeout: Duration::from_millis(50),
             ..TransportSettings::default()
@@ -208,9 +209,9 @@
 }
 
 #[test]
-fn limited_reader_is_told_when_to_come_back() {
-    guarded(async {
-        let (api, client) = empty().await;
+fn rate_limited_read_reports_when_to_retry() {
+    run_with_timeout(async {
+        let (api, client) = start_empty().await;
         api.inject_fault(&FaultCommand::RefuseReads(1))
             .expect("set");
         let error = client
@@ -226,13 +227,13 @@
 }
 
 #[test]
-fn answer_above_the_limit_is_refused() {
-    guarded(async {
+fn response_above_the_size_limit_is_rejected() {
+    run_with_timeout(async {
         let settings = ObjectApiSettings {
             store: many_objects(50),
             ..ObjectApiSettings::default()
         };
-        let api = stand_in(settings).await;
+        let api = start_object_api(settings).await;
         let settings = TransportSettings {
             max_response_bytes: 1_000,
             ..TransportSettings::default()
--- a/crates/lab/tests/platform/commands.rs
+++ b/crates/lab/tests/platform/commands.rs
@@ -1,4 +1,4 @@
-//! Faults and history over HTTP, as the rig and operators of a run use them.
+//! Tests of fault commands and the history over HTTP, as the rig uses them.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 };
 use threadledge_net::HttpClient;
 
-use super::support::{back_end, create, empty, guarded};
+use super::support::{back_end, create, run_with_timeout, start_empty};
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -21,9 +21,9 @@
 }
 
 #[test]
-fn documented_commands_are_taken_and_others_refused() {
-    guarded(async {
-        let (api, _) = empty().await;
+fn documented_commands_are_accepted_and_others_rejected() {
+    run_with_timeout(async {
+        let (api, _) = start_empty().await;
         let taken = [
             r#"{"down": true}"#,
             r#"{"slow": 5}"#,
@@ -51,9 +51,9 @@
 }
 
 #[test]
-fn history_tells_what_took_effect_and_what_was_answered() {
-    guarded(async {
-        let (api, client) = empty().await;
+fn history_records_effects_and_sent_responses() {
+    run_with_timeout(async {
+        let (api, client) = start_empty().await;
         create(&client, "a", 1_000).await;
         api.inject_fault(&FaultCommand::DropAnswers(1))
             .expect("set");
--- a/crates/lab/tests/platform/examples.rs
+++ b/crates/lab/tests/platform/examples.rs
@@ -1,4 +1,5 @@
-//! The objects of both deployments are valid and have the sizes of today.
+//! Tests that the objects of both example deployments are valid and have the
+//! current sizes.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -25,7 +26,7 @@
     set
 }
 
-/// Number of back ends that each service selects.
+/// Returns the number of back ends that each service selects.
 fn sizes(set: &ObjectSet) -> BTreeMap<&str, usize> {
     let size = |service| {
         let service: &threadledge_types::records::ServiceRecord = service;
@@ -49,7 +50,7 @@
 }
 
 #[test]
-fn luzon_has_the_sizes_of_today() {
+fn luzon_has_the_current_sizes() {
     let set = object_set("luzon");
     let expected = [("gallery", 15), ("courtship", 7), ("mailbag", 12)];
     assert_eq!(sizes(&set), expected.into());
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn nz_north_has_the_sizes_of_today() {
+fn nz_north_has_the_current_sizes() {
     let set = object_set("nz-north");
     let expected = [("quote-svc", 15), ("order-svc", 6), ("catalogue-svc", 13)];
     assert_eq!(sizes(&set), expected.into());
--- a/crates/lab/tests/platform/machine_list.rs
+++ b/crates/lab/tests/platform/machine_list.rs
@@ -1,4 +1,4 @@
-//! The machine list lags, sticks or is down.
+//! Tests of the machine list and its faults: lagging, stale and down.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use threadledge_object_api::{MachineListClient, PlatformErrorKind, TransportSettings};
 use threadledge_types::{MachineName, RegionName, Timestamp, ZoneName};
 
-use super::support::{guarded, listener};
+use super::support::{listener, run_with_timeout};
 
 fn machine(name: &str) -> Machine {
     Machine {
@@ -60,8 +60,8 @@
 }
 
 #[test]
-fn client_reads_the_list_and_notices_that_it_is_down() {
-    guarded(async {
+fn client_reads_the_list_and_reports_that_it_is_down() {
+    run_with_timeout(async {
         let served = MachineListServer::serve(listener().await, vec![machine("a")]);
         let server = served.expect("the listener has an address");
         let client = MachineListClient::new(server.address(), TransportSettings::default());
@@ -81,8 +81,8 @@
 }
 
 #[test]
-fn commands_come_over_http_too() {
-    guarded(async {
+fn commands_are_accepted_over_http() {
+    run_with_timeout(async {
         let served = MachineListServer::serve(listener().await, vec![]);
         let server = served.expect("the listener has an address");
         let command = MachineCommand::Set(Box::new(machine("a")));
--- a/crates/lab/tests/platform/main.rs
+++ b/crates/lab/tests/platform/main.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-ins and the client, against each other on loopback.
+//! Tests of the platform stand-ins and of the object API client against them.
 
 mod authorization;
 mod client;
--- a/crates/lab/tests/platform/schedules.rs
+++ b/crates/lab/tests/platform/schedules.rs
@@ -1,5 +1,6 @@
-//! Random schedules of edits, gaps, compactions and restores over the store
-//! and the tracker, without sockets. What is in force never goes back.
+//! Random schedules of edits, interrupted watches, compactions and restores on
+//! the store and the tracker, without sockets. The version of an object in
+//! force must never decrease.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,33 +20,34 @@
 const SEEDS: u64 = 150;
 const STEPS: usize = 120;
 const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
-/// Object that is edited before every restore, so that the store shows that
-/// it went back: one that only lost objects cannot be told from deletions.
-const WITNESS: &str = "witness";
-/// Version at which the witness is created, as the first object.
-const WITNESS_CREATED: u64 = 2;
+/// Object that is edited before every restore, so that its version shows that
+/// the store was restored. A store that only lost objects cannot be
+/// distinguished from one in which they were deleted.
+const MARKER: &str = "witness";
+/// Version of the marker object, which is created first.
+const MARKER_CREATED: u64 = 2;
 const BUMP: u64 = 1_000;
 const TIME: &str = "2026-01-01T00:00:00Z";
 
 type Object = StoredObject<BackEndObject>;
 
-struct Run {
+struct Schedule {
     random: ChaCha8Rng,
     store: ObjectStore,
     tracker: ObjectTracker,
-    /// Version of the watch, while one is open.
+    /// Version reached by the watch, if one is open.
     watching: Option<u64>,
-    /// Name to version in force.
+    /// Version in force of each object name.
     in_force: BTreeMap<String, u64>,
-    /// Names that an operator deleted at some time.
+    /// Names of objects that were deleted at some time.
     deleted: BTreeSet<String>,
-    /// Name to the highest version that was ever in force.
+    /// Highest version that was ever in force of each object name.
     highest: BTreeMap<String, u64>,
-    /// A restore happened.
+    /// Whether the store was restored.
     restored: bool,
-    /// No list was taken since the last restore, so the watcher has not had
-    /// its chance to notice.
-    unnoticed: bool,
+    /// Whether no list was read since the last restore, so that the watcher
+    /// could not detect it yet.
+    restore_undetected: bool,
     bumps: bool,
 }
 
@@ -68,9 +70,9 @@
     StoredObject::read(value).expect("conventional")
 }
 
-impl Run {
+impl Schedule {
     fn new(seed: u64, bumps: bool) -> Self {
-        let mut run = Run {
+        let mut schedule = Schedule {
             random: ChaCha8Rng::seed_from_u64(seed),
             store: ObjectStore::new(),
             tracker: ObjectTracker::new(),
@@ -79,11 +81,11 @@
             deleted: BTreeSet::new(),
             highest: BTreeMap::new(),
             restored: false,
-            unnoticed: false,
+            restore_undetected: false,
             bumps,
         };
-        run.edit(WITNESS);
-        run
+        schedule.edit(MARKER);
+        schedule
     }
 
     fn step(&mut self, restores: bool) {
@@ -99,7 +101,7 @@
             55..60 => self.watching = None,
             60..63 => self.store.compact(self.store.version()),
             63..66 if restores => self.restore(),
-            _ => self.follow(),
+            _ => self.poll_watch(),
         }
     }
 
@@ -129,35 +131,35 @@
     }
 
     fn restore(&mut self) {
-        // Editing the witness again would wipe out what gives the earlier
-        // restore away.
-        if self.unnoticed {
+        // Another edit of the marker would hide the previous restore from the
+        // watcher.
+        if self.restore_undetected {
             return;
         }
         let back = self.random.random_range(1..20);
         let version = self.store.version().saturating_sub(back);
-        let version = version.max(WITNESS_CREATED);
-        self.edit(WITNESS);
+        let version = version.max(MARKER_CREATED);
+        self.edit(MARKER);
         self.catch_up();
         let bump = self.bumps.then_some(BUMP);
         if self.store.restore(version, bump).is_ok() {
             self.restored = true;
-            self.unnoticed = true;
+            self.restore_undetected = true;
             self.watching = None;
         }
     }
 
-    /// Follows long enough to end a watch, list, and watch.
+    /// Runs enough steps to end a watch, list, and watch again.
     fn catch_up(&mut self) {
         for _ in 0..3 {
-            self.follow();
+            self.poll_watch();
         }
     }
 
-    /// Reads what the watch has, or begins one.
-    fn follow(&mut self) {
+    /// Reads the changes of the open watch, or starts one.
+    fn poll_watch(&mut self) {
         let Some(from) = self.watching else {
-            return self.begin();
+            return self.start_watch();
         };
         match self.store.changes_after(&collection(), from) {
             Err(_) => self.watching = None,
@@ -171,11 +173,11 @@
         }
     }
 
-    fn begin(&mut self) {
+    fn start_watch(&mut self) {
         let seen = self.tracker.highest_seen();
         if seen > 0 && self.store.changes_after(&collection(), seen).is_ok() {
             self.watching = Some(seen);
-            return self.follow();
+            return self.poll_watch();
         }
         let page = self.store.list(&collection(), None, None).expect("current");
         let listed = ObjectList {
@@ -187,7 +189,7 @@
         } = self.tracker.on_list(listed)
         {
             self.watching = Some(page.version);
-            self.unnoticed = false;
+            self.restore_undetected = false;
             for key in removed {
                 self.remove(&key.name);
             }
@@ -217,18 +219,18 @@
         let name = object.key.name.clone();
         let highest = self.highest.entry(name.clone()).or_default();
         let repeated = self.in_force.get(&name) == Some(&version);
-        assert!(version > *highest || repeated, "{name} went back");
+        assert!(version > *highest || repeated, "{name} reverted");
         *highest = version;
         self.in_force.insert(name, version);
     }
 
     fn remove(&mut self, name: &str) {
         self.in_force.remove(name);
-        assert!(self.deleted.contains(name), "nobody deleted {name}");
+        assert!(self.deleted.contains(name), "{name} was never deleted");
     }
 
-    /// What the store holds: name to version.
-    fn held(&self) -> BTreeMap<String, u64> {
+    /// Returns the version of each object in the store.
+    fn stored_versions(&self) -> BTreeMap<String, u64> {
         let page = self.store.list(&collection(), None, None).expect("current");
         let objects = page.items.iter().map(stored);
         objects
@@ -238,44 +240,44 @@
 }
 
 #[test]
-fn without_restores_everything_is_followed_to_the_end() {
+fn without_restores_the_watcher_converges_to_the_store() {
     for seed in 0..SEEDS {
-        let mut run = Run::new(seed, true);
+        let mut schedule = Schedule::new(seed, true);
         for _ in 0..STEPS {
-            run.step(false);
+            schedule.step(false);
         }
-        run.catch_up();
-        assert_eq!(run.in_force, run.held(), "seed {seed}");
+        schedule.catch_up();
+        assert_eq!(schedule.in_force, schedule.stored_versions(), "seed {seed}");
     }
 }
 
 #[test]
-fn with_restores_nothing_in_force_goes_back_or_is_lost() {
+fn with_restores_no_object_in_force_reverts_or_is_lost() {
     let mut restored = 0;
     for seed in 0..SEEDS {
-        let mut run = Run::new(seed, true);
+        let mut schedule = Schedule::new(seed, true);
         for _ in 0..STEPS {
-            run.step(true);
+            schedule.step(true);
         }
-        restored += u32::from(run.restored);
-        // After an edit of each object everything is in force again.
-        run.catch_up();
+        restored += u32::from(schedule.restored);
+        // After an edit of each object, all objects are in force again.
+        schedule.catch_up();
         for name in NAMES {
-            run.edit(name);
+            schedule.edit(name);
         }
-        run.edit(WITNESS);
-        run.catch_up();
-        assert_eq!(run.in_force, run.held(), "seed {seed}");
+        schedule.edit(MARKER);
+        schedule.catch_up();
+        assert_eq!(schedule.in_force, schedule.stored_versions(), "seed {seed}");
     }
     assert!(restored > 50, "{restored} runs restored");
 }
 
 #[test]
-fn restored_versions_that_are_used_twice_take_nothing_back() {
+fn reused_versions_after_a_restore_revert_no_object() {
     for seed in 0..SEEDS {
-        let mut run = Run::new(seed, false);
+        let mut schedule = Schedule::new(seed, false);
         for _ in 0..STEPS {
-            run.step(true);
+            schedule.step(true);
         }
     }
 }
--- a/crates/lab/tests/platform/store.rs
+++ b/crates/lab/tests/platform/store.rs
@@ -1,5 +1,5 @@
-//! The store by itself: versions, generations, conditions, compaction and
-//! going back.
+//! Tests of the store without a server: versions, generations, preconditions,
+//! compaction and restore.
 
 use serde_json::{Value, json};
 use threadledge_lab::stand_in::object_api::operation::{Write, WriteTarget};
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn only_a_change_of_the_specification_makes_a_generation() {
+fn only_a_change_of_the_spec_increments_the_generation() {
     let mut store = ObjectStore::new();
     let created = create(&mut store, "a").expect("free");
     let mut labelled = created.clone();
@@ -98,7 +98,7 @@
     assert_eq!(status["metadata"]["generation"], 1);
     assert_eq!(
         status["spec"]["slots"], 3,
-        "status writes leave the specification"
+        "status writes do not change the spec"
     );
     let changed = replace(&mut store, WriteTarget::Spec, with_slots(&status, 4)).expect("current");
     assert_eq!(changed["metadata"]["generation"], 2);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn write_that_changes_nothing_makes_no_version() {
+fn write_that_changes_nothing_creates_no_version() {
     let mut store = ObjectStore::new();
     let created = create(&mut store, "a").expect("free");
     replace(&mut store, WriteTarget::Spec, created).expect("current");
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn writes_against_the_conventions_are_refused() {
+fn invalid_writes_are_rejected() {
     let wrong_kind = json!({ "apiVersion": "threadledge.dev/v1", "kind": "Pod",
         "metadata": { "name": "a" }, "spec": {} });
     let write = Write::create(&collection(Some("kauri")), wrong_kind, TIME.to_owned());
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn restored_store_shows_the_earlier_state_and_may_go_on_above() {
+fn restored_store_has_the_earlier_state_and_may_continue_at_higher_versions() {
     let mut store = ObjectStore::new();
     create(&mut store, "a").expect("free");
     create(&mut store, "b").expect("free");
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn paths_name_collections_objects_and_statuses() {
+fn paths_identify_collections_objects_and_statuses() {
     let api = "/apis/threadledge.dev/v1";
     let parse = |path: String| Target::parse(&path);
     let all = parse(format!("{api}/backends")).expect("a path");
--- a/crates/lab/tests/platform/support.rs
+++ b/crates/lab/tests/platform/support.rs
@@ -1,4 +1,4 @@
-//! A stand-in on loopback with a client.
+//! Helpers: an object API on loopback and a client for it.
 
 use std::future::Future;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 
 pub const NAMESPACE: &str = "kauri";
 
-/// Ends a test that hangs; no test depends on how long anything takes.
-const GUARD: Duration = Duration::from_secs(20);
+/// Timeout that ends a hanging test. No test depends on durations.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs a test. Its future is boxed, because the executor copies what it is
-/// given several times on the stack.
-pub fn guarded(test: impl Future<Output = ()>) {
-    let bounded = async_std::future::timeout(GUARD, Box::pin(test));
+/// Runs a test with a timeout. The future is boxed, because the executor copies
+/// it several times on the stack.
+pub fn run_with_timeout(test: impl Future<Output = ()>) {
+    let bounded = async_std::future::timeout(TEST_TIMEOUT, Box::pin(test));
     let ended = async_std::task::block_on(bounded);
     ended.expect("the test hangs");
 }
@@ -30,17 +30,17 @@
     bound.expect("a free port on loopback")
 }
 
-pub async fn stand_in(settings: ObjectApiSettings) -> ObjectApi {
+pub async fn start_object_api(settings: ObjectApiSettings) -> ObjectApi {
     ObjectApi::serve(listener().await, settings).expect("the listener has an address")
 }
 
-/// A stand-in without objects, and a client of it.
-pub async fn empty() -> (ObjectApi, ObjectClient) {
+/// Starts an object API without objects, and returns it with a client.
+pub async fn start_empty() -> (ObjectApi, ObjectClient) {
     let settings = ObjectApiSettings {
         bookmark_interval: Duration::from_millis(20),
         ..ObjectApiSettings::default()
     };
-    let api = stand_in(settings).await;
+    let api = start_object_api(settings).await;
     let client = ObjectClient::new(api.address(), TransportSettings::default());
     (api, client)
 }
@@ -67,12 +67,12 @@
     ObjectKey::new(NAMESPACE, name)
 }
 
-/// The content of an object that can be read.
+/// Returns the content of a valid object.
 pub fn content(object: StoredObject<BackEndObject>) -> BackEndObject {
     object.content.expect("readable")
 }
 
-/// The object with another number of slots.
+/// Returns the object with another number of slots.
 pub fn with_slots(mut object: BackEndObject, slots: u32) -> BackEndObject {
     object.spec.slots = slots;
     object
--- a/crates/lab/tests/platform/watch.rs
+++ b/crates/lab/tests/platform/watch.rs
@@ -1,17 +1,17 @@
-//! One watch connection.
+//! Tests of a single watch connection.
 
 use threadledge_lab::stand_in::object_api::{FaultCommand, ObjectApi};
 use threadledge_object_api::{Event, EventStream, ObjectClient, PlatformErrorKind, Scope};
 use threadledge_types::objects::BackEndObject;
 
-use super::support::{create, empty, guarded, key, with_slots};
+use super::support::{create, key, run_with_timeout, start_empty, with_slots};
 
 async fn watch(client: &ObjectClient, from: u64) -> EventStream<BackEndObject> {
     let watch = client.watch(&Scope::All, from).await;
     watch.expect("the version is kept")
 }
 
-/// The next event that is no bookmark, as text.
+/// Returns the next event other than a bookmark, as text.
 async fn next(stream: &mut EventStream<BackEndObject>) -> String {
     loop {
         let event = stream.next().await.expect("not ended").expect("not broken");
@@ -26,16 +26,16 @@
     }
 }
 
-/// A stand-in with one object at version 2.
+/// Starts an object API with one object at version 2.
 async fn one_object() -> (ObjectApi, ObjectClient, BackEndObject) {
-    let (api, client) = empty().await;
+    let (api, client) = start_empty().await;
     let object = create(&client, "a", 1_000).await;
     (api, client, object)
 }
 
 #[test]
-fn watch_gives_every_change_after_its_version_in_order() {
-    guarded(async {
+fn watch_delivers_every_change_after_its_version_in_order() {
+    run_with_timeout(async {
         let (_api, client, object) = one_object().await;
         let mut early = watch(&client, 1).await;
         let mut late = watch(&client, 2).await;
@@ -58,8 +58,8 @@
 }
 
 #[test]
-fn bookmarks_carry_the_version_reached() {
-    guarded(async {
+fn bookmarks_carry_the_current_version() {
+    run_with_timeout(async {
         let (_api, client, _) = one_object().await;
         let mut stream = watch(&client, 2).await;
         let event = stream.next().await.expect("not ended").expect("not broken");
@@ -69,7 +69,7 @@
 
 #[test]
 fn compacted_version_is_gone() {
-    guarded(async {
+    run_with_timeout(async {
         let (api, client, _) = one_object().await;
         api.inject_fault(&FaultCommand::Compact).expect("done");
         let error = client.watch::<BackEndObject>(&Scope::All, 1).await;
@@ -80,8 +80,8 @@
 }
 
 #[test]
-fn version_ahead_of_the_store_says_so() {
-    guarded(async {
+fn version_newer_than_the_store_is_reported() {
+    run_with_timeout(async {
         let (_api, client, _) = one_object().await;
         let error = client.watch::<BackEndObject>(&Scope::All, 99).await;
         let error = error.err().expect("ahead");
@@ -90,8 +90,8 @@
 }
 
 #[test]
-fn watch_that_is_cut_ends_or_breaks() {
-    guarded(async {
+fn watch_cut_by_a_fault_ends_or_fails() {
+    run_with_timeout(async {
         let (api, client, _) = one_object().await;
         let mut stream = watch(&client, 2).await;
         api.inject_fault(&FaultCommand::CutWatches { abruptly: false })
@@ -117,7 +117,7 @@
 
 #[test]
 fn watches_above_the_limit_are_refused_until_one_ends() {
-    guarded(async {
+    run_with_timeout(async {
         let (api, client, _) = one_object().await;
         api.inject_fault(&FaultCommand::LimitWatches(Some(1)))
             .expect("set");
--- a/crates/lab/tests/platform/watcher.rs
+++ b/crates/lab/tests/platform/watcher.rs
@@ -1,4 +1,5 @@
-//! The watcher through every fault: nothing is missed, nothing goes back.
+//! Tests of the watcher under every fault: it misses no change and reverts no
+//! object.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,10 +11,11 @@
 };
 use threadledge_types::objects::BackEndObject;
 
-use super::support::{create, empty, fast_backoff, guarded, key, read, with_slots};
+use super::support::{create, fast_backoff, key, read, run_with_timeout, start_empty, with_slots};
 
-/// What a router would have in force: name to slots.
-struct Follower {
+/// Applies the watcher's updates like a router, and records the slots in force
+/// of each object name.
+struct UpdateRecorder {
     updates: Receiver<WatchUpdate<BackEndObject>>,
     in_force: BTreeMap<String, u32>,
     withheld: Vec<WithheldReason>,
@@ -22,7 +24,7 @@
     snapshots: usize,
 }
 
-impl Follower {
+impl UpdateRecorder {
     fn start(client: &ObjectClient, tracker: ObjectTracker) -> Self {
         let (sender, updates) = async_channel::bounded(4);
         let settings = WatcherSettings {
@@ -32,7 +34,7 @@
         };
         let watcher = Watcher::new(client.clone(), settings, tracker, sender);
         async_std::task::spawn(watcher.run());
-        Follower {
+        UpdateRecorder {
             updates,
             in_force: BTreeMap::new(),
             withheld: Vec::new(),
@@ -74,19 +76,20 @@
         self.in_force.insert(object.key.name, slots);
     }
 
-    /// Follows until `holds`.
-    async fn until(&mut self, holds: impl Fn(&Follower) -> bool) {
+    /// Applies updates until `holds` returns true.
+    async fn apply_until(&mut self, holds: impl Fn(&UpdateRecorder) -> bool) {
         while !holds(self) {
             self.step().await;
         }
     }
 
-    async fn until_in_force(&mut self, expected: &[(&str, u32)]) {
+    async fn apply_until_in_force(&mut self, expected: &[(&str, u32)]) {
         let expected: BTreeMap<String, u32> = expected
             .iter()
             .map(|(name, slots)| ((*name).to_owned(), *slots))
             .collect();
-        self.until(|follower| follower.in_force == expected).await;
+        self.apply_until(|recorder| recorder.in_force == expected)
+            .await;
     }
 }
 
@@ -100,54 +103,56 @@
 
 #[test]
 fn watcher_delivers_a_snapshot_and_then_changes() {
-    guarded(async {
-        let (_api, client) = empty().await;
+    run_with_timeout(async {
+        let (_api, client) = start_empty().await;
         create(&client, "a", 1_000).await;
-        let mut follower = Follower::start(&client, ObjectTracker::new());
-        follower.until_in_force(&[("a", 3)]).await;
+        let mut recorder = UpdateRecorder::start(&client, ObjectTracker::new());
+        recorder.apply_until_in_force(&[("a", 3)]).await;
         create(&client, "b", 2_000).await;
         set_slots(&client, "a", 5).await;
-        follower.until_in_force(&[("a", 5), ("b", 3)]).await;
+        recorder.apply_until_in_force(&[("a", 5), ("b", 3)]).await;
         client
             .delete::<BackEndObject>(&key("b"))
             .await
             .expect("there");
-        follower.until_in_force(&[("a", 5)]).await;
-        assert_eq!(follower.snapshots, 1);
+        recorder.apply_until_in_force(&[("a", 5)]).await;
+        assert_eq!(recorder.snapshots, 1);
     });
 }
 
 #[test]
 fn watcher_continues_after_cuts_without_missing_a_change() {
-    guarded(async {
-        let (api, client) = empty().await;
+    run_with_timeout(async {
+        let (api, client) = start_empty().await;
         create(&client, "a", 1_000).await;
-        let mut follower = Follower::start(&client, ObjectTracker::new());
+        let mut recorder = UpdateRecorder::start(&client, ObjectTracker::new());
         for slots in 4..10 {
             let abruptly = slots % 2 == 0;
             api.inject_fault(&FaultCommand::CutWatches { abruptly })
                 .expect("done");
             set_slots(&client, "a", slots).await;
-            follower.until_in_force(&[("a", slots)]).await;
+            recorder.apply_until_in_force(&[("a", slots)]).await;
         }
-        assert_eq!(follower.snapshots, 1, "cuts need no new list");
+        assert_eq!(recorder.snapshots, 1, "cuts need no new list");
     });
 }
 
 #[test]
 fn watcher_lists_again_after_compaction() {
-    guarded(async {
-        let (api, client) = empty().await;
+    run_with_timeout(async {
+        let (api, client) = start_empty().await;
         create(&client, "a", 1_000).await;
         create(&client, "b", 2_000).await;
-        let mut follower = Follower::start(&client, ObjectTracker::new());
-        follower.until_in_force(&[("a", 3), ("b", 3)]).await;
-        // Nobody watches while the store moves on and forgets.
+        let mut recorder = UpdateRecorder::start(&client, ObjectTracker::new());
+        recorder.apply_until_in_force(&[("a", 3), ("b", 3)]).await;
+        // No watch runs while the store changes and compacts.
         api.inject_fault(&FaultCommand::LimitWatches(Some(0)))
             .expect("set");
         api.inject_fault(&FaultCommand::CutWatches { abruptly: false })
             .expect("done");
-        follower.until(|follower| follower.interrupted > 0).await;
+        recorder
+            .apply_until(|recorder| recorder.interrupted > 0)
+            .await;
         set_slots(&client, "a", 8).await;
         client
             .delete::<BackEndObject>(&key("b"))
@@ -156,107 +161,111 @@
         api.inject_fault(&FaultCommand::Compact).expect("done");
         api.inject_fault(&FaultCommand::LimitWatches(None))
             .expect("set");
-        follower.until_in_force(&[("a", 8)]).await;
-        assert_eq!(follower.snapshots, 2);
+        recorder.apply_until_in_force(&[("a", 8)]).await;
+        assert_eq!(recorder.snapshots, 2);
     });
 }
 
 #[test]
-fn watcher_outlives_a_store_that_is_down() {
-    guarded(async {
-        let (api, client) = empty().await;
+fn watcher_recovers_after_a_store_outage() {
+    run_with_timeout(async {
+        let (api, client) = start_empty().await;
         create(&client, "a", 1_000).await;
-        let mut follower = Follower::start(&client, ObjectTracker::new());
-        follower.until_in_force(&[("a", 3)]).await;
+        let mut recorder = UpdateRecorder::start(&client, ObjectTracker::new());
+        recorder.apply_until_in_force(&[("a", 3)]).await;
         api.inject_fault(&FaultCommand::Down(true)).expect("set");
-        follower.until(|follower| follower.interrupted >= 5).await;
-        assert_eq!(follower.in_force.len(), 1, "what is in force stays");
+        recorder
+            .apply_until(|recorder| recorder.interrupted >= 5)
+            .await;
+        assert_eq!(recorder.in_force.len(), 1, "what is in force stays");
         api.inject_fault(&FaultCommand::Down(false)).expect("set");
         set_slots(&client, "a", 6).await;
-        follower.until_in_force(&[("a", 6)]).await;
+        recorder.apply_until_in_force(&[("a", 6)]).await;
     });
 }
 
 #[test]
-fn watcher_waits_when_readers_are_limited() {
-    guarded(async {
-        let (api, client) = empty().await;
+fn watcher_backs_off_when_reads_are_limited() {
+    run_with_timeout(async {
+        let (api, client) = start_empty().await;
         create(&client, "a", 1_000).await;
         api.inject_fault(&FaultCommand::RefuseReads(1))
             .expect("set");
-        let mut follower = Follower::start(&client, ObjectTracker::new());
-        follower.until_in_force(&[("a", 3)]).await;
-        assert_eq!(follower.interrupted, 1);
+        let mut recorder = UpdateRecorder::start(&client, ObjectTracker::new());
+        recorder.apply_until_in_force(&[("a", 3)]).await;
+        assert_eq!(recorder.interrupted, 1);
     });
 }
 
 #[test]
 fn older_store_is_reported_and_reverts_nothing() {
-    guarded(async {
-        let (api, client) = empty().await;
+    run_with_timeout(async {
+        let (api, client) = start_empty().await;
         create(&client, "a", 1_000).await;
         let backup = api.version();
         set_slots(&client, "a", 5).await;
         create(&client, "b", 2_000).await;
-        let mut follower = Follower::start(&client, ObjectTracker::new());
-        follower.until_in_force(&[("a", 5), ("b", 3)]).await;
+        let mut recorder = UpdateRecorder::start(&client, ObjectTracker::new());
+        recorder.apply_until_in_force(&[("a", 5), ("b", 3)]).await;
         let restore = FaultCommand::Restore {
             version: backup,
             bump: None,
         };
         api.inject_fault(&restore).expect("kept");
-        follower.until(|follower| follower.older >= 3).await;
-        assert_eq!(follower.in_force["a"], 5);
-        assert_eq!(follower.in_force["b"], 3);
+        recorder.apply_until(|recorder| recorder.older >= 3).await;
+        assert_eq!(recorder.in_force["a"], 5);
+        assert_eq!(recorder.in_force["b"], 3);
     });
 }
 
 #[test]
 fn store_restored_with_higher_versions_reverts_nothing_and_takes_new_edits() {
-    guarded(async {
-        let (api, client) = empty().await;
+    run_with_timeout(async {
+        let (api, client) = start_empty().await;
         create(&client, "a", 1_000).await;
         let backup = api.version();
         set_slots(&client, "a", 5).await;
         create(&client, "b", 2_000).await;
-        let mut follower = Follower::start(&client, ObjectTracker::new());
-        follower.until_in_force(&[("a", 5), ("b", 3)]).await;
+        let mut recorder = UpdateRecorder::start(&client, ObjectTracker::new());
+        recorder.apply_until_in_force(&[("a", 5), ("b", 3)]).await;
         let restore = FaultCommand::Restore {
             version: backup,
             bump: Some(1_000),
         };
         api.inject_fault(&restore).expect("kept");
-        follower
-            .until(|follower| follower.withheld.len() == 2)
+        recorder
+            .apply_until(|recorder| recorder.withheld.len() == 2)
             .await;
-        assert_eq!(follower.in_force["a"], 5);
-        assert_eq!(follower.in_force["b"], 3);
-        assert!(follower.withheld.contains(&WithheldReason::Lost));
+        assert_eq!(recorder.in_force["a"], 5);
+        assert_eq!(recorder.in_force["b"], 3);
+        assert!(recorder.withheld.contains(&WithheldReason::Lost));
         set_slots(&client, "a", 7).await;
-        follower.until_in_force(&[("a", 7), ("b", 3)]).await;
+        recorder.apply_until_in_force(&[("a", 7), ("b", 3)]).await;
     });
 }
 
 #[test]
 fn watcher_after_a_failover_does_not_trust_an_older_store() {
-    guarded(async {
-        let (api, client) = empty().await;
+    run_with_timeout(async {
+        let (api, client) = start_empty().await;
         create(&client, "a", 1_000).await;
         let known = ObjectTracker::with_delivered([(key("a"), 50)]);
-        let mut follower = Follower::start(&client, known);
-        follower.until(|follower| follower.older >= 2).await;
-        assert!(follower.in_force.is_empty());
+        let mut recorder = UpdateRecorder::start(&client, known);
+        recorder.apply_until(|recorder| recorder.older >= 2).await;
+        assert!(recorder.in_force.is_empty());
         assert_eq!(api.version(), 2);
     });
 }
 
 #[test]
-fn watcher_ends_when_nobody_listens() {
-    guarded(async {
-        let (api, client) = empty().await;
-        let mut follower = Follower::start(&client, ObjectTracker::new());
-        follower.until(|follower| follower.snapshots == 1).await;
-        drop(follower);
+fn watcher_ends_when_its_receiver_is_dropped() {
+    run_with_timeout(async {
+        let (api, client) = start_empty().await;
+        let mut recorder = UpdateRecorder::start(&client, ObjectTracker::new());
+        recorder
+            .apply_until(|recorder| recorder.snapshots == 1)
+            .await;
+        drop(recorder);
         while api.watch_count() > 0 {
             async_std::task::yield_now().await;
         }
--- a/crates/lab/tests/platform/writes.rs
+++ b/crates/lab/tests/platform/writes.rs
@@ -1,4 +1,4 @@
-//! Writes whose answer is lost, late or never was.
+//! Tests of writes whose response is lost, or whose request is late or lost.
 
 use threadledge_lab::stand_in::object_api::{FaultCommand, HistoryEntry, ObjectApi};
 use threadledge_object_api::{
@@ -8,7 +8,8 @@
 use threadledge_types::objects::{AcceptanceStatus, BackEndObject};
 
 use super::support::{
-    back_end, content, create, empty, fast_backoff, guarded, read, resolve_settings, with_slots,
+    back_end, content, create, fast_backoff, read, resolve_settings, run_with_timeout, start_empty,
+    with_slots,
 };
 
 async fn write(client: &ObjectClient, write: Write<BackEndObject>) -> WriteOutcome<BackEndObject> {
@@ -16,21 +17,21 @@
     outcome.expect("resolved")
 }
 
-/// Writes that changed the store.
-fn effective(api: &ObjectApi) -> usize {
+/// Returns the number of writes that changed the store.
+fn effective_writes(api: &ObjectApi) -> usize {
     let changed = |entry: &&HistoryEntry| entry.version_after > entry.version_before;
     api.history().iter().filter(changed).count()
 }
 
 #[test]
-fn write_that_took_effect_without_answer_is_found_applied() {
-    guarded(async {
-        let (api, client) = empty().await;
+fn write_that_took_effect_without_a_response_is_resolved_as_applied() {
+    run_with_timeout(async {
+        let (api, client) = start_empty().await;
         api.inject_fault(&FaultCommand::DropAnswers(1))
             .expect("set");
         let outcome = write(&client, Write::Create(back_end("a", 1_000))).await;
         assert!(matches!(outcome, WriteOutcome::Applied(_)));
-        assert_eq!(effective(&api), 1);
+        assert_eq!(effective_writes(&api), 1);
         let history = api.history();
         assert_eq!(
             (history.len(), history[0].answered),
@@ -41,22 +42,26 @@
 }
 
 #[test]
-fn write_that_was_lost_is_sent_again() {
-    guarded(async {
-        let (api, client) = empty().await;
+fn lost_write_is_retried() {
+    run_with_timeout(async {
+        let (api, client) = start_empty().await;
         let created = create(&client, "a", 1_000).await;
         api.inject_fault(&FaultCommand::LoseWrites(2)).expect("set");
         let outcome = write(&client, Write::Replace(with_slots(created, 7))).await;
         assert!(matches!(outcome, WriteOutcome::Applied(_)));
         assert_eq!(read(&client, "a").await.spec.slots, 7);
-        assert_eq!(effective(&api), 2, "the creation and one replacement");
+        assert_eq!(
+            effective_writes(&api),
+            2,
+            "the creation and one replacement"
+        );
     });
 }
 
 #[test]
-fn write_that_arrives_late_runs_once() {
-    guarded(async {
-        let (api, client) = empty().await;
+fn delayed_write_is_applied_once() {
+    run_with_timeout(async {
+        let (api, client) = start_empty().await;
         let created = create(&client, "a", 1_000).await;
         let delayed = FaultCommand::DelayWrites {
             count: 1,
@@ -68,19 +73,19 @@
             panic!("{outcome:?}");
         };
         assert_eq!(applied.resource_version, 3);
-        // The late copy may still be on its way; its condition fails then.
+        // The delayed copy may not have arrived yet; its precondition fails.
         while api.history().iter().all(|entry| entry.answered) {
             async_std::task::yield_now().await;
         }
-        assert_eq!(effective(&api), 2);
+        assert_eq!(effective_writes(&api), 2);
         assert_eq!(api.version(), 3);
     });
 }
 
 #[test]
-fn status_write_without_answer_is_resolved_by_its_content() {
-    guarded(async {
-        let (api, client) = empty().await;
+fn status_write_without_a_response_is_resolved_by_its_content() {
+    run_with_timeout(async {
+        let (api, client) = start_empty().await;
         let mut object = create(&client, "a", 1_000).await;
         object.status = Some(AcceptanceStatus {
             revision: Some("1.7".to_owned()),
@@ -90,14 +95,14 @@
             .expect("set");
         let outcome = write(&client, Write::ReplaceStatus(object)).await;
         assert!(matches!(outcome, WriteOutcome::Applied(_)));
-        assert_eq!(effective(&api), 2);
+        assert_eq!(effective_writes(&api), 2);
     });
 }
 
 #[test]
 fn write_without_identity_is_resolved_by_version_and_content() {
-    guarded(async {
-        let (api, client) = empty().await;
+    run_with_timeout(async {
+        let (api, client) = start_empty().await;
         let created = create(&client, "a", 1_000).await;
         let mut wanted = with_slots(back_end("a", 1_000), 7);
         wanted.metadata.resource_version = created.metadata.resource_version;
@@ -109,9 +114,9 @@
 }
 
 #[test]
-fn losing_a_race_is_a_conflict_and_changes_nothing() {
-    guarded(async {
-        let (_api, client) = empty().await;
+fn conflicting_write_is_reported_and_changes_nothing() {
+    run_with_timeout(async {
+        let (_api, client) = start_empty().await;
         let created = create(&client, "a", 1_000).await;
         let first = client.replace(&with_slots(created.clone(), 5)).await;
         first.expect("current");
@@ -122,9 +127,9 @@
 }
 
 #[test]
-fn change_by_somebody_else_after_a_lost_answer_is_never_undone() {
-    guarded(async {
-        let (api, client) = empty().await;
+fn change_by_another_writer_after_a_lost_response_is_not_reverted() {
+    run_with_timeout(async {
+        let (api, client) = start_empty().await;
         let created = create(&client, "a", 1_000).await;
         api.inject_fault(&FaultCommand::DropAnswers(1))
             .expect("set");
@@ -135,7 +140,7 @@
             .replace(&with_slots(current, 9))
             .await
             .expect("current");
-        // As if the first writer's read came only now.
+        // The first writer resolves its write only now.
         api.inject_fault(&FaultCommand::LoseWrites(1)).expect("set");
         let outcome = write(&client, Write::Replace(with_slots(created, 5))).await;
         assert!(
@@ -148,8 +153,8 @@
 
 #[test]
 fn store_that_stays_down_leaves_the_write_ambiguous() {
-    guarded(async {
-        let (api, client) = empty().await;
+    run_with_timeout(async {
+        let (api, client) = start_empty().await;
         api.inject_fault(&FaultCommand::Down(true)).expect("set");
         let settings = ResolveSettings {
             max_attempts: 3,
@@ -163,9 +168,9 @@
 }
 
 #[test]
-fn every_write_runs_once_while_answers_are_dropped_at_random() {
-    guarded(async {
-        let (api, client) = empty().await;
+fn every_write_is_applied_once_while_responses_are_dropped_at_random() {
+    run_with_timeout(async {
+        let (api, client) = start_empty().await;
         let mut object = create(&client, "a", 1_000).await;
         let drops = FaultCommand::DropAnswersAtRandom {
             probability: 0.5,
@@ -179,7 +184,7 @@
             };
             object = content(applied);
         }
-        assert_eq!(effective(&api), 21);
+        assert_eq!(effective_writes(&api), 21);
         assert_eq!(object.metadata.generation, Some(21));
         let dropped = api.history().iter().filter(|entry| !entry.answered).count();
         assert!(dropped > 0, "the seed drops some");
@@ -187,9 +192,9 @@
 }
 
 #[test]
-fn unconditional_replacement_is_refused_before_it_is_sent() {
-    guarded(async {
-        let (api, client) = empty().await;
+fn unconditional_replacement_is_rejected_before_it_is_sent() {
+    run_with_timeout(async {
+        let (api, client) = start_empty().await;
         create(&client, "a", 1_000).await;
         let write = Write::Replace(back_end("a", 1_000));
         let error = write_resolved(&client, &write, &resolve_settings()).await;
--- a/crates/lab/tests/support/mod.rs
+++ b/crates/lab/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Builders of small histories, and a sink to read records back from.
+//! Builders of small histories, and an in-memory output for recorders.
 
 #![allow(dead_code)]
 
@@ -38,7 +38,8 @@
     }
 }
 
-/// A back end that owns everything from `begin` to `end` under `epoch`.
+/// Returns the events of a back end that owns all points from `begin` to `end`
+/// under `epoch`.
 pub fn ownership(name: &str, epoch: u64, begin: u64, end: u64) -> Vec<Event> {
     vec![
         Event::LeaseExtended {
@@ -59,7 +60,7 @@
     ]
 }
 
-/// An execution from `begin` to `end`.
+/// Returns the events of an execution from `begin` to `end`.
 pub fn execution(name: &str, epoch: u64, request: u64, begin: u64, end: u64) -> Vec<Event> {
     vec![
         Event::ExecutionBegan {
@@ -90,7 +91,7 @@
     }
 }
 
-/// A request that must not be repeated.
+/// Returns the event of a request that must not be repeated.
 pub fn request(number: u64, attempts: Vec<Attempt>) -> Event {
     let answered = attempts
         .last()
@@ -110,8 +111,9 @@
     History::assemble(parts.into_iter().flatten().collect())
 }
 
-/// A run in which a slice moves from `a` to `b` and three requests are served.
-pub fn sound_run() -> Vec<Vec<Event>> {
+/// Returns a correct run in which a slice moves from `a` to `b` and three
+/// requests are executed.
+pub fn correct_run() -> Vec<Vec<Event>> {
     vec![
         ownership("a", 1, 0, 1_000),
         ownership("b", 2, 1_010, 3_000),
@@ -132,11 +134,11 @@
     ]
 }
 
-/// A sink whose lines the test can read back.
+/// An output whose lines the test can read.
 #[derive(Clone, Default)]
-pub struct Lines(Arc<std::sync::Mutex<Vec<u8>>>);
+pub struct OutputLines(Arc<std::sync::Mutex<Vec<u8>>>);
 
-impl std::io::Write for Lines {
+impl std::io::Write for OutputLines {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.lock().expect("the lines").extend(bytes);
         Ok(bytes.len())
@@ -147,7 +149,7 @@
     }
 }
 
-impl Lines {
+impl OutputLines {
     pub fn events(&self) -> Vec<Event> {
         let bytes = self.0.lock().expect("the lines").clone();
         String::from_utf8(bytes)
