--- a/crates/lab/src/baseline/comparison.rs
+++ b/crates/lab/src/baseline/comparison.rs
@@ -131,6 +131,7 @@
     counts
 }
 
+/// One row of the comparison table.
 struct Row {
     name: &'static str,
     value: fn(&SystemMeasures) -> Option<f64>,
@@ -237,6 +238,8 @@
     ratios
 }
 
+/// Returns product divided by baseline, or `None` if a value is missing or the
+/// baseline is 0.
 fn ratio(product: Option<f64>, baseline: Option<f64>) -> Option<f64> {
     let baseline = baseline.filter(|baseline| *baseline != 0.0)?;
     Some(product? / baseline)
--- a/crates/lab/src/baseline/double_owner.rs
+++ b/crates/lab/src/baseline/double_owner.rs
@@ -27,8 +27,8 @@
 
 /// Measures the double ownership in `history`.
 pub fn double_owner(history: &History) -> DoubleOwner {
-    let own = |claim: &&OwnershipClaim| claim.grant.service.namespace != LAB_NAMESPACE;
-    let claims: Vec<&OwnershipClaim> = history.claims.iter().filter(own).collect();
+    let is_measured = |claim: &&OwnershipClaim| claim.grant.service.namespace != LAB_NAMESPACE;
+    let claims: Vec<&OwnershipClaim> = history.claims.iter().filter(is_measured).collect();
     let segments = by_segment(claims.iter().copied(), |claim| {
         (&claim.grant.service, claim.grant.slice)
     });
--- a/crates/lab/src/baseline/failure.rs
+++ b/crates/lab/src/baseline/failure.rs
@@ -22,7 +22,7 @@
 
     /// Classifies an exchange error: the outcome is unknown if the back end may
     /// have received the request, because it may then have executed it.
-    pub fn of(error: &ExchangeError) -> Self {
+    pub fn from_exchange_error(error: &ExchangeError) -> Self {
         let outcome = match (error.stage.may_have_been_received(), &error.fault) {
             (true, ExchangeFault::DeadlinePassed) => {
                 Outcome::Unknown(UnknownReason::DeadlinePassed)
--- a/crates/lab/src/baseline/hash_ring.rs
+++ b/crates/lab/src/baseline/hash_ring.rs
@@ -56,6 +56,7 @@
     }
 }
 
+/// Returns the point of one virtual node of a back end.
 fn virtual_node(member: &BackEndId, number: u32) -> Point {
     let name = format!("{member}#{number}");
     Point(xxhash_rust::xxh3::xxh3_64(name.as_bytes()))
--- a/crates/lab/src/baseline/matching.rs
+++ b/crates/lab/src/baseline/matching.rs
@@ -29,6 +29,7 @@
         .find_map(|route| Some((&route.service, route_key(route, request)?)))
 }
 
+/// Returns the key of a request if it matches the route.
 fn route_key<'a>(route: &BaselineRoute, request: &RequestParts<'a>) -> Option<&'a str> {
     match &route.key_header {
         Some(name) if route.path == request.path => (request.header)(name),
--- a/crates/lab/src/baseline/router.rs
+++ b/crates/lab/src/baseline/router.rs
@@ -85,6 +85,7 @@
     state: Mutex<State>,
 }
 
+/// Health of the back ends, and the views derived from it.
 struct State {
     health: BTreeMap<BackEndId, Health>,
     views: BTreeMap<ServiceId, View>,
@@ -136,6 +137,8 @@
         }
     }
 
+    /// Polls the health of one back end. Returns the session that responded, or
+    /// `None` if the poll failed.
     async fn poll(&self, back_end: &BaselineBackEnd) -> Option<SessionId> {
         let url = format!("http://{}{HEALTH_PATH}", back_end.control_address);
         let request = Request::new(Method::Get, Url::parse(&url).ok()?);
@@ -179,6 +182,7 @@
         }
     }
 
+    /// Forwards a request to the owner of its key.
     async fn forward(&self, mut request: Request) -> Result<Response, Failure> {
         let (service, point) = self.service_and_point(&request)?;
         let (owner, epoch) = {
@@ -199,7 +203,7 @@
         let deadline = Instant::now() + FORWARD_TIMEOUT;
         self.exchange(owner.address, owner.connections, request, deadline)
             .await
-            .map_err(|error| Failure::of(&error))
+            .map_err(|error| Failure::from_exchange_error(&error))
     }
 
     async fn exchange(
@@ -216,6 +220,7 @@
         connection.exchange(request, deadline).await
     }
 
+    /// Returns the service of a request and the point of its key.
     fn service_and_point(&self, request: &Request) -> Result<(ServiceId, Point), Failure> {
         let header = |name: &str| request.header(name).map(|values| values.as_str());
         let path = match request.url().query() {
--- a/crates/lab/src/baseline/settings.rs
+++ b/crates/lab/src/baseline/settings.rs
@@ -16,7 +16,8 @@
     /// Index in the callers' list of routers, from 0.
     pub number: u64,
     /// Incarnation of this router, from 1.
-    pub life: u32,
+    #[serde(rename = "life")]
+    pub incarnation: u32,
     /// Address that callers send requests to.
     pub address: SocketAddr,
     /// Routes from requests to services.
@@ -67,6 +68,6 @@
 impl BaselineRouterSettings {
     /// Returns the epoch under which this incarnation's view is recorded.
     pub fn epoch(&self) -> Epoch {
-        Epoch(Revision::new(Generation(self.life), self.number + 1))
+        Epoch(Revision::new(Generation(self.incarnation), self.number + 1))
     }
 }
--- a/crates/lab/src/checks/answers.rs
+++ b/crates/lab/src/checks/answers.rs
@@ -41,6 +41,7 @@
     violations
 }
 
+/// Returns the time at which each request first took effect.
 fn first_effects(history: &History) -> BTreeMap<RequestId, Timestamp> {
     let mut effects: BTreeMap<RequestId, Timestamp> = BTreeMap::new();
     for execution in &history.executions {
--- a/crates/lab/src/checks/configuration.rs
+++ b/crates/lab/src/checks/configuration.rs
@@ -33,6 +33,7 @@
     violations
 }
 
+/// Finds the times at which a router reported a lower revision than before.
 fn find_reverts(router: &str, seen: &[&ConfigurationSeen]) -> Vec<Violation> {
     seen.windows(2)
         .filter(|pair| pair[1].revision < pair[0].revision)
@@ -49,6 +50,8 @@
         .collect()
 }
 
+/// Finds the first time at which a ready router lacked a revision after the
+/// limit.
 fn find_late(
     router: &str,
     seen: &[&ConfigurationSeen],
--- a/crates/lab/src/checks/durable.rs
+++ b/crates/lab/src/checks/durable.rs
@@ -26,6 +26,7 @@
     violations
 }
 
+/// Finds grants with a lower epoch than an earlier grant of the same points.
 fn decreasing_grant_epochs(claims: &[OwnershipClaim]) -> Vec<Violation> {
     let segments = by_segment(claims, |claim| (&claim.grant.service, claim.grant.slice));
     let mut violations = Vec::new();
@@ -49,6 +50,8 @@
     violations
 }
 
+/// Finds router views with a lower epoch than one that must have propagated
+/// before.
 fn decreasing_view_epochs(views: &[SliceSeen]) -> Vec<Violation> {
     let segments = by_segment(views, |view| (&view.service, view.slice));
     let mut violations = Vec::new();
--- a/crates/lab/src/checks/linearizable.rs
+++ b/crates/lab/src/checks/linearizable.rs
@@ -131,6 +131,7 @@
     tenures
 }
 
+/// Groups the completed executions by service and point.
 fn executions_by_service(
     history: &History,
 ) -> BTreeMap<&ServiceId, BTreeMap<Point, Vec<&Execution>>> {
@@ -146,6 +147,8 @@
     by_service
 }
 
+/// Returns the executions with points from `start` to before `end`, ordered by
+/// start time.
 fn executions_in_segment<'a>(
     executions: &BTreeMap<&ServiceId, BTreeMap<Point, Vec<&'a Execution>>>,
     service: &ServiceId,
@@ -210,6 +213,7 @@
     operation: RegisterOperation,
 }
 
+/// Converts tenures and executions to the operations of the register.
 fn to_history(
     tenures: &[Tenure<'_>],
     executions_used: &[&Execution],
@@ -255,6 +259,7 @@
     chosen
 }
 
+/// Orders the calls and responses of operations for the checker.
 fn to_operations(intervals: Vec<Interval>) -> Operations<RegisterOperation> {
     // Each operation is a process of its own. Actions are ordered by time,
     // then phase, then call before response.
--- a/crates/lab/src/checks/planned_stop.rs
+++ b/crates/lab/src/checks/planned_stop.rs
@@ -41,6 +41,7 @@
     violations
 }
 
+/// Returns whether the connection ended or the caller timed out.
 fn was_interrupted(attempt: &Attempt) -> bool {
     matches!(
         attempt.outcome,
--- a/crates/lab/src/checks/single_owner.rs
+++ b/crates/lab/src/checks/single_owner.rs
@@ -20,6 +20,7 @@
     violations
 }
 
+/// Finds claims that overlap with a claim of another session.
 fn overlapping_claims(claims: &[OwnershipClaim]) -> Vec<Violation> {
     let segments = by_segment(claims, |claim| (&claim.grant.service, claim.grant.slice));
     let mut violations = Vec::new();
@@ -45,6 +46,7 @@
     violations
 }
 
+/// Finds executions that no claim of their session covers.
 fn executions_without_claim(history: &History) -> Vec<Violation> {
     let mut by_session: BTreeMap<&SessionId, Vec<&OwnershipClaim>> = BTreeMap::new();
     for claim in &history.claims {
--- a/crates/lab/src/experiment/file.rs
+++ b/crates/lab/src/experiment/file.rs
@@ -35,6 +35,7 @@
     pub bounds: Bounds,
 }
 
+/// The schema of an experiment file.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 struct ExperimentFile {
@@ -55,7 +56,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
     /// A file cannot be read.
-    #[error("{path}: {cause}; give the path of an experiment, 'list' shows them")]
+    #[error("{path}: {cause}; give the path of an experiment file; 'list' shows those available")]
     File {
         /// The file.
         path: PathBuf,
@@ -63,7 +64,7 @@
         cause: std::io::Error,
     },
     /// A file does not match the schema.
-    #[error("{path}: {cause}; docs/lab.md describes the form")]
+    #[error("{path}: {cause}; docs/lab.md describes the format")]
     Parse {
         /// The file.
         path: PathBuf,
@@ -156,6 +157,7 @@
     Ok(found)
 }
 
+/// Returns all TOML files under a directory, ordered by path.
 fn toml_files(directory: &Path) -> Result<Vec<PathBuf>, ExperimentError> {
     let file_error = |cause| ExperimentError::File {
         path: directory.to_owned(),
--- a/crates/lab/src/history/assemble.rs
+++ b/crates/lab/src/history/assemble.rs
@@ -85,20 +85,22 @@
 impl History {
     /// Assembles the events of a run; `events` may come in any order.
     pub fn assemble(mut events: Vec<Event>) -> History {
-        events.sort_by_key(time_of);
+        events.sort_by_key(event_time);
         let mut history = History::default();
         let mut claims = ClaimBuilder::default();
         let mut running: BTreeMap<(SessionId, RequestId), Vec<usize>> = BTreeMap::new();
         for event in events {
-            claims.take(&event);
-            history.take(event, &mut running);
+            claims.add(&event);
+            history.add(event, &mut running);
         }
         history.claims = claims.finish();
         history.requests.sort_by_key(|record| record.intended);
         history
     }
 
-    fn take(&mut self, event: Event, running: &mut BTreeMap<(SessionId, RequestId), Vec<usize>>) {
+    /// Adds one event. `running` holds the indexes of the executions without an
+    /// end.
+    fn add(&mut self, event: Event, running: &mut BTreeMap<(SessionId, RequestId), Vec<usize>>) {
         match event {
             Event::ExecutionBegan {
                 at,
@@ -168,7 +170,8 @@
     }
 }
 
-fn time_of(event: &Event) -> Timestamp {
+/// Returns the time by which events are ordered.
+fn event_time(event: &Event) -> Timestamp {
     match event {
         Event::ExecutionBegan { at, .. }
         | Event::ExecutionEnded { at, .. }
@@ -191,30 +194,32 @@
 #[derive(Default)]
 struct ClaimBuilder {
     sessions: BTreeMap<SessionId, SessionClaims>,
-    done: Vec<OwnershipClaim>,
+    finished: Vec<OwnershipClaim>,
 }
 
+/// Lease and held grants of one session.
 #[derive(Default)]
 struct SessionClaims {
-    until: Timestamp,
+    lease_end: Timestamp,
+    /// Held grants with the time since which they are claimed.
     open: BTreeMap<Grant, Timestamp>,
 }
 
 impl ClaimBuilder {
-    fn take(&mut self, event: &Event) {
+    fn add(&mut self, event: &Event) {
         match event {
             Event::LeaseExtended { at, session, until } => self.extend(session, *at, *until),
             Event::GrantTaken { at, session, grant } => {
-                let claim = self.sessions.entry(session.clone()).or_default();
-                claim.open.insert(grant.clone(), *at);
+                let claims = self.sessions.entry(session.clone()).or_default();
+                claims.open.insert(grant.clone(), *at);
             }
             Event::GrantReleased { at, session, grant } => {
-                let Some(claim) = self.sessions.get_mut(session) else {
+                let Some(claims) = self.sessions.get_mut(session) else {
                     return;
                 };
-                if let Some(begin) = claim.open.remove(grant) {
-                    let end = claim.until.min(*at);
-                    push_claim(&mut self.done, session, grant, begin, end);
+                if let Some(begin) = claims.open.remove(grant) {
+                    let end = claims.lease_end.min(*at);
+                    push_claim(&mut self.finished, session, grant, begin, end);
                 }
             }
             Event::ProcessEnded { at, sessions, .. } => {
@@ -226,24 +231,33 @@
         }
     }
 
+    /// Extends a lease. If it had expired, the claims up to its end are
+    /// completed.
     fn extend(&mut self, session: &SessionId, at: Timestamp, until: Timestamp) {
-        let claim = self.sessions.entry(session.clone()).or_default();
-        if claim.until < at {
+        let claims = self.sessions.entry(session.clone()).or_default();
+        if claims.lease_end < at {
             // The lease had expired, so the claims paused from its end until now.
-            for (grant, begin) in &mut claim.open {
-                push_claim(&mut self.done, session, grant, *begin, claim.until);
+            for (grant, begin) in &mut claims.open {
+                push_claim(&mut self.finished, session, grant, *begin, claims.lease_end);
                 *begin = (*begin).max(at);
             }
         }
-        claim.until = claim.until.max(until);
+        claims.lease_end = claims.lease_end.max(until);
     }
 
+    /// Completes all claims of a session that ended at time `at`.
     fn close(&mut self, session: &SessionId, at: Timestamp) {
-        let Some(claim) = self.sessions.remove(session) else {
+        let Some(claims) = self.sessions.remove(session) else {
             return;
         };
-        for (grant, begin) in claim.open {
-            push_claim(&mut self.done, session, &grant, begin, claim.until.min(at));
+        for (grant, begin) in claims.open {
+            push_claim(
+                &mut self.finished,
+                session,
+                &grant,
+                begin,
+                claims.lease_end.min(at),
+            );
         }
     }
 
@@ -252,20 +266,21 @@
         for session in sessions {
             self.close(&session, Timestamp::from_micros(u64::MAX));
         }
-        self.done.sort_by_key(|claim| claim.begin);
-        self.done
+        self.finished.sort_by_key(|claim| claim.begin);
+        self.finished
     }
 }
 
+/// Adds a claim, unless its interval is empty.
 fn push_claim(
-    done: &mut Vec<OwnershipClaim>,
+    finished: &mut Vec<OwnershipClaim>,
     session: &SessionId,
     grant: &Grant,
     begin: Timestamp,
     end: Timestamp,
 ) {
     if begin < end {
-        done.push(OwnershipClaim {
+        finished.push(OwnershipClaim {
             session: session.clone(),
             grant: grant.clone(),
             begin,
--- a/crates/lab/src/hollow/layout.rs
+++ b/crates/lab/src/hollow/layout.rs
@@ -61,6 +61,7 @@
         }
     }
 
+    /// Divides the back ends of a region between services.
     fn services(&self, region: usize, routers: usize) -> Vec<ServicePlan> {
         let back_ends = (routers / self.routers_per_back_end.max(1)).max(MIN_BACK_ENDS);
         let services = back_ends.div_ceil(BACK_ENDS_PER_SERVICE);
--- a/crates/lab/src/hollow/measure.rs
+++ b/crates/lab/src/hollow/measure.rs
@@ -136,6 +136,7 @@
     }
 }
 
+/// Returns the number of slices at the leader of the first region.
 fn slices(day: &DaySimulation) -> usize {
     let world = day.world();
     let leader = world
--- a/crates/lab/src/hollow/table.rs
+++ b/crates/lab/src/hollow/table.rs
@@ -77,6 +77,7 @@
     }
 }
 
+/// Formats count, median, 99th percentile and maximum.
 fn format_spread(values: &threadledge_simulator::day::DurationSummary) -> String {
     format!(
         "{}/{}/{}/{}",
--- a/crates/lab/src/load/caller.rs
+++ b/crates/lab/src/load/caller.rs
@@ -10,8 +10,8 @@
 use threadledge_types::{NotRunReason, Timestamp, hash_key};
 
 use super::arrivals::Arrivals;
-use super::connections::Connections;
-use super::exchange::{Message, Reply, exchange};
+use super::connection_pool::ConnectionPool;
+use super::exchange::{ExchangeResult, OutgoingRequest, exchange};
 use super::popularity::KeyPopularity;
 use super::settings::{CallerSettings, Surge, TrafficSettings};
 use crate::clock;
@@ -23,7 +23,7 @@
 
 /// State shared by the callers of one partner.
 pub(super) struct Callers {
-    routers: Vec<Connections>,
+    routers: Vec<ConnectionPool>,
     begin: Timestamp,
     end: Timestamp,
     next_request: AtomicU64,
@@ -36,7 +36,7 @@
     pub fn new(settings: &CallerSettings, recorder: Recorder) -> Self {
         let routers = settings.routers.iter().copied();
         Callers {
-            routers: routers.map(Connections::new).collect(),
+            routers: routers.map(ConnectionPool::new).collect(),
             begin: settings.begin,
             end: settings.end,
             next_request: AtomicU64::new(settings.first_request),
@@ -102,8 +102,9 @@
         }
     }
 
+    /// Sends one request, with retries, and records its outcome.
     async fn call(&self, traffic: &TrafficSettings, intended: Timestamp, key: &str) {
-        let message = message(traffic, self.next_request(), key);
+        let message = build_request(traffic, self.next_request(), key);
         let deadline = intended + Duration::from_millis(traffic.patience_ms);
         let mut attempts = Vec::new();
         let mut answer_matches = None;
@@ -114,12 +115,12 @@
             let router = (first + number) % self.routers.len();
             let begin = clock::now();
             let time_left = deadline.since(begin);
-            let reply = exchange(&self.routers[router], &message, time_left).await;
-            answer_matches = reply.answer_matches;
+            let result = exchange(&self.routers[router], &message, time_left).await;
+            answer_matches = result.answer_matches;
             tried += 1;
             let mut retry =
-                tried < self.routers.len() && should_retry_elsewhere(&reply, traffic.repeatable);
-            if !retry && retries > 0 && should_retry_immediately(&reply, traffic.repeatable) {
+                tried < self.routers.len() && should_retry_elsewhere(&result, traffic.repeatable);
+            if !retry && retries > 0 && should_retry_immediately(&result, traffic.repeatable) {
                 retries -= 1;
                 retry = true;
             }
@@ -127,9 +128,9 @@
                 router,
                 begin,
                 end: clock::now(),
-                outcome: reply.outcome,
-                reason: reply.reason,
-                status: reply.status,
+                outcome: result.outcome,
+                reason: result.reason,
+                status: result.status,
             });
             if !retry || clock::now() >= deadline {
                 break;
@@ -150,10 +151,10 @@
 /// Returns whether to retry at another router. That requires that a request
 /// which must not be repeated cannot run twice, and that another router could
 /// succeed.
-fn should_retry_elsewhere(reply: &Reply, repeatable: bool) -> bool {
-    match reply.outcome {
+fn should_retry_elsewhere(result: &ExchangeResult, repeatable: bool) -> bool {
+    match result.outcome {
         AttemptOutcome::NotSent => true,
-        AttemptOutcome::NotRun => reply.reason.as_deref() == Some(NotRunReason::NotReady.as_str()),
+        AttemptOutcome::NotRun => result.reason.as_deref() == Some(NotRunReason::NotReady.as_str()),
         AttemptOutcome::Cut => repeatable,
         AttemptOutcome::Answered | AttemptOutcome::Unknown | AttemptOutcome::TimedOut => false,
     }
@@ -161,21 +162,21 @@
 
 /// Returns whether a caller of a retry storm retries immediately. It retries
 /// every failure unless the request may have run and must not be repeated.
-fn should_retry_immediately(reply: &Reply, repeatable: bool) -> bool {
-    match reply.outcome {
+fn should_retry_immediately(result: &ExchangeResult, repeatable: bool) -> bool {
+    match result.outcome {
         AttemptOutcome::NotSent | AttemptOutcome::NotRun => true,
         AttemptOutcome::Cut | AttemptOutcome::Unknown => repeatable,
         AttemptOutcome::Answered | AttemptOutcome::TimedOut => false,
     }
 }
 
-fn message(traffic: &TrafficSettings, request: RequestId, key: &str) -> Message {
+fn build_request(traffic: &TrafficSettings, request: RequestId, key: &str) -> OutgoingRequest {
     let headers = traffic
         .key_header
         .iter()
         .map(|name| (name.clone(), key.to_owned()))
         .collect();
-    Message {
+    OutgoingRequest {
         request,
         method: traffic.method.parse().unwrap_or(Method::Get),
         host: traffic.host.clone(),
--- a/crates/lab/src/load/connections.rs
+++ b/crates/lab/src/load/connection_pool.rs
@@ -9,14 +9,14 @@
 
 /// Idle connections to one address; the most recently used is reused first.
 #[derive(Debug)]
-pub(super) struct Connections {
+pub(super) struct ConnectionPool {
     address: SocketAddr,
     idle: Mutex<Vec<TcpStream>>,
 }
 
-impl Connections {
+impl ConnectionPool {
     pub fn new(address: SocketAddr) -> Self {
-        Connections {
+        ConnectionPool {
             address,
             idle: Mutex::new(Vec::new()),
         }
--- a/crates/lab/src/load/direct.rs
+++ b/crates/lab/src/load/direct.rs
@@ -19,8 +19,8 @@
 
 use super::arrivals::Arrivals;
 use super::caller::Callers;
-use super::connections::Connections;
-use super::exchange::{Message, SUCCESS_STATUS, exchange};
+use super::connection_pool::ConnectionPool;
+use super::exchange::{OutgoingRequest, SUCCESS_STATUS, exchange};
 use super::settings::{CallerSettings, DirectSettings};
 use crate::clock;
 use crate::history::{Attempt, AttemptOutcome, Event};
@@ -31,6 +31,7 @@
 const DIRECT_LEASE: Duration = Duration::from_secs(24 * 3_600);
 /// Timeout of a direct call.
 const DIRECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Generation of the direct caller's grants and leases.
 const GENERATION: Generation = Generation(1);
 
 /// Grants the back end every point of its service, then calls it until the
@@ -50,7 +51,7 @@
         epoch: Epoch(Revision::new(GENERATION, 1)),
     };
     grant_everything(&direct, &grant).await?;
-    let connections = Arc::new(Connections::new(direct.address));
+    let connections = Arc::new(ConnectionPool::new(direct.address));
     let seed = settings.seed.wrapping_add(u64::MAX / 3);
     let arrivals = Arrivals::new(settings.begin, direct.per_second, seed);
     for intended in arrivals.take_while(|intended| *intended < settings.end) {
@@ -63,10 +64,10 @@
     Ok(())
 }
 
-async fn call(callers: &Callers, connections: &Connections, grant: &Grant, intended: Timestamp) {
+async fn call(callers: &Callers, connections: &ConnectionPool, grant: &Grant, intended: Timestamp) {
     let request = callers.next_request();
     let point = hash_key(&request.0.to_le_bytes());
-    let message = Message {
+    let message = OutgoingRequest {
         request,
         method: Method::Get,
         host: "direct".to_owned(),
@@ -79,9 +80,9 @@
         repeatable: true,
     };
     let begin = clock::now();
-    let reply = exchange(connections, &message, DIRECT_TIMEOUT).await;
+    let result = exchange(connections, &message, DIRECT_TIMEOUT).await;
     // A back end sends no outcome header, so the status decides.
-    let answered = reply.status == Some(SUCCESS_STATUS);
+    let answered = result.status == Some(SUCCESS_STATUS);
     callers.recorder().record(Event::RequestEnded {
         intended,
         request,
@@ -95,15 +96,17 @@
             outcome: if answered {
                 AttemptOutcome::Answered
             } else {
-                reply.outcome
+                result.outcome
             },
-            reason: reply.reason,
-            status: reply.status,
+            reason: result.reason,
+            status: result.status,
         }],
-        answer_matches: reply.answer_matches,
+        answer_matches: result.answer_matches,
     });
 }
 
+/// Grants the back end all points. The first lease request only learns the
+/// incarnation and clock reading that the second one has to repeat.
 async fn grant_everything(direct: &DirectSettings, grant: &Grant) -> http_types::Result<()> {
     let inquire_request = lease_request(direct, 1, GrantsUpdate::Inquire);
     let known = lease(direct.control_address, &inquire_request).await?;
--- a/crates/lab/src/load/exchange.rs
+++ b/crates/lab/src/load/exchange.rs
@@ -8,7 +8,7 @@
 use http_types::{Method, Request, Response, Url};
 use threadledge_types::outcome::{OUTCOME_HEADER, REASON_HEADER};
 
-use super::connections::Connections;
+use super::connection_pool::ConnectionPool;
 use crate::history::{AttemptOutcome, RequestId};
 use crate::stand_in::back_end::{
     ANSWER_CHECKSUM_HEADER, LAB_REQUEST_HEADER, answer_body, answer_checksum,
@@ -19,7 +19,7 @@
 
 /// A request to send.
 #[derive(Clone, Debug)]
-pub(super) struct Message {
+pub(super) struct OutgoingRequest {
     pub request: RequestId,
     pub method: Method,
     pub host: String,
@@ -30,16 +30,17 @@
 
 /// Result of one exchange.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Reply {
+pub(super) struct ExchangeResult {
     pub outcome: AttemptOutcome,
     pub reason: Option<String>,
     pub status: Option<u16>,
     pub answer_matches: Option<bool>,
 }
 
-impl Reply {
+impl ExchangeResult {
+    /// Returns the result of an exchange without a response.
     fn failed(outcome: AttemptOutcome, reason: impl ToString) -> Self {
-        Reply {
+        ExchangeResult {
             outcome,
             reason: Some(reason.to_string()),
             status: None,
@@ -51,44 +52,49 @@
 /// Sends `message` and waits at most `time_limit` to connect and at most
 /// `time_limit` for the complete response.
 pub(super) async fn exchange(
-    connections: &Connections,
-    message: &Message,
+    connections: &ConnectionPool,
+    message: &OutgoingRequest,
     time_limit: Duration,
-) -> Reply {
+) -> ExchangeResult {
     let stream = match timeout(time_limit, connections.checkout()).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(error)) => return Reply::failed(AttemptOutcome::NotSent, error),
+        Ok(Err(error)) => return ExchangeResult::failed(AttemptOutcome::NotSent, error),
         Err(_) => {
-            return Reply::failed(AttemptOutcome::NotSent, "no connection in time");
+            return ExchangeResult::failed(AttemptOutcome::NotSent, "no connection in time");
         }
     };
     match timeout(time_limit, send(stream.clone(), message)).await {
-        Ok(Ok((reply, reusable))) => {
+        Ok(Ok((result, reusable))) => {
             if reusable {
                 connections.check_in(stream);
             }
-            reply
+            result
         }
-        Ok(Err(error)) => Reply::failed(AttemptOutcome::Cut, error),
-        Err(_) => Reply::failed(AttemptOutcome::TimedOut, "the caller's patience ended"),
+        Ok(Err(error)) => ExchangeResult::failed(AttemptOutcome::Cut, error),
+        Err(_) => ExchangeResult::failed(AttemptOutcome::TimedOut, "the caller's patience ended"),
     }
 }
 
-async fn send(stream: TcpStream, message: &Message) -> http_types::Result<(Reply, bool)> {
+/// Sends a request and reads the response. The flag tells whether the
+/// connection can be reused.
+async fn send(
+    stream: TcpStream,
+    message: &OutgoingRequest,
+) -> http_types::Result<(ExchangeResult, bool)> {
     let mut response = async_h1::connect(stream, to_request(message)?).await?;
     let expected_length = response.len();
     let body = response.body_bytes().await?;
     let whole = expected_length.is_none_or(|length| length == body.len());
     if !whole {
         let reason = format!("{} of {expected_length:?} bytes", body.len());
-        return Ok((Reply::failed(AttemptOutcome::Cut, reason), false));
+        return Ok((ExchangeResult::failed(AttemptOutcome::Cut, reason), false));
     }
     let reusable = !header(&response, CONNECTION.as_str())
         .is_some_and(|value| value.eq_ignore_ascii_case("close"));
     Ok((classify(message.request, &response, &body), reusable))
 }
 
-fn to_request(message: &Message) -> http_types::Result<Request> {
+fn to_request(message: &OutgoingRequest) -> http_types::Result<Request> {
     let url = Url::parse(&format!("http://{}{}", message.host, message.path))?;
     let mut request = Request::new(message.method, url);
     request.insert_header(HOST, message.host.as_str());
@@ -104,30 +110,31 @@
     Ok(request)
 }
 
-fn classify(request: RequestId, response: &Response, body: &[u8]) -> Reply {
+/// Derives the outcome from the headers of a complete response.
+fn classify(request: RequestId, response: &Response, body: &[u8]) -> ExchangeResult {
     let status = Some(u16::from(response.status()));
     let reason = header(response, REASON_HEADER).map(str::to_owned);
     match header(response, OUTCOME_HEADER) {
-        Some("answered") => Reply {
+        Some("answered") => ExchangeResult {
             outcome: AttemptOutcome::Answered,
             reason,
             status,
             answer_matches: Some(body_matches(request, response, body)),
         },
-        Some("not-run") => Reply {
+        Some("not-run") => ExchangeResult {
             outcome: AttemptOutcome::NotRun,
             reason,
             status,
             answer_matches: None,
         },
-        Some(_) => Reply {
+        Some(_) => ExchangeResult {
             outcome: AttemptOutcome::Unknown,
             reason,
             status,
             answer_matches: None,
         },
         // Without the header the outcome is unknown.
-        None => Reply {
+        None => ExchangeResult {
             outcome: AttemptOutcome::Unknown,
             reason: Some("no outcome header".to_owned()),
             status,
--- a/crates/lab/src/load/hostile.rs
+++ b/crates/lab/src/load/hostile.rs
@@ -75,15 +75,15 @@
     answered: AtomicU64,
 }
 
-/// Runs `connections` hostile callers against `routers` for `lasts`, and
+/// Runs `connections` hostile callers against `routers` for `duration`, and
 /// returns the outcomes of their exchanges.
 pub async fn send_hostile_callers(
     routers: &[SocketAddr],
     connections: u32,
-    lasts: Duration,
+    duration: Duration,
 ) -> HostileCounts {
     let counters = Arc::new(Counters::default());
-    let until = Instant::now() + lasts;
+    let until = Instant::now() + duration;
     let callers = (0..connections as usize).map(|number| {
         let router = routers[number % routers.len()];
         let attack = ATTACKS[number % ATTACKS.len()];
@@ -104,6 +104,7 @@
     }
 }
 
+/// Repeats an attack until the time `until`.
 async fn run_attack(router: SocketAddr, attack: Attack, until: Instant, counters: Arc<Counters>) {
     while Instant::now() < until {
         counters.begun.fetch_add(1, Ordering::SeqCst);
@@ -165,6 +166,7 @@
     }
 }
 
+/// Reads the status code from the start of a response.
 async fn read_status(stream: &mut TcpStream) -> Option<u16> {
     let mut head = [0_u8; 12];
     stream.read_exact(&mut head).await.ok()?;
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -3,7 +3,7 @@
 
 mod arrivals;
 mod caller;
-mod connections;
+mod connection_pool;
 mod direct;
 mod exchange;
 mod hostile;
--- a/crates/lab/src/load/popularity.rs
+++ b/crates/lab/src/load/popularity.rs
@@ -67,6 +67,7 @@
         format!("key-{number:08}")
     }
 
+    /// Draws a popularity rank by inverting the cumulative distribution.
     fn draw_rank(&mut self) -> u32 {
         let total = self.cumulative.last().copied().unwrap_or(1.0);
         let drawn = self.random.random::<f64>() * total;
@@ -74,6 +75,7 @@
         u32::try_from(index.min(self.cumulative.len() - 1)).unwrap_or(0)
     }
 
+    /// Returns the number of shifts so far.
     fn shift_number(&self, since_start: Timestamp) -> u64 {
         match self.settings.shift_ms {
             0 => 0,
--- a/crates/lab/src/load/settings.rs
+++ b/crates/lab/src/load/settings.rs
@@ -47,9 +47,12 @@
 /// surge in progress, or 1.
 pub fn load_factor(surges: &[Surge], since_begin: Duration) -> f64 {
     let now = since_begin.as_millis();
-    let lasts =
+    let in_progress =
         |surge: &&Surge| (u128::from(surge.from_ms)..u128::from(surge.until_ms)).contains(&now);
-    surges.iter().find(lasts).map_or(1.0, |surge| surge.factor)
+    surges
+        .iter()
+        .find(in_progress)
+        .map_or(1.0, |surge| surge.factor)
 }
 
 /// One kind of request.
--- a/crates/lab/src/measures/configuration.rs
+++ b/crates/lab/src/measures/configuration.rs
@@ -27,6 +27,8 @@
         .map(|longest| longest.as_secs_f64() * 1_000.0)
 }
 
+/// Returns the time from `at` until a router first reported `revision` or a
+/// later one, or `None` if it never did.
 fn time_to_revision(
     seen: &[&ConfigurationSeen],
     at: Timestamp,
--- a/crates/lab/src/measures/goodput.rs
+++ b/crates/lab/src/measures/goodput.rs
@@ -56,13 +56,14 @@
         .collect()
 }
 
+/// Measures the goodput of the requests intended within `span`.
 fn goodput_in(history: &History, begin: Timestamp, span: (u64, u64), factor: f64) -> Goodput {
     let (from_ms, until_ms) = span;
     let from = begin + Duration::from_millis(from_ms);
     let until = begin + Duration::from_millis(until_ms);
     let within = history.requests.iter().filter(|record| {
-        let own = record.service.namespace != LAB_NAMESPACE;
-        own && from <= record.intended && record.intended < until
+        let is_measured = record.service.namespace != LAB_NAMESPACE;
+        is_measured && from <= record.intended && record.intended < until
     });
     let mut offered = 0_u32;
     let mut latencies = Vec::new();
--- a/crates/lab/src/measures/imbalance.rs
+++ b/crates/lab/src/measures/imbalance.rs
@@ -19,6 +19,7 @@
     pub back_ends: usize,
 }
 
+/// Requests and keys of one back end.
 #[derive(Default)]
 struct Share {
     requests: u64,
--- a/crates/lab/src/measures/latency.rs
+++ b/crates/lab/src/measures/latency.rs
@@ -75,6 +75,7 @@
     build_latencies(all.summary(), &summaries, imitated)
 }
 
+/// Separates direct services from the others and computes the added latency.
 fn build_latencies(
     all: LatencySummary,
     summaries: &BTreeMap<&ServiceId, LatencySummary>,
--- a/crates/lab/src/measures/outcomes.rs
+++ b/crates/lab/src/measures/outcomes.rs
@@ -58,6 +58,7 @@
     outcomes
 }
 
+/// Returns the reason under which an unanswered request is counted.
 fn describe(attempt: &Attempt) -> String {
     match attempt.outcome {
         AttemptOutcome::Answered => "answered".to_owned(),
--- a/crates/lab/src/measures/ownership.rs
+++ b/crates/lab/src/measures/ownership.rs
@@ -57,6 +57,8 @@
     intervals.collect()
 }
 
+/// Converts changes of a share to intervals of a constant positive share, with
+/// times in milliseconds since `origin`.
 fn to_intervals(
     share_changes: &BTreeMap<Timestamp, f64>,
     origin: Timestamp,
--- a/crates/lab/src/measures/timeline.rs
+++ b/crates/lab/src/measures/timeline.rs
@@ -73,6 +73,8 @@
     counts
 }
 
+/// Returns a quantile of sorted values by the nearest index, or 0 if there are
+/// none.
 pub(super) fn quantile(sorted: &[f64], quantile: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
     let index = (last as f64 * quantile).round() as usize;
--- a/crates/lab/src/measures/unavailable.rs
+++ b/crates/lab/src/measures/unavailable.rs
@@ -36,9 +36,11 @@
     }
 }
 
+/// Returns the longest time between `from` and `until` that points had no owner
+/// after they had had one.
 fn longest_without_owner(history: &History, from: Timestamp, until: Timestamp) -> Duration {
-    let own = |claim: &&OwnershipClaim| claim.grant.service.namespace != LAB_NAMESPACE;
-    let claims: Vec<&OwnershipClaim> = history.claims.iter().filter(own).collect();
+    let is_measured = |claim: &&OwnershipClaim| claim.grant.service.namespace != LAB_NAMESPACE;
+    let claims: Vec<&OwnershipClaim> = history.claims.iter().filter(is_measured).collect();
     let mut owned_until_by_point: BTreeMap<(&ServiceId, Point), (Point, Timestamp)> =
         BTreeMap::new();
     let mut longest = Duration::ZERO;
--- a/crates/lab/src/report/compare.rs
+++ b/crates/lab/src/report/compare.rs
@@ -4,6 +4,7 @@
 
 use super::schema::Report;
 
+/// One row of the comparison table.
 struct Row {
     name: &'static str,
     unit: &'static str,
--- a/crates/lab/src/rig/baseline_processes.rs
+++ b/crates/lab/src/rig/baseline_processes.rs
@@ -17,7 +17,7 @@
 use super::hosts::{HostKind, Hosts, start_stand_in};
 use super::plan::{HostPlan, Plan};
 use super::ports::free_addresses;
-use super::processes::{END_TIMEOUT, wait_until_ready};
+use super::product_processes::{END_TIMEOUT, wait_until_ready};
 use super::run::RunError;
 use crate::baseline::{
     BaselineBackEnd, BaselineKind, BaselineRoute, BaselineRouterSettings, BaselineService,
@@ -29,6 +29,7 @@
 use crate::load::CallerSettings;
 use crate::stand_in::back_end::Degradation;
 
+/// Addresses of a back end: for requests and for control.
 const ADDRESSES_PER_BACK_END: usize = 2;
 
 /// The processes of one baseline.
@@ -206,6 +207,7 @@
         (self.kind, events, self.cpu.seconds())
     }
 
+    /// Records the end time of routers that have ended since the last call.
     fn record_router_ends(&mut self) {
         for (number, router) in self.routers.iter_mut().enumerate() {
             let epoch = self.settings[number].epoch();
@@ -234,7 +236,7 @@
             FaultAction::ReplaceRouter { .. } => {
                 self.routers[number].wait(END_TIMEOUT);
                 self.record_router_ends();
-                self.settings[number].life += 1;
+                self.settings[number].incarnation += 1;
                 let child = self.start_router(number)?;
                 let previous = std::mem::replace(&mut self.routers[number], child);
                 self.ended.push(previous);
@@ -244,6 +246,7 @@
         Ok(())
     }
 
+    /// Kills the router and all back end processes of a zone.
     fn kill_zone(&mut self, zone: usize) {
         let Some(name) = self.zones.get(zone).cloned() else {
             return;
@@ -257,7 +260,7 @@
 
     fn start_router(&self, number: usize) -> io::Result<ChildProcess> {
         let settings = &self.settings[number];
-        let name = format!("router-{}-{}", number + 1, settings.life);
+        let name = format!("router-{}-{}", number + 1, settings.incarnation);
         start_stand_in(&self.directory, &name, "baseline-router", settings)
     }
 }
@@ -290,7 +293,7 @@
         .map(|(number, address)| BaselineRouterSettings {
             kind,
             number: number as u64,
-            life: 1,
+            incarnation: 1,
             address: *address,
             routes: routes.clone(),
             services: services.clone(),
@@ -298,6 +301,8 @@
         .collect()
 }
 
+/// Returns the services with their back ends. The connections of a back end are
+/// divided equally between the routers.
 fn services(plan: &Plan, hosts: &[HostPlan], routers: usize) -> Vec<BaselineService> {
     let mut services: BTreeMap<_, Vec<BaselineBackEnd>> = BTreeMap::new();
     for one in hosts.iter().flat_map(|host| &host.back_ends) {
--- a/crates/lab/src/rig/child.rs
+++ b/crates/lab/src/rig/child.rs
@@ -171,6 +171,7 @@
     }
 }
 
+/// Reads the lines that a child writes, until its output ends.
 fn read_lines(output: impl BufRead, ready: &AtomicBool, events: &Mutex<Vec<Event>>) {
     for line in output.lines() {
         let Ok(line) = line else {
--- a/crates/lab/src/rig/control.rs
+++ b/crates/lab/src/rig/control.rs
@@ -105,6 +105,8 @@
     ))
 }
 
+/// Returns the revision at which `generation` or a later one was accepted, or
+/// `None` if it is not accepted yet.
 fn accepted_revision(object: &Value, generation: i64) -> Option<Revision> {
     let conditions = object["status"]["conditions"].as_array()?;
     conditions.iter().find(|condition| {
@@ -116,6 +118,8 @@
     Some(revision.0)
 }
 
+/// Sends one request on a new connection and returns the JSON response, or null
+/// if the body is empty.
 async fn send(
     address: SocketAddr,
     method: Method,
--- a/crates/lab/src/rig/deployment.rs
+++ b/crates/lab/src/rig/deployment.rs
@@ -42,7 +42,7 @@
     #[error(transparent)]
     Seed(#[from] SeedError),
     /// An object does not match its schema.
-    #[error("{path}: {cause}; 'threadledge check' tells more")]
+    #[error("{path}: {cause}; run 'threadledge check' for details")]
     Object {
         /// The file.
         path: PathBuf,
@@ -108,6 +108,8 @@
         counts
     }
 
+    /// Moves all services to `region` and all back ends to the zones of
+    /// `routers`.
     fn map_to_region(&mut self, region: &RegionName, routers: &[RouterLocation]) {
         for service in self.services.values_mut() {
             service.spec.region = region.clone();
@@ -125,6 +127,7 @@
     }
 }
 
+/// Reads one directory, with one router for each zone of its back ends.
 fn read_one(directory: &Path) -> Result<Deployment, DeploymentError> {
     let mut deployment = Deployment::default();
     let name = directory.file_name().unwrap_or(directory.as_os_str());
--- a/crates/lab/src/rig/fault_schedule.rs
+++ b/crates/lab/src/rig/fault_schedule.rs
@@ -12,7 +12,7 @@
 use super::control;
 use super::plan::Plan;
 use super::poller::RouterPoller;
-use super::processes::Processes;
+use super::product_processes::ProductProcesses;
 use super::systems::Systems;
 use super::targets::{control_address, kill_zone, live_machine, process_number_of, select_router};
 use crate::clock;
@@ -92,6 +92,7 @@
         self.add(at, step);
     }
 
+    /// Executes one step on all systems.
     fn execute(
         &mut self,
         step: Step,
@@ -146,7 +147,7 @@
         &mut self,
         action: &FaultAction,
         router: Option<usize>,
-        processes: &mut Processes,
+        processes: &mut ProductProcesses,
     ) -> http_types::Result<()> {
         match action {
             FaultAction::KillBackEnd { back_end } => {
@@ -206,7 +207,7 @@
         &self,
         action: &FaultAction,
         number: usize,
-        processes: &mut Processes,
+        processes: &mut ProductProcesses,
     ) -> http_types::Result<()> {
         match action {
             FaultAction::KillRouter { .. } => processes.routers[number].child.kill(),
@@ -237,7 +238,12 @@
     }
 
     /// Schedules the end of an action that has a duration.
-    fn schedule_end(&mut self, action: &FaultAction, router: Option<usize>, product: &Processes) {
+    fn schedule_end(
+        &mut self,
+        action: &FaultAction,
+        router: Option<usize>,
+        product: &ProductProcesses,
+    ) {
         match (action, router) {
             (FaultAction::FreezeBackEnd { back_end, for_ms }, _) => {
                 if let Some(number) = product.hosts.process_number(back_end) {
@@ -260,12 +266,14 @@
         }
     }
 
+    /// Runs hostile callers against the routers of each system in the
+    /// background.
     fn send_hostile_callers(&self, systems: &Systems, connections: u32, for_ms: u64) {
-        let lasts = std::time::Duration::from_millis(for_ms);
+        let duration = std::time::Duration::from_millis(for_ms);
         for (system, addresses) in systems.caller_addresses() {
             let background_events = self.background_events.clone();
             task::spawn(async move {
-                let counts = send_hostile_callers(&addresses, connections, lasts).await;
+                let counts = send_hostile_callers(&addresses, connections, duration).await;
                 background_events.lock().push(Event::Fault {
                     at: clock::now(),
                     what: format!("hostile callers of {system} ended: {counts}"),
--- a/crates/lab/src/rig/hosts.rs
+++ b/crates/lab/src/rig/hosts.rs
@@ -35,6 +35,7 @@
 }
 
 impl HostKind {
+    /// Returns the command-line argument that selects this kind of stand-in.
     const fn argument(self) -> &'static str {
         match self {
             HostKind::GrantRequired => "back-ends",
@@ -43,6 +44,7 @@
     }
 }
 
+/// One back end process; `child` is `None` while it is killed.
 struct Host {
     plan: HostPlan,
     incarnation: Incarnation,
--- a/crates/lab/src/rig/mod.rs
+++ b/crates/lab/src/rig/mod.rs
@@ -12,7 +12,7 @@
 mod plan;
 mod poller;
 mod ports;
-mod processes;
+mod product_processes;
 mod progress;
 mod run;
 mod summary;
--- a/crates/lab/src/rig/plan.rs
+++ b/crates/lab/src/rig/plan.rs
@@ -15,8 +15,11 @@
 use crate::measures::LAB_NAMESPACE;
 use crate::stand_in::back_end::BackEndSettings;
 
+/// Addresses of a back end: for requests and for control.
 const ADDRESSES_PER_BACK_END: usize = 2;
+/// Addresses of a router: for callers, peers and operators.
 const ADDRESSES_PER_ROUTER: usize = 3;
+/// Addresses of the platform: object API and machine list.
 const PLATFORM_ADDRESSES: usize = 2;
 /// Connections of a direct back end, which has only one client.
 const DIRECT_CONNECTIONS: u32 = 256;
@@ -166,6 +169,7 @@
         hosts
     }
 
+    /// Returns the load settings of the service that a back end belongs to.
     fn back_end_load<'a>(
         &self,
         experiment: &'a Experiment,
@@ -188,6 +192,7 @@
         .find(|load| load.service == *service)
 }
 
+/// Plans a direct back end for each load that has direct calls.
 fn direct_plans(
     experiment: &Experiment,
     next: &mut impl FnMut() -> Result<SocketAddr, io::ErrorKind>,
@@ -221,6 +226,8 @@
     Ok(directs)
 }
 
+/// Returns back end settings with the slots and connections of a direct back
+/// end.
 fn back_end(
     id: BackEndId,
     [address, control_address]: [SocketAddr; 2],
--- a/crates/lab/src/rig/poller.rs
+++ b/crates/lab/src/rig/poller.rs
@@ -13,7 +13,7 @@
 use threadledge::operations::{ExplainRequest, OperatorClient, StatusReport};
 use threadledge_types::{RouterId, ServiceId};
 
-use super::processes::Router;
+use super::product_processes::Router;
 use crate::clock;
 use crate::history::{ConfigurationSeen, Event, SliceSeen};
 use crate::load::{KeyPopularity, TrafficSettings};
@@ -31,6 +31,7 @@
     thread: Option<JoinHandle<()>>,
 }
 
+/// State shared with the polling thread.
 struct Shared {
     stop: AtomicBool,
     states: Mutex<Vec<Option<StatusReport>>>,
@@ -113,6 +114,8 @@
         *self.states.lock() = states;
     }
 
+    /// Queries one router for its state and owners, and records both. Returns
+    /// `None` if it does not respond in time.
     async fn query_state(&self, name: &str, address: SocketAddr) -> Option<StatusReport> {
         let client = OperatorClient::new(address);
         let report = timeout(QUERY_TIMEOUT, client.status()).await;
@@ -158,6 +161,8 @@
     format!("{name} ({})", report.router.machine)
 }
 
+/// Returns whether a router is ready and reports an owner for every slice of
+/// `services`.
 fn serves(state: &Option<StatusReport>, services: &[ServiceId]) -> bool {
     let Some(report) = state else {
         return false;
@@ -169,6 +174,7 @@
     report.readiness.is_ready() && services.iter().all(fully_owned)
 }
 
+/// Returns owner queries for the most popular keys of one kind of request.
 fn queries(traffic: &TrafficSettings) -> Vec<ExplainRequest> {
     let popularity = KeyPopularity::new(traffic.popularity.clone(), 0);
     let keys = 0..KEYS_QUERIED.min(traffic.popularity.keys);
--- a/crates/lab/src/rig/processes.rs
+++ b/crates/lab/src/rig/product_processes.rs
@@ -23,6 +23,7 @@
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum time for a child to end when asked.
 pub(super) const END_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval for polling whether a child is ready.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A router process.
@@ -35,7 +36,7 @@
 }
 
 /// All processes of the product in a run.
-pub(super) struct Processes {
+pub(super) struct ProductProcesses {
     directory: PathBuf,
     pub object_api: ChildProcess,
     pub machine_list: ChildProcess,
@@ -47,9 +48,9 @@
     events: Mutex<Vec<Event>>,
 }
 
-impl Processes {
+impl ProductProcesses {
     /// Starts all processes but the callers.
-    pub fn start(plan: &Plan, directory: &Path) -> Result<Processes, RunError> {
+    pub fn start(plan: &Plan, directory: &Path) -> Result<ProductProcesses, RunError> {
         let objects = plan.objects().map_err(io::Error::other)?;
         let object_api = PlatformSettings::ObjectApi {
             address: plan.object_api,
@@ -59,7 +60,7 @@
             address: plan.machine_list,
             machines: plan.machines(),
         };
-        let mut processes = Processes {
+        let mut processes = ProductProcesses {
             directory: directory.to_owned(),
             object_api: start_stand_in(directory, "object-api", "platform", &object_api)?,
             machine_list: start_stand_in(directory, "machine-list", "platform", &machine_list)?,
--- a/crates/lab/src/rig/progress.rs
+++ b/crates/lab/src/rig/progress.rs
@@ -73,6 +73,7 @@
         }
     }
 
+    /// Counts the outcomes recorded since the last call.
     fn count(&mut self, callers: &[ChildProcess]) {
         self.counted_events.resize(callers.len(), 0);
         for (number, caller) in callers.iter().enumerate() {
@@ -91,6 +92,7 @@
     }
 }
 
+/// Returns the final outcome of a request, if the event records one.
 fn outcome(event: &Event) -> Option<AttemptOutcome> {
     match event {
         Event::RequestEnded { attempts, .. } => Some(attempts.last()?.outcome),
--- a/crates/lab/src/rig/run.rs
+++ b/crates/lab/src/rig/run.rs
@@ -12,7 +12,7 @@
 use super::fault_schedule::FaultSchedule;
 use super::plan::{Plan, service_settings};
 use super::poller::RouterPoller;
-use super::processes::Processes;
+use super::product_processes::ProductProcesses;
 use super::progress::Progress;
 use super::summary::{RunData, summarise};
 use super::systems::Systems;
@@ -34,6 +34,7 @@
 const HISTORY_FILE: &str = "history.jsonl";
 /// Interval between two readings of the routers' processor time.
 const CPU_INTERVAL: Duration = Duration::from_millis(100);
+/// Pause between two iterations of the loops that monitor a run.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Options of one run.
@@ -175,8 +176,9 @@
     schedule.finish()
 }
 
+/// Waits until every router is ready and all services have owners.
 fn wait_until_ready(
-    processes: &mut Processes,
+    processes: &mut ProductProcesses,
     poller: &RouterPoller,
     services: &[ServiceId],
     started: Timestamp,
@@ -201,6 +203,8 @@
     Ok(())
 }
 
+/// Checks that the deployment contains the back ends and services that the
+/// experiment refers to, and that the load files describe every service.
 fn check_names(experiment: &Experiment, deployment: &Deployment) -> Result<(), RunError> {
     let unknown = |what: String| RunError::Unknown { what };
     for fault in &experiment.faults {
@@ -235,6 +239,7 @@
     writer.flush()
 }
 
+/// Creates the directory for the logs of this run.
 fn log_directory(experiment: &str) -> io::Result<PathBuf> {
     let name = format!("threadledge-lab-{experiment}-{}", std::process::id());
     let directory = std::env::temp_dir().join(name);
--- a/crates/lab/src/rig/systems.rs
+++ b/crates/lab/src/rig/systems.rs
@@ -10,7 +10,7 @@
 use super::baseline_processes::BaselineProcesses;
 use super::control;
 use super::plan::Plan;
-use super::processes::Processes;
+use super::product_processes::ProductProcesses;
 use super::run::RunError;
 use crate::baseline::BaselineKind;
 use crate::experiment::Experiment;
@@ -20,9 +20,9 @@
 
 /// The processes of all systems under test.
 pub(super) struct Systems {
-    /// Processes of the product.
-    pub product: Processes,
-    /// Processes of each baseline.
+    /// ProductProcesses of the product.
+    pub product: ProductProcesses,
+    /// ProductProcesses of each baseline.
     pub baselines: Vec<BaselineProcesses>,
 }
 
@@ -42,7 +42,7 @@
         baselines: &[BaselineKind],
         directory: &Path,
     ) -> Result<Systems, RunError> {
-        let product = Processes::start(plan, directory)?;
+        let product = ProductProcesses::start(plan, directory)?;
         let baselines = baselines.iter();
         let baselines =
             baselines.map(|kind| BaselineProcesses::start(*kind, experiment, plan, directory));
--- a/crates/lab/src/rig/targets.rs
+++ b/crates/lab/src/rig/targets.rs
@@ -7,19 +7,21 @@
 use threadledge_types::{BackEndId, ZoneName};
 
 use super::poller::RouterPoller;
-use super::processes::Processes;
+use super::product_processes::ProductProcesses;
 use crate::experiment::{FaultAction, RouterTarget};
 
+/// Returns the number of the process that hosts a back end.
 pub(super) fn process_number_of(
-    processes: &Processes,
+    processes: &ProductProcesses,
     back_end: &BackEndId,
 ) -> http_types::Result<usize> {
     let number = processes.hosts.process_number(back_end);
     number.ok_or_else(|| http_types::format_err!("no back end {back_end}"))
 }
 
+/// Returns the control address of a back end.
 pub(super) fn control_address(
-    processes: &Processes,
+    processes: &ProductProcesses,
     back_end: &BackEndId,
 ) -> http_types::Result<SocketAddr> {
     let settings = processes.hosts.back_end(back_end);
@@ -28,6 +30,7 @@
         .ok_or_else(|| http_types::format_err!("no back end {back_end}"))
 }
 
+/// Returns the machine list entry of a router.
 pub(super) fn live_machine(settings: &Settings) -> Machine {
     Machine {
         name: settings.machine.clone(),
@@ -42,7 +45,7 @@
 /// applies to no router.
 pub(super) fn select_router(
     action: &FaultAction,
-    processes: &mut Processes,
+    processes: &mut ProductProcesses,
     poller: &RouterPoller,
 ) -> http_types::Result<Option<usize>> {
     let target = match action {
@@ -79,7 +82,8 @@
     }
 }
 
-pub(super) fn kill_zone(processes: &mut Processes, zone: usize) -> http_types::Result<()> {
+/// Kills the router and all back end processes of the zone with this number.
+pub(super) fn kill_zone(processes: &mut ProductProcesses, zone: usize) -> http_types::Result<()> {
     let router = processes
         .routers
         .get_mut(zone)
--- a/crates/lab/src/stand_in/back_end/exchange.rs
+++ b/crates/lab/src/stand_in/back_end/exchange.rs
@@ -40,6 +40,7 @@
     format!("{:016x}", xxhash_rust::xxh3::xxh3_64(body))
 }
 
+/// The headers of a request that the back end uses.
 struct RequestInfo {
     request: RequestId,
     service: ServiceId,
@@ -84,6 +85,7 @@
     }
 }
 
+/// Admits a request, waits for a slot and runs it.
 async fn execute(back_end: &BackEnd, stream: &TcpStream, info: &RequestInfo) -> Outcome {
     let work = match back_end.admit(info.request, &info.service, info.point, info.epoch) {
         Ok(work) => work,
@@ -107,6 +109,7 @@
     run(back_end, stream, info, work).await
 }
 
+/// Runs an admitted request that has a slot.
 async fn run(back_end: &BackEnd, stream: &TcpStream, info: &RequestInfo, work: Work) -> Outcome {
     let StartedWork {
         work,
@@ -139,6 +142,7 @@
     }
 }
 
+/// How a step that may be interrupted ended.
 enum Bounded<T> {
     Finished(T),
     DeadlinePassed,
--- a/crates/lab/src/stand_in/back_end/load_meter.rs
+++ b/crates/lab/src/stand_in/back_end/load_meter.rs
@@ -12,6 +12,7 @@
 /// hot.
 const HOT_SHARE: f64 = 0.2;
 
+/// Number of requests by service and point.
 type Counts = BTreeMap<(ServiceId, Point), u32>;
 
 /// Request counts of the last few seconds, by service and point.
@@ -57,6 +58,7 @@
     }
 }
 
+/// Returns the request rate of one slice, or `None` if it had no requests.
 fn slice_rate(grant: &Grant, totals: &Counts) -> Option<SliceRate> {
     let first = (grant.service.clone(), grant.slice.first);
     let last = (grant.service.clone(), grant.slice.last);
--- a/crates/lab/src/stand_in/back_end/service_time.rs
+++ b/crates/lab/src/stand_in/back_end/service_time.rs
@@ -38,12 +38,12 @@
 
     /// Returns the cold start factor, which falls linearly to 1.
     fn cold_factor(&self, age: Duration) -> f64 {
-        let lasts = self.cold_start.for_ms as f64;
-        let passed = age.as_secs_f64() * 1_000.0;
-        if passed >= lasts {
+        let cold_start_ms = self.cold_start.for_ms as f64;
+        let elapsed = age.as_secs_f64() * 1_000.0;
+        if elapsed >= cold_start_ms {
             return 1.0;
         }
-        1.0 + (self.cold_start.factor - 1.0) * (1.0 - passed / lasts)
+        1.0 + (self.cold_start.factor - 1.0) * (1.0 - elapsed / cold_start_ms)
     }
 }
 
--- a/crates/lab/src/stand_in/back_end/state.rs
+++ b/crates/lab/src/stand_in/back_end/state.rs
@@ -30,6 +30,7 @@
     inner: Mutex<Inner>,
 }
 
+/// State protected by the lock.
 struct Inner {
     holder: Holder,
     service_times: ServiceTimes,
@@ -313,6 +314,7 @@
         inner.lease_end = lease_end;
     }
 
+    /// Rebuilds the load report if it is older than the settings allow.
     fn refresh_report(&self, inner: &mut Inner, now: Timestamp) {
         if now.since(inner.reported) < self.settings.report_lag() {
             return;
--- a/crates/lab/src/stand_in/object_api/auth.rs
+++ b/crates/lab/src/stand_in/object_api/auth.rs
@@ -76,6 +76,7 @@
 }
 
 impl Principal {
+    /// Returns whether the principal may read or write the target.
     fn may(&self, target: &Target, writes: bool) -> bool {
         match (&self.role, target.namespace()) {
             (Role::Partner(_), _) if writes && matches!(target, Target::Status(_)) => false,
--- a/crates/lab/src/stand_in/object_api/faults.rs
+++ b/crates/lab/src/stand_in/object_api/faults.rs
@@ -93,6 +93,7 @@
     random_drops: Option<RandomDrops>,
 }
 
+/// State of the fault that drops responses at random.
 #[derive(Clone, Debug)]
 struct RandomDrops {
     probability: f64,
@@ -156,6 +157,7 @@
     }
 }
 
+/// Decrements a count and returns true, or returns false if it is 0.
 fn take_one(count: &mut u32) -> bool {
     let left = count.checked_sub(1);
     *count = left.unwrap_or_default();
--- a/crates/lab/src/stand_in/object_api/server.rs
+++ b/crates/lab/src/stand_in/object_api/server.rs
@@ -33,6 +33,7 @@
 /// Maximum number of open connections; further ones are closed at once.
 const MAX_CONNECTIONS: usize = 1_024;
 const JSON: &str = "application/json";
+/// Value of the `retry-after` header of responses with status 429.
 const RETRY_AFTER_SECONDS: &str = "1";
 
 /// A running object API server.
@@ -270,6 +271,7 @@
     Ok(json_response(200, &list))
 }
 
+/// Parses a request into a write.
 async fn read_write(target: Target, request: &mut Request) -> Result<Write, ApiError> {
     let time = jiff::Timestamp::now().to_string();
     match (request.method(), target) {
@@ -294,6 +296,7 @@
     }
 }
 
+/// Applies a write subject to the faults in force.
 fn apply_write(shared: Arc<Shared>, write: Write, principal: Option<String>) -> RequestResult {
     let outcome = shared.with(|inner| inner.faults.next_write_outcome());
     if let WriteOutcome::Delayed(delay) = outcome {
--- a/crates/lab/src/stand_in/object_api/store.rs
+++ b/crates/lab/src/stand_in/object_api/store.rs
@@ -220,6 +220,7 @@
         Ok(self.commit(write.path.clone(), ChangeKind::Deleted, last))
     }
 
+    /// Assigns the next version to a change, stores it and returns the object.
     fn commit(&mut self, path: ObjectPath, kind: ChangeKind, mut object: Value) -> Value {
         self.version += 1;
         object["metadata"]["resourceVersion"] = json!(self.version.to_string());
@@ -239,6 +240,7 @@
         object
     }
 
+    /// Compacts the older half of the changes if there are too many.
     fn limit_changes(&mut self) {
         if self.changes.len() > MAX_CHANGES {
             let middle = self.changes[MAX_CHANGES / 2].version;
@@ -283,6 +285,7 @@
         Ok(())
     }
 
+    /// Returns the objects as of an earlier version, by replaying the changes.
     fn objects_at(&self, version: u64) -> Result<Cow<'_, Objects>, ApiError> {
         if version < self.compacted {
             return Err(ApiError::gone(version, self.compacted));
--- a/crates/lab/src/stand_in/object_api/watch.rs
+++ b/crates/lab/src/stand_in/object_api/watch.rs
@@ -113,6 +113,7 @@
 }
 
 impl Watch {
+    /// Sends the lines of the watch until it ends or the client disconnects.
     async fn feed(
         mut self,
         shared: &Shared,
