--- a/crates/lab/src/load/caller.rs
+++ b/crates/lab/src/load/caller.rs
@@ -161,7 +161,8 @@
 }
 
 /// Returns whether a caller of a retry storm retries immediately. It retries
-/// every failure unless the request may have run and must not be repeated.
+/// every failure but its own timeout, unless the request may have run and must
+/// not be repeated.
 fn should_retry_immediately(result: &ExchangeResult, repeatable: bool) -> bool {
     match result.outcome {
         AttemptOutcome::NotSent | AttemptOutcome::NotRun => true,
--- a/crates/lab/src/load/hostile.rs
+++ b/crates/lab/src/load/hostile.rs
@@ -28,11 +28,17 @@
 /// Behavior of one hostile caller.
 #[derive(Clone, Copy, Debug)]
 enum Attack {
+    /// Sends a request head byte by byte.
     SlowHead,
+    /// Sends a request head of [`LARGE_HEAD_BYTES`].
     LargeHead,
+    /// Sends the start of a body that is declared much larger.
     LargeBody,
+    /// Sends bytes that are not HTTP.
     Malformed,
+    /// Sends two different `content-length` headers.
     TwoLengths,
+    /// Disconnects right after sending a valid request.
     Disconnect,
 }
 
--- a/crates/lab/src/rig/child.rs
+++ b/crates/lab/src/rig/child.rs
@@ -38,6 +38,7 @@
     child: Child,
     /// Standard input of the child, which exits when it is closed.
     input: Option<ChildStdin>,
+    /// Thread that reads the lines the child writes.
     reader: Option<JoinHandle<()>>,
     ready: Arc<AtomicBool>,
     events: Arc<Mutex<Vec<Event>>>,
--- a/crates/lab/src/rig/control.rs
+++ b/crates/lab/src/rig/control.rs
@@ -55,7 +55,10 @@
 }
 
 /// Injects or clears a fault of the object API.
-pub(super) async fn fault(api: SocketAddr, command: &FaultCommand) -> http_types::Result<()> {
+pub(super) async fn set_object_api_fault(
+    api: SocketAddr,
+    command: &FaultCommand,
+) -> http_types::Result<()> {
     let body = serde_json::to_value(command)?;
     send(api, Method::Post, FAULTS_PATH, Some(body)).await?;
     Ok(())
--- a/crates/lab/src/rig/fault_schedule.rs
+++ b/crates/lab/src/rig/fault_schedule.rs
@@ -26,10 +26,15 @@
 /// A scheduled step.
 #[derive(Clone, Debug)]
 enum Step {
+    /// Applies a fault or operator action.
     Apply(FaultAction),
+    /// Resumes the back end process with this number.
     ResumeHost(usize),
+    /// Resumes the router with this number.
     ResumeRouter(usize),
+    /// Clears the degradation of a back end.
     Recover(BackEndId),
+    /// Ends the outage of the object API.
     StoreUp,
 }
 
@@ -68,7 +73,7 @@
             }
             let step = entry.remove();
             if let Err(error) = self.execute(step, systems, poller) {
-                let what = format!("fault could not be applied: {error}");
+                let what = format!("step of the fault schedule failed: {error}");
                 systems.product.record(Event::Fault {
                     at: clock::now(),
                     what,
@@ -136,7 +141,7 @@
             }
             Step::StoreUp => {
                 let up = FaultCommand::Down(false);
-                task::block_on(control::fault(self.object_api, &up))?;
+                task::block_on(control::set_object_api_fault(self.object_api, &up))?;
             }
         }
         Ok(())
@@ -183,11 +188,14 @@
             FaultAction::KillZone { zone } => kill_zone(processes, *zone)?,
             FaultAction::StoreDown { .. } => {
                 let down = FaultCommand::Down(true);
-                task::block_on(control::fault(self.object_api, &down))?;
+                task::block_on(control::set_object_api_fault(self.object_api, &down))?;
             }
             FaultAction::StoreDropsAnswers { writes } => {
                 let drop_answers = FaultCommand::DropAnswers(*writes);
-                task::block_on(control::fault(self.object_api, &drop_answers))?;
+                task::block_on(control::set_object_api_fault(
+                    self.object_api,
+                    &drop_answers,
+                ))?;
             }
             FaultAction::ChangeService { service } => self.change_service(service.clone()),
             // The caller of this function sends them to all systems at once.
--- a/crates/lab/src/rig/poller.rs
+++ b/crates/lab/src/rig/poller.rs
@@ -107,6 +107,7 @@
 }
 
 impl Shared {
+    /// Queries all routers at the same time and stores their states.
     async fn poll_all(&self) {
         let routers = self.routers.iter();
         let states =
@@ -154,7 +155,7 @@
     }
 }
 
-/// Returns a name that tells a replaced machine from its predecessor. A new
+/// Returns a name that distinguishes a machine from the one it replaced. A new
 /// machine starts without state, so its reports must not be compared with
 /// those of the previous one.
 fn incarnation_name(name: &str, report: &StatusReport) -> String {
--- a/crates/lab/src/stand_in/back_end/exchange.rs
+++ b/crates/lab/src/stand_in/back_end/exchange.rs
@@ -51,9 +51,13 @@
 
 /// Outcome of a request.
 enum Outcome {
+    /// The work took effect.
     Done,
+    /// The request was refused or its deadline passed.
     Refused(Refusal),
+    /// The caller disconnected.
     Disconnected,
+    /// A degradation dropped the request.
     Dropped,
 }
 
