--- a/crates/router/src/control_shell/explain.rs
+++ b/crates/router/src/control_shell/explain.rs
@@ -11,7 +11,7 @@
 
 use super::status::selected_back_ends;
 use crate::operations::{
-    ExplainError, ExplainRequest, Explanation, MatchedRoute, SelectedBackEnd, SliceOwner,
+    ExplainError, ExplainRequest, ExplainedRoute, Explanation, SelectedBackEnd, SliceOwner,
 };
 
 /// Headers of the request to explain.
@@ -44,7 +44,7 @@
     let slice = slice_of(node, &matched).ok_or(ExplainError::NotReady)?;
     Ok(Explanation {
         service: record.id.clone(),
-        route: MatchedRoute {
+        route: ExplainedRoute {
             name: route.name.clone(),
             key: route.key.clone(),
             repeatable: matched.repeatable,
--- a/crates/router/src/operations.rs
+++ b/crates/router/src/operations.rs
@@ -12,7 +12,7 @@
 
 pub use client::{ClientError, OperatorClient};
 pub use report::{
-    ExplainRequest, Explanation, GroupStatus, MatchedRoute, MemberState, MemberStatus,
+    ExplainRequest, ExplainedRoute, Explanation, GroupStatus, MemberState, MemberStatus,
     NotReadyReason, Readiness, SelectedBackEnd, ServiceStatus, SessionStatus, SliceOwner,
     StatusReport,
 };
--- a/crates/router/src/operations/report.rs
+++ b/crates/router/src/operations/report.rs
@@ -231,7 +231,7 @@
     /// Service of the host.
     pub service: ServiceId,
     /// Route that matches.
-    pub route: MatchedRoute,
+    pub route: ExplainedRoute,
     /// Text of the service's back end selector.
     pub selector: String,
     /// Back ends that the selector matches.
@@ -255,7 +255,7 @@
 /// The route of an explained request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct MatchedRoute {
+pub struct ExplainedRoute {
     /// Name of the route.
     pub name: String,
     /// Part of the request that contains the key.
--- a/crates/router/tests/operations.rs
+++ b/crates/router/tests/operations.rs
@@ -10,7 +10,7 @@
 use async_std::task;
 use threadledge::metrics::{ControlState, Metrics};
 use threadledge::operations::{
-    ClientError, ExplainError, ExplainRequest, Explanation, MatchedRoute, MemberState,
+    ClientError, ExplainError, ExplainRequest, ExplainedRoute, Explanation, MemberState,
     MemberStatus, NotReadyReason, OperatorClient, OperatorService, Readiness, RouterView,
     SelectedBackEnd, ServiceStatus, SessionStatus, SliceOwner, StatusReport, explanation_text,
     serve, status_text,
@@ -115,7 +115,7 @@
     let point = hash_key(key.as_bytes());
     Explanation {
         service: ServiceId::new("hearts", "gallery"),
-        route: MatchedRoute {
+        route: ExplainedRoute {
             name: "browse".to_owned(),
             key: KeySource::Header("x-member".to_owned()),
             repeatable: true,
