--- a/crates/lab/src/checks/single_owner.rs
+++ b/crates/lab/src/checks/single_owner.rs
@@ -34,7 +34,7 @@
                     Guarantee::SingleOwner,
                     claim.begin,
                     format!(
-                        "{service} from point {point}: {} and {other} both claim ownership",
+                        "{service} from point {point}: {} and {other} both believe that they own it",
                         claim.session
                     ),
                 ));
--- a/crates/lab/src/load/caller.rs
+++ b/crates/lab/src/load/caller.rs
@@ -96,7 +96,7 @@
             self.recorder.record(Event::Fault {
                 at: clock::now(),
                 what: format!(
-                    "the lab skipped {skipped} requests to {service}: {MAX_OUTSTANDING} were in flight"
+                    "the lab left out {skipped} requests to {service}: {MAX_OUTSTANDING} were under way"
                 ),
             });
         }
--- a/crates/lab/src/rig/control.rs
+++ b/crates/lab/src/rig/control.rs
@@ -104,7 +104,7 @@
         }
     }
     Err(http_types::format_err!(
-        "{path}: all {MAX_WRITES} write attempts failed"
+        "{path} kept changing; no write won"
     ))
 }
 
--- a/crates/lab/src/rig/fault_schedule.rs
+++ b/crates/lab/src/rig/fault_schedule.rs
@@ -73,7 +73,7 @@
             }
             let step = entry.remove();
             if let Err(error) = self.execute(step, systems, poller) {
-                let what = format!("step of the fault schedule failed: {error}");
+                let what = format!("not carried out: {error}");
                 systems.product.record(Event::Fault {
                     at: clock::now(),
                     what,
@@ -300,7 +300,7 @@
                 Ok(event) => event,
                 Err(error) => Event::Fault {
                     at: clock::now(),
-                    what: format!("change of {service} was not accepted: {error}"),
+                    what: format!("change not accepted: {error}"),
                 },
             };
             background_events.lock().push(event);
--- a/crates/lab/src/rig/targets.rs
+++ b/crates/lab/src/rig/targets.rs
@@ -78,7 +78,7 @@
     let chosen = candidates.next();
     match chosen {
         Some(number) => Ok(Some(number)),
-        None => Err(http_types::format_err!("no running router is the {target}")),
+        None => Err(http_types::format_err!("no {target} among the routers")),
     }
 }
 
--- a/crates/router/src/control_shell/peer_server.rs
+++ b/crates/router/src/control_shell/peer_server.rs
@@ -26,7 +26,7 @@
     #[error("{0} is not allowed here; use POST")]
     Method(Method),
     /// The body was not received completely.
-    #[error("the batch was not received completely ({0}); send it again")]
+    #[error("the batch did not come whole ({0}); send it again")]
     Incomplete(String),
     /// The body is not a batch.
     #[error("the batch cannot be read ({0}); run the same version on every router of the region")]
--- a/crates/router/src/operations/view.rs
+++ b/crates/router/src/operations/view.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ExplainError {
     /// No accepted service has the host.
-    #[error("no service has the host '{host}'; add the host to a service's 'hosts'")]
+    #[error("no service answers to host '{host}'; add the host to a service's 'hosts'")]
     UnknownHost {
         /// The requested host.
         host: String,
